--- a/request/dispatch/burst.go
+++ b/request/dispatch/burst.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// burstWindow is the time in which entry instances do not know of each other's
-// newest requests: a tick of their exchange and its way.
+// burstWindow is the time for which the newest requests of other entry
+// instances can be missing from their reported load: one interval of the
+// exchange of loads plus the network latency.
 const burstWindow = 60 * time.Millisecond
 
-// Burst answers a server that becomes free in front of waiting requests: all
-// entry instances see the same free places at the same moment, and each takes
-// only its share of them until it has heard of the others.
+// Burst limits how fast one entry instance fills a server that becomes free
+// while requests wait. All entry instances see the same free slots at the same
+// moment, so each may use only its share of them until the others have reported
+// their load.
 type Burst struct {
-	sent window
+	sends slidingWindow
 }
 
-// Allows reports whether one of entries entry instances may send one more
-// request to a server with free places.
+// Allows reports whether this entry instance, one of entries, may send one more
+// request to a server with free slots.
 func (b *Burst) Allows(now time.Time, free, entries int) bool {
-	own := b.sent.count(now, burstWindow)
+	own := b.sends.count(now, burstWindow)
 	return own < max(1, (free+own)/max(1, entries))
 }
 
-// Sent counts a request.
-func (b *Burst) Sent(now time.Time) { b.sent.add(now, burstWindow) }
+// Sent records that a request was sent at now.
+func (b *Burst) Sent(now time.Time) { b.sends.add(now, burstWindow) }
--- a/request/dispatch/coldrate.go
+++ b/request/dispatch/coldrate.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// coldWindow is the span in which the requests to a cold server are counted.
+// coldWindow is the period over which the requests to a cold server are counted.
 const coldWindow = time.Second
 
-// ColdRate answers servers that came back cold under full load: it bounds what
-// one entry instance sends to a cold server in a second to its even share, so
-// that the sum holds also when the entry instances do not hear each other.
+// ColdRate limits the requests that one entry instance sends per second to a
+// cold server, one that started recently, to an equal share of the rate that
+// such a server can handle. The total then stays within that rate under full
+// load, even while the entry instances cannot reach each other.
 type ColdRate struct {
-	sent window
+	sends slidingWindow
 }
 
-// Allows reports whether one more request may be sent at now.
+// Allows reports whether this entry instance, one of entries, may send one more
+// request at now to a server that can handle perSecond requests per second.
 func (c *ColdRate) Allows(now time.Time, perSecond float64, entries int) bool {
 	share := max(1, int(perSecond)/max(1, entries))
-	return c.sent.count(now, coldWindow) < share
+	return c.sends.count(now, coldWindow) < share
 }
 
-// Sent counts a request.
-func (c *ColdRate) Sent(now time.Time) { c.sent.add(now, coldWindow) }
+// Sent records that a request was sent at now.
+func (c *ColdRate) Sent(now time.Time) { c.sends.add(now, coldWindow) }
--- a/request/dispatch/demand.go
+++ b/request/dispatch/demand.go
@@ -6,46 +6,48 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// Demand is a request that needs a server.
+// Demand describes a request that needs a slot at a server.
 type Demand struct {
-	// ID is the request's id, for log lines.
+	// ID is the ID of the request, for log lines.
 	ID string
-	// Service is the service that is to run it.
+	// Service is the name of the service whose servers can run the request.
 	Service string
-	// Model is the model it needs; empty for a plain service.
+	// Model is the name of the required model; empty for a plain service.
 	Model string
-	// Version is the version of the weights that it must run on; 0 for any
-	// that is in force.
+	// Version is the required version of the model's weights; 0 allows every
+	// version in force.
 	Version int
-	// RouteRegions and AccountRegions restrict where it may run.
+	// RouteRegions and AccountRegions list the regions whose servers may run
+	// the request; an empty list allows all regions.
 	RouteRegions, AccountRegions []string
-	// Work is an estimate of what it costs a server, in tokens of a prompt; 0
-	// when nothing is known.
+	// Work is the estimated cost of the request for a server, in prompt tokens;
+	// 0 when unknown.
 	Work float64
-	// Rank orders waiting requests; 0 goes first.
+	// Rank orders waiting requests: the lowest value goes first.
 	Rank int
-	// Arrived is when the request came in, and Deadline when its answer is
-	// due at the latest.
+	// Arrived is when the request arrived, and Deadline the latest time at which
+	// its response may end.
 	Arrived, Deadline time.Time
-	// Objective is the time to the first byte for which it is on time.
+	// Objective is the target for the time to the first byte.
 	Objective time.Duration
-	// Patience is how long it may wait for a place at a further server after
-	// a sending failed; 0 for a request that has not run anywhere.
+	// Patience is the minimum time that the request may wait for a slot at another
+	// server after a failed attempt; 0 if the request has not run anywhere.
 	Patience time.Duration
-	// Tried are the servers that are not to get it again.
+	// Tried holds the IDs of the servers that must not receive the request again.
 	Tried map[string]bool
 }
 
-// Place is a place at a server that a request was given.
+// Place is a server's capacity for one request, assigned to a request.
 type Place struct {
-	// Server is the server.
+	// Server is the assigned server.
 	Server *catalog.Server
-	// Version is the version of the weights that the server is believed to
-	// hold; 0 at a plain service.
+	// Version is the version of the weights that the server holds according to
+	// the latest report; 0 at a plain service.
 	Version int
 	// Running is the number of requests at the server when it was chosen,
-	// without this one.
+	// excluding this one.
 	Running int
-	// Remote says that the server stands in another data centre.
+	// Remote is true if the server is in another data centre than this entry
+	// instance.
 	Remote bool
 }
--- a/request/dispatch/desk.go
+++ b/request/dispatch/desk.go
@@ -14,301 +14,321 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// Reasons for which a request gets no place.
+// Reasons for which a request gets no slot.
 var (
-	// ErrFull says that every server that could run it has its limit.
+	// ErrFull is returned when servers could run the request, but none of them
+	// has a free slot now.
 	ErrFull = errors.New("every server is full")
-	// ErrNone says that no server can run it at all.
+	// ErrNone is returned when no server can run the request.
 	ErrNone = errors.New("no server can run it")
-	// ErrRepeats says that it may not be sent again now.
+	// ErrRepeats is returned when the retry budget does not allow another
+	// attempt.
 	ErrRepeats = errors.New("too many repeats")
 )
 
-// Config holds the settings of a Desk.
+// Config holds the settings of a [Desk].
 type Config struct {
-	// DataCentre is where this entry instance stands.
+	// DataCentre is the data centre of this entry instance.
 	DataCentre string
-	// Regions gives the region of each data centre.
+	// Regions maps each data centre to its region.
 	Regions map[string]string
-	// Repeats bounds repeats.
+	// Repeats limits the retries of requests.
 	Repeats RepeatLimits
-	// WeightsDue is the age from which declared weights alone are used.
+	// WeightsDue is the age from which a declared version of the weights is
+	// mandatory: requests then run on this version or a newer one only.
 	WeightsDue time.Duration
-	// Patience is the share of a request's objective that it may wait here
-	// for a place.
+	// Patience is the fraction of a request's objective that it may spend
+	// waiting for a slot.
 	Patience float64
 }
 
-// queueAtServer is how many requests may wait in a server's own queue: a place
-// that becomes free between two passes of an engine is then taken at the next
-// one, and not one pass later. More of them cost more time to the first token
-// than they gain (docs/design/load.md).
-const queueAtServer = 1
+// serverQueueLength is the number of requests that may wait in a server's own
+// queue. One waiting request lets the engine fill a slot that becomes free
+// between two passes at the next pass, and not one pass later. More waiting
+// requests delay the first token by more than they gain (docs/design/load.md).
+const serverQueueLength = 1
 
-// peerAge is how long another entry instance's counts are believed without a
-// message from it; its heartbeat comes twice a second.
-const peerAge = 2 * time.Second
+// peerTimeout is how long the load reported by another entry instance is used
+// without a new message from it. Heartbeats arrive twice a second.
+const peerTimeout = 2 * time.Second
 
-// Desk gives requests places at servers. It is safe for concurrent use.
+// Desk assigns slots at servers to requests and keeps a queue of the requests
+// that wait for one. It is safe for concurrent use.
 type Desk struct {
 	cfg    Config
 	holder *catalog.Holder
 	clock  clockwork.Clock
 
-	mu      sync.Mutex
-	servers map[string]*serverState
-	peers   map[string]*peerLoad
-	agents  map[string]agentView
-	repeats map[string]*Repeats
-	waiting []*waiter
-	turn    int
-	// given counts the places that waiting requests were given.
-	given int
+	mu           sync.Mutex
+	servers      map[string]*serverState
+	peers        map[string]*peerLoad
+	agents       map[string]agentReport
+	retryBudgets map[string]*Repeats
+	waiting      []*waiter
+	// rotation counts the choices made, so that consecutive choices prefer
+	// different ones of equally loaded servers.
+	rotation int
+	// assigned is the number of slots assigned to waiting requests so far.
+	assigned int
 }
 
-// serverState is what is known of a server beyond its entry.
+// serverState holds what this entry instance has recorded about a server.
 type serverState struct {
-	running   int
-	cold      ColdRate
-	burst     Burst
-	suspicion Suspicion
-	quiet     Quiet
+	// running is the number of this entry instance's requests at the server.
+	running  int
+	coldRate ColdRate
+	burst    Burst
+	health   Suspicion
+	stall    Quiet
 }
 
-// peerLoad is what another entry instance runs.
+// peerLoad is the load reported by another entry instance.
 type peerLoad struct {
-	running map[string]int
-	heard   time.Time
+	// running is the number of requests at each server, by its ID.
+	running     map[string]int
+	lastMessage time.Time
 }
 
-// agentView is what an agent says of its server.
-type agentView struct {
+// agentReport is the latest report of an agent about its server.
+type agentReport struct {
 	state frame.AgentState
-	// loadingSince is when it was first heard that the server loads.
+	// loadingSince is when the agent first reported that the server is loading
+	// weights.
 	loadingSince time.Time
 }
 
-// waiter is a request that waits for a place.
+// waiter is a request that waits for a slot.
 type waiter struct {
-	demand *Demand
-	place  chan Place
-	given  bool
+	request *Demand
+	// slot receives the slot that is assigned to the request.
+	slot     chan Place
+	assigned bool
 }
 
-// NewDesk returns a Desk.
+// NewDesk returns a [Desk] that uses the servers and the configuration of
+// holder.
 func NewDesk(cfg Config, holder *catalog.Holder, clock clockwork.Clock) *Desk {
 	return &Desk{
 		cfg: cfg, holder: holder, clock: clock,
 		servers: map[string]*serverState{}, peers: map[string]*peerLoad{},
-		agents: map[string]agentView{}, repeats: map[string]*Repeats{},
+		agents: map[string]agentReport{}, retryBudgets: map[string]*Repeats{},
 	}
 }
 
-// First counts a request to a service for the bound on repeats.
-func (d *Desk) First(service string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.repeatsOf(service).First(d.clock.Now())
+// First counts a request in the retry budget of its service.
+func (s *Desk) First(service string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.retryBudgetOf(service).First(s.clock.Now())
 }
 
-// Repeat asks whether a request may be sent to its service once more.
-func (d *Desk) Repeat(service string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.repeatsOf(service).Take(d.clock.Now(), d.entries())
+// Repeat counts a retry and returns true if the retry budget of the service
+// allows the retry now.
+func (s *Desk) Repeat(service string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.retryBudgetOf(service).Take(s.clock.Now(), s.knownEntries())
 }
 
-func (d *Desk) repeatsOf(service string) *Repeats {
-	r, ok := d.repeats[service]
+// retryBudgetOf returns the retry budget of a service. The caller holds s.mu.
+func (s *Desk) retryBudgetOf(service string) *Repeats {
+	r, ok := s.retryBudgets[service]
 	if !ok {
-		r = NewRepeats(d.cfg.Repeats)
-		d.repeats[service] = r
+		r = NewRepeats(s.cfg.Repeats)
+		s.retryBudgets[service] = r
 	}
 	return r
 }
 
-// entries is the number of entry instances that may be sending; one that fell
-// silent counts on.
-func (d *Desk) entries() int { return len(d.peers) + 1 }
+// knownEntries returns the number of entry instances that may be sending
+// requests, including this one and those without recent messages. The caller
+// holds s.mu.
+func (s *Desk) knownEntries() int { return len(s.peers) + 1 }
 
-// heardEntries is the number of entry instances that are sending now; d.mu is
-// held.
-func (d *Desk) heardEntries(now time.Time) int {
+// activeEntries returns the number of entry instances, including this one, that
+// have sent a message within peerTimeout. The caller holds s.mu.
+func (s *Desk) activeEntries(now time.Time) int {
 	n := 1
-	for _, p := range d.peers {
-		if now.Sub(p.heard) < peerAge {
+	for _, p := range s.peers {
+		if now.Sub(p.lastMessage) < peerTimeout {
 			n++
 		}
 	}
 	return n
 }
 
-// pumpEvery is the time between two looks at the waiting requests while no
-// place is given back.
-const pumpEvery = 20 * time.Millisecond
+// assignInterval is the time between two attempts to assign slots to waiting
+// requests while no slot is released.
+const assignInterval = 20 * time.Millisecond
 
-// Run looks after waiting requests until ctx ends.
-func (d *Desk) Run(ctx context.Context) error {
+// Run assigns slots to waiting requests periodically until ctx ends.
+func (s *Desk) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-d.clock.After(pumpEvery):
+		case <-s.clock.After(assignInterval):
 		}
-		d.mu.Lock()
-		if len(d.waiting) > 0 {
-			d.pump()
+		s.mu.Lock()
+		if len(s.waiting) > 0 {
+			s.assignWaiting()
 		}
-		d.mu.Unlock()
+		s.mu.Unlock()
 	}
 }
 
-// Acquire gives the request a place, at once or after a short wait. The place
-// must be given back with Release.
-func (d *Desk) Acquire(ctx context.Context, q *Demand) (Place, error) {
-	d.mu.Lock()
-	place, err := d.place(q)
-	patience := d.patience(q)
-	if err == nil || errors.Is(err, ErrNone) || patience <= 0 {
-		d.mu.Unlock()
-		return place, err
+// Acquire assigns a slot to a request, at once or after waiting for at most the
+// time that the request allows. The caller must give the slot back with Release.
+// The error is [ErrFull], [ErrNone] or that of ctx.
+func (s *Desk) Acquire(ctx context.Context, req *Demand) (Place, error) {
+	s.mu.Lock()
+	slot, err := s.assign(req)
+	maxWait := s.maxWait(req)
+	if err == nil || errors.Is(err, ErrNone) || maxWait <= 0 {
+		s.mu.Unlock()
+		return slot, err
 	}
-	w := &waiter{demand: q, place: make(chan Place, 1)}
-	d.enqueue(w)
-	d.mu.Unlock()
+	w := &waiter{request: req, slot: make(chan Place, 1)}
+	s.enqueue(w)
+	s.mu.Unlock()
 	select {
-	case place := <-w.place:
-		return place, nil
-	case <-d.clock.After(patience):
+	case slot := <-w.slot:
+		return slot, nil
+	case <-s.clock.After(maxWait):
 		err = ErrFull
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if w.given && ctx.Err() == nil {
-		return <-w.place, nil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if w.assigned && ctx.Err() == nil {
+		return <-w.slot, nil
 	}
-	d.withdraw(w)
+	s.cancelWait(w)
 	return Place{}, err
 }
 
-// patience is how long a request may wait here.
-func (d *Desk) patience(q *Demand) time.Duration {
-	now := d.clock.Now()
-	most := time.Duration(d.cfg.Patience*float64(q.Objective)) - now.Sub(q.Arrived)
-	return min(max(most, q.Patience), q.Deadline.Sub(now))
+// maxWait returns how long a request may wait for a slot from now on.
+func (s *Desk) maxWait(req *Demand) time.Duration {
+	now := s.clock.Now()
+	objectiveWait := time.Duration(s.cfg.Patience*float64(req.Objective)) - now.Sub(req.Arrived)
+	return min(max(objectiveWait, req.Patience), req.Deadline.Sub(now))
 }
 
-// HasRoom reports whether a server other than those tried could take the
-// request now.
-func (d *Desk) HasRoom(q *Demand) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return ChooseUnevenZones(d.candidates(q), 0) >= 0
+// HasRoom reports whether a server that the request has not tried yet has a free
+// slot.
+func (s *Desk) HasRoom(req *Demand) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return ChooseUnevenZones(s.candidates(req), 0) >= 0
 }
 
-// enqueue orders waiting requests by rank, and those of a rank by their
-// arrival.
-func (d *Desk) enqueue(w *waiter) {
-	i := len(d.waiting)
-	for i > 0 && w.demand.Rank < d.waiting[i-1].demand.Rank {
+// enqueue inserts a request into the queue, which is ordered by priority and then
+// by arrival. The caller holds s.mu.
+func (s *Desk) enqueue(w *waiter) {
+	i := len(s.waiting)
+	for i > 0 && w.request.Rank < s.waiting[i-1].request.Rank {
 		i--
 	}
-	d.waiting = slices.Insert(d.waiting, i, w)
+	s.waiting = slices.Insert(s.waiting, i, w)
 }
 
-// Release gives a place back with what became of the request.
-func (d *Desk) Release(p Place, o Outcome) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	st := d.state(p.Server.ID)
+// Release gives a slot back and records the outcome of the request at its
+// server.
+func (s *Desk) Release(slot Place, o Outcome) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	st := s.stateOf(slot.Server.ID)
 	st.running--
-	st.suspicion.Note(o, d.clock.Now())
-	d.pump()
+	st.health.Note(o, s.clock.Now())
+	s.assignWaiting()
 }
 
-// Heard notes that the server of a place sent something.
-func (d *Desk) Heard(p Place) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.state(p.Server.ID).quiet.Heard(d.clock.Now())
+// Heard records that the server of a slot sent something.
+func (s *Desk) Heard(slot Place) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stateOf(slot.Server.ID).stall.Heard(s.clock.Now())
 }
 
-// pump gives free places to waiting requests; d.mu is held.
-func (d *Desk) pump() {
-	for d.giveOne() {
+// assignWaiting assigns free slots to waiting requests until no more can be
+// assigned. The caller holds s.mu.
+func (s *Desk) assignWaiting() {
+	for s.assignNext() {
 	}
 }
 
-// giveOne gives one free place to a waiting request; d.mu is held.
-func (d *Desk) giveOne() bool {
-	for _, w := range OrderLastingOverload(d.waiting, d.given) {
-		place, err := d.place(w.demand)
+// assignNext assigns a slot to the first waiting request that can get one, and
+// reports whether there was such a request. The caller holds s.mu.
+func (s *Desk) assignNext() bool {
+	for _, w := range OrderLastingOverload(s.waiting, s.assigned) {
+		slot, err := s.assign(w.request)
 		if err != nil {
 			continue
 		}
-		d.waiting = slices.DeleteFunc(d.waiting, func(other *waiter) bool { return other == w })
-		d.given++
-		w.given = true
-		w.place <- place
+		s.waiting = slices.DeleteFunc(s.waiting, func(other *waiter) bool { return other == w })
+		s.assigned++
+		w.assigned = true
+		w.slot <- slot
 		return true
 	}
 	return false
 }
 
-// place chooses a server for a request and counts it there; d.mu is held.
-func (d *Desk) place(q *Demand) (Place, error) {
-	all := d.candidates(q)
+// assign chooses a server for a request and counts the request there. The error
+// is [ErrFull] or [ErrNone]. The caller holds s.mu.
+func (s *Desk) assign(req *Demand) (Place, error) {
+	all := s.candidates(req)
 	if len(all) == 0 {
 		return Place{}, ErrNone
 	}
-	d.turn++
-	i := ChooseUnevenZones(all, d.turn%len(all))
+	s.rotation++
+	i := ChooseUnevenZones(all, s.rotation%len(all))
 	if i < 0 {
 		return Place{}, ErrFull
 	}
-	p := all[i].Place
-	st := d.state(p.Server.ID)
+	slot := all[i].Place
+	st := s.stateOf(slot.Server.ID)
 	if st.running == 0 {
-		st.quiet.Heard(d.clock.Now())
+		st.stall.Heard(s.clock.Now())
 	}
 	st.running++
-	st.cold.Sent(d.clock.Now())
-	st.burst.Sent(d.clock.Now())
-	return p, nil
+	st.coldRate.Sent(s.clock.Now())
+	st.burst.Sent(s.clock.Now())
+	return slot, nil
 }
 
-// candidates returns the servers that could run a request; d.mu is held.
-func (d *Desk) candidates(q *Demand) []Candidate {
-	snapshot := d.holder.Current()
-	now := d.clock.Now()
-	service := snapshot.Config.Services[q.Service]
-	listed := snapshot.ServersOf(q.Service)
+// candidates returns the servers that could run a request. Servers that must not
+// get a request now have a limit of 0. The caller holds s.mu.
+func (s *Desk) candidates(req *Demand) []Candidate {
+	snapshot := s.holder.Current()
+	now := s.clock.Now()
+	service := snapshot.Config.Services[req.Service]
+	listed := snapshot.ServersOf(req.Service)
 	all := make([]Candidate, 0, len(listed))
-	for _, v := range listed {
-		region := d.cfg.Regions[v.DataCentre]
-		if v.Leaving || snapshot.Out[v.DataCentre] || q.Tried[v.ID] ||
-			!catalog.Allowed(q.RouteRegions, region) || !catalog.Allowed(q.AccountRegions, region) {
+	for _, server := range listed {
+		region := s.cfg.Regions[server.DataCentre]
+		if server.Leaving || snapshot.Out[server.DataCentre] || req.Tried[server.ID] ||
+			!catalog.Allowed(req.RouteRegions, region) || !catalog.Allowed(req.AccountRegions, region) {
 			continue
 		}
-		version, ok := d.versionAt(v, q, snapshot, now)
+		version, ok := s.usableVersion(server, req, snapshot, now)
 		if !ok {
 			continue
 		}
-		st, limit := d.state(v.ID), v.Slots+queueAtServer
+		st, limit := s.stateOf(server.ID), server.Slots+serverQueueLength
 		c := Candidate{
 			Place: Place{
-				Server: v, Version: version, Running: d.running(v.ID, st, now),
-				Remote: v.DataCentre != d.cfg.DataCentre,
+				Server: server, Version: version, Running: s.totalRunning(server.ID, st, now),
+				Remote: server.DataCentre != s.cfg.DataCentre,
 			},
 			Limit:   limit,
-			Penalty: st.suspicion.Penalty(),
+			Penalty: st.health.Penalty(),
 		}
-		blocked := st.suspicion.Barred(now) || st.quiet.Barred(now, st.running, q.Objective) ||
-			!st.burst.Allows(now, limit-c.Place.Running, d.heardEntries(now))
-		if service != nil && service.ColdPerSecond > 0 && v.Cold(now) {
-			blocked = blocked || !st.cold.Allows(now, service.ColdPerSecond, d.entries())
+		blocked := st.health.Barred(now) || st.stall.Barred(now, st.running, req.Objective) ||
+			!st.burst.Allows(now, limit-c.Place.Running, s.activeEntries(now))
+		if service != nil && service.ColdPerSecond > 0 && server.Cold(now) {
+			blocked = blocked || !st.coldRate.Allows(now, service.ColdPerSecond, s.knownEntries())
 		}
 		if blocked {
 			c.Limit = 0
@@ -318,113 +338,119 @@
 	return all
 }
 
-// versionAt returns the version of the request's model that a server holds,
-// and whether the request may run there.
-func (d *Desk) versionAt(v *catalog.Server, q *Demand, s *catalog.Snapshot, now time.Time) (int, bool) {
-	if q.Model == "" {
+// usableVersion returns the version of the request's model that a server holds,
+// and whether the request may run on it. The caller holds s.mu.
+func (s *Desk) usableVersion(server *catalog.Server, req *Demand, snapshot *catalog.Snapshot, now time.Time) (int, bool) {
+	if req.Model == "" {
 		return 0, true
 	}
-	version := v.Weights[q.Model]
-	if agent, ok := d.agents[v.Addr]; ok {
+	version := server.Weights[req.Model]
+	if agent, ok := s.agents[server.Addr]; ok {
 		if agent.state.Loading {
 			return 0, false
 		}
-		// The agent reads its own server; the listed entry is older.
-		version = agent.state.Weights[q.Model]
+		// The report of the server's own agent is newer than the server list.
+		version = agent.state.Weights[req.Model]
 	}
-	if version == 0 || q.Version != 0 && q.Version != version {
+	if version == 0 || req.Version != 0 && req.Version != version {
 		return 0, false
 	}
-	return version, version >= s.Weights[q.Model].Required(now, d.cfg.WeightsDue)
+	return version, version >= snapshot.Weights[req.Model].Required(now, s.cfg.WeightsDue)
 }
 
-// running is what all entry instances run at a server; d.mu is held.
-func (d *Desk) running(id string, st *serverState, now time.Time) int {
+// totalRunning returns the number of requests that all entry instances run at a
+// server. The caller holds s.mu.
+func (s *Desk) totalRunning(id string, st *serverState, now time.Time) int {
 	n := st.running
-	for _, p := range d.peers {
-		if now.Sub(p.heard) < peerAge {
+	for _, p := range s.peers {
+		if now.Sub(p.lastMessage) < peerTimeout {
 			n += p.running[id]
 		}
 	}
 	return n
 }
 
-func (d *Desk) state(id string) *serverState {
-	st, ok := d.servers[id]
+// stateOf returns the state of a server. The caller holds s.mu.
+func (s *Desk) stateOf(id string) *serverState {
+	st, ok := s.servers[id]
 	if !ok {
 		st = &serverState{}
-		d.servers[id] = st
+		s.servers[id] = st
 	}
 	return st
 }
 
 // Running returns the number of requests that this entry instance runs at each
-// server.
-func (d *Desk) Running() map[string]int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	out := make(map[string]int, len(d.servers))
-	for id, st := range d.servers {
+// server, by the server's ID.
+func (s *Desk) Running() map[string]int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make(map[string]int, len(s.servers))
+	for id, st := range s.servers {
 		out[id] = st.running
 	}
 	return out
 }
 
-// PeerLoads takes in what another entry instance runs; only counts that changed
-// are named.
-func (d *Desk) PeerLoads(peer string, running map[string]int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	p, ok := d.peers[peer]
+// PeerLoads records the number of requests that another entry instance runs at
+// each server. running contains only the numbers that changed since the last
+// report.
+func (s *Desk) PeerLoads(peer string, running map[string]int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p, ok := s.peers[peer]
 	if !ok {
 		p = &peerLoad{running: map[string]int{}}
-		d.peers[peer] = p
+		s.peers[peer] = p
 	}
-	p.heard = d.clock.Now()
+	p.lastMessage = s.clock.Now()
 	for id, n := range running {
 		p.running[id] = n
 	}
-	d.pump()
+	s.assignWaiting()
 }
 
-// PeerBegan forgets the counts of another entry instance that connects anew.
-func (d *Desk) PeerBegan(peer string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.peers[peer] = &peerLoad{running: map[string]int{}, heard: d.clock.Now()}
+// PeerBegan removes the recorded load of another entry instance, which has
+// opened a new connection and will report its whole load again.
+func (s *Desk) PeerBegan(peer string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.peers[peer] = &peerLoad{running: map[string]int{}, lastMessage: s.clock.Now()}
 }
 
-// Agent takes in what an agent says of its server; nil forgets it.
-func (d *Desk) Agent(server string, state *frame.AgentState) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// Agent records the state that an agent reports for the server at an address;
+// nil removes the recorded state.
+func (s *Desk) Agent(addr string, state *frame.AgentState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if state == nil {
-		delete(d.agents, server)
+		delete(s.agents, addr)
 		return
 	}
-	since := d.agents[server].loadingSince
-	if !d.agents[server].state.Loading {
-		since = d.clock.Now()
+	since := s.agents[addr].loadingSince
+	if !s.agents[addr].state.Loading {
+		since = s.clock.Now()
 	}
-	d.agents[server] = agentView{*state, since}
-	d.pump()
+	s.agents[addr] = agentReport{*state, since}
+	s.assignWaiting()
 }
 
-// Forget drops what is known of servers that are no longer listed and run
-// nothing.
-func (d *Desk) Forget() {
-	listed := d.holder.Current().Servers
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for id, st := range d.servers {
+// Forget removes the state of servers that are no longer listed and have no
+// running requests of this entry instance.
+func (s *Desk) Forget() {
+	listed := s.holder.Current().Servers
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, st := range s.servers {
 		if listed[id] == nil && st.running == 0 {
-			delete(d.servers, id)
+			delete(s.servers, id)
 		}
 	}
-	d.pump()
+	s.assignWaiting()
 }
 
-// RetryAfter is the pause to tell a client that got no place.
+// RetryAfter returns the pause to recommend to a client whose request got no
+// slot because of err.
 func RetryAfter(err error) time.Duration {
 	if errors.Is(err, ErrNone) {
 		return ReturnAfterDown(rand.Float64())
--- a/request/dispatch/desk_test.go
+++ b/request/dispatch/desk_test.go
@@ -14,168 +14,170 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// deskRig is a Desk with a clock that stands still.
-type deskRig struct {
-	desk   *Desk
-	holder *catalog.Holder
-	clock  *clockwork.FakeClock
+// schedulerFixture is a [Desk] with a fake clock.
+type schedulerFixture struct {
+	scheduler *Desk
+	holder    *catalog.Holder
+	clock     *clockwork.FakeClock
 }
 
-// newDeskRig returns a Desk before servers "a" in palermo and "b" in catania,
-// each with two places and version 1 of the weights.
-func newDeskRig() *deskRig {
-	g := &deskRig{holder: catalog.NewHolder(eventlog.Discard()), clock: clockwork.NewFakeClock()}
-	g.holder.Apply([]catalog.Change{{Config: &catalog.Config{Version: 1, Services: map[string]*catalog.Service{
+// newSchedulerFixture returns a fixture with the servers "a" in palermo and "b" in
+// catania, each with two slots and version 1 of the weights.
+func newSchedulerFixture() *schedulerFixture {
+	f := &schedulerFixture{holder: catalog.NewHolder(eventlog.Discard()), clock: clockwork.NewFakeClock()}
+	f.holder.Apply([]catalog.Change{{Config: &catalog.Config{Version: 1, Services: map[string]*catalog.Service{
 		"label": {Name: "label", ColdPerSecond: 8},
-	}}}}, true, false, g.clock.Now())
-	g.list(g.server("a", "palermo"), g.server("b", "catania"))
-	g.desk = NewDesk(Config{
+	}}}}, true, false, f.clock.Now())
+	f.list(f.server("a", "palermo"), f.server("b", "catania"))
+	f.scheduler = NewDesk(Config{
 		DataCentre: "palermo", Regions: map[string]string{"palermo": "west", "catania": "east"},
 		Repeats: RepeatLimits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, WeightsDue: 7 * time.Second, Patience: 0.1,
-	}, g.holder, g.clock)
-	return g
+	}, f.holder, f.clock)
+	return f
 }
 
-func (g *deskRig) server(id, dataCentre string) *catalog.Server {
+func (f *schedulerFixture) server(id, dataCentre string) *catalog.Server {
 	return &catalog.Server{
 		ID: id, Service: "label", Addr: id, DataCentre: dataCentre, Slots: 2, Weights: map[string]int{"herbs": 1},
 	}
 }
 
-func (g *deskRig) list(servers ...*catalog.Server) {
+// list replaces the list of servers.
+func (f *schedulerFixture) list(servers ...*catalog.Server) {
 	var all []catalog.Change
 	for _, s := range servers {
 		all = append(all, catalog.Change{Server: s})
 	}
-	g.holder.Apply(all, true, true, g.clock.Now())
+	f.holder.Apply(all, true, true, f.clock.Now())
 }
 
-func (g *deskRig) demand() *Demand {
-	now := g.clock.Now()
+func (f *schedulerFixture) request() *Demand {
+	now := f.clock.Now()
 	return &Demand{
 		Service: "label", Model: "herbs", Arrived: now, Deadline: now.Add(time.Second), Tried: map[string]bool{},
 	}
 }
 
-// take takes a place without waiting, and returns the server's ID.
-func (g *deskRig) take(q *Demand) (string, error) {
-	p, err := g.desk.Acquire(context.Background(), q)
+// acquire acquires a slot for a request that may not wait for one, and returns the
+// ID of the server.
+func (f *schedulerFixture) acquire(req *Demand) (string, error) {
+	slot, err := f.scheduler.Acquire(context.Background(), req)
 	if err != nil {
 		return "", err
 	}
-	return p.Server.ID, nil
+	return slot.Server.ID, nil
 }
 
-func TestDeskFillsEveryPlaceAndNoMore(t *testing.T) {
-	Convey("What other entry instances run counts, until they fall silent", t, func() {
-		g := newDeskRig()
-		g.desk.PeerLoads("other", map[string]int{"a": 3, "b": 3})
-		_, err := g.take(g.demand())
+func TestSchedulerFillsEverySlotAndNoMore(t *testing.T) {
+	Convey("Requests of other entry instances count until these instances stop sending messages", t, func() {
+		f := newSchedulerFixture()
+		f.scheduler.PeerLoads("other", map[string]int{"a": 3, "b": 3})
+		_, err := f.acquire(f.request())
 		So(errors.Is(err, ErrFull), ShouldBeTrue)
-		g.clock.Advance(peerAge)
-		_, err = g.take(g.demand())
+		f.clock.Advance(peerTimeout)
+		_, err = f.acquire(f.request())
 		So(err, ShouldBeNil)
 	})
 
-	Convey("Every place is used, with one request more in each server's queue", t, func() {
-		g := newDeskRig()
-		taken := 0
+	Convey("Every slot is used, with one more request in each server's queue", t, func() {
+		f := newSchedulerFixture()
+		acquired := 0
 		for {
-			if _, err := g.take(g.demand()); err != nil {
+			if _, err := f.acquire(f.request()); err != nil {
 				So(errors.Is(err, ErrFull), ShouldBeTrue)
 				break
 			}
-			taken++
+			acquired++
 		}
-		So(taken, ShouldEqual, 2*(2+queueAtServer))
+		So(acquired, ShouldEqual, 2*(2+serverQueueLength))
 	})
 
-	Convey("A request that waits gets the place that becomes free, the most urgent first", t, func() {
-		g := newDeskRig()
-		var held []Place
-		for range 2 * (2 + queueAtServer) {
-			p, err := g.desk.Acquire(context.Background(), g.demand())
+	Convey("A slot that becomes free goes to the most urgent waiting request", t, func() {
+		f := newSchedulerFixture()
+		var slots []Place
+		for range 2 * (2 + serverQueueLength) {
+			slot, err := f.scheduler.Acquire(context.Background(), f.request())
 			So(err, ShouldBeNil)
-			held = append(held, p)
+			slots = append(slots, slot)
 		}
-		type got struct {
-			rank int
-			err  error
+		type result struct {
+			priority int
+			err      error
 		}
-		results := make(chan got, 2)
-		for _, rank := range []int{2, 1} {
-			q := g.demand()
-			q.Rank, q.Objective = rank, time.Second
+		results := make(chan result, 2)
+		for _, priority := range []int{2, 1} {
+			req := f.request()
+			req.Rank, req.Objective = priority, time.Second
 			go func() {
-				_, err := g.desk.Acquire(context.Background(), q)
-				results <- got{rank, err}
+				_, err := f.scheduler.Acquire(context.Background(), req)
+				results <- result{priority, err}
 			}()
-			So(g.clock.BlockUntilContext(t.Context(), 3-rank), ShouldBeNil)
+			So(f.clock.BlockUntilContext(t.Context(), 3-priority), ShouldBeNil)
 		}
-		g.desk.Release(held[0], Served)
-		So(<-results, ShouldResemble, got{1, nil})
-		g.clock.Advance(100 * time.Millisecond)
+		f.scheduler.Release(slots[0], Served)
+		So(<-results, ShouldResemble, result{1, nil})
+		f.clock.Advance(100 * time.Millisecond)
 		last := <-results
-		So(last.rank, ShouldEqual, 2)
+		So(last.priority, ShouldEqual, 2)
 		So(errors.Is(last.err, ErrFull), ShouldBeTrue)
 	})
 }
 
-func TestDeskPassesOver(t *testing.T) {
-	Convey("Servers that leave, of data centres that are out, and in other regions", t, func() {
-		g := newDeskRig()
-		leaving := g.server("a", "palermo")
+func TestSchedulerSkipsServers(t *testing.T) {
+	Convey("Servers that are leaving, in data centres that are out, or in other regions are skipped", t, func() {
+		f := newSchedulerFixture()
+		leaving := f.server("a", "palermo")
 		leaving.Leaving = true
-		g.list(leaving, g.server("b", "catania"))
-		id, err := g.take(g.demand())
+		f.list(leaving, f.server("b", "catania"))
+		id, err := f.acquire(f.request())
 		So(err, ShouldBeNil)
 		So(id, ShouldEqual, "b")
-		g.holder.Apply([]catalog.Change{{Out: "catania"}}, false, false, g.clock.Now())
-		_, err = g.take(g.demand())
+		f.holder.Apply([]catalog.Change{{Out: "catania"}}, false, false, f.clock.Now())
+		_, err = f.acquire(f.request())
 		So(errors.Is(err, ErrNone), ShouldBeTrue)
-		g.list(g.server("a", "palermo"))
-		q := g.demand()
-		q.AccountRegions = []string{"east"}
-		_, err = g.take(q)
+		f.list(f.server("a", "palermo"))
+		req := f.request()
+		req.AccountRegions = []string{"east"}
+		_, err = f.acquire(req)
 		So(errors.Is(err, ErrNone), ShouldBeTrue)
 	})
 
-	Convey("Servers that load, and those on older weights once the newest are due", t, func() {
-		g := newDeskRig()
-		g.desk.Agent("a", &frame.AgentState{Weights: map[string]int{"herbs": 1}, Loading: true})
-		id, err := g.take(g.demand())
+	Convey("Servers that load weights are skipped, and servers with older weights once the newest are mandatory", t, func() {
+		f := newSchedulerFixture()
+		f.scheduler.Agent("a", &frame.AgentState{Weights: map[string]int{"herbs": 1}, Loading: true})
+		id, err := f.acquire(f.request())
 		So(err, ShouldBeNil)
 		So(id, ShouldEqual, "b")
-		g.holder.Apply([]catalog.Change{{Weights: &catalog.Weights{Model: "herbs", Version: 2}}}, false, false, g.clock.Now())
-		g.clock.Advance(6 * time.Second)
-		_, err = g.take(g.demand())
+		f.holder.Apply([]catalog.Change{{Weights: &catalog.Weights{Model: "herbs", Version: 2}}}, false, false, f.clock.Now())
+		f.clock.Advance(6 * time.Second)
+		_, err = f.acquire(f.request())
 		So(err, ShouldBeNil)
-		g.clock.Advance(time.Second)
-		_, err = g.take(g.demand())
+		f.clock.Advance(time.Second)
+		_, err = f.acquire(f.request())
 		So(errors.Is(err, ErrNone), ShouldBeTrue)
-		g.desk.Agent("a", &frame.AgentState{Weights: map[string]int{"herbs": 2}})
-		id, err = g.take(g.demand())
+		f.scheduler.Agent("a", &frame.AgentState{Weights: map[string]int{"herbs": 2}})
+		id, err = f.acquire(f.request())
 		So(err, ShouldBeNil)
 		So(id, ShouldEqual, "a")
 	})
 
-	Convey("A cold server beyond its share of the cold rate", t, func() {
-		g := newDeskRig()
-		cold := g.server("a", "palermo")
-		cold.Slots, cold.ColdUntil = 100, g.clock.Now().Add(time.Minute)
-		g.list(cold)
+	Convey("A cold server is skipped once this entry instance has used its share of the cold rate", t, func() {
+		f := newSchedulerFixture()
+		cold := f.server("a", "palermo")
+		cold.Slots, cold.ColdUntil = 100, f.clock.Now().Add(time.Minute)
+		f.list(cold)
 		for _, peer := range []string{"x", "y", "z"} {
-			g.desk.PeerBegan(peer)
+			f.scheduler.PeerBegan(peer)
 		}
-		// Cut off from the others, an entry instance keeps to its share.
-		g.clock.Advance(2 * peerAge)
-		taken := 0
+		// The share stays the same when the other entry instances cannot be reached.
+		f.clock.Advance(2 * peerTimeout)
+		acquired := 0
 		for {
-			if _, err := g.take(g.demand()); err != nil {
+			if _, err := f.acquire(f.request()); err != nil {
 				break
 			}
-			taken++
+			acquired++
 		}
-		So(taken, ShouldEqual, 2)
+		So(acquired, ShouldEqual, 2)
 	})
 }
--- a/request/dispatch/doc.go
+++ b/request/dispatch/doc.go
@@ -1,4 +1,5 @@
-// Package dispatch decides where a request runs, how long it waits for a place
-// and when it is refused. Its decisions read a snapshot of load and the time,
-// and touch neither connections nor the clock.
+// Package dispatch chooses the server that runs a request, limits how long the
+// request waits for a free slot, and refuses it when no slot becomes free. The
+// functions that choose take the load and the time as arguments; they use
+// neither connections nor a clock.
 package dispatch
--- a/request/dispatch/move.go
+++ b/request/dispatch/move.go
@@ -6,69 +6,71 @@
 	"time"
 )
 
-// moveAfter is the time that a stream at a server which changes its weights has
-// to end there. Most streams end within it; the longest take 3 s.
+// moveAfter is how long a stream may continue at a server that loads new
+// weights before it is moved. Most streams end within this time; the longest
+// take 3 s.
 const moveAfter = 700 * time.Millisecond
 
-// moveRank is the rank of a stream that is to go on elsewhere: it leaves a place
-// that nobody else can take, and a pause between its events makes it late.
-const moveRank = -1
+// movePriority puts a stream that is to be moved before all waiting requests. No
+// other request can use the slot that the stream leaves, and a pause between
+// its events makes the stream late.
+const movePriority = -1
 
-// Move is a stream that waits for a place at another server while it goes on at
-// its own. It answers new weights under full load: a server that changes over
-// serves nothing until its longest stream has ended, so the last few go on at
-// servers that work.
+// Move is the search for a slot at another server for a running stream, which
+// continues at its own server in the meantime. A server that loads new weights
+// serves no other request until its longest stream has ended. Under full load
+// the last few streams are therefore moved to servers that accept requests.
 type Move struct {
-	desk *Desk
-	w    *waiter
+	scheduler *Desk
+	w         *waiter
 }
 
-// Move begins to look for another server for a stream whose server changes its
-// weights, and counts a repeat for it. It returns nil while the stream is to
-// stay. The Move must be ended with Take or Cancel.
-func (d *Desk) Move(q *Demand, from Place) *Move {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.clock.Now()
-	agent, ok := d.agents[from.Server.Addr]
+// Move starts the search for another slot for a stream whose server loads new
+// weights, and counts the move as a retry. It returns nil if the stream stays
+// at its server. The caller must end the search with Take or Cancel.
+func (s *Desk) Move(req *Demand, from Place) *Move {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.clock.Now()
+	agent, ok := s.agents[from.Server.Addr]
 	if !ok || !agent.state.Loading || now.Sub(agent.loadingSince) < moveAfter ||
-		!d.repeatsOf(q.Service).TakeSpare(now, d.entries()) {
+		!s.retryBudgetOf(req.Service).TakeSpare(now, s.knownEntries()) {
 		return nil
 	}
-	moved := *q
-	moved.Rank, moved.Tried = moveRank, maps.Clone(q.Tried)
+	moved := *req
+	moved.Rank, moved.Tried = movePriority, maps.Clone(req.Tried)
 	moved.Tried[from.Server.ID] = true
-	w := &waiter{demand: &moved, place: make(chan Place, 1)}
-	d.enqueue(w)
-	d.pump()
-	return &Move{d, w}
+	w := &waiter{request: &moved, slot: make(chan Place, 1)}
+	s.enqueue(w)
+	s.assignWaiting()
+	return &Move{s, w}
 }
 
-// Take returns the place that the stream was given, if it has one by now. The
-// Move has then ended.
+// Take returns the slot that was assigned to the stream, and false if there is
+// none yet. Once it has returned a slot the search is over.
 func (m *Move) Take() (Place, bool) {
 	select {
-	case place := <-m.w.place:
-		return place, true
+	case slot := <-m.w.slot:
+		return slot, true
 	default:
 		return Place{}, false
 	}
 }
 
-// Cancel ends a Move that was not taken.
+// Cancel ends a search whose slot was not taken.
 func (m *Move) Cancel() {
-	m.desk.mu.Lock()
-	defer m.desk.mu.Unlock()
-	m.desk.withdraw(m.w)
+	m.scheduler.mu.Lock()
+	defer m.scheduler.mu.Unlock()
+	m.scheduler.cancelWait(m.w)
 }
 
-// withdraw ends the wait of a request and gives back a place that it was given
-// meanwhile; d.mu is held.
-func (d *Desk) withdraw(w *waiter) {
-	if !w.given {
-		d.waiting = slices.DeleteFunc(d.waiting, func(other *waiter) bool { return other == w })
+// cancelWait removes a request from the queue, or releases the slot if one has
+// been assigned to the request in the meantime. The caller holds s.mu.
+func (s *Desk) cancelWait(w *waiter) {
+	if !w.assigned {
+		s.waiting = slices.DeleteFunc(s.waiting, func(other *waiter) bool { return other == w })
 		return
 	}
-	d.state((<-w.place).Server.ID).running--
-	d.pump()
+	s.stateOf((<-w.slot).Server.ID).running--
+	s.assignWaiting()
 }
--- a/request/dispatch/move_test.go
+++ b/request/dispatch/move_test.go
@@ -10,77 +10,77 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// moveRig returns a Desk on which a stream runs at "a", whose server began to
-// change its weights moveAfter ago, with the stream's place.
-func moveRig() (*deskRig, Place) {
-	g := newDeskRig()
-	from, err := g.desk.Acquire(context.Background(), g.demand())
+// newMoveFixture returns a fixture with a stream at the server "a", which began to
+// load weights moveAfter ago, and the slot of the stream.
+func newMoveFixture() (*schedulerFixture, Place) {
+	f := newSchedulerFixture()
+	from, err := f.scheduler.Acquire(context.Background(), f.request())
 	So(err, ShouldBeNil)
 	So(from.Server.ID, ShouldEqual, "a")
-	g.desk.Agent("a", &frame.AgentState{Weights: map[string]int{"herbs": 1}, Loading: true})
-	So(g.desk.Move(g.demand(), from), ShouldBeNil)
-	g.clock.Advance(moveAfter)
-	return g, from
+	f.scheduler.Agent("a", &frame.AgentState{Weights: map[string]int{"herbs": 1}, Loading: true})
+	So(f.scheduler.Move(f.request(), from), ShouldBeNil)
+	f.clock.Advance(moveAfter)
+	return f, from
 }
 
-func TestMoveUnderNewWeights(t *testing.T) {
-	Convey("A stream at a server that changes its weights gets a free place elsewhere", t, func() {
-		g, from := moveRig()
-		m := g.desk.Move(g.demand(), from)
+func TestMoveWhileServerLoadsWeights(t *testing.T) {
+	Convey("A stream at a server that loads weights gets a free slot at another server", t, func() {
+		f, from := newMoveFixture()
+		m := f.scheduler.Move(f.request(), from)
 		So(m, ShouldNotBeNil)
 		to, ok := m.Take()
 		So(ok, ShouldBeTrue)
 		So(to.Server.ID, ShouldEqual, "b")
-		So(g.desk.Running(), ShouldResemble, map[string]int{"a": 1, "b": 1})
+		So(f.scheduler.Running(), ShouldResemble, map[string]int{"a": 1, "b": 1})
 	})
 
-	Convey("Under full load it gets the next place, before every waiting request", t, func() {
-		g, from := moveRig()
-		var held []Place
-		for range 2 + queueAtServer {
-			p, err := g.desk.Acquire(context.Background(), g.demand())
+	Convey("Under full load the stream gets the next free slot, before every waiting request", t, func() {
+		f, from := newMoveFixture()
+		var slots []Place
+		for range 2 + serverQueueLength {
+			slot, err := f.scheduler.Acquire(context.Background(), f.request())
 			So(err, ShouldBeNil)
-			held = append(held, p)
+			slots = append(slots, slot)
 		}
-		waits := make(chan error, 1)
+		waited := make(chan error, 1)
 		go func() {
-			q := g.demand()
-			q.Objective = time.Second
-			_, err := g.desk.Acquire(context.Background(), q)
-			waits <- err
+			req := f.request()
+			req.Objective = time.Second
+			_, err := f.scheduler.Acquire(context.Background(), req)
+			waited <- err
 		}()
-		So(g.clock.BlockUntilContext(t.Context(), 1), ShouldBeNil)
-		m := g.desk.Move(g.demand(), from)
+		So(f.clock.BlockUntilContext(t.Context(), 1), ShouldBeNil)
+		m := f.scheduler.Move(f.request(), from)
 		_, ok := m.Take()
 		So(ok, ShouldBeFalse)
-		g.desk.Release(held[0], Served)
+		f.scheduler.Release(slots[0], Served)
 		_, ok = m.Take()
 		So(ok, ShouldBeTrue)
-		g.desk.Release(held[1], Served)
-		So(<-waits, ShouldBeNil)
+		f.scheduler.Release(slots[1], Served)
+		So(<-waited, ShouldBeNil)
 	})
 
-	Convey("A stream that ends while it waits gives its place back", t, func() {
-		g, from := moveRig()
-		g.desk.Move(g.demand(), from).Cancel()
-		So(g.desk.Running(), ShouldResemble, map[string]int{"a": 1, "b": 0})
+	Convey("A stream that ends before it moves gives its new slot back", t, func() {
+		f, from := newMoveFixture()
+		f.scheduler.Move(f.request(), from).Cancel()
+		So(f.scheduler.Running(), ShouldResemble, map[string]int{"a": 1, "b": 0})
 	})
 
-	Convey("Streams stay when repeats run short, and requests that fail are still repeated", t, func() {
-		g, from := moveRig()
+	Convey("Streams stay when little of the retry budget is left, and failed requests can still be retried", t, func() {
+		f, from := newMoveFixture()
 		moved := 0
 		for {
-			m := g.desk.Move(g.demand(), from)
+			m := f.scheduler.Move(f.request(), from)
 			if m == nil {
 				break
 			}
 			to, ok := m.Take()
 			So(ok, ShouldBeTrue)
-			g.desk.Release(to, Served)
+			f.scheduler.Release(to, Served)
 			moved++
 		}
-		allowed := repeatMargin * g.desk.cfg.Repeats.Slack
-		So(moved, ShouldEqual, int(spareShare*allowed))
-		So(g.desk.Repeat("label"), ShouldBeTrue)
+		allowed := retryMargin * f.scheduler.cfg.Repeats.Slack
+		So(moved, ShouldEqual, int(optionalRetryShare*allowed))
+		So(f.scheduler.Repeat("label"), ShouldBeTrue)
 	})
 }
--- a/request/dispatch/order.go
+++ b/request/dispatch/order.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// OrderLastingOverload answers more requests than the servers bear: it returns
-// those that wait in the order in which they are offered a free place. The most
-// urgent go first. Among those of a rank every second place goes to the one with
-// the least work, so that more callers are served, and the others in
-// order of arrival, so that no size is left out. given counts the places that
-// were given before.
-func OrderLastingOverload(waiting []*waiter, given int) []*waiter {
-	if given%2 == 0 || len(waiting) < 2 {
+// OrderLastingOverload returns the waiting requests in the order in which they
+// are offered a free slot. Those with the lowest priority value go first. Within
+// a priority, every second slot goes to the request with the least work, so that
+// more requests are served during a long overload. The other slots go to the
+// earliest arrival, so that large requests are served too. assigned is the
+// number of slots assigned to waiting requests so far.
+func OrderLastingOverload(waiting []*waiter, assigned int) []*waiter {
+	if assigned%2 == 0 || len(waiting) < 2 {
 		return waiting
 	}
 	order := slices.Clone(waiting)
 	slices.SortStableFunc(order, func(a, b *waiter) int {
-		return cmp.Or(cmp.Compare(a.demand.Rank, b.demand.Rank), cmp.Compare(a.demand.Work, b.demand.Work))
+		return cmp.Or(cmp.Compare(a.request.Rank, b.request.Rank), cmp.Compare(a.request.Work, b.request.Work))
 	})
 	return order
 }
--- a/request/dispatch/order_test.go
+++ b/request/dispatch/order_test.go
@@ -10,74 +10,75 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// overload is what became of requests that came faster than the places bear.
-type overload struct {
-	asked, served, servedLargest, largest int
+// overloadResult counts the requests of a simulated overload and those of them
+// that were served. Large requests are also counted separately.
+type overloadResult struct {
+	requests, served, servedLarge, large int
 }
 
-// replayOverload plays a minute of requests whose work is spread widely, 1.7
-// times what 64 places bear, each of which waits 44 ms for a place. next picks
-// from those that wait.
-func replayOverload(next func(waiting []*waiter, given int) *waiter) overload {
+// simulateOverload simulates a minute with 1.7 times the load that 64 slots can
+// handle. The work of the requests varies widely, and each request waits up to
+// 44 ms for a slot. next chooses the waiting request that gets a free slot.
+func simulateOverload(next func(waiting []*waiter, assigned int) *waiter) overloadResult {
 	const (
-		places   = 64
+		slots    = 64
 		meanWork = 2700.0
-		perToken = 400 * time.Microsecond // of a place, by the unit of work
-		wait     = 44 * time.Millisecond
+		perToken = 400 * time.Microsecond // time that a slot is taken per unit of work
+		maxWait  = 44 * time.Millisecond
 		load     = 1.7
-		largest  = 2.0 * meanWork // the largest tenth
+		large    = 2.0 * meanWork // a tenth of the requests is larger
 	)
 	random := rand.New(rand.NewPCG(1, 2))
-	between := time.Duration(math.Round(meanWork * float64(perToken) / places / load))
-	var result overload
+	interval := time.Duration(math.Round(meanWork * float64(perToken) / slots / load))
+	var result overloadResult
 	var waiting []*waiter
-	ends := make([]time.Duration, places)
+	busyUntil := make([]time.Duration, slots)
 	arrived := map[*waiter]time.Duration{}
-	given := 0
-	for now := time.Duration(0); now < time.Minute; now += between {
-		w := &waiter{demand: &Demand{Work: meanWork * math.Exp(0.75*random.NormFloat64()-0.28)}}
-		if w.demand.Work > largest {
-			result.largest++
+	assigned := 0
+	for now := time.Duration(0); now < time.Minute; now += interval {
+		w := &waiter{request: &Demand{Work: meanWork * math.Exp(0.75*random.NormFloat64()-0.28)}}
+		if w.request.Work > large {
+			result.large++
 		}
-		result.asked++
+		result.requests++
 		arrived[w] = now
 		waiting = append(waiting, w)
-		waiting = slices.DeleteFunc(waiting, func(w *waiter) bool { return now-arrived[w] > wait })
-		for i := range ends {
-			if ends[i] > now || len(waiting) == 0 {
+		waiting = slices.DeleteFunc(waiting, func(w *waiter) bool { return now-arrived[w] > maxWait })
+		for i := range busyUntil {
+			if busyUntil[i] > now || len(waiting) == 0 {
 				continue
 			}
-			w := next(waiting, given)
+			w := next(waiting, assigned)
 			waiting = slices.DeleteFunc(waiting, func(other *waiter) bool { return other == w })
-			ends[i] = now + time.Duration(w.demand.Work*float64(perToken))
-			given++
+			busyUntil[i] = now + time.Duration(w.request.Work*float64(perToken))
+			assigned++
 			result.served++
-			if w.demand.Work > largest {
-				result.servedLargest++
+			if w.request.Work > large {
+				result.servedLarge++
 			}
 		}
 	}
 	return result
 }
 
-func TestOrderLastingOverload(t *testing.T) {
-	Convey("More callers are served than in order of arrival, and the largest requests at least half as often as all", t, func() {
-		arrival := replayOverload(func(waiting []*waiter, _ int) *waiter { return waiting[0] })
-		ordered := replayOverload(func(waiting []*waiter, given int) *waiter {
-			return OrderLastingOverload(waiting, given)[0]
+func TestOrderWaiting(t *testing.T) {
+	Convey("More requests are served than in order of arrival, and large requests at least half as often as all requests", t, func() {
+		byArrival := simulateOverload(func(waiting []*waiter, _ int) *waiter { return waiting[0] })
+		ordered := simulateOverload(func(waiting []*waiter, assigned int) *waiter {
+			return OrderLastingOverload(waiting, assigned)[0]
 		})
-		t.Logf("of %d served %d by arrival, %d ordered; of %d large ones %d and %d",
-			ordered.asked, arrival.served, ordered.served, ordered.largest, arrival.servedLargest, ordered.servedLargest)
-		So(ordered.served, ShouldBeGreaterThan, arrival.served)
-		share := float64(ordered.served) / float64(ordered.asked)
-		So(float64(ordered.servedLargest)/float64(ordered.largest), ShouldBeGreaterThan, share/2)
+		t.Logf("of %d requests, %d were served by arrival and %d by OrderWaiting; of %d large requests, %d and %d",
+			ordered.requests, byArrival.served, ordered.served, ordered.large, byArrival.servedLarge, ordered.servedLarge)
+		So(ordered.served, ShouldBeGreaterThan, byArrival.served)
+		share := float64(ordered.served) / float64(ordered.requests)
+		So(float64(ordered.servedLarge)/float64(ordered.large), ShouldBeGreaterThan, share/2)
 	})
 
-	Convey("Urgency goes before work", t, func() {
-		urgent := &waiter{demand: &Demand{Rank: 0, Work: 9}}
-		small := &waiter{demand: &Demand{Rank: 1, Work: 1}}
-		for given := range 4 {
-			So(OrderLastingOverload([]*waiter{urgent, small}, given)[0], ShouldEqual, urgent)
+	Convey("The priority takes precedence over the work", t, func() {
+		urgent := &waiter{request: &Demand{Rank: 0, Work: 9}}
+		small := &waiter{request: &Demand{Rank: 1, Work: 1}}
+		for assigned := range 4 {
+			So(OrderLastingOverload([]*waiter{urgent, small}, assigned)[0], ShouldEqual, urgent)
 		}
 	})
 }
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -3,82 +3,88 @@
 import "time"
 
 const (
-	// nearBias is how many requests more than the least loaded server a
-	// server of the own data centre may run and still be chosen. A request
-	// elsewhere costs bytes between regions; one more neighbour in a batch
-	// costs about 0.1 ms a token.
-	nearBias = 4
-	// usualLimit is the limit to which the loads of servers with other limits
-	// are scaled, so that nearBias means the same everywhere.
-	usualLimit = 16
+	// localPreference is how many more requests than the least loaded server a
+	// server of the own data centre may run and still be chosen. A request to
+	// another data centre uses bandwidth between regions; one more request in
+	// a batch costs about 0.1 ms per token.
+	localPreference = 4
+	// referenceLimit is the limit to which the loads of servers with other
+	// limits are scaled, so that localPreference has the same meaning for all
+	// servers.
+	referenceLimit = 16
 )
 
 // Candidate is a server that could run a request, with its load.
 type Candidate struct {
-	// Place is what choosing it would give.
+	// Place is the slot that the request gets if this candidate is chosen.
 	Place Place
-	// Limit is the number of requests it runs at once.
+	// Limit is the number of requests that the server may have at once; 0 if
+	// it must not get any now.
 	Limit int
-	// Penalty is added to its load: for servers that failed or are slow.
+	// Penalty is added to the load of a server whose requests fail often.
 	Penalty float64
 }
 
-// load is what the candidate is judged by.
-func (c *Candidate) load() float64 {
-	return (float64(c.Place.Running) + c.Penalty) * usualLimit / float64(max(1, c.Limit))
+// scaledLoad returns the load with the penalty, scaled to referenceLimit.
+func (c *Candidate) scaledLoad() float64 {
+	return (float64(c.Place.Running) + c.Penalty) * referenceLimit / float64(max(1, c.Limit))
 }
 
-// hasRoom reports whether a place is free.
-func (c *Candidate) hasRoom() bool { return c.Place.Running < c.Limit }
+// hasFreeSlot reports whether the server runs fewer requests than its limit.
+func (c *Candidate) hasFreeSlot() bool { return c.Place.Running < c.Limit }
 
-// ChooseUnevenZones answers clients that come unevenly over the data centres:
-// the least loaded server with a free place in the own data centre, unless one
-// elsewhere is clearly less loaded. turn breaks ties between equals. It returns
-// -1 when no candidate has room.
-func ChooseUnevenZones(all []Candidate, turn int) int {
-	near, far := -1, -1
+// ChooseUnevenZones returns the index of the least loaded candidate with a free
+// slot in the own data centre, unless one in another data centre has a load
+// lower by more than localPreference. This evens out the load when clients are
+// distributed unevenly over the data centres. The search starts at index start,
+// which decides between equal loads. The result is -1 if no candidate has a
+// free slot.
+func ChooseUnevenZones(all []Candidate, start int) int {
+	local, remote := -1, -1
 	for k := range all {
-		i := (k + turn) % len(all)
+		i := (k + start) % len(all)
 		c := &all[i]
-		if !c.hasRoom() {
+		if !c.hasFreeSlot() {
 			continue
 		}
 		if c.Place.Remote {
-			if far < 0 || c.load() < all[far].load() {
-				far = i
+			if remote < 0 || c.scaledLoad() < all[remote].scaledLoad() {
+				remote = i
 			}
 			continue
 		}
-		if near < 0 || c.load() < all[near].load() {
-			near = i
+		if local < 0 || c.scaledLoad() < all[local].scaledLoad() {
+			local = i
 		}
 	}
-	if near < 0 || far >= 0 && all[far].load()+nearBias < all[near].load() {
-		return far
+	if local < 0 || remote >= 0 && all[remote].scaledLoad()+localPreference < all[local].scaledLoad() {
+		return remote
 	}
-	return near
+	return local
 }
 
-// Retry-After answers of refusals.
+// Retry-After values of refusals.
 const (
-	// returnLeast lets a place become free, and leaves a client that returns
-	// the time to be on time: an objective of 300 ms holds a wait of 40 ms
-	// here, this pause and about 180 ms at a full server.
-	returnLeast = 30 * time.Millisecond
-	// returnSpread spreads the returns of clients refused together.
-	returnSpread = 50 * time.Millisecond
-	// returnDown is sent when no server can run the request at all: fetching
-	// and loading weights takes that long and more.
-	returnDown = 2 * time.Second
+	// minRetryAfterFull gives a slot time to become free, and still lets the
+	// client's next attempt meet its objective: an objective of 300 ms covers a
+	// wait of 40 ms for a slot, this pause and about 180 ms at a full server.
+	minRetryAfterFull = 30 * time.Millisecond
+	// retryAfterJitter spreads the next attempts of clients that were refused
+	// at the same time.
+	retryAfterJitter = 50 * time.Millisecond
+	// minRetryAfterNone applies when no server can run the request: fetching
+	// and loading weights takes at least this long.
+	minRetryAfterNone = 2 * time.Second
 )
 
-// ReturnAfterFull is the pause after which a client that found every place
-// taken is to come back. draw is in [0, 1).
-func ReturnAfterFull(draw float64) time.Duration {
-	return returnLeast + time.Duration(draw*float64(returnSpread))
+// ReturnAfterFull returns the Retry-After of a refusal because all slots were
+// taken. random is a random number in [0, 1).
+func ReturnAfterFull(random float64) time.Duration {
+	return minRetryAfterFull + time.Duration(random*float64(retryAfterJitter))
 }
 
-// ReturnAfterDown is the pause when no server holds what the request needs.
-func ReturnAfterDown(draw float64) time.Duration {
-	return returnDown + time.Duration(draw*float64(returnSpread))
+// ReturnAfterDown returns the Retry-After of a refusal because no server can
+// run the request. random is a random number in [0, 1).
+func ReturnAfterDown(random float64) time.Duration {
+	return minRetryAfterNone + time.Duration(random*float64(retryAfterJitter))
 }
--- a/request/dispatch/quiet.go
+++ b/request/dispatch/quiet.go
@@ -2,33 +2,36 @@
 
 import "time"
 
-// Bounds of a server's silence.
+// A server with running requests counts as stalled when it has sent nothing for the
+// longer of these two times.
 const (
-	// quietLeast is the shortest silence that says something: the steps of a
-	// full engine take 50 ms, and reading the longest prompts 200 ms.
-	quietLeast = 500 * time.Millisecond
-	// quietObjectives is the silence in objectives of a request: what is sent
-	// after it would be late.
-	quietObjectives = 1.5
+	// minStall is a fixed time. The steps of a full engine take 50 ms, and reading
+	// the longest prompts 200 ms.
+	minStall = 500 * time.Millisecond
+	// stallObjectives is a multiple of the next request's objective. A server that
+	// has sent nothing for that long would respond to the request too late.
+	stallObjectives = 1.5
 )
 
-// Quiet answers servers that take requests and send nothing, as behind a link
-// that has become narrow, or without power: until something comes from them, or
-// nothing of this entry instance is left there, they get nothing more. Requests
-// that are sent all the same would wait in the link and arrive after their
-// clients have left.
+// Quiet detects servers that accept requests but send nothing, for example
+// behind a link that has become slow, or after a loss of power. Such a server
+// gets no more requests until it sends something or this entry instance has no
+// more requests there. Requests sent anyway would wait in the link and reach the
+// server after their clients have left.
 type Quiet struct {
-	since time.Time
+	lastActivity time.Time
 }
 
-// Heard notes that the server sent something, or that it has nothing to answer.
-func (s *Quiet) Heard(now time.Time) { s.since = now }
+// Heard records that the server sent something, or that it had no running
+// requests.
+func (d *Quiet) Heard(now time.Time) { d.lastActivity = now }
 
-// Barred reports whether a server with running requests of this entry instance
-// gets no more for now. objective is that of the request; 0 for none.
-func (s *Quiet) Barred(now time.Time, running int, objective time.Duration) bool {
+// Barred reports whether a server that has running requests of this entry
+// instance is stalled at now. objective is the objective of the next request;
+// without an objective the result is false.
+func (d *Quiet) Barred(now time.Time, running int, objective time.Duration) bool {
 	if running == 0 || objective <= 0 {
 		return false
 	}
-	return now.Sub(s.since) > max(quietLeast, time.Duration(quietObjectives*float64(objective)))
+	return now.Sub(d.lastActivity) > max(minStall, time.Duration(stallObjectives*float64(objective)))
 }
--- a/request/dispatch/quiet_test.go
+++ b/request/dispatch/quiet_test.go
@@ -8,69 +8,69 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestQuietServerBehindANarrowLink(t *testing.T) {
-	// only lists one server with many places and fills none.
-	only := func() *deskRig {
-		g := newDeskRig()
-		a := g.server("a", "palermo")
+func TestStalledServerBehindASlowLink(t *testing.T) {
+	// newFixture returns a fixture with one server, which has many free slots.
+	newFixture := func() *schedulerFixture {
+		f := newSchedulerFixture()
+		a := f.server("a", "palermo")
 		a.Slots = 100
-		g.list(a)
-		return g
+		f.list(a)
+		return f
 	}
-	demand := func(g *deskRig) *Demand {
-		q := g.demand()
-		q.Objective = 400 * time.Millisecond
-		q.Arrived = q.Arrived.Add(-time.Second) // it does not wait here
-		return q
+	request := func(f *schedulerFixture) *Demand {
+		req := f.request()
+		req.Objective = 400 * time.Millisecond
+		req.Arrived = req.Arrived.Add(-time.Second) // too long ago to wait for a slot
+		return req
 	}
-	const silence = 601 * time.Millisecond // over 1.5 objectives
+	const pause = 601 * time.Millisecond // more than 1.5 objectives
 
-	Convey("A server that sends nothing while requests run there gets no more, until it is heard", t, func() {
-		g := only()
-		first, err := g.desk.Acquire(t.Context(), demand(g))
+	Convey("A server that sends nothing while requests run there gets no more requests until it sends something", t, func() {
+		f := newFixture()
+		first, err := f.scheduler.Acquire(t.Context(), request(f))
 		So(err, ShouldBeNil)
-		g.clock.Advance(silence)
-		_, err = g.take(demand(g))
+		f.clock.Advance(pause)
+		_, err = f.acquire(request(f))
 		So(errors.Is(err, ErrFull), ShouldBeTrue)
-		g.desk.Heard(first)
-		_, err = g.take(demand(g))
+		f.scheduler.Heard(first)
+		_, err = f.acquire(request(f))
 		So(err, ShouldBeNil)
 	})
 
-	Convey("One with nothing to answer may be silent", t, func() {
-		g := only()
-		first, err := g.desk.Acquire(t.Context(), demand(g))
+	Convey("A server without running requests may send nothing", t, func() {
+		f := newFixture()
+		first, err := f.scheduler.Acquire(t.Context(), request(f))
 		So(err, ShouldBeNil)
-		g.clock.Advance(silence)
-		g.desk.Release(first, Ended)
-		_, err = g.take(demand(g))
+		f.clock.Advance(pause)
+		f.scheduler.Release(first, Ended)
+		_, err = f.acquire(request(f))
 		So(err, ShouldBeNil)
 	})
 
-	Convey("Requests with a longer objective wait for their answers longer", t, func() {
-		g := only()
+	Convey("A longer objective allows a longer time without any response", t, func() {
+		f := newFixture()
 		slow := func() *Demand {
-			q := demand(g)
-			q.Objective = 3 * time.Second
-			q.Arrived = q.Arrived.Add(-10 * time.Second)
-			return q
+			req := request(f)
+			req.Objective = 3 * time.Second
+			req.Arrived = req.Arrived.Add(-10 * time.Second)
+			return req
 		}
-		_, err := g.take(slow())
+		_, err := f.acquire(slow())
 		So(err, ShouldBeNil)
-		g.clock.Advance(4 * time.Second)
-		_, err = g.take(slow())
+		f.clock.Advance(4 * time.Second)
+		_, err = f.acquire(slow())
 		So(err, ShouldBeNil)
 	})
 
-	Convey("Under full load a narrow link holds a few requests and not one for each place", t, func() {
-		g := only()
+	Convey("Under full load a stalled server gets a few requests and not one for each slot", t, func() {
+		f := newFixture()
 		sent := 0
-		for range 100 { // 50 requests a second for two seconds
-			if _, err := g.take(demand(g)); err == nil {
+		for range 100 { // 50 requests per second for two seconds
+			if _, err := f.acquire(request(f)); err == nil {
 				sent++
 			}
-			g.clock.Advance(20 * time.Millisecond)
+			f.clock.Advance(20 * time.Millisecond)
 		}
-		So(sent, ShouldBeLessThanOrEqualTo, int(silence/(20*time.Millisecond))+1)
+		So(sent, ShouldBeLessThanOrEqualTo, int(pause/(20*time.Millisecond))+1)
 	})
 }
--- a/request/dispatch/repeats.go
+++ b/request/dispatch/repeats.go
@@ -2,77 +2,83 @@
 
 import "time"
 
-// RepeatLimits bound the sendings beyond the first of each request.
+// RepeatLimits limits the retries of the requests to a service.
 type RepeatLimits struct {
-	// Ratio is the share of requests that may be repeated.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Slack is the number of repeats beyond the ratio in a window, for all
-	// entry instances together.
+	// Slack is the number of retries allowed per window beyond the ratio, for
+	// all entry instances together.
 	Slack float64
-	// Window is the span that is judged.
+	// Window is the period over which requests and retries are counted.
 	Window time.Duration
 }
 
-// repeatMargin is the part of the limits that is used: entry instances count
-// their own windows, which do not begin together.
-const repeatMargin = 0.8
+// retryMargin is the fraction of the limits that is used, because the windows
+// of the entry instances do not begin at the same time.
+const retryMargin = 0.8
 
-// spareShare is the part of the limits that repeats which could be done without
-// may use; the rest is kept for requests that fail.
-const spareShare = 0.5
+// optionalRetryShare is the fraction of the retry budget that optional retries
+// may use; the rest is reserved for requests that fail.
+const optionalRetryShare = 0.5
 
-// repeatSlots is the number of parts a window is counted in.
-const repeatSlots = 20
+// retryBuckets is the number of buckets into which the window is divided.
+const retryBuckets = 20
 
-// Repeats answers servers that fail together: it bounds what an entry instance
-// sends again to a service, so that repeats do not become the load. All entry
-// instances share the slack evenly.
+// Repeats is the retry budget of one entry instance for a service. It keeps
+// retries from overloading the servers when many of them fail together. All
+// entry instances share the slack equally.
 type Repeats struct {
 	limits   RepeatLimits
-	first    [repeatSlots]int
-	repeated [repeatSlots]int
-	slot     int64
+	requests [retryBuckets]int
+	retries  [retryBuckets]int
+	// newest is the number of the newest bucket since the Unix epoch.
+	newest int64
 }
 
-// NewRepeats returns an empty count.
+// NewRepeats returns a retry budget with no requests or retries counted.
 func NewRepeats(l RepeatLimits) *Repeats { return &Repeats{limits: l} }
 
-// advance forgets the parts of the window that have passed.
-func (r *Repeats) advance(now time.Time) int {
-	width := int64(max(1, r.limits.Window/repeatSlots))
-	slot := now.UnixNano() / width
-	if slot-r.slot >= repeatSlots {
-		r.slot = slot - repeatSlots
+// advance clears the buckets that have left the window, and returns the index of
+// the current bucket.
+func (b *Repeats) advance(now time.Time) int {
+	width := int64(max(1, b.limits.Window/retryBuckets))
+	current := now.UnixNano() / width
+	if current-b.newest >= retryBuckets {
+		b.newest = current - retryBuckets
 	}
-	for r.slot < slot {
-		r.slot++
-		r.first[r.slot%repeatSlots], r.repeated[r.slot%repeatSlots] = 0, 0
+	for b.newest < current {
+		b.newest++
+		b.requests[b.newest%retryBuckets], b.retries[b.newest%retryBuckets] = 0, 0
 	}
-	return int(slot % repeatSlots)
+	return int(current % retryBuckets)
 }
 
-// First counts a request.
-func (r *Repeats) First(now time.Time) { r.first[r.advance(now)]++ }
+// First counts a request; its retries are counted by the other methods.
+func (b *Repeats) First(now time.Time) { b.requests[b.advance(now)]++ }
 
-// Take counts a repeat if one of entries entry instances may send it now.
-func (r *Repeats) Take(now time.Time, entries int) bool { return r.take(now, entries, 1) }
+// Take counts a retry and returns true if the budget of this entry instance, one
+// of entries, allows the retry now.
+func (b *Repeats) Take(now time.Time, entries int) bool { return b.take(now, entries, 1) }
 
-// TakeSpare counts a repeat that could be done without, if repeats are left
-// beyond those that are kept for requests that fail.
-func (r *Repeats) TakeSpare(now time.Time, entries int) bool { return r.take(now, entries, spareShare) }
+// TakeSpare is like [Repeats.Take] for an optional retry: one that a request can
+// do without. It leaves a part of the budget to requests that fail.
+func (b *Repeats) TakeSpare(now time.Time, entries int) bool {
+	return b.take(now, entries, optionalRetryShare)
+}
 
-// take counts a repeat if it stays within a share of the limits.
-func (r *Repeats) take(now time.Time, entries int, share float64) bool {
-	i := r.advance(now)
-	var first, repeated int
-	for k := range repeatSlots {
-		first += r.first[k]
-		repeated += r.repeated[k]
+// take counts a retry and returns true if the retries stay within a share of the
+// budget.
+func (b *Repeats) take(now time.Time, entries int, share float64) bool {
+	i := b.advance(now)
+	var requests, retries int
+	for k := range retryBuckets {
+		requests += b.requests[k]
+		retries += b.retries[k]
 	}
-	allowed := repeatMargin * (r.limits.Ratio*float64(first) + r.limits.Slack/float64(max(1, entries)))
-	if float64(repeated)+1 > share*allowed {
+	allowed := retryMargin * (b.limits.Ratio*float64(requests) + b.limits.Slack/float64(max(1, entries)))
+	if float64(retries)+1 > share*allowed {
 		return false
 	}
-	r.repeated[i]++
+	b.retries[i]++
 	return true
 }
--- a/request/dispatch/suspicion.go
+++ b/request/dispatch/suspicion.go
@@ -2,93 +2,98 @@
 
 import "time"
 
-// Outcome is what became of a request at a server.
+// Outcome is the outcome of one attempt to run a request at a server.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Served says that the answer came whole.
+	// Served means that the complete response was received and forwarded.
 	Served Outcome = iota
-	// Ended says that the client or its deadline ended the request; it says
-	// nothing of the server.
+	// Ended means that the client left or the deadline passed; this does not
+	// count against the server.
 	Ended
-	// Full says that the server took no more.
+	// Full means that the server refused the request for lack of capacity.
 	Full
-	// Misdirected says that the server is another one, or does not hold the
-	// weights.
+	// Misdirected means that the server is not the expected instance, or does
+	// not hold the required weights.
 	Misdirected
-	// Unreachable says that no connection could be opened.
+	// Unreachable means that no connection could be opened.
 	Unreachable
-	// Broken says that the answer failed, broke off or was not an answer.
+	// Broken means that the response was an error, incomplete or invalid.
 	Broken
-	// Stalled says that the server fell silent.
+	// Stalled means that the server sent nothing for too long.
 	Stalled
-	// Moved says that the stream goes on at another server, as this one
-	// changes its weights; it says nothing of the server.
+	// Moved means that the stream continues at another server because this one
+	// loads new weights; this does not count against the server.
 	Moved
 )
 
-// String returns the outcome's name in log lines.
+// String returns the name of the outcome in log lines.
 func (o Outcome) String() string {
 	return [...]string{"served", "ended", "full", "misdirected", "unreachable", "broken", "stalled", "moved"}[o]
 }
 
-// Times for which a server is passed over after an outcome. The first ones
-// are about the time in which a server answers; the last one bounds how long a
-// server that came back stays unused.
+// Times for which a server gets no requests after an outcome. The first three
+// are about the time in which a server answers; maxBackoff limits how long a
+// server that has recovered stays unused.
 const (
-	passOverFull        = 60 * time.Millisecond
-	passOverMisdirected = 400 * time.Millisecond
-	passOverFailed      = 250 * time.Millisecond
-	passOverMost        = 2 * time.Second
+	backoffFull        = 60 * time.Millisecond
+	backoffMisdirected = 400 * time.Millisecond
+	backoffFailed      = 250 * time.Millisecond
+	maxBackoff         = 2 * time.Second
 )
 
-// Weights of the moving failure rate.
+// Parameters of the failure rate, an exponentially weighted moving average.
 const (
 	// failureWeight is the weight of the newest outcome.
 	failureWeight = 0.15
-	// failurePenalty is the load that a server which always fails appears
-	// to have beyond its own.
+	// failurePenalty is the number of requests added to the load of a server
+	// whose requests all fail.
 	failurePenalty = 24
 )
 
-// Suspicion answers servers that are down, or fail part of their requests
-// while their health check is good: after a failure a server is passed over
-// for a while, longer each time in a row, and one that fails often appears
-// loaded.
+// Suspicion tracks the outcomes of the requests at one server. It detects
+// servers that are down, or that fail some requests although their health check
+// succeeds. After a failed connection or a stall the server gets no requests for
+// a time that doubles with each such outcome in a row. A server that fails often
+// also gets a penalty on its load.
 type Suspicion struct {
-	until time.Time
-	row   int
-	rate  float64
+	backoffUntil time.Time
+	// consecutive is the number of failed connections and stalls since the last
+	// served request.
+	consecutive int
+	failureRate float64
 }
 
-// Note takes in an outcome at now.
-func (s *Suspicion) Note(o Outcome, now time.Time) {
+// Note records the outcome of a request that ended at now.
+func (h *Suspicion) Note(o Outcome, now time.Time) {
 	switch o {
 	case Served:
-		s.row, s.rate = 0, s.rate*(1-failureWeight)
+		h.consecutive, h.failureRate = 0, h.failureRate*(1-failureWeight)
 	case Full:
-		s.until = later(s.until, now.Add(passOverFull))
+		h.backoffUntil = later(h.backoffUntil, now.Add(backoffFull))
 	case Misdirected:
-		s.until = later(s.until, now.Add(passOverMisdirected))
+		h.backoffUntil = later(h.backoffUntil, now.Add(backoffMisdirected))
 	case Unreachable, Stalled:
-		s.fail()
-		s.until = later(s.until, now.Add(min(passOverMost, passOverFailed<<min(s.row, 8))))
-		s.row++
+		h.raiseFailureRate()
+		h.backoffUntil = later(h.backoffUntil, now.Add(min(maxBackoff, backoffFailed<<min(h.consecutive, 8))))
+		h.consecutive++
 	case Broken:
-		s.fail()
+		h.raiseFailureRate()
 	case Ended, Moved:
 	}
 }
 
-func (s *Suspicion) fail() { s.rate += (1 - s.rate) * failureWeight }
+func (h *Suspicion) raiseFailureRate() { h.failureRate += (1 - h.failureRate) * failureWeight }
 
-// Barred reports whether the server is passed over at now.
-func (s *Suspicion) Barred(now time.Time) bool { return now.Before(s.until) }
+// Barred reports whether the server must not get requests at now.
+func (h *Suspicion) Barred(now time.Time) bool { return now.Before(h.backoffUntil) }
 
-// Penalty is the load that the server appears to have beyond its own.
-func (s *Suspicion) Penalty() float64 { return s.rate * failurePenalty }
+// Penalty returns the number of requests to add to the server's load because of
+// its failure rate.
+func (h *Suspicion) Penalty() float64 { return h.failureRate * failurePenalty }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/request/dispatch/window.go
+++ b/request/dispatch/window.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// window counts what happened within a span.
-type window struct {
-	at []time.Time
+// slidingWindow counts the events of the last span of time.
+type slidingWindow struct {
+	times []time.Time
 }
 
-// add counts one more.
-func (w *window) add(now time.Time, span time.Duration) {
-	w.at = append(w.forget(now, span), now)
+// add records an event at now and drops the events older than span.
+func (w *slidingWindow) add(now time.Time, span time.Duration) {
+	w.times = append(w.recent(now, span), now)
 }
 
-// count returns how many there are.
-func (w *window) count(now time.Time, span time.Duration) int {
-	w.at = w.forget(now, span)
-	return len(w.at)
+// count returns the number of events within the last span.
+func (w *slidingWindow) count(now time.Time, span time.Duration) int {
+	w.times = w.recent(now, span)
+	return len(w.times)
 }
 
-// forget drops what is older than the span.
-func (w *window) forget(now time.Time, span time.Duration) []time.Time {
+// recent returns the events within the last span, in the same backing array.
+func (w *slidingWindow) recent(now time.Time, span time.Duration) []time.Time {
 	n := 0
-	for n < len(w.at) && now.Sub(w.at[n]) >= span {
+	for n < len(w.times) && now.Sub(w.times[n]) >= span {
 		n++
 	}
-	return append(w.at[:0], w.at[n:]...)
+	return append(w.times[:0], w.times[n:]...)
 }
