--- a/request/accounts/accounts.go
+++ b/request/accounts/accounts.go
@@ -1,5 +1,5 @@
-// Package accounts authenticates client accounts by their keys and bounds
-// what each may have running through one entry instance.
+// Package accounts authenticates client accounts by their keys and limits the
+// number of calls that each account has in flight at one entry instance.
 package accounts
 
 import (
@@ -14,21 +14,24 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// bearer is the authentication scheme of callers' keys.
-const bearer = "Bearer "
+// bearerScheme is the authentication scheme of client keys, with the space that
+// follows.
+const bearerScheme = "Bearer "
 
-// Errors of Enter and Authenticate.
+// Errors of [Book.Enter] and [Book.Authenticate].
 var (
-	// ErrUnauthorized says that no client account has the given key.
+	// ErrUnauthorized is returned when no client account has the given key.
 	ErrUnauthorized = errors.New("no client account has this key")
-	// ErrTooMany says that the account has its MaxInFlight calls running.
+	// ErrTooMany is returned when the account already has MaxInFlight calls in
+	// flight.
 	ErrTooMany = errors.New("the client account has too many calls in flight")
-	// ErrShare says that capacity is short and the account has its share.
+	// ErrShare is returned when capacity is short and the account already uses
+	// its fair share.
 	ErrShare = errors.New("capacity is short and the client account has its share")
 )
 
-// Book keeps the calls in flight of each client account at one entry
-// instance. It is safe for concurrent use.
+// Book counts the calls in flight of each client account at one entry instance and
+// decides whether further calls are admitted. It is safe for concurrent use.
 type Book struct {
 	holder *confstore.Holder
 
@@ -37,21 +40,21 @@
 	total    int
 }
 
-// New returns a Book for the accounts that holder declares.
+// New returns a [Book] for the client accounts in holder's current configuration.
 func New(holder *confstore.Holder) *Book {
 	return &Book{holder: holder, inFlight: map[string]int{}}
 }
 
-// Authenticate returns the client account whose key stands in the value of
-// an Authorization header, or ErrUnauthorized.
-func (b *Book) Authenticate(authorization string) (*declare.ClientAccount, error) {
-	key, ok := strings.CutPrefix(authorization, bearer)
+// Authenticate returns the client account with the key in authorization, the value
+// of an Authorization header, or [ErrUnauthorized].
+func (c *Book) Authenticate(authorization string) (*declare.ClientAccount, error) {
+	key, ok := strings.CutPrefix(authorization, bearerScheme)
 	if !ok || key == "" {
 		return nil, ErrUnauthorized
 	}
 	hash := []byte(core.DigestOf([]byte(key)))
 	var found *declare.ClientAccount
-	for _, a := range b.holder.Current().Set.ClientAccounts {
+	for _, a := range c.holder.Current().Set.ClientAccounts {
 		if subtle.ConstantTimeCompare(hash, []byte(a.KeyHash)) == 1 {
 			found = a
 		}
@@ -62,58 +65,61 @@
 	return found, nil
 }
 
-// Share returns the account's weight, at least 1.
+// Share returns the weight of an account in the division of capacity, at least 1.
 func Share(a *declare.ClientAccount) int { return max(1, a.Share) }
 
-// Admission is the entry of one call.
+// Admission is the result of admitting one call.
 type Admission struct {
-	// Due says that the call is within the fair share of an account that
-	// does not have all the calls in flight.
+	// Due is true if the call is within the fair share of its account, and other
+	// accounts have calls in flight too.
 	Due bool
-	// Leave ends the call; it is called once.
+	// Leave ends the call. The caller must call it exactly once.
 	Leave func()
 }
 
-// Enter counts one more call of the account, or returns ErrTooMany or, when
-// capacity is short, ErrShare.
-func (b *Book) Enter(a *declare.ClientAccount, short bool) (Admission, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	running := b.inFlight[a.Name]
+// Enter admits one more call of an account and counts it. short is true while
+// capacity is short. The error is [ErrTooMany] or, only if short is true,
+// [ErrShare].
+func (c *Book) Enter(a *declare.ClientAccount, short bool) (Admission, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	running := c.inFlight[a.Name]
 	if a.MaxInFlight > 0 && running >= a.MaxInFlight {
 		return Admission{}, ErrTooMany
 	}
-	within := running < b.fair(a)
-	if short && !within {
+	belowShare := running < c.fairShare(a)
+	if short && !belowShare {
 		return Admission{}, ErrShare
 	}
-	due := within && running < b.total
-	b.inFlight[a.Name]++
-	b.total++
-	return Admission{Due: due, Leave: func() { b.leave(a.Name) }}, nil
+	withinFairShare := belowShare && running < c.total
+	c.inFlight[a.Name]++
+	c.total++
+	return Admission{Due: withinFairShare, Leave: func() { c.release(a.Name) }}, nil
 }
 
-// fair returns the number of the calls in flight here that are the account's
-// due, counting the accounts that have calls here, at least 1.
-func (b *Book) fair(a *declare.ClientAccount) int {
-	shares := 0
-	declared := b.holder.Current().Set.ClientAccounts
-	for name := range b.inFlight {
+// fairShare returns the number of calls, at least 1, that the account may have
+// when the calls in flight and one more are divided by weight among this account
+// and the other accounts with calls in flight. The caller holds c.mu.
+func (c *Book) fairShare(a *declare.ClientAccount) int {
+	weights := 0
+	declared := c.holder.Current().Set.ClientAccounts
+	for name := range c.inFlight {
 		if other, ok := declared[name]; ok && name != a.Name {
-			shares += Share(other)
+			weights += Share(other)
 		}
 	}
 	own := Share(a)
-	shares += own
-	return ((b.total+1)*own + shares - 1) / shares
+	weights += own
+	return ((c.total+1)*own + weights - 1) / weights
 }
 
-func (b *Book) leave(name string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.total--
-	b.inFlight[name]--
-	if b.inFlight[name] == 0 {
-		delete(b.inFlight, name)
+// release removes one call of an account from the counts.
+func (c *Book) release(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.total--
+	c.inFlight[name]--
+	if c.inFlight[name] == 0 {
+		delete(c.inFlight, name)
 	}
 }
--- a/request/accounts/accounts_test.go
+++ b/request/accounts/accounts_test.go
@@ -10,7 +10,9 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-func newBook(accounts ...*declare.ClientAccount) *Book {
+// newTestController returns a [Book] for accounts. The key of each account is its
+// name followed by "-key".
+func newTestController(accounts ...*declare.ClientAccount) *Book {
 	set := declare.NewSet()
 	for _, a := range accounts {
 		a.KeyHash = core.DigestOf([]byte(a.Name + "-key"))
@@ -22,48 +24,48 @@
 }
 
 func TestAuthenticate(t *testing.T) {
-	Convey("Given two client accounts", t, func() {
-		b := newBook(&declare.ClientAccount{Name: "erbe"}, &declare.ClientAccount{Name: "toa"})
-		a, err := b.Authenticate("Bearer toa-key")
+	Convey("A key identifies its client account, and an invalid key none", t, func() {
+		controller := newTestController(&declare.ClientAccount{Name: "erbe"}, &declare.ClientAccount{Name: "toa"})
+		a, err := controller.Authenticate("Bearer toa-key")
 		So(err, ShouldBeNil)
 		So(a.Name, ShouldEqual, "toa")
 		for _, wrong := range []string{"", "Bearer ", "toa-key", "Bearer toa-keys", "Basic toa-key"} {
-			_, err := b.Authenticate(wrong)
+			_, err := controller.Authenticate(wrong)
 			So(err, ShouldEqual, ErrUnauthorized)
 		}
 	})
 }
 
-func TestEnter(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	Convey("Given a large and a small account", t, func() {
 		large := &declare.ClientAccount{Name: "large", MaxInFlight: 12}
 		small := &declare.ClientAccount{Name: "small"}
-		b := newBook(large, small)
+		controller := newTestController(large, small)
 		for range 9 {
-			_, err := b.Enter(large, false)
+			_, err := controller.Enter(large, false)
 			So(err, ShouldBeNil)
 		}
-		Convey("a single account is not held back when capacity is short", func() {
-			in, err := b.Enter(large, true)
+		Convey("a single account is not limited when capacity is short", func() {
+			admission, err := controller.Enter(large, true)
 			So(err, ShouldBeNil)
-			So(in.Due, ShouldBeFalse)
+			So(admission.Due, ShouldBeFalse)
 		})
-		Convey("the small account's calls are due, the large one waits", func() {
-			in, err := b.Enter(small, true)
+		Convey("when capacity is short, the small account is within its share and the large one is refused", func() {
+			admission, err := controller.Enter(small, true)
 			So(err, ShouldBeNil)
-			So(in.Due, ShouldBeTrue)
-			_, err = b.Enter(large, true)
+			So(admission.Due, ShouldBeTrue)
+			_, err = controller.Enter(large, true)
 			So(err, ShouldEqual, ErrShare)
-			in.Leave()
-			_, err = b.Enter(large, true)
+			admission.Leave()
+			_, err = controller.Enter(large, true)
 			So(err, ShouldBeNil)
 		})
-		Convey("MaxInFlight holds also while there is room", func() {
+		Convey("MaxInFlight limits the calls even if capacity is not short", func() {
 			for range 3 {
-				_, err := b.Enter(large, false)
+				_, err := controller.Enter(large, false)
 				So(err, ShouldBeNil)
 			}
-			_, err := b.Enter(large, false)
+			_, err := controller.Enter(large, false)
 			So(err, ShouldEqual, ErrTooMany)
 		})
 	})
