--- a/request/admission/adapt.go
+++ b/request/admission/adapt.go
@@ -9,320 +9,335 @@
 )
 
 const (
-	// stepShare is the most growth in one window, as a share of the limit;
-	// one call is always let in.
-	stepShare = 0.1
-	// overloadFactor is what the limit falls to, as a share, when the engine
-	// refuses.
+	// maxStepRatio is the largest growth of the limit in one step, as a fraction of
+	// the limit. A step is always at least one call.
+	maxStepRatio = 0.1
+	// overloadFactor multiplies the limit when the engine refuses a call.
 	overloadFactor = 0.7
-	// settleTime is the time after a change of the limit in which samples do
-	// not enter the curve: they still tell of the time before it.
+	// settleTime is the time after a change of the limit in which samples do not
+	// enter the rate curve, because they still cover the time before the change.
 	settleTime = 150 * time.Millisecond
-	// coolTime is the time after a fall to the cold limit in which no other
-	// fall follows.
-	coolTime = 400 * time.Millisecond
-	// minHold and maxHold bound the time for which the limit does not grow
-	// again after a fall; it doubles with each fall that helped.
-	minHold = 2 * time.Second
-	maxHold = 30 * time.Second
-	// leastTry is the least time for which a step of growth is on trial.
-	leastTry = time.Second
-	// holdCalls is the least hold after a step of growth that failed, in the
-	// mean time for which a call holds its slot: a step too far lasts as long
-	// as the calls that it let in, so that at most a fifth of the time goes to
-	// trying.
-	holdCalls = 4
-	// holdOverShare is the growth beyond the last fall that ends doubling.
-	holdOverShare = 1.25
-	// jumpRatio is the recent mean over the baseline that tells of a server
-	// turned cold.
-	jumpRatio = 3.0
-	// helpedRatio is the token rate after a fall, over the one before, below
-	// which the fall is taken back.
-	helpedRatio = 1.0
-	// worseWindows is the number of windows in a row in which fewer calls must
-	// have been better for the limit to fall.
-	worseWindows = 2
-	// standingWindows is the same for a limit that stands: a hiccup of the
-	// machine must not count.
-	standingWindows = 4
-	// coldWindows is the number of collapsed windows that tell of the same.
-	coldWindows = 2
-	// firstJumpRatio is the same for first tokens, whose times differ with
-	// the length of the prompt and with prefix hits.
-	firstJumpRatio = 10.0
+	// coldCooldown is the time after a reset to the cold limit in which the limit
+	// is not decreased and samples are ignored.
+	coldCooldown = 400 * time.Millisecond
+	// minGrowthPause and maxGrowthPause bound the time after a decrease in which
+	// the limit does not grow. The pause doubles after each decrease that raised
+	// the token rate.
+	minGrowthPause = 2 * time.Second
+	maxGrowthPause = 30 * time.Second
+	// minGrowthTrial is the shortest time for which a growth step is on trial.
+	minGrowthTrial = time.Second
+	// failedStepPauseFactor times the mean slot time is the shortest growth
+	// pause after a growth step that was followed by a decrease. The calls that
+	// the step admitted overload the server until they end, so at most a fifth
+	// of the time is spent on failed steps.
+	failedStepPauseFactor = 4
+	// pauseResetRatio is the ratio of the limit to the limit after the last decrease
+	// above which the growth pause returns to minGrowthPause.
+	pauseResetRatio = 1.25
+	// perTokenJumpRatio is the ratio of the recent time per token to its baseline
+	// above which the server counts as turned cold.
+	perTokenJumpRatio = 3.0
+	// keepDecreaseRatio is the smallest ratio of the token rate after a decrease to
+	// the rate before it at which the decrease is kept.
+	keepDecreaseRatio = 1.0
+	// trialDecreaseWindows is the number of consecutive windows in which fewer
+	// calls would have been better before the limit is decreased, while a growth
+	// step is on trial.
+	trialDecreaseWindows = 2
+	// stableDecreaseWindows replaces trialDecreaseWindows when the limit has not
+	// grown recently. It is larger so that a short stall of the machine does not
+	// decrease the limit.
+	stableDecreaseWindows = 4
+	// collapseWindows is the number of consecutive windows with a collapsed token
+	// rate after which the server counts as turned cold.
+	collapseWindows = 2
+	// firstTokenJumpRatio is the ratio of the recent time to the first token to its
+	// baseline above which the server counts as turned cold. It is larger than
+	// perTokenJumpRatio because this time depends on the length of the prompt and
+	// on prefix cache hits.
+	firstTokenJumpRatio = 10.0
 )
 
-// Why a limit fell.
+// Reasons for decreasing the limit.
 const (
-	// fellTokenRate is a higher token rate with fewer calls.
-	fellTokenRate = "token rate"
-	// fellBearsLess is a lower token rate than before with as many calls:
-	// what was seen with fewer calls does not hold any more either.
-	fellBearsLess = "bears less"
+	// reasonTokenRate means that the token rate is higher with fewer calls.
+	reasonTokenRate = "token rate"
+	// reasonLessCapacity means that the token rate is lower than it was before with
+	// as many calls, so rates measured with fewer calls are outdated too.
+	reasonLessCapacity = "less capacity"
 )
 
 var (
-	eventLimitFell  = eventlog.Define(410, "limit-fell", logrus.WarnLevel, "The concurrency limit fell because the server slowed down or refused.")
-	eventTurnedCold = eventlog.Define(411, "turned-cold", logrus.WarnLevel, "The server turned cold; the limit is the cold limit again.")
-	eventUndone     = eventlog.Define(416, "limit-fall-undone", logrus.InfoLevel, "A fall of the limit did not raise the token rate and was taken back: the cause is not the number of calls.")
-	eventReady      = eventlog.Define(412, "limit-full", logrus.InfoLevel, "The concurrency limit has grown to the declared limit.")
-	eventShed       = eventlog.Define(414, "calls-shed", logrus.WarnLevel, "Running calls were ended early because the server had turned cold.")
+	eventLimitFell       = eventlog.Define(410, "limit-fell", logrus.WarnLevel, "The concurrency limit was decreased because the server slowed down or refused a call.")
+	eventTurnedCold      = eventlog.Define(411, "turned-cold", logrus.WarnLevel, "The server turned cold, so the limit was reset to the cold limit.")
+	eventLimitFallUndone = eventlog.Define(416, "limit-fall-undone", logrus.InfoLevel, "A decrease of the limit did not raise the token rate and was undone: the number of calls is not the cause.")
+	eventLimitFull       = eventlog.Define(412, "limit-full", logrus.InfoLevel, "The concurrency limit has grown to the declared limit.")
+	eventCallsShed       = eventlog.Define(414, "calls-shed", logrus.WarnLevel, "Running calls were ended early because the server had turned cold.")
 )
 
-// learn adapts the limit to a finished call; the lock is held.
-func (g *Gate) learn(o Outcome, busy bool) {
+// adaptToOutcome adapts the limit to a finished call. nearLimit is true when the
+// number of calls in flight was near the limit. The caller holds l.mu.
+func (l *Gate) adaptToOutcome(o Outcome, nearLimit bool) {
 	if o.Overloaded {
-		g.fall(g.limit*overloadFactor, "overloaded")
-		g.trial = fallTrial{}
+		l.decrease(l.limit*overloadFactor, "overloaded")
+		l.pending = pendingDecrease{}
 		return
 	}
-	if o.Cancelled || !busy || g.clock.Now().Before(g.heldUntil) {
+	if o.Cancelled || !nearLimit || l.clock.Now().Before(l.growthPausedUntil) {
 		return
 	}
-	g.unsampled++
-	g.step(g.clock.Now())
-	was := g.limit
-	g.setLimit(max(g.limit, min(g.limit+g.cfg.Growth, g.stepTo)))
-	if g.limit > g.fellTo*holdOverShare {
-		g.hold = minHold
+	l.finishedSinceSample++
+	l.startStepIfDue(l.clock.Now())
+	previous := l.limit
+	l.setLimit(max(l.limit, min(l.limit+l.cfg.Growth, l.stepLimit)))
+	if l.limit > l.decreasedTo*pauseResetRatio {
+		l.growthPause = minGrowthPause
 	}
-	if was < float64(g.cfg.Limit) && g.limit >= float64(g.cfg.Limit) {
-		g.cfg.Log.Event(eventReady, eventlog.Fields{"limit": int(g.limit)})
+	if previous < float64(l.cfg.Limit) && l.limit >= float64(l.cfg.Limit) {
+		l.cfg.Log.Event(eventLimitFull, eventlog.Fields{"limit": int(l.limit)})
 	}
 }
 
-// step begins the next step of growth when the pace at the present limit has
-// been judged, or when the server's calls give no samples; the lock is held.
-func (g *Gate) step(now time.Time) {
-	unsampled := float64(g.unsampled) > g.limit
-	if now.Sub(g.stepStart) < settleTime+windowTime || !g.judged && !unsampled {
+// startStepIfDue starts the next growth step once the token rate at the present
+// limit has been evaluated, or when the calls of this server give no samples. The
+// caller holds l.mu.
+func (l *Gate) startStepIfDue(now time.Time) {
+	noSamples := float64(l.finishedSinceSample) > l.limit
+	if now.Sub(l.stepStart) < settleTime+windowTime || !l.stepEvaluated && !noSamples {
 		return
 	}
-	g.stepStart, g.stepTo, g.judged = now, g.limit+g.stepSize(), false
-	g.settle(now)
+	l.stepStart, l.stepLimit, l.stepEvaluated = now, l.limit+l.maxStep(), false
+	l.startSettling(now)
 }
 
-// trying reports whether the limit has grown within the time of a call, so
-// that a worse pace is likely the growth's doing; the lock is held.
-func (g *Gate) trying() bool {
-	return g.limit < float64(g.cfg.Limit) && g.clock.Since(g.stepStart) <= max(g.slotTime.value, leastTry)
+// growthOnTrial reports whether the last growth step is so recent that it is the
+// likely cause of a lower token rate. The caller holds l.mu.
+func (l *Gate) growthOnTrial() bool {
+	return l.limit < float64(l.cfg.Limit) && l.clock.Since(l.stepStart) <= max(l.meanSlotTime.value, minGrowthTrial)
 }
 
-// stepSize returns the most growth in one step. Below a number of calls that
-// was too many before, a step goes half of the way; the lock is held.
-func (g *Gate) stepSize() float64 {
-	most := g.limit * stepShare
-	if left := float64(g.tooMany) - g.limit; left > 0 {
-		most = min(most, left/2)
+// maxStep returns the largest growth in one step. Below a number of calls that
+// overloaded the server before, a step covers at most half of the distance to
+// that number. The caller holds l.mu.
+func (l *Gate) maxStep() float64 {
+	largest := l.limit * maxStepRatio
+	if gap := float64(l.overloadedAt) - l.limit; gap > 0 {
+		largest = min(largest, gap/2)
 	}
-	return max(1, most)
+	return max(1, largest)
 }
 
 // Observe implements Limiter.
-func (g *Gate) Observe(s Sample) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.clock.Now()
-	g.unsampled = 0
-	if now.Before(g.cooled) {
+func (l *Gate) Observe(s Sample) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
+	l.finishedSinceSample = 0
+	if now.Before(l.cooldownEnd) {
 		return
 	}
 	if s.FirstToken > 0 {
-		g.first.add(s.FirstToken)
+		l.firstToken.add(s.FirstToken)
 	}
 	if s.PerToken > 0 {
-		g.window.add(now, s.PerToken, g.inFlight())
+		l.window.add(now, s.PerToken, l.inFlight())
 	}
-	if g.first.above(firstJumpRatio) {
-		g.cool("first token")
+	if l.firstToken.exceeds(firstTokenJumpRatio) {
+		l.resetToCold("first token")
 	}
-	if g.window.full(now) {
-		g.judge(now)
+	if l.window.full(now) {
+		l.evaluateWindow(now)
 	}
 }
 
-// judge adapts the limit to the pace of a full window; the lock is held.
-func (g *Gate) judge(now time.Time) {
-	w := g.window
-	g.window = window{}
-	g.perToken.add(w.mean())
-	if g.perToken.above(jumpRatio) {
-		g.cool("token pace")
+// evaluateWindow adapts the limit to the mean time per token of a full window.
+// The caller holds l.mu.
+func (l *Gate) evaluateWindow(now time.Time) {
+	w := l.window
+	l.window = window{}
+	l.perToken.add(w.mean())
+	if l.perToken.exceeds(perTokenJumpRatio) {
+		l.resetToCold("token pace")
 		return
 	}
-	level, steady := w.level()
+	inFlight, steady := w.inFlight()
 	if !steady {
 		return
 	}
-	if g.curve.collapsed(now, w.mean(), level) {
-		g.collapses++
-		if g.collapses >= coldWindows {
-			g.cool("token rate")
+	if l.curve.collapsed(now, w.mean(), inFlight) {
+		l.collapsedWindows++
+		if l.collapsedWindows >= collapseWindows {
+			l.resetToCold("token rate")
 		}
 		return
 	}
-	g.collapses = 0
-	if now.Before(g.settled) {
+	l.collapsedWindows = 0
+	if now.Before(l.settledAt) {
 		return
 	}
-	rate := float64(level) / w.mean().Seconds()
-	if g.fallFailed(level, rate) {
-		g.undoFall()
+	rate := float64(inFlight) / w.mean().Seconds()
+	if l.pendingDecreaseFailed(inFlight, rate) {
+		l.undoDecrease()
 		return
 	}
-	if share := g.curve.dropped(now, rate, level); share < droppedShare {
-		g.worsened(level, int(share*float64(level)), rate, fellBearsLess)
+	if ratio := l.curve.relativeRate(now, rate, inFlight); ratio < droppedRatio {
+		l.countWorseWindow(inFlight, int(ratio*float64(inFlight)), rate, reasonLessCapacity)
 		return
 	}
-	g.curve.add(now, rate, level)
-	g.judged = g.busy(level)
-	best, ok := g.curve.better(now, level, g.perToken.baseline)
+	l.curve.add(now, rate, inFlight)
+	l.stepEvaluated = l.nearLimit(inFlight)
+	best, ok := l.curve.betterCallCount(now, inFlight, l.perToken.baseline)
 	if !ok {
-		g.worse = 0
-		if level >= g.tooMany {
-			g.tooMany = 0
+		l.worseWindows = 0
+		if inFlight >= l.overloadedAt {
+			l.overloadedAt = 0
 		}
 		return
 	}
-	g.judged = false
-	g.worsened(level, best, rate, fellTokenRate)
+	l.stepEvaluated = false
+	l.countWorseWindow(inFlight, best, rate, reasonTokenRate)
 }
 
-// worsened notes a window in which so many calls as best would have been
-// better than level; after some in a row the limit falls there. The lock is
-// held.
-func (g *Gate) worsened(level, best int, rate float64, why string) {
-	g.worse++
-	if g.worse < worseWindows || !g.trying() && g.worse < standingWindows {
+// countWorseWindow counts a window with inFlight calls for which the lower number
+// best would have given a higher token rate. After several such windows in a row
+// it decreases the limit to best. The caller holds l.mu.
+func (l *Gate) countWorseWindow(inFlight, best int, rate float64, reason string) {
+	l.worseWindows++
+	if l.worseWindows < trialDecreaseWindows || !l.growthOnTrial() && l.worseWindows < stableDecreaseWindows {
 		return
 	}
-	from := g.limit
-	g.fall(float64(max(best, g.cfg.ColdLimit)), why)
-	g.trial = fallTrial{from: from, rate: rate}
-	g.tooMany = level
-	if why == fellBearsLess {
-		g.curve.clear()
+	previous := l.limit
+	l.decrease(float64(max(best, l.cfg.ColdLimit)), reason)
+	l.pending = pendingDecrease{limitBefore: previous, rateBefore: rate}
+	l.overloadedAt = inFlight
+	if reason == reasonLessCapacity {
+		l.curve.clear()
 	}
 }
 
-// fallTrial is a fall whose effect on the token rate has not been seen yet.
-type fallTrial struct {
-	// from is the limit before the fall, 0 when no fall is on trial.
-	from float64
-	// rate is the token rate before the fall.
-	rate float64
+// pendingDecrease is a decrease of the limit whose effect on the token rate has
+// not been measured yet.
+type pendingDecrease struct {
+	// limitBefore is the limit before the decrease; 0 when no decrease is pending.
+	limitBefore float64
+	// rateBefore is the token rate before the decrease.
+	rateBefore float64
 }
 
-// fallFailed ends the trial of the last fall once its effect is seen, and
-// reports whether it did not help: then it was not the number of calls that
-// made the server slow. The lock is held.
-func (g *Gate) fallFailed(level int, rate float64) bool {
-	if g.trial.from <= g.limit || level > int(g.limit) {
+// pendingDecreaseFailed reports whether the token rate is now lower than before
+// the pending decrease. In that case the number of calls was not what made the
+// server slow. Otherwise the decrease is no longer pending once its effect has
+// been measured. The caller holds l.mu.
+func (l *Gate) pendingDecreaseFailed(inFlight int, rate float64) bool {
+	if l.pending.limitBefore <= l.limit || inFlight > int(l.limit) {
 		return false
 	}
-	if rate < g.trial.rate*helpedRatio {
+	if rate < l.pending.rateBefore*keepDecreaseRatio {
 		return true
 	}
-	g.trial = fallTrial{}
-	g.hold = min(2*g.hold, maxHold)
+	l.pending = pendingDecrease{}
+	l.growthPause = min(2*l.growthPause, maxGrowthPause)
 	return false
 }
 
-// undoFall takes the last fall back and forgets the curve, which was seen
-// under other conditions; the lock is held.
-func (g *Gate) undoFall() {
-	was := int(g.limit)
-	g.setLimit(g.trial.from)
-	g.trial = fallTrial{}
-	g.heldUntil = time.Time{}
-	g.forgetCurve()
-	g.settle(g.clock.Now())
-	g.cfg.Log.Event(eventUndone, eventlog.Fields{"was": was, "limit": int(g.limit)})
+// undoDecrease restores the limit that preceded the pending decrease and clears
+// the rate curve, which was measured under other conditions. The caller holds
+// l.mu.
+func (l *Gate) undoDecrease() {
+	previous := int(l.limit)
+	l.setLimit(l.pending.limitBefore)
+	l.pending = pendingDecrease{}
+	l.growthPausedUntil = time.Time{}
+	l.clearCurve()
+	l.startSettling(l.clock.Now())
+	l.cfg.Log.Event(eventLimitFallUndone, eventlog.Fields{"was": previous, "limit": int(l.limit)})
 }
 
-// fall lowers the limit and holds it there for a time; the lock is held.
-func (g *Gate) fall(limit float64, why string) {
-	now := g.clock.Now()
-	if g.cfg.Fixed || now.Before(g.settled) || now.Before(g.cooled) || limit >= g.limit {
+// decrease lowers the limit and pauses its growth. The caller holds l.mu.
+func (l *Gate) decrease(limit float64, reason string) {
+	now := l.clock.Now()
+	if l.cfg.Fixed || now.Before(l.settledAt) || now.Before(l.cooldownEnd) || limit >= l.limit {
 		return
 	}
-	was := int(g.limit)
-	g.setLimit(max(limit, 1))
-	g.stepTo = g.limit
-	g.fellTo = g.limit
-	held := g.hold
-	if g.trying() {
-		held = min(max(held, holdCalls*g.slotTime.value), maxHold)
+	previous := int(l.limit)
+	l.setLimit(max(limit, 1))
+	l.stepLimit = l.limit
+	l.decreasedTo = l.limit
+	pause := l.growthPause
+	if l.growthOnTrial() {
+		pause = min(max(pause, failedStepPauseFactor*l.meanSlotTime.value), maxGrowthPause)
 	}
-	g.heldUntil = now.Add(held)
-	g.worse = 0
-	g.settle(now)
-	g.cfg.Log.Event(eventLimitFell, eventlog.Fields{
-		"why": why, "was": was, "limit": int(g.limit), "in_flight": g.inFlight(), "held_ms": held.Milliseconds(),
+	l.growthPausedUntil = now.Add(pause)
+	l.worseWindows = 0
+	l.startSettling(now)
+	l.cfg.Log.Event(eventLimitFell, eventlog.Fields{
+		"why": reason, "was": previous, "limit": int(l.limit), "in_flight": l.inFlight(), "held_ms": pause.Milliseconds(),
 	})
 }
 
-// forgetCurve forgets what was seen at each number of calls; the lock is held.
-func (g *Gate) forgetCurve() {
-	g.curve.clear()
-	g.tooMany = 0
+// clearCurve discards the rates measured for each number of calls. The caller
+// holds l.mu.
+func (l *Gate) clearCurve() {
+	l.curve.clear()
+	l.overloadedAt = 0
 }
 
-// settle keeps samples out of the curve for a time; the lock is held.
-func (g *Gate) settle(now time.Time) {
-	g.settled = now.Add(settleTime)
-	g.window = window{}
+// startSettling keeps samples out of the rate curve until settleTime after now.
+// The caller holds l.mu.
+func (l *Gate) startSettling(now time.Time) {
+	l.settledAt = now.Add(settleTime)
+	l.window = window{}
 }
 
 // Reset implements Limiter.
-func (g *Gate) Reset() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.cool("restart")
+func (l *Gate) Reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.resetToCold("restart")
 }
 
-// cool goes back to the cold limit and sheds the calls above it; the lock is
-// held.
-func (g *Gate) cool(why string) {
-	if g.cfg.Fixed {
+// resetToCold lowers the limit to the cold limit and sheds the calls above it.
+// The caller holds l.mu.
+func (l *Gate) resetToCold(reason string) {
+	if l.cfg.Fixed {
 		return
 	}
-	was := int(g.limit)
-	g.setLimit(min(g.limit, float64(g.cfg.ColdLimit)))
-	g.stepTo = g.limit
-	g.forgetCurve()
-	g.trial = fallTrial{}
-	g.collapses = 0
-	now := g.clock.Now()
-	g.cooled = now.Add(coolTime)
-	g.fellTo, g.hold, g.heldUntil = g.limit, minHold, now.Add(minHold)
-	g.settle(g.cooled)
-	g.first.settle()
-	g.perToken.settle()
-	g.cfg.Log.Event(eventTurnedCold, eventlog.Fields{"why": why, "was": was, "limit": int(g.limit), "in_flight": g.inFlight()})
-	g.shed(g.inFlight() - int(g.limit))
+	previous := int(l.limit)
+	l.setLimit(min(l.limit, float64(l.cfg.ColdLimit)))
+	l.stepLimit = l.limit
+	l.clearCurve()
+	l.pending = pendingDecrease{}
+	l.collapsedWindows = 0
+	now := l.clock.Now()
+	l.cooldownEnd = now.Add(coldCooldown)
+	l.decreasedTo, l.growthPause, l.growthPausedUntil = l.limit, minGrowthPause, now.Add(minGrowthPause)
+	l.startSettling(l.cooldownEnd)
+	l.firstToken.resetRecent()
+	l.perToken.resetRecent()
+	l.cfg.Log.Event(eventTurnedCold, eventlog.Fields{"why": reason, "was": previous, "limit": int(l.limit), "in_flight": l.inFlight()})
+	l.shedCalls(l.inFlight() - int(l.limit))
 }
 
-// shed ends up to n repeatable calls early, lowest priority and newest first;
-// the lock is held.
-func (g *Gate) shed(n int) {
+// shedCalls ends up to n repeatable calls early, lowest priority first and newest
+// first within a priority. The caller holds l.mu.
+func (l *Gate) shedCalls(n int) {
 	ended := 0
 	for priority := 0; priority <= maxPriority && ended < n; priority++ {
-		for i := len(g.calls) - 1; i >= 0 && ended < n; i-- {
-			a := g.calls[i]
-			if a.shed || a.ticket.Shed == nil || a.ticket.Priority != priority {
+		for i := len(l.calls) - 1; i >= 0 && ended < n; i-- {
+			call := l.calls[i]
+			if call.shed || call.request.Shed == nil || call.request.Priority != priority {
 				continue
 			}
-			a.shed = true
+			call.shed = true
 			ended++
-			go a.ticket.Shed()
+			go call.request.Shed()
 		}
 	}
 	if ended > 0 {
-		g.cfg.Log.Event(eventShed, eventlog.Fields{"calls": ended})
+		l.cfg.Log.Event(eventCallsShed, eventlog.Fields{"calls": ended})
 	}
 }
 
-// maxPriority is the highest priority.
+// maxPriority is the highest priority of a call.
 const maxPriority = 9
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -1,6 +1,8 @@
-// Package admission decides at the agent, in front of the engine or service,
-// which calls may run. Only the agent sees the sum of what all entry
-// instances send, so only its limit is authoritative.
+// Package admission limits, at the agent, how many calls run at once at the
+// engine or service behind it, and queues the calls above that limit. Only the
+// agent sees the calls of all entry instances, so only its limit is
+// authoritative. The limit of a cold server, one that has just started or has
+// lost its warm state, begins low and grows.
 package admission
 
 import (
@@ -10,56 +12,58 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// Ticket is a call that asks for a slot.
+// Ticket is a request for a slot to run a call.
 type Ticket struct {
-	// Account names the client account.
+	// Account is the name of the client account.
 	Account string
-	// Share is the account's weight when slots are short, at least 1.
+	// Share is the account's weight when slots are scarce, at least 1.
 	Share int
 	// Priority is 0 (lowest) to 9.
 	Priority int
-	// Deadline is when the call's caller gives up; zero for never.
+	// Deadline is the time at which the caller gives up; zero means never.
 	Deadline time.Time
-	// Shed, when set, is called at most once to end the call early because
-	// the server has turned cold. Nil for calls that may not be repeated.
+	// Shed, if set, is called at most once, to end the call early because the
+	// server has turned cold. It is nil for calls that may not be repeated.
 	Shed func()
 }
 
-// Sample is what one running call has seen since its last sample.
+// Sample holds what was measured on a running call since its last sample.
 type Sample struct {
-	// FirstToken is the time to the first byte; 0 when not in this sample.
+	// FirstToken is the time to the first byte; 0 when it is not part of this
+	// sample.
 	FirstToken time.Duration
-	// PerToken is the mean time between tokens; 0 when not in this sample.
+	// PerToken is the mean time between tokens; 0 when it is not part of this
+	// sample.
 	PerToken time.Duration
 }
 
-// Outcome tells a limiter how an admitted call went.
+// Outcome describes how an admitted call ended.
 type Outcome struct {
 	// FirstToken is the time to the first byte; 0 when there was none.
 	FirstToken time.Duration
 	// PerToken is the mean time between tokens; 0 when unknown.
 	PerToken time.Duration
-	// Overloaded says that the engine refused or failed under load.
+	// Overloaded is true when the engine refused the call or failed under load.
 	Overloaded bool
-	// Cancelled says that the caller went away.
+	// Cancelled is true when the caller cancelled the call.
 	Cancelled bool
 }
 
-// Limiter admits calls.
+// Limiter limits the number of calls that run at once at a backend server.
 type Limiter interface {
-	// Acquire waits in the queue for a slot. It returns a release function
-	// that must be called once, or the reason for the refusal.
-	Acquire(ctx context.Context, t Ticket) (release func(Outcome), refused frame.Reason)
-	// Observe tells the limiter what a running call sees, so that a server
-	// that turned cold is found before its calls end.
+	// Acquire waits in the queue for a slot. It returns either a release function,
+	// which must be called exactly once, or the reason for the refusal.
+	Acquire(ctx context.Context, req Ticket) (release func(Outcome), refused frame.Reason)
+	// Observe passes on a sample of a running call, so that a server that has
+	// turned cold is detected before its calls end.
 	Observe(s Sample)
-	// Load returns the load now.
+	// Load returns the current load.
 	Load() frame.Load
-	// State returns cold, warming or ready.
+	// State returns StateCold, StateWarming or StateReady.
 	State() frame.State
-	// Reset goes back to the cold limit, for a server that has restarted or
+	// Reset lowers the limit to the cold limit, for a server that has restarted or
 	// turned cold.
 	Reset()
-	// Configure sets the limits of the declared server.
+	// Configure sets the declared limits of the backend server.
 	Configure(limit, coldLimit int)
 }
--- a/request/admission/gate.go
+++ b/request/admission/gate.go
@@ -19,39 +19,41 @@
 const (
 	// DefaultMaxWait is the longest wait in the queue.
 	DefaultMaxWait = 40 * time.Millisecond
-	// DefaultQueueShare is the length of the queue as a share of the limit.
+	// DefaultQueueShare is the maximum length of the queue, as a fraction of the
+	// limit.
 	DefaultQueueShare = 0.5
 	// DefaultGrowth is the growth of the limit per finished call.
 	DefaultGrowth = 0.5
-	// minQueue is the least length of the queue.
-	minQueue = 4
-	// busyShare is the share of the limit that must be in use for a finished
-	// call to let the limit grow.
-	busyShare = 0.75
+	// minQueueLength is the lower bound of the maximum queue length.
+	minQueueLength = 4
+	// nearLimitRatio is the fraction of the limit that must be in use for a
+	// finished call to raise the limit.
+	nearLimitRatio = 0.75
 )
 
 var (
-	eventConfigured = eventlog.Define(413, "limit-configured", logrus.InfoLevel, "The declared limits of the server changed.")
+	eventLimitConfigured = eventlog.Define(413, "limit-configured", logrus.InfoLevel, "The declared limits of the backend server changed.")
 )
 
-// Config sets up a Gate. Zero values take the defaults.
+// Config holds the settings of a limiter. Zero values take the defaults.
 type Config struct {
-	// Limit is the most calls that the warm server bears.
+	// Limit is the largest number of concurrent calls of a warm server.
 	Limit int
-	// ColdLimit is the most calls that the cold server bears.
+	// ColdLimit is the largest number of concurrent calls of a cold server.
 	ColdLimit int
 	// MaxWait is the longest wait in the queue.
 	MaxWait time.Duration
-	// QueueShare is the length of the queue as a share of the limit.
+	// QueueShare is the maximum length of the queue, as a fraction of the limit.
 	QueueShare float64
-	// Growth is added to the limit by each finished call while the limit is
-	// in use and latency holds.
+	// Growth is added to the limit by each finished call while the limit is in use
+	// and calls do not slow down.
 	Growth float64
-	// Fixed keeps the limit at Limit, without a cold ramp and without falls.
+	// Fixed keeps the limit constant at Limit: no cold limit, no growth and no
+	// decreases.
 	Fixed bool
-	// Log takes the events; nil means none.
+	// Log receives the events; nil discards them.
 	Log *eventlog.Logger
-	// Metrics takes the gauges; nil means metrics.DefaultRegistry.
+	// Metrics receives the gauges; nil means metrics.DefaultRegistry.
 	Metrics metrics.Registry
 }
 
@@ -75,252 +77,262 @@
 	}
 }
 
-// admitted is a call that holds a slot.
-type admitted struct {
-	ticket Ticket
-	since  time.Time
-	shed   bool
+// runningCall is a call that holds a slot.
+type runningCall struct {
+	request Ticket
+	start   time.Time
+	shed    bool
 }
 
-// Gate is the Limiter of one backend server.
+// Gate is an adaptive Limiter for the calls of one backend server. The limit
+// grows while the token rate grows with the number of calls and is decreased when
+// fewer calls have a higher token rate.
 type Gate struct {
 	cfg   Config
 	clock clockwork.Clock
 	gauge metrics.Gauge
 
-	mu       sync.Mutex
-	limit    float64
-	calls    []*admitted
-	running  map[string]int
-	queue    queue
-	window   window
-	first    latency
-	perToken latency
-	curve    curve
-	// unsampled counts the calls that finished since the last sample; judged
-	// is true when a window has been judged since the last step.
-	unsampled int
-	judged    bool
-	// collapses counts the windows in a row whose token rate was far below
-	// what was seen with as many calls.
-	collapses int
-	// trial is the last fall while its effect has not been seen.
-	trial fallTrial
-	// worse counts the windows in a row in which fewer calls were better.
-	worse int
-	// tooMany is the number of calls from which the limit fell last because
-	// fewer were better; 0 when it has not or has been borne since.
-	tooMany int
-	// settled is when samples enter the curve again, and cooled when the
-	// limit may fall again after a fall to the cold limit.
-	settled time.Time
-	cooled  time.Time
-	// stepStart is the start of the present step of growth and stepTo the
-	// limit that it may reach, so that what each step does to the pace is
-	// seen before the next.
+	mu               sync.Mutex
+	limit            float64
+	calls            []*runningCall
+	runningByAccount map[string]int
+	queue            queue
+	window           window
+	firstToken       latencyTracker
+	perToken         latencyTracker
+	curve            rateCurve
+	// finishedSinceSample counts the calls that finished since the last sample.
+	// stepEvaluated is true once a window has been evaluated in the present growth
+	// step.
+	finishedSinceSample int
+	stepEvaluated       bool
+	// collapsedWindows counts the consecutive windows in which the token rate was
+	// far below the one measured before with as many calls.
+	collapsedWindows int
+	// pending is the last decrease while its effect has not been measured.
+	pending pendingDecrease
+	// worseWindows counts the consecutive windows in which fewer calls would have
+	// been better.
+	worseWindows int
+	// overloadedAt is the number of calls in flight at which fewer calls were last
+	// found better; 0 when there was none or the server handles that many again.
+	overloadedAt int
+	// settledAt is the time from which samples enter the rate curve again.
+	// cooldownEnd is the time from which the limit may be decreased again after a
+	// reset to the cold limit.
+	settledAt   time.Time
+	cooldownEnd time.Time
+	// stepStart is the start of the present growth step and stepLimit the limit
+	// that it may reach. Steps keep the effects of successive increases on the
+	// token rate apart.
 	stepStart time.Time
-	stepTo    float64
-	// fellTo is the limit after the last fall; heldUntil is when it may grow
-	// again, and hold how long it is held after the next fall.
-	fellTo    float64
-	heldUntil time.Time
-	hold      time.Duration
-	// slotTime is the mean time for which a call holds its slot.
-	slotTime mean
+	stepLimit float64
+	// decreasedTo is the limit after the last decrease. growthPausedUntil is the
+	// time from which the limit may grow again, and growthPause the length of the
+	// pause after the next decrease.
+	decreasedTo       float64
+	growthPausedUntil time.Time
+	growthPause       time.Duration
+	// meanSlotTime is the mean time for which a call holds its slot.
+	meanSlotTime movingAverage
 }
 
 var _ Limiter = (*Gate)(nil)
 
-// New returns a Gate at the cold limit.
+// New returns a Gate whose limit is the cold limit.
 func New(cfg Config, clock clockwork.Clock) *Gate {
 	cfg.applyDefaults()
-	g := &Gate{
-		cfg:     cfg,
-		clock:   clock,
-		gauge:   metrics.GetOrRegisterGauge("agent.limit", cfg.Metrics),
-		running: map[string]int{},
+	l := &Gate{
+		cfg:              cfg,
+		clock:            clock,
+		gauge:            metrics.GetOrRegisterGauge("agent.limit", cfg.Metrics),
+		runningByAccount: map[string]int{},
 	}
-	g.hold = minHold
-	g.setLimit(float64(cfg.ColdLimit))
-	g.stepTo = g.limit
-	return g
+	l.growthPause = minGrowthPause
+	l.setLimit(float64(cfg.ColdLimit))
+	l.stepLimit = l.limit
+	return l
 }
 
-// setLimit changes the limit; the lock is held.
-func (g *Gate) setLimit(limit float64) {
-	if g.cfg.Fixed {
-		limit = float64(g.cfg.Limit)
+// setLimit sets the limit and its gauge. The caller holds l.mu.
+func (l *Gate) setLimit(limit float64) {
+	if l.cfg.Fixed {
+		limit = float64(l.cfg.Limit)
 	}
-	g.limit = min(limit, float64(g.cfg.Limit))
-	g.gauge.Update(int64(g.limit))
+	l.limit = min(limit, float64(l.cfg.Limit))
+	l.gauge.Update(int64(l.limit))
 }
 
 // Configure implements Limiter.
-func (g *Gate) Configure(limit, coldLimit int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	cfg := g.cfg
+func (l *Gate) Configure(limit, coldLimit int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	cfg := l.cfg
 	cfg.Limit, cfg.ColdLimit = limit, coldLimit
 	cfg.applyDefaults()
-	if cfg.Limit == g.cfg.Limit && cfg.ColdLimit == g.cfg.ColdLimit {
+	if cfg.Limit == l.cfg.Limit && cfg.ColdLimit == l.cfg.ColdLimit {
 		return
 	}
-	g.cfg = cfg
-	g.setLimit(max(g.limit, float64(cfg.ColdLimit)))
-	g.stepTo = g.limit
-	g.cfg.Log.Event(eventConfigured, eventlog.Fields{"limit": cfg.Limit, "cold_limit": cfg.ColdLimit, "now": int(g.limit)})
-	g.hand()
+	l.cfg = cfg
+	l.setLimit(max(l.limit, float64(cfg.ColdLimit)))
+	l.stepLimit = l.limit
+	l.cfg.Log.Event(eventLimitConfigured, eventlog.Fields{"limit": cfg.Limit, "cold_limit": cfg.ColdLimit, "now": int(l.limit)})
+	l.grantFreeSlots()
 }
 
 // Acquire implements Limiter.
-func (g *Gate) Acquire(ctx context.Context, t Ticket) (release func(Outcome), refused frame.Reason) {
-	g.mu.Lock()
-	if g.queue.len() == 0 && g.free() {
-		a := g.admit(t)
-		g.mu.Unlock()
-		return g.releaser(a), ""
+func (l *Gate) Acquire(ctx context.Context, req Ticket) (release func(Outcome), refused frame.Reason) {
+	l.mu.Lock()
+	if l.queue.len() == 0 && l.hasFreeSlot() {
+		call := l.admit(req)
+		l.mu.Unlock()
+		return l.releaseFunc(call), ""
 	}
-	w := &waiter{ticket: t, done: make(chan frame.Reason, 1)}
-	if !g.enqueue(w) {
-		g.mu.Unlock()
+	w := &waiter{request: req, result: make(chan frame.Reason, 1)}
+	if !l.enqueue(w) {
+		l.mu.Unlock()
 		return nil, frame.ReasonFull
 	}
-	g.mu.Unlock()
-	return g.wait(ctx, w)
+	l.mu.Unlock()
+	return l.wait(ctx, w)
 }
 
-// enqueue puts w in the queue, displacing another when it is full.
-func (g *Gate) enqueue(w *waiter) bool {
-	room := max(minQueue, int(g.limit*g.cfg.QueueShare))
-	if g.queue.len() >= room {
-		out := g.queue.displace(w.ticket, g.running)
-		if out == nil {
+// enqueue adds w to the queue and reports whether it did. When the queue is full,
+// w may displace another waiter. The caller holds l.mu.
+func (l *Gate) enqueue(w *waiter) bool {
+	maxLength := max(minQueueLength, int(l.limit*l.cfg.QueueShare))
+	if l.queue.len() >= maxLength {
+		displaced := l.queue.displace(w.request, l.runningByAccount)
+		if displaced == nil {
 			return false
 		}
-		out.done <- frame.ReasonFull
+		displaced.result <- frame.ReasonFull
 	}
-	g.queue.push(w)
+	l.queue.push(w)
 	return true
 }
 
-// wait waits for w's slot.
-func (g *Gate) wait(ctx context.Context, w *waiter) (func(Outcome), frame.Reason) {
-	longest, reason := g.cfg.MaxWait, frame.ReasonFull
-	if left := w.ticket.Deadline.Sub(g.clock.Now()); !w.ticket.Deadline.IsZero() && left < longest {
-		longest, reason = left, frame.ReasonExpired
+// wait waits until w gets a slot or is refused.
+func (l *Gate) wait(ctx context.Context, w *waiter) (func(Outcome), frame.Reason) {
+	longest, reason := l.cfg.MaxWait, frame.ReasonFull
+	if remaining := w.request.Deadline.Sub(l.clock.Now()); !w.request.Deadline.IsZero() && remaining < longest {
+		longest, reason = remaining, frame.ReasonExpired
 	}
-	timer := g.clock.NewTimer(longest)
+	timer := l.clock.NewTimer(longest)
 	defer timer.Stop()
 	select {
-	case answer := <-w.done:
-		return g.handed(w, answer)
+	case refused := <-w.result:
+		return l.acquireResult(w, refused)
 	case <-ctx.Done():
 		reason = frame.ReasonExpired
 	case <-timer.Chan():
 	}
-	g.mu.Lock()
-	left := g.queue.remove(w)
-	g.mu.Unlock()
-	if left {
+	l.mu.Lock()
+	removed := l.queue.remove(w)
+	l.mu.Unlock()
+	if removed {
 		return nil, reason
 	}
-	return g.handed(w, <-w.done)
+	return l.acquireResult(w, <-w.result)
 }
 
-// handed turns the queue's answer to w into Acquire's result.
-func (g *Gate) handed(w *waiter, answer frame.Reason) (func(Outcome), frame.Reason) {
-	if answer != "" {
-		return nil, answer
+// acquireResult returns the results of Acquire for w. refused is the reason for
+// its refusal, or empty when w was given a slot.
+func (l *Gate) acquireResult(w *waiter, refused frame.Reason) (func(Outcome), frame.Reason) {
+	if refused != "" {
+		return nil, refused
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.releaser(g.track(w.ticket)), ""
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.releaseFunc(l.track(w.request)), ""
 }
 
-// free reports whether a slot is free; the lock is held.
-func (g *Gate) free() bool { return g.inFlight() < int(g.limit) }
+// hasFreeSlot reports whether a slot is free. The caller holds l.mu.
+func (l *Gate) hasFreeSlot() bool { return l.inFlight() < int(l.limit) }
 
-// inFlight counts the slots in use; the lock is held.
-func (g *Gate) inFlight() int {
+// inFlight returns the number of slots in use. The caller holds l.mu.
+func (l *Gate) inFlight() int {
 	n := 0
-	for _, calls := range g.running {
+	for _, calls := range l.runningByAccount {
 		n += calls
 	}
 	return n
 }
 
-// admit gives a slot to t; the lock is held.
-func (g *Gate) admit(t Ticket) *admitted {
-	g.running[t.Account]++
-	return g.track(t)
+// admit gives a slot to a call. The caller holds l.mu.
+func (l *Gate) admit(req Ticket) *runningCall {
+	l.runningByAccount[req.Account]++
+	return l.track(req)
 }
 
-// track remembers the call of a slot already given; the lock is held.
-func (g *Gate) track(t Ticket) *admitted {
-	a := &admitted{ticket: t, since: g.clock.Now()}
-	g.calls = append(g.calls, a)
-	return a
+// track adds a call to the running calls. Its slot must already be counted in
+// runningByAccount. The caller holds l.mu.
+func (l *Gate) track(req Ticket) *runningCall {
+	call := &runningCall{request: req, start: l.clock.Now()}
+	l.calls = append(l.calls, call)
+	return call
 }
 
-// hand gives free slots to waiters; the lock is held.
-func (g *Gate) hand() {
-	for g.free() {
-		w := g.queue.pop(g.running)
+// grantFreeSlots gives the free slots to waiters. The caller holds l.mu.
+func (l *Gate) grantFreeSlots() {
+	for l.hasFreeSlot() {
+		w := l.queue.pop(l.runningByAccount)
 		if w == nil {
 			return
 		}
-		g.running[w.ticket.Account]++
-		w.done <- ""
+		l.runningByAccount[w.request.Account]++
+		w.result <- ""
 	}
 }
 
-// releaser returns the function that ends a's slot.
-func (g *Gate) releaser(a *admitted) func(Outcome) {
+// releaseFunc returns the function that frees the slot of call.
+func (l *Gate) releaseFunc(call *runningCall) func(Outcome) {
 	return func(o Outcome) {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		busy := g.busy(g.inFlight())
-		g.drop(a)
-		if !o.Cancelled && !a.shed {
-			g.slotTime.add(g.clock.Since(a.since))
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		nearLimit := l.nearLimit(l.inFlight())
+		l.freeSlot(call)
+		if !o.Cancelled && !call.shed {
+			l.meanSlotTime.add(l.clock.Since(call.start))
 		}
-		g.learn(o, busy && !a.shed)
-		g.hand()
+		l.adaptToOutcome(o, nearLimit && !call.shed)
+		l.grantFreeSlots()
 	}
 }
 
-// busy reports whether so many calls use the limit; the lock is held.
-func (g *Gate) busy(calls int) bool { return float64(calls) >= busyShare*math.Floor(g.limit) }
+// nearLimit reports whether this number of calls uses most of the limit. The
+// caller holds l.mu.
+func (l *Gate) nearLimit(calls int) bool { return float64(calls) >= nearLimitRatio*math.Floor(l.limit) }
 
-// drop frees a's slot; the lock is held.
-func (g *Gate) drop(a *admitted) {
-	i := slices.Index(g.calls, a)
+// freeSlot frees the slot of call. The caller holds l.mu.
+func (l *Gate) freeSlot(call *runningCall) {
+	i := slices.Index(l.calls, call)
 	if i < 0 {
 		return
 	}
-	g.calls = slices.Delete(g.calls, i, i+1)
-	account := a.ticket.Account
-	g.running[account]--
-	if g.running[account] == 0 {
-		delete(g.running, account)
+	l.calls = slices.Delete(l.calls, i, i+1)
+	account := call.request.Account
+	l.runningByAccount[account]--
+	if l.runningByAccount[account] == 0 {
+		delete(l.runningByAccount, account)
 	}
 }
 
 // Load implements Limiter.
-func (g *Gate) Load() frame.Load {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return frame.Load{Limit: int(g.limit), InFlight: g.inFlight(), Queued: g.queue.len()}
+func (l *Gate) Load() frame.Load {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return frame.Load{Limit: int(l.limit), InFlight: l.inFlight(), Queued: l.queue.len()}
 }
 
 // State implements Limiter.
-func (g *Gate) State() frame.State {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (l *Gate) State() frame.State {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch {
-	case g.limit >= float64(g.cfg.Limit):
+	case l.limit >= float64(l.cfg.Limit):
 		return frame.StateReady
-	case g.limit <= float64(g.cfg.ColdLimit):
+	case l.limit <= float64(l.cfg.ColdLimit):
 		return frame.StateCold
 	default:
 		return frame.StateWarming
--- a/request/admission/gate_test.go
+++ b/request/admission/gate_test.go
@@ -12,94 +12,96 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-func newGate(cfg Config) (*Gate, *clockwork.FakeClock) {
+func newLimiter(cfg Config) (*Gate, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	cfg.Metrics = metrics.NewRegistry()
 	return New(cfg, clock), clock
 }
 
-// acquire starts an Acquire and returns where its answer comes.
-func acquire(g *Gate, t Ticket) <-chan frame.Reason {
-	done := make(chan frame.Reason, 1)
+// startAcquire calls Acquire in a goroutine and returns the channel that receives
+// the reason.
+func startAcquire(l *Gate, t Ticket) <-chan frame.Reason {
+	reasons := make(chan frame.Reason, 1)
 	go func() {
-		_, reason := g.Acquire(context.Background(), t)
-		done <- reason
+		_, reason := l.Acquire(context.Background(), t)
+		reasons <- reason
 	}()
-	return done
+	return reasons
 }
 
-// queued starts an Acquire that has to wait, and returns once it does.
-func queued(g *Gate, t Ticket) <-chan frame.Reason {
-	before := g.Load().Queued
-	done := acquire(g, t)
-	for deadline := time.Now().Add(5 * time.Second); g.Load().Queued == before; {
+// acquireQueued calls Acquire in a goroutine and returns once the request is in
+// the queue.
+func acquireQueued(l *Gate, t Ticket) <-chan frame.Reason {
+	queuedBefore := l.Load().Queued
+	reasons := startAcquire(l, t)
+	for deadline := time.Now().Add(5 * time.Second); l.Load().Queued == queuedBefore; {
 		if time.Now().After(deadline) {
-			panic("the call does not wait in the queue")
+			panic("the call is not in the queue after 5 s")
 		}
 		<-time.After(time.Millisecond)
 	}
-	return done
+	return reasons
 }
 
-func TestGateQueue(t *testing.T) {
-	Convey("Given a gate with one slot in use", t, func() {
-		g, clock := newGate(Config{Limit: 1})
-		release, reason := g.Acquire(context.Background(), Ticket{Account: "large"})
+func TestLimiterQueue(t *testing.T) {
+	Convey("Given a limiter with one slot in use", t, func() {
+		l, clock := newLimiter(Config{Limit: 1})
+		release, reason := l.Acquire(context.Background(), Ticket{Account: "large"})
 		So(reason, ShouldBeEmpty)
 
-		Convey("a waiter is refused when its wait is over", func() {
-			done := queued(g, Ticket{Account: "a"})
+		Convey("a waiter is refused after the longest wait", func() {
+			reasons := acquireQueued(l, Ticket{Account: "a"})
 			So(clock.BlockUntilContext(context.Background(), 1), ShouldBeNil)
 			clock.Advance(DefaultMaxWait)
-			So(<-done, ShouldEqual, frame.ReasonFull)
+			So(<-reasons, ShouldEqual, frame.ReasonFull)
 		})
-		Convey("a waiter whose caller gives up first is told so", func() {
-			done := queued(g, Ticket{Account: "a", Deadline: clock.Now().Add(DefaultMaxWait / 2)})
+		Convey("a waiter is refused as expired when its deadline passes first", func() {
+			reasons := acquireQueued(l, Ticket{Account: "a", Deadline: clock.Now().Add(DefaultMaxWait / 2)})
 			So(clock.BlockUntilContext(context.Background(), 1), ShouldBeNil)
 			clock.Advance(DefaultMaxWait / 2)
-			So(<-done, ShouldEqual, frame.ReasonExpired)
+			So(<-reasons, ShouldEqual, frame.ReasonExpired)
 		})
-		Convey("higher priority goes first, whatever came before", func() {
-			low := queued(g, Ticket{Account: "a"})
-			high := queued(g, Ticket{Account: "b", Priority: 5})
+		Convey("a waiter of higher priority goes first, regardless of arrival", func() {
+			low := acquireQueued(l, Ticket{Account: "a"})
+			high := acquireQueued(l, Ticket{Account: "b", Priority: 5})
 			release(Outcome{})
 			So(<-high, ShouldBeEmpty)
 			So(low, ShouldBeEmpty)
 		})
-		Convey("a full queue takes a call of higher priority in place of the lowest", func() {
-			low := queued(g, Ticket{Account: "a"})
-			for range minQueue - 1 {
-				queued(g, Ticket{Account: "b", Priority: 3})
+		Convey("a call of higher priority displaces the lowest priority from a full queue", func() {
+			low := acquireQueued(l, Ticket{Account: "a"})
+			for range minQueueLength - 1 {
+				acquireQueued(l, Ticket{Account: "b", Priority: 3})
 			}
-			high := acquire(g, Ticket{Account: "c", Priority: 5})
+			high := startAcquire(l, Ticket{Account: "c", Priority: 5})
 			So(<-low, ShouldEqual, frame.ReasonFull)
 			So(high, ShouldBeEmpty)
 		})
-		Convey("a full queue refuses the account that fills it and takes another's call", func() {
-			g, _ := newGate(Config{Limit: 2, ColdLimit: 2})
-			release, _ := g.Acquire(context.Background(), Ticket{Account: "large"})
-			_, reason := g.Acquire(context.Background(), Ticket{Account: "large"})
+		Convey("a full queue refuses the account that fills it, and another account's call displaces one of that account", func() {
+			l, _ := newLimiter(Config{Limit: 2, ColdLimit: 2})
+			release, _ := l.Acquire(context.Background(), Ticket{Account: "large"})
+			_, reason := l.Acquire(context.Background(), Ticket{Account: "large"})
 			So(reason, ShouldBeEmpty)
 			var large []<-chan frame.Reason
-			for range minQueue {
-				large = append(large, queued(g, Ticket{Account: "large"}))
+			for range minQueueLength {
+				large = append(large, acquireQueued(l, Ticket{Account: "large"}))
 			}
-			So(<-acquire(g, Ticket{Account: "large"}), ShouldEqual, frame.ReasonFull)
-			small := acquire(g, Ticket{Account: "small"})
-			So(<-large[minQueue-1], ShouldEqual, frame.ReasonFull)
+			So(<-startAcquire(l, Ticket{Account: "large"}), ShouldEqual, frame.ReasonFull)
+			small := startAcquire(l, Ticket{Account: "small"})
+			So(<-large[minQueueLength-1], ShouldEqual, frame.ReasonFull)
 			release(Outcome{})
 			So(<-small, ShouldBeEmpty)
 		})
-		Convey("an account's share counts: three times the share, three times the calls", func() {
-			g, _ := newGate(Config{Limit: 4, ColdLimit: 4})
+		Convey("the account with the fewest calls per share goes first", func() {
+			l, _ := newLimiter(Config{Limit: 4, ColdLimit: 4})
 			for range 3 {
-				_, reason := g.Acquire(context.Background(), Ticket{Account: "big", Share: 4})
+				_, reason := l.Acquire(context.Background(), Ticket{Account: "big", Share: 4})
 				So(reason, ShouldBeEmpty)
 			}
-			release, _ := g.Acquire(context.Background(), Ticket{Account: "small", Share: 1})
-			small := queued(g, Ticket{Account: "small", Share: 1})
-			big := queued(g, Ticket{Account: "big", Share: 4})
-			_, reason := g.Acquire(cancelled(), Ticket{Account: "other"})
+			release, _ := l.Acquire(context.Background(), Ticket{Account: "small", Share: 1})
+			small := acquireQueued(l, Ticket{Account: "small", Share: 1})
+			big := acquireQueued(l, Ticket{Account: "big", Share: 4})
+			_, reason := l.Acquire(cancelled(), Ticket{Account: "other"})
 			So(reason, ShouldEqual, frame.ReasonExpired)
 			release(Outcome{})
 			So(<-small, ShouldBeEmpty)
@@ -114,265 +116,266 @@
 	return ctx
 }
 
-// finishOne runs one call through a full gate.
-func finishOne(g *Gate, o Outcome) {
-	release, reason := g.Acquire(context.Background(), Ticket{Account: "a"})
+// runOneCall acquires a slot, if one is free, and releases it with the outcome.
+func runOneCall(l *Gate, o Outcome) {
+	release, reason := l.Acquire(context.Background(), Ticket{Account: "a"})
 	if reason == "" {
 		release(o)
 	}
 }
 
-func TestGateLimit(t *testing.T) {
-	Convey("Given a gate in front of a cold server", t, func() {
-		g, clock := newGate(Config{Limit: 32, ColdLimit: 4})
-		shed := 0
+func TestLimiterAdaptsLimit(t *testing.T) {
+	Convey("Given a limiter for a cold server", t, func() {
+		l, clock := newLimiter(Config{Limit: 32, ColdLimit: 4})
+		shedCount := 0
 		shedCalls := make(chan struct{}, 64)
-		fill := func() {
-			for g.Load().InFlight < g.Load().Limit {
-				_, reason := g.Acquire(context.Background(), Ticket{Account: "a", Shed: func() { shedCalls <- struct{}{} }})
+		fillSlots := func() {
+			for l.Load().InFlight < l.Load().Limit {
+				_, reason := l.Acquire(context.Background(), Ticket{Account: "a", Shed: func() { shedCalls <- struct{}{} }})
 				So(reason, ShouldBeEmpty)
 			}
 		}
-		So(g.Load().Limit, ShouldEqual, 4)
-		So(g.State(), ShouldEqual, frame.StateCold)
-		// window lets one window of samples with this pace pass.
-		window := func(pace time.Duration) {
+		So(l.Load().Limit, ShouldEqual, 4)
+		So(l.State(), ShouldEqual, frame.StateCold)
+		// passWindow advances the clock by one window and passes samples with this
+		// time per token to the limiter.
+		passWindow := func(timePerToken time.Duration) {
 			clock.Advance(settleTime)
-			g.Observe(Sample{PerToken: pace})
+			l.Observe(Sample{PerToken: timePerToken})
 			clock.Advance(windowTime)
-			g.Observe(Sample{PerToken: pace})
+			l.Observe(Sample{PerToken: timePerToken})
 		}
-		grow := func() {
+		finishCalls := func() {
 			for range 8 {
-				g.mu.Lock()
-				g.learn(Outcome{}, true)
-				g.mu.Unlock()
+				l.mu.Lock()
+				l.adaptToOutcome(Outcome{}, true)
+				l.mu.Unlock()
 			}
 		}
 
-		Convey("it does not grow on finished calls alone before their pace was judged", func() {
-			fill()
-			g.Observe(Sample{PerToken: 5 * time.Millisecond})
+		Convey("the limit does not grow on finished calls before their time per token was evaluated", func() {
+			fillSlots()
+			l.Observe(Sample{PerToken: 5 * time.Millisecond})
 			for range 4 {
-				g.mu.Lock()
-				g.learn(Outcome{}, true)
-				g.mu.Unlock()
+				l.mu.Lock()
+				l.adaptToOutcome(Outcome{}, true)
+				l.mu.Unlock()
 			}
-			So(g.Load().Limit, ShouldEqual, 4)
+			So(l.Load().Limit, ShouldEqual, 4)
 		})
-		Convey("it grows a step for each window while the token rate grows", func() {
+		Convey("the limit grows one step per window while the token rate grows", func() {
 			for range 5 {
-				fill()
-				window(5 * time.Millisecond)
-				grow()
+				fillSlots()
+				passWindow(5 * time.Millisecond)
+				finishCalls()
 			}
-			So(g.Load().Limit, ShouldEqual, 9)
-			So(g.State(), ShouldEqual, frame.StateWarming)
+			So(l.Load().Limit, ShouldEqual, 9)
+			So(l.State(), ShouldEqual, frame.StateWarming)
 
-			Convey("falls to where the rate was best when one call more lowers it", func() {
-				fill()
-				window(7 * time.Millisecond)
-				So(g.Load().Limit, ShouldEqual, 9)
-				window(7 * time.Millisecond)
-				So(g.Load().Limit, ShouldEqual, 8)
-				g.running["a"]--
-				window(5 * time.Millisecond)
-				grow()
-				So(g.Load().Limit, ShouldEqual, 8)
+			Convey("the limit falls to the number of calls with the best token rate when one more call lowers the rate", func() {
+				fillSlots()
+				passWindow(7 * time.Millisecond)
+				So(l.Load().Limit, ShouldEqual, 9)
+				passWindow(7 * time.Millisecond)
+				So(l.Load().Limit, ShouldEqual, 8)
+				l.runningByAccount["a"]--
+				passWindow(5 * time.Millisecond)
+				finishCalls()
+				So(l.Load().Limit, ShouldEqual, 8)
 			})
-			Convey("takes the fall back when fewer calls are no faster", func() {
-				fill()
-				window(7 * time.Millisecond)
-				window(7 * time.Millisecond)
-				So(g.Load().Limit, ShouldEqual, 8)
-				g.running["a"]--
-				window(7 * time.Millisecond)
-				So(g.Load().Limit, ShouldEqual, 9)
+			Convey("a decrease is undone when fewer calls are no faster", func() {
+				fillSlots()
+				passWindow(7 * time.Millisecond)
+				passWindow(7 * time.Millisecond)
+				So(l.Load().Limit, ShouldEqual, 8)
+				l.runningByAccount["a"]--
+				passWindow(7 * time.Millisecond)
+				So(l.Load().Limit, ShouldEqual, 9)
 			})
-			Convey("goes back to the cold limit and sheds when the pace jumps", func() {
-				fill()
-				window(50 * time.Millisecond)
-				So(g.Load().Limit, ShouldEqual, 4)
+			Convey("the limit is reset to the cold limit and calls are shed when the time per token jumps", func() {
+				fillSlots()
+				passWindow(50 * time.Millisecond)
+				So(l.Load().Limit, ShouldEqual, 4)
 				for range 5 {
 					<-shedCalls
-					shed++
+					shedCount++
 				}
-				So(shed, ShouldEqual, 5)
+				So(shedCount, ShouldEqual, 5)
 			})
-			Convey("goes back to the cold limit at a restart", func() {
-				g.Reset()
-				So(g.State(), ShouldEqual, frame.StateCold)
+			Convey("the limit is reset to the cold limit after a restart", func() {
+				l.Reset()
+				So(l.State(), ShouldEqual, frame.StateCold)
 			})
-			Convey("falls when the engine refuses", func() {
-				fill()
+			Convey("the limit is decreased when the engine refuses a call", func() {
+				fillSlots()
 				clock.Advance(settleTime)
-				g.mu.Lock()
-				g.learn(Outcome{Overloaded: true}, true)
-				g.mu.Unlock()
-				So(g.Load().Limit, ShouldEqual, 6)
+				l.mu.Lock()
+				l.adaptToOutcome(Outcome{Overloaded: true}, true)
+				l.mu.Unlock()
+				So(l.Load().Limit, ShouldEqual, 6)
 			})
 		})
-		Convey("without samples, as in front of a service, it grows by finished calls", func() {
+		Convey("without samples, as with a plain service, the limit grows with finished calls", func() {
 			clock.Advance(time.Minute)
-			grow()
-			So(g.Load().Limit, ShouldEqual, 5)
-			grow()
-			So(g.Load().Limit, ShouldEqual, 5)
+			finishCalls()
+			So(l.Load().Limit, ShouldEqual, 5)
+			finishCalls()
+			So(l.Load().Limit, ShouldEqual, 5)
 			clock.Advance(settleTime + windowTime)
-			grow()
-			So(g.Load().Limit, ShouldEqual, 6)
+			finishCalls()
+			So(l.Load().Limit, ShouldEqual, 6)
 		})
-		Convey("it does not grow while it is not used", func() {
+		Convey("the limit does not grow while few slots are in use", func() {
 			clock.Advance(time.Minute)
 			for range 100 {
-				finishOne(g, Outcome{})
+				runOneCall(l, Outcome{})
 			}
-			So(g.Load().Limit, ShouldEqual, 4)
+			So(l.Load().Limit, ShouldEqual, 4)
 		})
-		Convey("it grows from a cold limit of one, though each call adds only a part", func() {
-			g, clock := newGate(Config{Limit: 4, ColdLimit: 1})
+		Convey("a limit of one grows although each finished call adds only a fraction", func() {
+			l, clock := newLimiter(Config{Limit: 4, ColdLimit: 1})
 			for range 2 {
-				release, _ := g.Acquire(context.Background(), Ticket{Account: "a"})
+				release, _ := l.Acquire(context.Background(), Ticket{Account: "a"})
 				clock.Advance(settleTime)
-				g.Observe(Sample{PerToken: time.Millisecond})
+				l.Observe(Sample{PerToken: time.Millisecond})
 				clock.Advance(windowTime)
-				g.Observe(Sample{PerToken: time.Millisecond})
+				l.Observe(Sample{PerToken: time.Millisecond})
 				release(Outcome{})
 			}
-			So(g.Load().Limit, ShouldEqual, 2)
+			So(l.Load().Limit, ShouldEqual, 2)
 		})
-		Convey("a declared limit below the present one takes force at once", func() {
-			g.Configure(2, 1)
-			So(g.Load().Limit, ShouldEqual, 2)
+		Convey("a declared limit below the present limit applies at once", func() {
+			l.Configure(2, 1)
+			So(l.Load().Limit, ShouldEqual, 2)
 		})
 	})
 }
 
-func TestGrowthAfterAStepTooFar(t *testing.T) {
-	Convey("Given a gate in front of a server that bears as many calls as it lets in", t, func() {
-		const bears = 40
-		pace := func(calls int) time.Duration {
-			over := max(1, float64(calls)/bears)
-			return time.Duration(float64(5*time.Millisecond) * over * over * over)
+func TestSmallerStepAfterOvershoot(t *testing.T) {
+	Convey("Given a limiter whose limit has grown past the capacity of the server", t, func() {
+		const capacity = 40
+		timePerToken := func(calls int) time.Duration {
+			overload := max(1, float64(calls)/capacity)
+			return time.Duration(float64(5*time.Millisecond) * overload * overload * overload)
 		}
-		g, clock := newGate(Config{Limit: 4 * bears, ColdLimit: bears})
-		var running []func(Outcome)
-		// turn lets a window pass at the server's pace; then half of the calls
-		// finish.
-		turn := func() {
-			for g.Load().InFlight < g.Load().Limit {
-				release, reason := g.Acquire(context.Background(), Ticket{Account: "a"})
+		l, clock := newLimiter(Config{Limit: 4 * capacity, ColdLimit: capacity})
+		var releases []func(Outcome)
+		// cycle takes all slots, passes two windows of samples at the speed of the
+		// server, and then ends half of the calls.
+		cycle := func() {
+			for l.Load().InFlight < l.Load().Limit {
+				release, reason := l.Acquire(context.Background(), Ticket{Account: "a"})
 				So(reason, ShouldBeEmpty)
-				running = append(running, release)
+				releases = append(releases, release)
 			}
-			calls := g.Load().InFlight
+			calls := l.Load().InFlight
 			for range 2 {
 				clock.Advance(settleTime)
-				g.Observe(Sample{PerToken: pace(calls)})
+				l.Observe(Sample{PerToken: timePerToken(calls)})
 				clock.Advance(windowTime)
-				g.Observe(Sample{PerToken: pace(calls)})
+				l.Observe(Sample{PerToken: timePerToken(calls)})
 			}
-			for _, release := range running[:calls/2] {
+			for _, release := range releases[:calls/2] {
 				release(Outcome{})
 			}
-			running = running[calls/2:]
+			releases = releases[calls/2:]
 		}
-		turn()
-		for g.Load().Limit > bears {
-			So(g.Load().Limit, ShouldEqual, 44)
-			turn()
+		cycle()
+		for l.Load().Limit > capacity {
+			So(l.Load().Limit, ShouldEqual, 44)
+			cycle()
 		}
 
-		Convey("it falls at once to the best number of calls seen, and grows half as far the next time", func() {
-			for g.Load().Limit == bears {
-				turn()
+		Convey("the limit falls to the best number of calls measured, and the next step is half as large", func() {
+			for l.Load().Limit == capacity {
+				cycle()
 			}
-			So(g.Load().Limit, ShouldEqual, 42)
+			So(l.Load().Limit, ShouldEqual, 42)
 		})
 	})
 }
 
-func TestServerThatBearsLessThanBefore(t *testing.T) {
-	Convey("Given a gate in front of a server that bore twelve long calls", t, func() {
-		bears := 12.0
-		pace := func(calls int) time.Duration {
-			over := max(1, float64(calls)/bears)
-			return time.Duration(float64(50*time.Millisecond) * over * over * over)
+func TestServerCapacityDrops(t *testing.T) {
+	Convey("Given a limiter for a server with a capacity of twelve long calls", t, func() {
+		capacity := 12.0
+		timePerToken := func(calls int) time.Duration {
+			overload := max(1, float64(calls)/capacity)
+			return time.Duration(float64(50*time.Millisecond) * overload * overload * overload)
 		}
-		g, clock := newGate(Config{Limit: 11, ColdLimit: 8})
-		fill := func() {
-			for g.Load().InFlight < g.Load().Limit {
-				_, reason := g.Acquire(context.Background(), Ticket{Account: "a"})
+		l, clock := newLimiter(Config{Limit: 11, ColdLimit: 8})
+		fillSlots := func() {
+			for l.Load().InFlight < l.Load().Limit {
+				_, reason := l.Acquire(context.Background(), Ticket{Account: "a"})
 				So(reason, ShouldBeEmpty)
 			}
 		}
-		// window lets one window pass in which no call ends.
-		window := func() {
+		// passWindow advances the clock by one window in which no call ends.
+		passWindow := func() {
 			clock.Advance(settleTime)
-			g.Observe(Sample{PerToken: pace(g.Load().InFlight)})
+			l.Observe(Sample{PerToken: timePerToken(l.Load().InFlight)})
 			clock.Advance(windowTime)
-			g.Observe(Sample{PerToken: pace(g.Load().InFlight)})
+			l.Observe(Sample{PerToken: timePerToken(l.Load().InFlight)})
 		}
-		grow := func() {
+		finishCalls := func() {
 			for range 4 {
-				g.mu.Lock()
-				g.learn(Outcome{}, true)
-				g.mu.Unlock()
+				l.mu.Lock()
+				l.adaptToOutcome(Outcome{}, true)
+				l.mu.Unlock()
 			}
 		}
-		for g.Load().Limit < 11 {
-			fill()
-			window()
-			grow()
+		for l.Load().Limit < 11 {
+			fillSlots()
+			passWindow()
+			finishCalls()
 		}
 
-		Convey("its limit falls at once by as much as it bears less, past what was seen with fewer calls", func() {
-			fill()
-			window()
-			window()
-			bears = 9
-			for range standingWindows - 1 {
-				window()
+		Convey("the limit falls in proportion to the lower capacity, regardless of rates measured with fewer calls", func() {
+			fillSlots()
+			passWindow()
+			passWindow()
+			capacity = 9
+			for range stableDecreaseWindows - 1 {
+				passWindow()
 			}
-			So(g.Load().Limit, ShouldEqual, 11)
-			window()
-			So(g.Load().Limit, ShouldEqual, 8)
+			So(l.Load().Limit, ShouldEqual, 11)
+			passWindow()
+			So(l.Load().Limit, ShouldEqual, 8)
 		})
-		Convey("a hiccup of two windows changes nothing", func() {
-			fill()
-			window()
-			bears = 9
-			window()
-			window()
-			bears = 12
-			window()
-			window()
-			So(g.Load().Limit, ShouldEqual, 11)
+		Convey("a slowdown of two windows does not change the limit", func() {
+			fillSlots()
+			passWindow()
+			capacity = 9
+			passWindow()
+			passWindow()
+			capacity = 12
+			passWindow()
+			passWindow()
+			So(l.Load().Limit, ShouldEqual, 11)
 		})
-		Convey("a rate far below the one seen with a call less means that it has turned cold", func() {
-			fill()
-			bears = 6
-			window()
-			window()
-			So(g.Load().Limit, ShouldEqual, 8)
+		Convey("a token rate far below the one measured with one call less resets the limit to the cold limit", func() {
+			fillSlots()
+			capacity = 6
+			passWindow()
+			passWindow()
+			So(l.Load().Limit, ShouldEqual, 8)
 		})
 	})
 }
 
-func TestStepTooFarWithLongCalls(t *testing.T) {
-	Convey("Given a gate whose calls hold their slots for three seconds", t, func() {
-		g, clock := newGate(Config{Limit: 16, ColdLimit: 8})
+func TestGrowthPauseWithLongCalls(t *testing.T) {
+	Convey("Given a limiter whose calls hold their slots for three seconds", t, func() {
+		l, clock := newLimiter(Config{Limit: 16, ColdLimit: 8})
 		for range 8 {
-			release, _ := g.Acquire(context.Background(), Ticket{Account: "a"})
+			release, _ := l.Acquire(context.Background(), Ticket{Account: "a"})
 			clock.Advance(3 * time.Second)
 			release(Outcome{})
 		}
-		Convey("the limit does not grow for four times as long after a fall", func() {
-			g.mu.Lock()
-			g.limit, g.stepStart = 9, clock.Now()
-			g.fall(8, fellTokenRate)
-			g.mu.Unlock()
-			So(g.heldUntil.Sub(clock.Now()), ShouldEqual, holdCalls*3*time.Second)
+		Convey("the limit does not grow for four times that long after a decrease", func() {
+			l.mu.Lock()
+			l.limit, l.stepStart = 9, clock.Now()
+			l.decrease(8, reasonTokenRate)
+			l.mu.Unlock()
+			So(l.growthPausedUntil.Sub(clock.Now()), ShouldEqual, failedStepPauseFactor*3*time.Second)
 		})
 	})
 }
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -6,17 +6,16 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// waiter is a ticket in the queue.
+// waiter is a slot request in the queue.
 type waiter struct {
-	ticket Ticket
-	// done receives the empty reason when a slot was given, else the reason
-	// of the refusal. It has room for one.
-	done chan frame.Reason
+	request Ticket
+	// result receives the empty reason when the waiter was given a slot, or else
+	// the reason of the refusal. Its buffer holds one value.
+	result chan frame.Reason
 }
 
-// queue holds waiting tickets. Higher priority goes first; within one
-// priority the account with the fewest running calls per share, and within
-// one account the oldest.
+// queue holds the waiting slot requests. The order is by highest priority, then
+// by the account with the fewest running calls per share, then by arrival.
 type queue struct {
 	waiting []*waiter
 }
@@ -25,7 +24,7 @@
 
 func (q *queue) push(w *waiter) { q.waiting = append(q.waiting, w) }
 
-// remove takes w out and reports whether it was there.
+// remove removes w and reports whether it was in the queue.
 func (q *queue) remove(w *waiter) bool {
 	i := slices.Index(q.waiting, w)
 	if i < 0 {
@@ -35,11 +34,11 @@
 	return true
 }
 
-// pop takes out the waiter that goes next, or returns nil.
-func (q *queue) pop(running map[string]int) *waiter {
+// pop removes and returns the waiter that is first in order, or returns nil.
+func (q *queue) pop(runningByAccount map[string]int) *waiter {
 	best := -1
 	for i, w := range q.waiting {
-		if best < 0 || before(w.ticket, q.waiting[best].ticket, running) {
+		if best < 0 || goesBefore(w.request, q.waiting[best].request, runningByAccount) {
 			best = i
 		}
 	}
@@ -51,28 +50,28 @@
 	return w
 }
 
-// before reports whether a goes before b, which arrived earlier.
-func before(a, b Ticket, running map[string]int) bool {
+// goesBefore reports whether a precedes b, which arrived earlier.
+func goesBefore(a, b Ticket, runningByAccount map[string]int) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
 	}
-	return used(running[a.Account], a) < used(running[b.Account], b)
+	return callsPerShare(runningByAccount[a.Account], a) < callsPerShare(runningByAccount[b.Account], b)
 }
 
-// used is the number of calls of the ticket's account per share.
-func used(calls int, t Ticket) float64 {
-	return float64(calls) / float64(max(t.Share, 1))
+// callsPerShare returns the number of calls of the account divided by its share.
+func callsPerShare(calls int, req Ticket) float64 {
+	return float64(calls) / float64(max(req.Share, 1))
 }
 
-// displace takes out the waiter that the newcomer t may displace from a full
-// queue, or returns nil: one of lower priority, else one of the account that
-// has most calls per share, when that is more than the newcomer's account
-// would have.
-func (q *queue) displace(t Ticket, running map[string]int) *waiter {
-	calls := q.calls(running)
+// displace removes and returns the waiter that gives way to the new request req
+// when the queue is full, or returns nil. It is a waiter of lower priority, or
+// else one of the account with the most calls per share, if that account has more
+// per share than the account of req would have.
+func (q *queue) displace(req Ticket, runningByAccount map[string]int) *waiter {
+	calls := q.callsByAccount(runningByAccount)
 	worst := -1
 	for i, w := range q.waiting {
-		if worst < 0 || !before(w.ticket, q.waiting[worst].ticket, calls) {
+		if worst < 0 || !goesBefore(w.request, q.waiting[worst].request, calls) {
 			worst = i
 		}
 	}
@@ -80,24 +79,24 @@
 		return nil
 	}
 	w := q.waiting[worst]
-	if w.ticket.Priority > t.Priority {
+	if w.request.Priority > req.Priority {
 		return nil
 	}
-	if w.ticket.Priority == t.Priority && used(calls[w.ticket.Account], w.ticket) <= used(calls[t.Account]+1, t) {
+	if w.request.Priority == req.Priority && callsPerShare(calls[w.request.Account], w.request) <= callsPerShare(calls[req.Account]+1, req) {
 		return nil
 	}
 	q.waiting = slices.Delete(q.waiting, worst, worst+1)
 	return w
 }
 
-// calls counts the running and waiting calls per account.
-func (q *queue) calls(running map[string]int) map[string]int {
-	all := make(map[string]int, len(running))
-	for account, n := range running {
-		all[account] = n
+// callsByAccount returns the number of running and waiting calls of each account.
+func (q *queue) callsByAccount(runningByAccount map[string]int) map[string]int {
+	counts := make(map[string]int, len(runningByAccount))
+	for account, n := range runningByAccount {
+		counts[account] = n
 	}
 	for _, w := range q.waiting {
-		all[w.ticket.Account]++
+		counts[w.request.Account]++
 	}
-	return all
+	return counts
 }
