--- a/request/routing/affinity.go
+++ b/request/routing/affinity.go
@@ -5,28 +5,29 @@
 )
 
 const (
-	// affinitySlack is how far above the mean the load of a server may be,
-	// as a share of the mean, and affinitySpare how far above it as a share
-	// of the limit, for a prompt's prefix to keep it.
-	affinitySlack = 0.1
-	affinitySpare = 0.05
+	// affinityRelativeMargin and affinityAbsoluteMargin bound the load ratio of a
+	// server that receives a call because of its prompt's prefix:
+	// mean ratio * (1 + affinityRelativeMargin) + affinityAbsoluteMargin.
+	affinityRelativeMargin = 0.1
+	affinityAbsoluteMargin = 0.05
 )
 
-// nearPrefix returns the first server in the rendezvous order of the prefix
-// whose load is not far above the mean (bounded load).
-func nearPrefix(prefix uint64, among []candidate) (candidate, bool) {
+// pickByPrefix returns the first server in the rendezvous order of the prefix
+// whose load ratio is not far above the mean (consistent hashing with bounded
+// loads).
+func pickByPrefix(prefix uint64, candidates []candidate) (candidate, bool) {
 	sum := 0.0
-	for _, c := range among {
-		sum += c.ratio()
+	for _, c := range candidates {
+		sum += c.loadRatio()
 	}
-	bound := sum/float64(len(among))*(1+affinitySlack) + affinitySpare
+	bound := sum/float64(len(candidates))*(1+affinityRelativeMargin) + affinityAbsoluteMargin
 	var best candidate
 	var bestWeight uint64
-	for _, c := range among {
-		if c.ratio() > bound {
+	for _, c := range candidates {
+		if c.loadRatio() > bound {
 			continue
 		}
-		if w := weight(prefix, c.server.Instance.ID); best.server == nil || w > bestWeight {
+		if w := rendezvousWeight(prefix, c.server.Instance.ID); best.server == nil || w > bestWeight {
 			best = c
 			bestWeight = w
 		}
@@ -34,8 +35,9 @@
 	return best, best.server != nil
 }
 
-// weight is the rendezvous weight of a server for a prefix.
-func weight(prefix uint64, id string) uint64 {
+// rendezvousWeight returns the weight of a server for a prefix in rendezvous
+// hashing.
+func rendezvousWeight(prefix uint64, id string) uint64 {
 	h := xxhash.NewWithSeed(prefix)
 	_, _ = h.WriteString(id)
 	return h.Sum64()
--- a/request/routing/candidates.go
+++ b/request/routing/candidates.go
@@ -9,71 +9,71 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Reasons for which a registered server is no candidate.
+// Reasons for which a registered server is not a candidate.
 const (
-	skipUndeclared = "undeclared"
-	skipSuspect    = "suspect"
-	skipLeaving    = "leaving"
-	skipOut        = "dataCentreOut"
-	skipDown       = "down"
-	skipOther      = "holdsOther"
-	skipTried      = "tried"
-	skipEjected    = "ejected"
+	skipUndeclared    = "undeclared"
+	skipSuspect       = "suspect"
+	skipLeaving       = "leaving"
+	skipDataCentreOut = "dataCentreOut"
+	skipDown          = "down"
+	skipHoldsOther    = "holdsOther"
+	skipTried         = "tried"
+	skipEjected       = "ejected"
 )
 
-// nearlyFull is the share of the limit from which calls spill to servers
-// farther away.
-const nearlyFull = 0.9
+// nearlyFullRatio is the load ratio from which calls go to more distant servers.
+const nearlyFullRatio = 0.9
 
-// distance ranks a server by where it stands.
+// distance classifies a server by its location relative to the entry instance.
 type distance int
 
 // The distances, nearest first.
 const (
 	sameDataCentre distance = iota
 	sameRegion
-	elsewhere
-	distances
+	otherRegion
+	distanceCount // the number of distances
 )
 
 func (d distance) String() string {
 	return [...]string{"own data centre", "own region", "other region"}[d]
 }
 
-// candidate is a server that could take the call.
+// candidate is a server that could run the call.
 type candidate struct {
 	server *registry.Server
 	state  *serverState
-	// load is the number of calls the server is believed to have.
+	// load is the estimated number of calls at the server.
 	load     int
 	distance distance
 }
 
-// hasRoom reports whether a slot is believed free.
-func (c candidate) hasRoom() bool { return c.load < c.server.Report.Limit }
+// hasFreeSlot reports whether the estimated load is below the limit.
+func (c candidate) hasFreeSlot() bool { return c.load < c.server.Report.Limit }
 
-// ratio is the load relative to the limit.
-func (c candidate) ratio() float64 {
+// loadRatio returns the load divided by the limit.
+func (c candidate) loadRatio() float64 {
 	return float64(c.load) / float64(max(1, c.server.Report.Limit))
 }
 
-// cold reports whether the server has not reached its full limit.
-func (c candidate) cold() bool {
+// coldOrWarming reports whether the server has not reached its full limit.
+func (c candidate) coldOrWarming() bool {
 	return c.server.Report.State == frame.StateCold || c.server.Report.State == frame.StateWarming
 }
 
-// survey is what a decision saw.
-type survey struct {
-	config     uint64
-	candidates []candidate
-	skipped    map[string]int
+// candidateSet holds the candidates for one routing decision, and the number of
+// skipped servers by reason.
+type candidateSet struct {
+	configNumber uint64
+	candidates   []candidate
+	skipped      map[string]int
 }
 
-// fields describes the survey in a log line.
-func (s survey) fields(q Query) eventlog.Fields {
+// fields returns log fields that describe the query and the candidates.
+func (s candidateSet) fields(q Query) eventlog.Fields {
 	f := eventlog.Fields{
 		"request":    q.RequestID,
-		"config":     s.config,
+		"config":     s.configNumber,
 		"candidates": len(s.candidates),
 		"skipped":    s.skipped,
 		"attempt":    len(q.Tried) + 1,
@@ -87,46 +87,50 @@
 	return f
 }
 
-// survey sorts the registered servers into candidates and others.
-func (r *Router) survey(q Query) survey {
-	snapshot := r.holder.Current()
-	seen := survey{config: snapshot.Number, skipped: map[string]int{}}
+// findCandidates sorts the registered servers into candidates and skipped
+// servers. If every possible candidate is ejected, it returns the ejected servers
+// as candidates.
+func (r *Router) findCandidates(q Query) candidateSet {
+	snapshot := r.configHolder.Current()
+	found := candidateSet{configNumber: snapshot.Number, skipped: map[string]int{}}
 	var ejected []candidate
 	now := r.clock.Now()
 	servers := r.reg.All()
-	seen.candidates = make([]candidate, 0, len(servers))
+	found.candidates = make([]candidate, 0, len(servers))
 	for i := range servers {
 		s := &servers[i]
 		reason := skipReason(snapshot.Set, s, q)
 		if reason != "" {
-			seen.skipped[reason]++
+			found.skipped[reason]++
 			continue
 		}
-		st := r.stateOf(s)
-		c := candidate{server: s, state: st, load: st.load(s), distance: r.distanceTo(s)}
-		if st.ejection.barred(now) {
-			seen.skipped[skipEjected]++
+		state := r.stateOf(s)
+		c := candidate{server: s, state: state, load: state.estimatedLoad(s), distance: r.distanceTo(s)}
+		if state.ejection.excludes(now) {
+			found.skipped[skipEjected]++
 			ejected = append(ejected, c)
 			continue
 		}
-		seen.candidates = append(seen.candidates, c)
+		found.candidates = append(found.candidates, c)
 	}
-	if len(seen.candidates) == 0 {
-		seen.candidates = ejected
+	if len(found.candidates) == 0 {
+		found.candidates = ejected
 	}
-	return seen
+	return found
 }
 
-// load returns the number of calls that s is believed to have: what it
-// reported, and what this entry instance started or ended since.
-func (st *serverState) load(s *registry.Server) int {
-	believed := s.Report.InFlight + s.Report.Queued + st.inFlight - st.atReport
-	return max(believed, st.inFlight)
+// estimatedLoad returns the estimated number of calls at s: the number that s
+// last reported, plus the attempts that this entry instance has started since
+// then, minus those that have ended since then. It is at least the number of
+// running attempts of this entry instance.
+func (state *serverState) estimatedLoad(s *registry.Server) int {
+	estimate := s.Report.InFlight + s.Report.Queued + state.inFlight - state.inFlightAtReport
+	return max(estimate, state.inFlight)
 }
 
-// skipReason says why s is no candidate, or "".
+// skipReason returns the reason for which s is not a candidate, or "".
 func skipReason(set *declare.Set, s *registry.Server, q Query) string {
-	if reason := closedReason(set, s); reason != "" {
+	if reason := unavailableReason(set, s); reason != "" {
 		return reason
 	}
 	if q.Tried[s.Instance.ID] {
@@ -138,11 +142,12 @@
 	if q.Service == "" && s.Service == "" && s.Holds(q.Model, q.Digest) {
 		return ""
 	}
-	return skipOther
+	return skipHoldsOther
 }
 
-// closedReason says why s takes no new work of any kind, or "".
-func closedReason(set *declare.Set, s *registry.Server) string {
+// unavailableReason returns the reason for which s takes no new calls at all, or
+// "".
+func unavailableReason(set *declare.Set, s *registry.Server) string {
 	declared, ok := set.BackendServers[s.Instance.ID]
 	if !ok {
 		return skipUndeclared
@@ -154,7 +159,7 @@
 		return skipLeaving
 	}
 	if dc, ok := set.DataCentres[s.Instance.DataCentre]; !ok || dc.Out {
-		return skipOut
+		return skipDataCentreOut
 	}
 	if s.Report.State == frame.StateDown || s.Report.Limit <= 0 {
 		return skipDown
@@ -169,96 +174,98 @@
 	if s.Instance.Region == r.config.Self.Region {
 		return sameRegion
 	}
-	return elsewhere
+	return otherRegion
 }
 
-// choose picks among the candidates: the nearest that are not nearly full,
-// then any with a free slot. What is known of other entry instances' calls is
-// old, so a call that was refused once is not kept near. When none has a free
-// slot, it is any warm server, whose agent may hold the call in its queue; cold
-// servers get more than their limit only when there is no warm one.
-func (r *Router) choose(q Query, seen survey) (candidate, string, bool) {
-	if len(seen.candidates) == 0 {
+// choose picks a candidate. It prefers the nearest servers that are not nearly
+// full, then any server with a free slot. After a first attempt the preference
+// for near servers is dropped, because the counts of other entry instances' calls
+// are outdated. If no server has a free slot, choose picks among the warm servers,
+// whose agents may queue the call. Cold servers receive more calls than their
+// limit only when there is no warm server.
+func (r *Router) choose(q Query, found candidateSet) (candidate, string, bool) {
+	if len(found.candidates) == 0 {
 		return candidate{}, "no candidate", false
 	}
-	for d := sameDataCentre; d < distances && len(q.Tried) == 0; d++ {
-		near := filter(seen.candidates, func(c candidate) bool { return c.distance == d && c.ratio() < nearlyFull })
+	for d := sameDataCentre; d < distanceCount && len(q.Tried) == 0; d++ {
+		near := filter(found.candidates, func(c candidate) bool { return c.distance == d && c.loadRatio() < nearlyFullRatio })
 		if len(near) > 0 {
-			c, how := r.apply(q, near)
-			return c, d.String() + ", " + how, true
+			c, reason := r.applyPolicy(q, near)
+			return c, d.String() + ", " + reason, true
 		}
 	}
-	if room := filter(seen.candidates, candidate.hasRoom); len(room) > 0 {
-		c, how := r.apply(q, room)
-		return c, "anywhere with room, " + how, true
+	if withFreeSlot := filter(found.candidates, candidate.hasFreeSlot); len(withFreeSlot) > 0 {
+		c, reason := r.applyPolicy(q, withFreeSlot)
+		return c, "any with a free slot, " + reason, true
 	}
-	queue := filter(seen.candidates, func(c candidate) bool { return !c.cold() })
-	if len(queue) == 0 {
-		queue = seen.candidates
+	queueing := filter(found.candidates, func(c candidate) bool { return !c.coldOrWarming() })
+	if len(queueing) == 0 {
+		queueing = found.candidates
 	}
-	q.Prefix = 0 // a free slot soon is worth more than a cached prefix
-	c, how := r.apply(q, queue)
-	return c, "none has room, " + how, true
+	q.Prefix = 0 // a shorter wait for a slot matters more than a cached prefix
+	c, reason := r.applyPolicy(q, queueing)
+	return c, "none has a free slot, " + reason, true
 }
 
-// apply chooses among servers of equal rank by the configured policy.
-func (r *Router) apply(q Query, among []candidate) (candidate, string) {
-	n := len(among)
+// applyPolicy chooses among servers of equal rank by the configured policy.
+func (r *Router) applyPolicy(q Query, candidates []candidate) (candidate, string) {
+	n := len(candidates)
 	if n == 1 {
-		return among[0], "only one"
+		return candidates[0], "only one"
 	}
 	if r.config.PrefixAffinity && q.Prefix != 0 {
-		if c, ok := nearPrefix(q.Prefix, among); ok {
-			return c, "prefix, of " + strconv.Itoa(n)
+		if c, ok := pickByPrefix(q.Prefix, candidates); ok {
+			return c, "prefix affinity, one of " + strconv.Itoa(n)
 		}
 	}
 	switch r.config.Policy {
 	case PolicyRandom:
-		return among[r.rng.IntN(n)], "random of " + strconv.Itoa(n)
+		return candidates[r.rng.IntN(n)], "random of " + strconv.Itoa(n)
 	case PolicyRoundRobin:
-		r.turn++
-		return nextInTurn(among, r.turn), "next of " + strconv.Itoa(n)
+		r.roundRobinTurn++
+		return nextRoundRobin(candidates, r.roundRobinTurn), "next of " + strconv.Itoa(n)
 	case PolicyLeastLoaded:
-		return leastLoaded(among), "least loaded of " + strconv.Itoa(n)
+		return leastLoaded(candidates), "least loaded of " + strconv.Itoa(n)
 	}
 	i := r.rng.IntN(n)
 	j := (i + 1 + r.rng.IntN(n-1)) % n
-	if among[j].ratio() < among[i].ratio() {
+	if candidates[j].loadRatio() < candidates[i].loadRatio() {
 		i, j = j, i
 	}
-	return among[i], "less loaded than " + among[j].server.Instance.ID
+	return candidates[i], "less loaded than " + candidates[j].server.Instance.ID
 }
 
-func leastLoaded(among []candidate) candidate {
-	best := among[0]
-	for _, c := range among[1:] {
-		if c.ratio() < best.ratio() {
+func leastLoaded(candidates []candidate) candidate {
+	best := candidates[0]
+	for _, c := range candidates[1:] {
+		if c.loadRatio() < best.loadRatio() {
 			best = c
 		}
 	}
 	return best
 }
 
-// nextInTurn returns the server at the place turn in the order of names.
-func nextInTurn(among []candidate, turn int) candidate {
-	place := turn % len(among)
-	for _, c := range among {
+// nextRoundRobin returns the server at position turn, modulo the number of
+// candidates, in the order of the servers' ids.
+func nextRoundRobin(candidates []candidate, turn int) candidate {
+	position := turn % len(candidates)
+	for _, c := range candidates {
 		smaller := 0
-		for _, other := range among {
+		for _, other := range candidates {
 			if other.server.Instance.ID < c.server.Instance.ID {
 				smaller++
 			}
 		}
-		if smaller == place {
+		if smaller == position {
 			return c
 		}
 	}
-	return among[0]
+	return candidates[0]
 }
 
-func filter(all []candidate, keep func(candidate) bool) []candidate {
+func filter(candidates []candidate, keep func(candidate) bool) []candidate {
 	var kept []candidate
-	for _, c := range all {
+	for _, c := range candidates {
 		if keep(c) {
 			kept = append(kept, c)
 		}
--- a/request/routing/ejection.go
+++ b/request/routing/ejection.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// ejection keeps a server that fails or stalls out of the choice for a while.
-// After that while one call at a time probes it until one succeeds.
+// ejection is the outlier detection state of one server. A server that fails or
+// stalls repeatedly gets no calls for a while. After that, one call at a time
+// probes it until one succeeds.
 type ejection struct {
-	// failures counts failures in a row.
-	failures int
-	// times counts ejections since the last success.
-	times int
-	// until is the end of the ejection; zero when the server is in.
-	until time.Time
-	// probing says that a probe is running.
+	// consecutiveFailures counts the failures since the last success.
+	consecutiveFailures int
+	// ejections counts the ejections since the last success.
+	ejections int
+	// ejectedUntil is the end of the ejection; zero when the server is not ejected.
+	ejectedUntil time.Time
+	// probing is true while a probe is running.
 	probing bool
 }
 
-// barred reports whether the server may not be chosen at time now.
-func (e *ejection) barred(now time.Time) bool {
-	if e.until.IsZero() {
+// excludes reports whether the server must not be chosen at time now.
+func (e *ejection) excludes(now time.Time) bool {
+	if e.ejectedUntil.IsZero() {
 		return false
 	}
-	return e.probing || now.Before(e.until)
+	return e.probing || now.Before(e.ejectedUntil)
 }
 
-// picked notes that the server was chosen.
-func (e *ejection) picked() {
-	if !e.until.IsZero() {
+// markChosen records that the server was chosen. For an ejected server the call
+// is a probe.
+func (e *ejection) markChosen() {
+	if !e.ejectedUntil.IsZero() {
 		e.probing = true
 	}
 }
 
-// succeeded clears the state and reports whether the server was ejected.
-func (e *ejection) succeeded() bool {
-	was := !e.until.IsZero()
+// recordSuccess clears the state and reports whether the server was ejected.
+func (e *ejection) recordSuccess() bool {
+	wasEjected := !e.ejectedUntil.IsZero()
 	*e = ejection{}
-	return was
+	return wasEjected
 }
 
-// failed counts a failure; it returns how long the server is ejected when
-// this failure ejects it, else 0.
-func (e *ejection) failed(now time.Time, c Config) time.Duration {
-	e.failures++
-	probe := e.probing
+// recordFailure counts a failure. It returns the duration of the ejection if this
+// failure ejects the server, or else 0.
+func (e *ejection) recordFailure(now time.Time, c Config) time.Duration {
+	e.consecutiveFailures++
+	wasProbe := e.probing
 	e.probing = false
-	if !probe && (e.failures < c.EjectFailures || now.Before(e.until)) {
+	if !wasProbe && (e.consecutiveFailures < c.EjectFailures || now.Before(e.ejectedUntil)) {
 		return 0
 	}
-	lasts := c.EjectMax
-	if e.times < 16 {
-		lasts = min(c.EjectMax, c.EjectBase<<e.times)
+	duration := c.EjectMax
+	if e.ejections < 16 {
+		duration = min(c.EjectMax, c.EjectBase<<e.ejections)
 	}
-	e.times++
-	e.until = now.Add(lasts)
-	return lasts
+	e.ejections++
+	e.ejectedUntil = now.Add(duration)
+	return duration
 }
--- a/request/routing/pin.go
+++ b/request/routing/pin.go
@@ -6,85 +6,89 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Pin implements Picker. It is the declared version once half of the
-// replicas hold it; until then it is the version of the model that most
-// servers hold, so that a new version takes over without a gap.
+// Pin implements Picker. It returns the declared version once half of the
+// replicas have loaded it. Until then it returns the version of the model that
+// most servers have loaded, so that the model stays available during a rollout.
 func (r *Router) Pin(model string) (core.Digest, bool) {
-	snapshot := r.holder.Current()
+	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
 	if !ok {
 		return "", false
 	}
-	holders := r.holders(snapshot.Set, model)
+	serverCounts := r.countServersByDigest(snapshot.Set, model)
 	declared := snapshot.Set.Versions[m.Version]
-	if declared != nil && enough(holders[declared.Manifest], m.Replicas) {
-		r.notePin(model, declared.Manifest, declared.Manifest)
+	if declared != nil && canTakeOver(serverCounts[declared.Manifest], m.Replicas) {
+		r.recordPin(model, declared.Manifest, declared.Manifest)
 		return declared.Manifest, true
 	}
-	best := mostHeld(snapshot.Set, m, holders)
+	best := mostLoadedVersion(snapshot.Set, m, serverCounts)
 	if best == "" {
 		return "", false
 	}
 	if declared != nil {
-		r.notePin(model, best, declared.Manifest)
+		r.recordPin(model, best, declared.Manifest)
 	}
 	return best, true
 }
 
-// Alternative implements Picker. It answers a rollout over servers that have no
-// room for two versions: the declared version and the one that it replaces
-// share the servers until every replica holds the declared one.
+// Alternative implements Picker. During a rollout over servers that have no room
+// for two versions, the declared version and the one that it replaces share the
+// servers until every replica has loaded the declared version. Alternative returns
+// the one of them that is not pinned.
 func (r *Router) Alternative(model string, pinned core.Digest) (core.Digest, bool) {
-	snapshot := r.holder.Current()
+	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
 	if !ok {
 		return "", false
 	}
 	declared := snapshot.Set.Versions[m.Version]
-	holders := r.holders(snapshot.Set, model)
-	if declared == nil || holders[declared.Manifest] >= m.Replicas {
+	serverCounts := r.countServersByDigest(snapshot.Set, model)
+	if declared == nil || serverCounts[declared.Manifest] >= m.Replicas {
 		return "", false
 	}
 	if pinned != declared.Manifest {
-		return declared.Manifest, holders[declared.Manifest] > 0
+		return declared.Manifest, serverCounts[declared.Manifest] > 0
 	}
-	delete(holders, pinned)
-	other := mostHeld(snapshot.Set, m, holders)
-	return other, other != ""
+	delete(serverCounts, pinned)
+	alternative := mostLoadedVersion(snapshot.Set, m, serverCounts)
+	return alternative, alternative != ""
 }
 
-// holders counts, by digest, the servers that can answer for model.
-func (r *Router) holders(set *declare.Set, model string) map[core.Digest]int {
-	count := map[core.Digest]int{}
+// countServersByDigest counts, for each manifest digest, the available servers that have
+// loaded a version of model.
+func (r *Router) countServersByDigest(set *declare.Set, model string) map[core.Digest]int {
+	counts := map[core.Digest]int{}
 	servers := r.reg.All()
 	for i := range servers {
 		s := &servers[i]
-		if closedReason(set, s) != "" {
+		if unavailableReason(set, s) != "" {
 			continue
 		}
 		for _, l := range s.Report.Loaded {
 			if l.Model == model {
-				count[l.Digest]++
+				counts[l.Digest]++
 			}
 		}
 	}
-	return count
+	return counts
 }
 
-// enough reports whether a version stands on enough servers to take over.
-func enough(holders, replicas int) bool {
-	return holders > 0 && 2*holders >= replicas
+// canTakeOver reports whether a version that this number of servers have loaded
+// may answer the new calls: at least half of the replicas.
+func canTakeOver(servers, replicas int) bool {
+	return servers > 0 && 2*servers >= replicas
 }
 
-// mostHeld returns the declared version that most servers hold; at a tie the
-// model's own version, then the first by name.
-func mostHeld(set *declare.Set, m *declare.Model, holders map[core.Digest]int) core.Digest {
+// mostLoadedVersion returns the digest of the declared version that is loaded on
+// the most servers. A tie goes to the model's declared version, then to the first
+// by name.
+func mostLoadedVersion(set *declare.Set, m *declare.Model, serverCounts map[core.Digest]int) core.Digest {
 	var best *declare.Version
 	for _, v := range set.Versions {
-		if v.Model != m.Name || holders[v.Manifest] == 0 {
+		if v.Model != m.Name || serverCounts[v.Manifest] == 0 {
 			continue
 		}
-		if best == nil || preferred(m, v, best, holders) {
+		if best == nil || isPreferred(m, v, best, serverCounts) {
 			best = v
 		}
 	}
@@ -94,9 +98,11 @@
 	return best.Manifest
 }
 
-func preferred(m *declare.Model, v, best *declare.Version, holders map[core.Digest]int) bool {
-	if holders[v.Manifest] != holders[best.Manifest] {
-		return holders[v.Manifest] > holders[best.Manifest]
+// isPreferred reports whether v comes before best in the order of
+// mostLoadedVersion.
+func isPreferred(m *declare.Model, v, best *declare.Version, serverCounts map[core.Digest]int) bool {
+	if serverCounts[v.Manifest] != serverCounts[best.Manifest] {
+		return serverCounts[v.Manifest] > serverCounts[best.Manifest]
 	}
 	if best.Name == m.Version || v.Name == m.Version {
 		return v.Name == m.Version
@@ -104,19 +110,19 @@
 	return v.Name < best.Name
 }
 
-// notePin logs when a model comes to be answered by a version other than the
-// declared one.
-func (r *Router) notePin(model string, pin, declared core.Digest) {
+// recordPin records the version that answers new calls to model and logs a change
+// to a version other than the declared one.
+func (r *Router) recordPin(model string, pinned, declared core.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.pinned[model] == pin {
+	if r.pinnedDigests[model] == pinned {
 		return
 	}
-	r.pinned[model] = pin
-	if pin == declared {
+	r.pinnedDigests[model] = pinned
+	if pinned == declared {
 		return
 	}
-	r.log.Event(eventOlderVersion, eventlog.Fields{
-		"model": model, "digest": pin.Short(), "declared": declared.Short(),
+	r.log.Event(eventOlderVersionPinned, eventlog.Fields{
+		"model": model, "digest": pinned.Short(), "declared": declared.Short(),
 	})
 }
--- a/request/routing/router.go
+++ b/request/routing/router.go
@@ -23,51 +23,52 @@
 )
 
 var (
-	eventChosen = eventlog.Define(500, "server-chosen", logrus.InfoLevel,
+	eventServerChosen = eventlog.Define(500, "server-chosen", logrus.InfoLevel,
 		"a backend server was chosen for an attempt at a call")
-	eventNone = eventlog.Define(501, "no-server", logrus.WarnLevel,
-		"no backend server can be offered the call")
-	eventEjected = eventlog.Define(502, "server-ejected", logrus.WarnLevel,
+	eventNoServer = eventlog.Define(501, "no-server", logrus.WarnLevel,
+		"no backend server is available for the call")
+	eventServerEjected = eventlog.Define(502, "server-ejected", logrus.WarnLevel,
 		"a backend server failed repeatedly and gets no calls for a while")
-	eventRestored = eventlog.Define(503, "server-restored", logrus.InfoLevel,
+	eventServerRestored = eventlog.Define(503, "server-restored", logrus.InfoLevel,
 		"an ejected backend server answered a probe and gets calls again")
-	eventOlderVersion = eventlog.Define(504, "older-version-pinned", logrus.InfoLevel,
-		"the declared version stands on too few servers, so another version of the model answers")
+	eventOlderVersionPinned = eventlog.Define(504, "older-version-pinned", logrus.InfoLevel,
+		"too few servers have loaded the declared version, so another version of the model answers new calls")
 )
 
-// Policy names a way to choose among servers of the same rank.
+// Policy names a load balancing policy for servers of the same rank.
 type Policy string
 
-// The policies. All but PolicyTwoChoices exist to be compared with it.
+// The policies. Those other than PolicyTwoChoices exist for comparison with it.
 const (
 	// PolicyTwoChoices takes the less loaded of two random servers.
 	PolicyTwoChoices Policy = "two-choices"
-	// PolicyRandom takes any server.
+	// PolicyRandom takes a random server.
 	PolicyRandom Policy = "random"
 	// PolicyRoundRobin takes the servers in turn.
 	PolicyRoundRobin Policy = "round-robin"
-	// PolicyLeastLoaded takes the server with the least load.
+	// PolicyLeastLoaded takes the server with the lowest ratio of load to limit.
 	PolicyLeastLoaded Policy = "least-loaded"
 )
 
 // Config holds the settings of a Router.
 type Config struct {
-	// Self is the entry instance; its data centre and region come first.
+	// Self is the entry instance. Servers in its data centre and region are
+	// preferred.
 	Self core.Instance
-	// Policy is the way to choose; default PolicyTwoChoices.
+	// Policy is the load balancing policy; default PolicyTwoChoices.
 	Policy Policy
-	// PrefixAffinity sends calls whose prompts begin alike to the same server
-	// while its load is near the others'.
+	// PrefixAffinity sends calls whose prompts have the same prefix to the same
+	// server, unless the load of that server is far above the mean.
 	PrefixAffinity bool
-	// EjectFailures is the number of failures in a row after which a server
-	// is ejected; default 3.
+	// EjectFailures is the number of consecutive failures after which a server is
+	// ejected; default 3.
 	EjectFailures int
-	// EjectBase is how long the first ejection lasts; each further one lasts
-	// twice as long, up to EjectMax. Defaults 1 s and 30 s.
+	// EjectBase is the duration of the first ejection; default 1 s. Each further
+	// ejection lasts twice as long, up to EjectMax.
 	EjectBase time.Duration
-	// EjectMax is the longest ejection.
+	// EjectMax is the longest duration of an ejection; default 30 s.
 	EjectMax time.Duration
-	// Seed makes choices repeatable in tests; 0 takes a random one.
+	// Seed makes choices repeatable in tests; 0 takes a random seed.
 	Seed uint64
 }
 
@@ -83,68 +84,70 @@
 
 // Router is the Picker of an entry instance. It is safe for concurrent use.
 type Router struct {
-	config Config
-	reg    *registry.Registry
-	holder *confstore.Holder
-	log    *eventlog.Logger
-	clock  clockwork.Clock
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	turn    int
-	servers map[string]*serverState
-	pinned  map[string]core.Digest
+	config       Config
+	reg          *registry.Registry
+	configHolder *confstore.Holder
+	log          *eventlog.Logger
+	clock        clockwork.Clock
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	roundRobinTurn int
+	servers        map[string]*serverState
+	pinnedDigests  map[string]core.Digest
 }
 
-// serverState is what the Router itself knows of one server.
+// serverState is the state that the Router itself keeps of one server.
 type serverState struct {
-	// incarnation is the agent's; a new one starts from a clean state.
+	// incarnation is the incarnation of the server's agent. A new incarnation
+	// clears the ejection state.
 	incarnation string
-	// inFlight counts the attempts of this entry instance that run now.
+	// inFlight counts the running attempts of this entry instance at the server.
 	inFlight int
-	// heard and atReport give inFlight at the time of the newest report.
-	heard    time.Time
-	atReport int
-	ejection ejection
+	// reportedAt is the time of the newest report and inFlightAtReport the value of
+	// inFlight at that time.
+	reportedAt       time.Time
+	inFlightAtReport int
+	ejection         ejection
 }
 
 // New returns a Router over the servers of reg.
 func New(c Config, reg *registry.Registry, holder *confstore.Holder, log *eventlog.Logger, clock clockwork.Clock) *Router {
 	c.applyDefaults()
 	return &Router{
-		config:  c,
-		reg:     reg,
-		holder:  holder,
-		log:     log,
-		clock:   clock,
-		rng:     rand.New(rand.NewPCG(c.Seed, c.Seed)),
-		servers: map[string]*serverState{},
-		pinned:  map[string]core.Digest{},
+		config:        c,
+		reg:           reg,
+		configHolder:  holder,
+		log:           log,
+		clock:         clock,
+		rng:           rand.New(rand.NewPCG(c.Seed, c.Seed)),
+		servers:       map[string]*serverState{},
+		pinnedDigests: map[string]core.Digest{},
 	}
 }
 
 // Pick implements Picker.
 func (r *Router) Pick(q Query) (registry.Server, bool) {
 	r.mu.Lock()
-	seen := r.survey(q)
-	chosen, why, ok := r.choose(q, seen)
+	found := r.findCandidates(q)
+	chosen, reason, ok := r.choose(q, found)
 	if ok {
 		chosen.state.inFlight++
-		chosen.state.ejection.picked()
+		chosen.state.ejection.markChosen()
 	}
 	r.mu.Unlock()
 
-	fields := seen.fields(q)
-	fields["why"] = why
+	fields := found.fields(q)
+	fields["why"] = reason
 	if !ok {
-		r.log.Event(eventNone, fields)
+		r.log.Event(eventNoServer, fields)
 		return registry.Server{}, false
 	}
 	fields["server"] = chosen.server.Instance.ID
 	fields["dataCentre"] = chosen.server.Instance.DataCentre
 	fields["load"] = chosen.load
 	fields["limit"] = chosen.server.Report.Limit
-	r.log.Event(eventChosen, fields)
+	r.log.Event(eventServerChosen, fields)
 	return *chosen.server, true
 }
 
@@ -152,8 +155,8 @@
 func (r *Router) Short(q Query) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.survey(q).candidates {
-		if c.hasRoom() {
+	for _, c := range r.findCandidates(q).candidates {
+		if c.hasFreeSlot() {
 			return false
 		}
 	}
@@ -168,65 +171,65 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return s.Suspect || r.stateOf(&s).ejection.barred(r.clock.Now())
+	return s.Suspect || r.stateOf(&s).ejection.excludes(r.clock.Now())
 }
 
 // Done implements Picker.
 func (r *Router) Done(id string, result Result, load *frame.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st, ok := r.servers[id]
+	state, ok := r.servers[id]
 	if !ok {
 		return
 	}
-	st.inFlight--
-	r.learn(id, st, result)
+	state.inFlight--
+	r.updateEjection(id, state, result)
 	if load == nil {
 		return
 	}
 	now := r.clock.Now()
-	r.reg.Update(id, st.incarnation, func(s *registry.Server) {
+	r.reg.Update(id, state.incarnation, func(s *registry.Server) {
 		s.Report.Limit = load.Limit
 		s.Report.InFlight = load.InFlight
 		s.Report.Queued = load.Queued
 		s.Heard = now
 	})
-	st.heard = now
-	st.atReport = st.inFlight
+	state.reportedAt = now
+	state.inFlightAtReport = state.inFlight
 }
 
-// learn keeps the ejection state of a server up to date.
-func (r *Router) learn(id string, st *serverState, result Result) {
+// updateEjection updates the ejection state of a server after an attempt.
+func (r *Router) updateEjection(id string, state *serverState, result Result) {
 	now := r.clock.Now()
 	switch result {
 	case ResultOK, ResultRefused:
-		if st.ejection.succeeded() {
-			r.log.Event(eventRestored, eventlog.Fields{"server": id})
+		if state.ejection.recordSuccess() {
+			r.log.Event(eventServerRestored, eventlog.Fields{"server": id})
 		}
 	case ResultFailed:
-		if lasts := st.ejection.failed(now, r.config); lasts > 0 {
-			r.log.Event(eventEjected, eventlog.Fields{"server": id, "seconds": lasts.Seconds()})
+		if duration := state.ejection.recordFailure(now, r.config); duration > 0 {
+			r.log.Event(eventServerEjected, eventlog.Fields{"server": id, "seconds": duration.Seconds()})
 		}
 	case ResultCancelled:
-		st.ejection.probing = false
+		state.ejection.probing = false
 	}
 }
 
-// stateOf returns the state of s, brought up to its newest report.
+// stateOf returns the state of s, updated to its newest report and incarnation.
 func (r *Router) stateOf(s *registry.Server) *serverState {
 	id := s.Instance.ID
-	st, ok := r.servers[id]
+	state, ok := r.servers[id]
 	if !ok {
-		st = &serverState{incarnation: s.Incarnation}
-		r.servers[id] = st
+		state = &serverState{incarnation: s.Incarnation}
+		r.servers[id] = state
 	}
-	if st.incarnation != s.Incarnation {
-		st.incarnation = s.Incarnation
-		st.ejection = ejection{}
+	if state.incarnation != s.Incarnation {
+		state.incarnation = s.Incarnation
+		state.ejection = ejection{}
 	}
-	if !st.heard.Equal(s.Heard) {
-		st.heard = s.Heard
-		st.atReport = st.inFlight
+	if !state.reportedAt.Equal(s.Heard) {
+		state.reportedAt = s.Heard
+		state.inFlightAtReport = state.inFlight
 	}
-	return st
+	return state
 }
--- a/request/routing/router_test.go
+++ b/request/routing/router_test.go
@@ -23,65 +23,65 @@
 	newDigest = core.Digest("sha256:new")
 )
 
-// rig is a Router over servers named DATACENTRE-N.
-type rig struct {
-	router *Router
-	reg    *registry.Registry
-	holder *confstore.Holder
-	set    *declare.Set
-	clock  *clockwork.FakeClock
+// fixture is a Router over servers named DATACENTRE-N.
+type fixture struct {
+	router       *Router
+	reg          *registry.Registry
+	configHolder *confstore.Holder
+	set          *declare.Set
+	clock        *clockwork.FakeClock
 }
 
-func newRig(p Policy, limits map[string]int) *rig {
-	g := &rig{reg: registry.New(), holder: confstore.NewHolder(), set: declare.NewSet(), clock: clockwork.NewFakeClock()}
+func newFixture(p Policy, limits map[string]int) *fixture {
+	f := &fixture{reg: registry.New(), configHolder: confstore.NewHolder(), set: declare.NewSet(), clock: clockwork.NewFakeClock()}
 	for _, dc := range []string{"palermo", "trapani", "catania"} {
-		g.set.DataCentres[dc] = &declare.DataCentre{Name: dc}
+		f.set.DataCentres[dc] = &declare.DataCentre{Name: dc}
 	}
-	g.set.Models["herbs"] = &declare.Model{Name: "herbs", Version: "v2", Replicas: 4}
-	g.set.Versions["v1"] = &declare.Version{Name: "v1", Model: "herbs", Manifest: oldDigest}
-	g.set.Versions["v2"] = &declare.Version{Name: "v2", Model: "herbs", Manifest: newDigest}
+	f.set.Models["herbs"] = &declare.Model{Name: "herbs", Version: "v2", Replicas: 4}
+	f.set.Versions["v1"] = &declare.Version{Name: "v1", Model: "herbs", Manifest: oldDigest}
+	f.set.Versions["v2"] = &declare.Version{Name: "v2", Model: "herbs", Manifest: newDigest}
 	for id, limit := range limits {
-		g.put(id, oldDigest, frame.Report{State: frame.StateReady, Limit: limit})
+		f.put(id, oldDigest, frame.Report{State: frame.StateReady, Limit: limit})
 	}
-	g.publish()
-	g.router = New(Config{Self: core.Instance{DataCentre: "palermo", Region: "west"}, Policy: p, Seed: 5},
-		g.reg, g.holder, eventlog.Discard(), g.clock)
-	return g
+	f.publish()
+	f.router = New(Config{Self: core.Instance{DataCentre: "palermo", Region: "west"}, Policy: p, Seed: 5},
+		f.reg, f.configHolder, eventlog.Discard(), f.clock)
+	return f
 }
 
-func (g *rig) put(id string, d core.Digest, report frame.Report) {
+func (f *fixture) put(id string, d core.Digest, report frame.Report) {
 	dc, region := id[:7], "west"
 	if dc == "catania" {
 		region = "east"
 	}
-	g.set.BackendServers[id] = &declare.BackendServer{Name: id, DataCentre: dc, Limit: 10}
+	f.set.BackendServers[id] = &declare.BackendServer{Name: id, DataCentre: dc, Limit: 10}
 	report.Loaded = []frame.Loaded{{Model: "herbs", Digest: d}}
-	g.reg.Put(registry.Server{Instance: core.Instance{ID: id, DataCentre: dc, Region: region}, Incarnation: "1", Report: report})
+	f.reg.Put(registry.Server{Instance: core.Instance{ID: id, DataCentre: dc, Region: region}, Incarnation: "1", Report: report})
 }
 
-// publish puts the set in force; sets are never changed once in force, so it
-// is copied first.
-func (g *rig) publish() {
-	set := *g.set
-	g.holder.Offer(&declare.Snapshot{Number: g.holder.Current().Number + 1, Set: &set})
+// publish makes a copy of the configuration set current. The copy is needed
+// because a set must not be changed once it is current.
+func (f *fixture) publish() {
+	set := *f.set
+	f.configHolder.Offer(&declare.Snapshot{Number: f.configHolder.Current().Number + 1, Set: &set})
 }
 
-func (g *rig) pick(tried ...string) string {
+func (f *fixture) pick(tried ...string) string {
 	q := Query{Model: "herbs", Digest: oldDigest, Tried: map[string]bool{}}
 	for _, id := range tried {
 		q.Tried[id] = true
 	}
-	s, _ := g.router.Pick(q)
+	s, _ := f.router.Pick(q)
 	return s.Instance.ID
 }
 
 func TestPickOrder(t *testing.T) {
 	Convey("Given a server in each data centre", t, func() {
-		g := newRig(PolicyTwoChoices, map[string]int{"palermo-1": 10, "trapani-1": 10, "catania-1": 10})
-		Convey("calls fill the own data centre, then the region, then others", func() {
+		f := newFixture(PolicyTwoChoices, map[string]int{"palermo-1": 10, "trapani-1": 10, "catania-1": 10})
+		Convey("calls fill the entry instance's data centre, then its region, then other regions", func() {
 			var order []string
 			for range 27 {
-				order = append(order, g.pick())
+				order = append(order, f.pick())
 			}
 			for i, dc := range []string{"palermo", "trapani", "catania"} {
 				for _, id := range order[i*9 : i*9+9] {
@@ -89,29 +89,29 @@
 				}
 			}
 		})
-		Convey("a data centre that is out gets nothing", func() {
-			g.set.DataCentres = map[string]*declare.DataCentre{
+		Convey("a data centre that is out gets no calls", func() {
+			f.set.DataCentres = map[string]*declare.DataCentre{
 				"palermo": {Name: "palermo", Out: true}, "trapani": {Name: "trapani"}, "catania": {Name: "catania"}}
-			g.publish()
-			So(g.pick(), ShouldEqual, "trapani-1")
+			f.publish()
+			So(f.pick(), ShouldEqual, "trapani-1")
 		})
-		Convey("a leaving, suspect, undeclared or down server gets nothing", func() {
-			g.reg.Update("palermo-1", "1", func(s *registry.Server) { s.Report.State = frame.StateLeaving })
-			g.reg.Update("trapani-1", "1", func(s *registry.Server) { s.Suspect = true })
-			So(g.pick(), ShouldEqual, "catania-1")
-			delete(g.set.BackendServers, "catania-1")
-			g.publish()
-			So(g.pick(), ShouldEqual, "")
+		Convey("a leaving, suspect or undeclared server gets no calls", func() {
+			f.reg.Update("palermo-1", "1", func(s *registry.Server) { s.Report.State = frame.StateLeaving })
+			f.reg.Update("trapani-1", "1", func(s *registry.Server) { s.Suspect = true })
+			So(f.pick(), ShouldEqual, "catania-1")
+			delete(f.set.BackendServers, "catania-1")
+			f.publish()
+			So(f.pick(), ShouldEqual, "")
 		})
-		Convey("a server with other weights gets nothing", func() {
-			g.put("palermo-1", newDigest, frame.Report{State: frame.StateReady, Limit: 10})
-			So(g.pick(), ShouldEqual, "trapani-1")
+		Convey("a server with other weights gets no calls", func() {
+			f.put("palermo-1", newDigest, frame.Report{State: frame.StateReady, Limit: 10})
+			So(f.pick(), ShouldEqual, "trapani-1")
 		})
 		Convey("a cold server gets no more than its limit", func() {
-			g.put("palermo-1", oldDigest, frame.Report{State: frame.StateCold, Limit: 2})
+			f.put("palermo-1", oldDigest, frame.Report{State: frame.StateCold, Limit: 2})
 			count := map[string]int{}
 			for range 60 {
-				count[g.pick()]++
+				count[f.pick()]++
 			}
 			So(count["palermo-1"], ShouldEqual, 2)
 		})
@@ -120,78 +120,79 @@
 
 func TestEjection(t *testing.T) {
 	Convey("Given a server that fails", t, func() {
-		g := newRig(PolicyTwoChoices, map[string]int{"palermo-1": 10, "trapani-1": 10})
+		f := newFixture(PolicyTwoChoices, map[string]int{"palermo-1": 10, "trapani-1": 10})
 		for range defaultEjectFailures {
-			So(g.pick(), ShouldEqual, "palermo-1")
-			g.router.Done("palermo-1", ResultFailed, nil)
+			So(f.pick(), ShouldEqual, "palermo-1")
+			f.router.Done("palermo-1", ResultFailed, nil)
 		}
-		So(g.router.Suspended("palermo-1"), ShouldBeTrue)
-		So(g.pick(), ShouldEqual, "trapani-1")
-		Convey("one call probes it later, and a success brings it back", func() {
-			g.clock.Advance(defaultEjectBase)
-			So(g.pick(), ShouldEqual, "palermo-1")
-			So(g.pick(), ShouldEqual, "trapani-1")
-			g.router.Done("palermo-1", ResultOK, nil)
-			So(g.pick(), ShouldEqual, "palermo-1")
+		So(f.router.Suspended("palermo-1"), ShouldBeTrue)
+		So(f.pick(), ShouldEqual, "trapani-1")
+		Convey("one call probes it after the ejection, and a success ends the ejection", func() {
+			f.clock.Advance(defaultEjectBase)
+			So(f.pick(), ShouldEqual, "palermo-1")
+			So(f.pick(), ShouldEqual, "trapani-1")
+			f.router.Done("palermo-1", ResultOK, nil)
+			So(f.pick(), ShouldEqual, "palermo-1")
 		})
-		Convey("a failed probe keeps it out for longer", func() {
-			g.clock.Advance(defaultEjectBase)
-			So(g.pick(), ShouldEqual, "palermo-1")
-			g.router.Done("palermo-1", ResultFailed, nil)
-			g.clock.Advance(defaultEjectBase)
-			So(g.pick(), ShouldEqual, "trapani-1")
+		Convey("a failed probe ejects it for longer", func() {
+			f.clock.Advance(defaultEjectBase)
+			So(f.pick(), ShouldEqual, "palermo-1")
+			f.router.Done("palermo-1", ResultFailed, nil)
+			f.clock.Advance(defaultEjectBase)
+			So(f.pick(), ShouldEqual, "trapani-1")
 		})
-		Convey("it is chosen all the same when there is no other", func() {
-			g.reg.Update("trapani-1", "1", func(s *registry.Server) { s.Suspect = true })
-			So(g.pick(), ShouldEqual, "palermo-1")
+		Convey("it is chosen if there is no other server", func() {
+			f.reg.Update("trapani-1", "1", func(s *registry.Server) { s.Suspect = true })
+			So(f.pick(), ShouldEqual, "palermo-1")
 		})
 	})
 }
 
 func TestPin(t *testing.T) {
-	Convey("Given a new version that stands on few of four servers", t, func() {
-		g := newRig(PolicyTwoChoices, map[string]int{"palermo-1": 10, "palermo-2": 10, "trapani-1": 10, "catania-1": 10})
+	Convey("Given a new version that few of four servers have loaded", t, func() {
+		f := newFixture(PolicyTwoChoices, map[string]int{"palermo-1": 10, "palermo-2": 10, "trapani-1": 10, "catania-1": 10})
 		ready := frame.Report{State: frame.StateReady, Limit: 10}
 		pin := func() core.Digest {
-			d, _ := g.router.Pin("herbs")
+			d, _ := f.router.Pin("herbs")
 			return d
 		}
-		g.put("palermo-1", newDigest, ready)
+		f.put("palermo-1", newDigest, ready)
 		So(pin(), ShouldEqual, oldDigest)
-		g.put("palermo-2", newDigest, ready)
+		f.put("palermo-2", newDigest, ready)
 		So(pin(), ShouldEqual, newDigest)
-		_, ok := g.router.Pin("none")
+		_, ok := f.router.Pin("none")
 		So(ok, ShouldBeFalse)
 
-		Convey("both versions may answer until every replica holds the new one", func() {
-			other, ok := g.router.Alternative("herbs", newDigest)
+		Convey("both versions may answer until every replica has loaded the new one", func() {
+			other, ok := f.router.Alternative("herbs", newDigest)
 			So(ok, ShouldBeTrue)
 			So(other, ShouldEqual, oldDigest)
-			other, ok = g.router.Alternative("herbs", oldDigest)
+			other, ok = f.router.Alternative("herbs", oldDigest)
 			So(ok, ShouldBeTrue)
 			So(other, ShouldEqual, newDigest)
-			g.put("trapani-1", newDigest, ready)
-			g.put("catania-1", newDigest, ready)
-			_, ok = g.router.Alternative("herbs", newDigest)
+			f.put("trapani-1", newDigest, ready)
+			f.put("catania-1", newDigest, ready)
+			_, ok = f.router.Alternative("herbs", newDigest)
 			So(ok, ShouldBeFalse)
-			_, ok = g.router.Alternative("none", newDigest)
+			_, ok = f.router.Alternative("none", newDigest)
 			So(ok, ShouldBeFalse)
 		})
 	})
 }
 
-// TestPoliciesCompared gives each policy the same calls over servers of
-// unlike limits, and compares how many choices find a full server: with the four entry
-// instances of today, and with as many as a data centre has at the target.
+// TestPoliciesCompared gives each policy the same calls over servers with
+// different limits and compares how many choices find a full server: with the
+// four entry instances of today, and with the 55 that a data centre is designed
+// to have.
 func TestPoliciesCompared(t *testing.T) {
-	Convey("Given servers of unlike limits and reports of a second's age", t, func() {
+	Convey("Given servers with different limits and reports up to a second old", t, func() {
 		policies := []Policy{PolicyRandom, PolicyRoundRobin, PolicyLeastLoaded, PolicyTwoChoices}
 		refused := map[int]map[Policy]float64{4: {}, 55: {}}
-		for entries, percent := range refused {
+		for entryCount, percent := range refused {
 			for _, p := range policies {
-				percent[p], _ = simulate(p, entries, false)
+				percent[p], _ = simulate(p, entryCount, false)
 			}
-			t.Logf("percent of choices refused, %d entry instances: %v", entries, percent)
+			t.Logf("percent of choices refused, %d entry instances: %v", entryCount, percent)
 			So(percent[PolicyTwoChoices], ShouldBeLessThan, percent[PolicyRandom])
 			So(percent[PolicyTwoChoices], ShouldBeLessThan, percent[PolicyRoundRobin])
 		}
@@ -199,114 +200,116 @@
 	})
 }
 
-// simulate lets entry instances choose, each with its own reports of
-// a second's age, and returns the percentages of choices that found the server full, and of
-// calls that found their prompt's prefix in the server's cache.
-func simulate(p Policy, instances int, affinity bool) (refusedPercent, hitPercent float64) {
+// simulate lets entry instances choose servers by their own reports, which are up
+// to a second old. It returns the percentage of choices that found the server
+// full, and the percentage of calls that found their prompt's prefix in the
+// server's cache.
+func simulate(p Policy, entryCount int, affinity bool) (refusedPercent, hitPercent float64) {
 	limits := map[string]int{}
 	for i := range 12 {
 		limits["palermo-"+strconv.Itoa(i)] = 10 + 10*(i%3)
 	}
-	entries := make([]*rig, instances)
-	for i := range entries {
-		entries[i] = newRig(p, limits)
-		entries[i].router.config.PrefixAffinity = affinity
+	entryInstances := make([]*fixture, entryCount)
+	for i := range entryInstances {
+		entryInstances[i] = newFixture(p, limits)
+		entryInstances[i].router.config.PrefixAffinity = affinity
 	}
 	rng := rand.New(rand.NewPCG(5, 5))
 	load := map[string]int{}
 	ends := map[int][]func(){}
 	calls, refused, hits := 0, 0, 0
-	caches := map[string]*prefixes{}
+	caches := map[string]*prefixCache{}
 	for id := range limits {
-		caches[id] = &prefixes{}
+		caches[id] = &prefixCache{}
 	}
 	for tick := range 6_000 { // a tick is 10 ms; a call lasts 0.5 to 3 s
 		for _, end := range ends[tick] {
 			end()
 		}
 		delete(ends, tick)
-		for i, g := range entries {
+		for i, f := range entryInstances {
 			if (tick+7*i)%100 == 0 {
-				g.report(load)
+				f.report(load)
 			}
-			g.clock.Advance(10 * time.Millisecond)
+			f.clock.Advance(10 * time.Millisecond)
 		}
 		if rng.Float64() > 0.75 {
 			continue
 		}
-		g := entries[rng.IntN(len(entries))]
+		f := entryInstances[rng.IntN(len(entryInstances))]
 		prefix := uint64(1 + rng.IntN(prefixCount))
-		s, _ := g.router.Pick(Query{Model: "herbs", Digest: oldDigest, Prefix: prefix})
+		s, _ := f.router.Pick(Query{Model: "herbs", Digest: oldDigest, Prefix: prefix})
 		id := s.Instance.ID
 		calls++
 		if load[id] >= limits[id] {
 			refused++
-			g.router.Done(id, ResultRefused, &frame.Load{Limit: limits[id], InFlight: load[id]})
+			f.router.Done(id, ResultRefused, &frame.Load{Limit: limits[id], InFlight: load[id]})
 			continue
 		}
 		load[id]++
-		if caches[id].use(prefix) {
+		if caches[id].access(prefix) {
 			hits++
 		}
 		at := tick + 50 + rng.IntN(250)
 		ends[at] = append(ends[at], func() {
 			load[id]--
-			g.router.Done(id, ResultOK, nil)
+			f.router.Done(id, ResultOK, nil)
 		})
 	}
 	return 100 * float64(refused) / float64(calls), 100 * float64(hits) / float64(calls-refused)
 }
 
-// prefixCount is the number of prefixes that prompts begin with, and
-// prefixRoom how many of them a server's memory holds.
+// prefixCount is the number of different prompt prefixes, and prefixCacheSize the
+// number of them that a server caches.
 const (
-	prefixCount = 400
-	prefixRoom  = 64
+	prefixCount     = 400
+	prefixCacheSize = 64
 )
 
-// prefixes is a server's cache of prompt prefixes, the newest last.
-type prefixes struct{ held []uint64 }
+// prefixCache is a server's cache of prompt prefixes, the most recently used
+// last.
+type prefixCache struct{ prefixes []uint64 }
 
-func (c *prefixes) use(p uint64) (hit bool) {
-	if i := slices.Index(c.held, p); i >= 0 {
-		c.held = slices.Delete(c.held, i, i+1)
+func (c *prefixCache) access(p uint64) (hit bool) {
+	if i := slices.Index(c.prefixes, p); i >= 0 {
+		c.prefixes = slices.Delete(c.prefixes, i, i+1)
 		hit = true
 	}
-	c.held = append(c.held, p)
-	c.held = c.held[max(0, len(c.held)-prefixRoom):]
+	c.prefixes = append(c.prefixes, p)
+	c.prefixes = c.prefixes[max(0, len(c.prefixes)-prefixCacheSize):]
 	return hit
 }
 
 func TestPrefixAffinityCompared(t *testing.T) {
-	Convey("Given 400 prompt prefixes and servers that each hold 64 of them", t, func() {
-		for _, entries := range []int{4, 55} {
-			refusedWithout, hitsWithout := simulate(PolicyTwoChoices, entries, false)
-			refusedWith, hitsWith := simulate(PolicyTwoChoices, entries, true)
+	Convey("Given 400 prompt prefixes and servers that cache 64 of them each", t, func() {
+		for _, entryCount := range []int{4, 55} {
+			refusedWithout, hitsWithout := simulate(PolicyTwoChoices, entryCount, false)
+			refusedWith, hitsWith := simulate(PolicyTwoChoices, entryCount, true)
 			t.Logf("%d entry instances: cache hits %.1f %% without affinity, %.1f %% with; refused %.2f %% without, %.2f %% with",
-				entries, hitsWithout, hitsWith, refusedWithout, refusedWith)
+				entryCount, hitsWithout, hitsWith, refusedWithout, refusedWith)
 			So(hitsWith, ShouldBeGreaterThan, hitsWithout)
 		}
 	})
 }
 
-func (g *rig) report(load map[string]int) {
-	for _, s := range g.reg.All() {
-		g.reg.Update(s.Instance.ID, "1", func(s *registry.Server) {
+func (f *fixture) report(load map[string]int) {
+	for _, s := range f.reg.All() {
+		f.reg.Update(s.Instance.ID, "1", func(s *registry.Server) {
 			s.Report.InFlight = load[s.Instance.ID]
-			s.Heard = g.clock.Now()
+			s.Heard = f.clock.Now()
 		})
 	}
 }
 
-// BenchmarkPick measures a decision over as many servers as register with an
-// entry instance at the target.
+// BenchmarkPick measures one decision with the number of servers that an entry
+// instance is designed to have.
 func BenchmarkPick(b *testing.B) {
 	limits := map[string]int{}
 	for i := range 120 {
 		limits["palermo-"+strconv.Itoa(i)] = 40
 	}
-	g := newRig(PolicyTwoChoices, limits)
+	f := newFixture(PolicyTwoChoices, limits)
 	for b.Loop() {
-		g.router.Done(g.pick(), ResultOK, nil)
+		f.router.Done(f.pick(), ResultOK, nil)
 	}
 }
--- a/request/routing/routing.go
+++ b/request/routing/routing.go
@@ -1,5 +1,6 @@
-// Package routing chooses, at an entry instance, the backend server for each
-// attempt at a call.
+// Package routing chooses the backend server for each attempt at a call. It runs
+// at an entry instance, balances load with preference for near servers, and
+// ejects servers that fail repeatedly.
 package routing
 
 import (
@@ -8,9 +9,9 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Query describes what an attempt needs.
+// Query describes the requirements of an attempt.
 type Query struct {
-	// RequestID is for the log line of the decision.
+	// RequestID is logged with the decision.
 	RequestID string
 	// Model and Digest are set for model calls.
 	Model  string
@@ -19,49 +20,50 @@
 	Service string
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
-	// Tried names the servers that earlier attempts used.
+	// Tried holds the ids of the servers that earlier attempts used.
 	Tried map[string]bool
 }
 
-// Picker chooses backend servers and learns from what became of attempts.
+// Picker chooses backend servers and is informed of the results of attempts.
 type Picker interface {
-	// Pin returns the manifest digest from which new calls to model are
-	// answered now, or false when no server can answer.
+	// Pin returns the manifest digest of the version that answers new calls to
+	// model, or false if no server can answer.
 	Pin(model string) (core.Digest, bool)
-	// Alternative returns another version of model from which a call that the
-	// pinned one has no place for may be answered: while a new version comes
-	// in, both stand on a part of the servers.
+	// Alternative returns another version of model for a call that finds no free
+	// slot at servers with the pinned version. It returns false unless a rollout is
+	// in progress, during which each version is loaded on a part of the servers.
 	Alternative(model string, pinned core.Digest) (core.Digest, bool)
-	// Short reports whether no server that could take the call has a free
-	// slot, as far as this entry instance knows.
+	// Short reports whether none of the servers that could run the call has a free
+	// slot, by the estimate of this entry instance.
 	Short(q Query) bool
-	// Suspended reports whether the server with this id is registered but
-	// gets no calls, because it is silent or was ejected.
+	// Suspended reports whether the server with this id is registered but gets no
+	// calls, because its reports are overdue or because it is ejected.
 	Suspended(id string) bool
-	// Pick returns a server, or false when none can be offered the call.
-	// Every Pick that returned true is followed by one Done.
+	// Pick returns a server for an attempt, or false if none is available. Each
+	// Pick that returned true must be followed by one Done.
 	Pick(q Query) (registry.Server, bool)
-	// Done reports the end of an attempt at the server with this id; load
-	// is what the agent said with its last frame, nil when it said nothing.
+	// Done reports the end of an attempt at the server with this id. load is the
+	// load in the agent's last frame, or nil if there was none.
 	Done(id string, r Result, load *frame.Load)
 }
 
-// Result is what became of an attempt.
+// Result is the result of an attempt.
 type Result uint8
 
 // The results of an attempt.
 const (
-	// ResultOK says that the answer was whole.
+	// ResultOK means that the complete answer was received.
 	ResultOK Result = iota
-	// ResultRefused says that the agent did not admit the call.
+	// ResultRefused means that the agent did not admit the call.
 	ResultRefused
-	// ResultFailed says that the server failed, stalled or broke off.
+	// ResultFailed means that the server failed, stalled or ended the answer early.
 	ResultFailed
-	// ResultCancelled says that the caller went away.
+	// ResultCancelled means that the attempt was cancelled, for example because the
+	// caller disconnected.
 	ResultCancelled
 )
 
-// String returns the result's name in log lines.
+// String returns the name of the result in log lines.
 func (r Result) String() string {
 	return [...]string{"whole", "refused", "failed", "cancelled"}[r]
 }
