--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -1,7 +1,7 @@
-// Package once keeps the record of calls that may run at most once and carry
-// a key, in rows of the platform's table. A row names the attempt that may
-// run and the incarnation of the agent that may run it; later it holds the
-// outcome, which every resubmission is answered with.
+// Package once records, in rows of the platform's table, the calls that carry an
+// idempotency key and may run at most once. A row names the attempt that may run
+// and the incarnation of the agent that may run it. Later it holds the outcome,
+// which is the answer to every resubmission of the call.
 package once
 
 import (
@@ -20,85 +20,86 @@
 
 // Defaults of Config.
 const (
-	defaultTableTimeout = 2 * time.Second
-	defaultPoll         = 200 * time.Millisecond
-	defaultAskAfter     = time.Second
-	defaultRecordGrace  = 5 * time.Second
-	defaultTTL          = 48 * time.Hour
-	defaultRowBodyBytes = 32 << 10
-	defaultRecordTries  = 20
-	defaultSweepEvery   = 10 * time.Minute
+	defaultTableTimeout    = 2 * time.Second
+	defaultPollInterval    = 200 * time.Millisecond
+	defaultAskAfter        = time.Second
+	defaultRecordGrace     = 5 * time.Second
+	defaultTTL             = 48 * time.Hour
+	defaultMaxRowBodyBytes = 32 << 10
+	defaultMaxRecordTries  = 20
+	defaultSweepInterval   = 10 * time.Minute
 )
 
 // Errors of a Keeper.
 var (
-	// ErrMismatch says that the key was used before for another request.
+	// ErrMismatch is returned when the key was used before for another request.
 	ErrMismatch = errors.New("the key was used before for another request")
-	// ErrUnknown says that an earlier attempt may have run and its outcome
-	// cannot be told.
+	// ErrUnknown is returned when an earlier attempt may have run and its outcome
+	// cannot be determined.
 	ErrUnknown = errors.New("an earlier attempt may have run; its outcome is not known")
-	// ErrTable says that the record could not be read or written, and that
-	// the attempt was not started.
+	// ErrTable is returned when the record could not be read or written. The
+	// attempt was not started.
 	ErrTable = errors.New("the record of once-only calls cannot be reached")
-	// ErrTaken says that another submission claimed the call first.
+	// ErrTaken is returned when another submission claimed the call first.
 	ErrTaken = errors.New("another submission claimed the call")
 )
 
 var (
 	eventClaimed = eventlog.Define(520, "once-claimed", logrus.InfoLevel,
-		"an attempt at a keyed once-only call was recorded before it may run")
+		"an attempt at a keyed once-only call was recorded before it was allowed to run")
 	eventAsked = eventlog.Define(521, "once-asked", logrus.InfoLevel,
-		"an agent was asked whether it ran an earlier attempt, and told never to run it from now on")
+		"an agent was asked whether it ran an earlier attempt, and was forbidden to run it from now on")
 	eventRecorded = eventlog.Define(522, "once-recorded", logrus.InfoLevel,
 		"the outcome of a keyed once-only call was recorded")
 	eventReplayed = eventlog.Define(523, "once-replayed", logrus.InfoLevel,
 		"a resubmission was answered with the recorded outcome")
 	eventNotRecorded = eventlog.Define(524, "once-not-recorded", logrus.ErrorLevel,
-		"the outcome of a keyed once-only call could not be recorded; resubmissions will be answered unknown")
+		"the outcome of a keyed once-only call could not be recorded; resubmissions will be told that the outcome is unknown")
 	eventSwept = eventlog.Define(525, "once-swept", logrus.InfoLevel,
 		"expired records of once-only calls were removed")
 	eventAdopted = eventlog.Define(527, "once-adopted", logrus.InfoLevel,
-		"a resubmission recorded the outcome that the agent had kept, as the attempt's holder had not")
+		"a resubmission recorded the outcome that the agent had kept, because the entry instance that claimed the attempt had not recorded it")
 	eventTableFailed = eventlog.Define(526, "once-table-failed", logrus.WarnLevel,
 		"the record of a keyed once-only call could not be read or written")
 )
 
 // Config holds the settings of a Keeper.
 type Config struct {
-	// Entry names the entry instance.
+	// Entry is the id of the entry instance.
 	Entry string
 	// TableTimeout bounds one operation on the table; default 2 s.
 	TableTimeout time.Duration
-	// Poll is the time between looks at a running call; default 200 ms.
+	// Poll is the interval at which the record of a running call is read; default
+	// 200 ms.
 	Poll time.Duration
-	// AskAfter is how long a call is seen running before its agent is asked
-	// about it; default 1 s.
+	// AskAfter is the time for which a resubmission must have found the call running
+	// before it asks the agent about the call; default 1 s.
 	AskAfter time.Duration
-	// RecordGrace is how long an outcome may take to be recorded after its
-	// attempt has ended; default 5 s.
+	// RecordGrace is the time allowed for recording an outcome after its attempt
+	// has ended; default 5 s.
 	RecordGrace time.Duration
-	// TTL is how long records are kept; a resubmission after it runs again.
-	// Default 48 h.
+	// TTL is the time for which records are kept. A resubmission after that time
+	// runs again. Default 48 h.
 	TTL time.Duration
-	// RowBodyBytes is the largest body kept in a row; larger ones go to the
-	// object store. Default 32 KiB.
+	// RowBodyBytes is the size of the largest body that is stored in a row. Larger
+	// bodies are stored in the object store. Default 32 KiB.
 	RowBodyBytes int
-	// RecordTries bounds the tries to record one outcome; default 20.
+	// RecordTries is the maximum number of tries to record one outcome; default 20.
 	RecordTries int
-	// SweepEvery is the mean time between removals of expired records;
-	// default 10 min.
+	// SweepEvery is the mean interval between removals of expired records; default
+	// 10 min.
 	SweepEvery time.Duration
 }
 
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.TableTimeout, defaultTableTimeout)
-	core.SetDefault(&c.Poll, defaultPoll)
+	core.SetDefault(&c.Poll, defaultPollInterval)
 	core.SetDefault(&c.AskAfter, defaultAskAfter)
 	core.SetDefault(&c.RecordGrace, defaultRecordGrace)
 	core.SetDefault(&c.TTL, defaultTTL)
-	core.SetDefault(&c.RowBodyBytes, defaultRowBodyBytes)
-	core.SetDefault(&c.RecordTries, defaultRecordTries)
-	core.SetDefault(&c.SweepEvery, defaultSweepEvery)
+	core.SetDefault(&c.RowBodyBytes, defaultMaxRowBodyBytes)
+	core.SetDefault(&c.RecordTries, defaultMaxRecordTries)
+	core.SetDefault(&c.SweepEvery, defaultSweepInterval)
 }
 
 // Keeper reads and writes the records. It is safe for concurrent use.
@@ -110,17 +111,17 @@
 	clock   clockwork.Clock
 }
 
-// New returns a Keeper over the platform's table and object store.
+// New returns a Keeper that uses the platform's table and object store.
 func New(c Config, table platform.Table, objects platform.Objects, log *eventlog.Logger, clock clockwork.Clock) *Keeper {
 	c.applyDefaults()
 	return &Keeper{config: c, table: table, objects: objects, log: log, clock: clock}
 }
 
-// Turn is the right to try to claim an attempt.
+// Turn is an attempt that a submission may try to claim.
 type Turn struct {
 	// Attempt is the number of the attempt, from 1.
 	Attempt int
-	// revision is the row's at the time of the look; 0 for no row.
+	// revision is the revision of the row when it was read; 0 if there was no row.
 	revision uint64
 }
 
@@ -133,37 +134,39 @@
 }
 
 // Claim records that the agent's incarnation may run the attempt. It returns
-// ErrTaken when another submission came first, and ErrTable when it is not
-// known that the claim stands; in both cases the attempt must not be run.
-func (k *Keeper) Claim(ctx context.Context, call Call, turn Turn, agent core.Instance, incarnation string) (*Claim, error) {
-	c := &Claim{keeper: k, call: call, revision: turn.revision + 1, record: record{
+// ErrTaken if another submission claimed the call first, and ErrTable if it is
+// not certain that the claim was recorded. After either error the attempt must
+// not be run.
+func (k *Keeper) Claim(ctx context.Context, call Call, next Turn, agent core.Instance, incarnation string) (*Claim, error) {
+	c := &Claim{keeper: k, call: call, revision: next.revision + 1, record: record{
 		Request:     call.Request,
 		State:       stateRunning,
 		Claim:       uuid.NewString(),
-		Attempt:     turn.Attempt,
+		Attempt:     next.Attempt,
 		Entry:       k.config.Entry,
 		Agent:       agent,
 		Incarnation: incarnation,
 		Expires:     k.clock.Now().Add(k.config.TTL).UTC(),
 	}}
-	err := k.write(ctx, call, &c.record, turn.revision)
+	err := k.writeRecord(ctx, call, &c.record, next.revision)
 	if errors.Is(err, platform.ErrUnknownOutcome) {
 		err = c.confirm(ctx)
 	}
 	switch {
 	case err == nil:
-		k.log.Event(eventClaimed, c.fields())
+		k.log.Event(eventClaimed, c.logFields())
 		return c, nil
 	case errors.Is(err, platform.ErrConflict):
 		return nil, ErrTaken
 	}
-	k.log.Fail(eventTableFailed, err, c.fields())
+	k.log.Fail(eventTableFailed, err, c.logFields())
 	return nil, errors.Wrap(ErrTable, err.Error())
 }
 
-// confirm reads back whether a claim whose answer was lost stands.
+// confirm reads the record to find out whether a claim was stored although the
+// table's reply was lost.
 func (c *Claim) confirm(ctx context.Context) error {
-	rec, revision, err := c.keeper.read(ctx, c.call)
+	rec, revision, err := c.keeper.readRecord(ctx, c.call)
 	if err != nil {
 		return err
 	}
@@ -174,50 +177,50 @@
 	return nil
 }
 
-// Done records the outcome. It tries again while the table is out of reach,
-// up to Config.RecordTries times or until ctx ends.
+// Done records the outcome. It retries while the table is unavailable, up to
+// Config.RecordTries times or until ctx ends.
 func (c *Claim) Done(ctx context.Context, o Outcome) error {
 	if len(o.Body) > c.keeper.config.RowBodyBytes {
 		stored, err := c.keeper.storeBody(ctx, o)
 		if err != nil {
-			c.keeper.log.Fail(eventNotRecorded, err, c.fields())
+			c.keeper.log.Fail(eventNotRecorded, err, c.logFields())
 			return err
 		}
 		o = stored
 	}
 	c.record.Outcome = &o
-	return c.settle(ctx, stateDone)
+	return c.writeFinalState(ctx, stateDone)
 }
 
 // NotRun records that the attempt did not run and never will.
-func (c *Claim) NotRun(ctx context.Context) error { return c.settle(ctx, stateNotRun) }
+func (c *Claim) NotRun(ctx context.Context) error { return c.writeFinalState(ctx, stateNotRun) }
 
 // Lost records that the attempt may have run and that its answer was lost.
-func (c *Claim) Lost(ctx context.Context) error { return c.settle(ctx, stateLost) }
+func (c *Claim) Lost(ctx context.Context) error { return c.writeFinalState(ctx, stateLost) }
 
-// settle writes the claim's last state.
-func (c *Claim) settle(ctx context.Context, s state) error {
+// writeFinalState records the final state of the claimed attempt.
+func (c *Claim) writeFinalState(ctx context.Context, s state) error {
 	c.record.State = s
 	var err error
 	for range c.keeper.config.RecordTries {
-		if err = c.trySettle(ctx); err == nil {
-			c.keeper.log.Event(eventRecorded, c.fields())
+		if err = c.tryWriteFinalState(ctx); err == nil {
+			c.keeper.log.Event(eventRecorded, c.logFields())
 			return nil
 		}
 		if errors.Is(err, ErrTaken) || c.keeper.sleep(ctx, c.keeper.config.Poll) != nil {
 			break
 		}
 	}
-	c.keeper.log.Fail(eventNotRecorded, err, c.fields())
+	c.keeper.log.Fail(eventNotRecorded, err, c.logFields())
 	return err
 }
 
-func (c *Claim) trySettle(ctx context.Context) error {
-	err := c.keeper.write(ctx, c.call, &c.record, c.revision)
+func (c *Claim) tryWriteFinalState(ctx context.Context) error {
+	err := c.keeper.writeRecord(ctx, c.call, &c.record, c.revision)
 	if !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrUnknownOutcome) {
 		return err
 	}
-	rec, revision, err := c.keeper.read(ctx, c.call)
+	rec, revision, err := c.keeper.readRecord(ctx, c.call)
 	if err != nil {
 		return err
 	}
@@ -228,10 +231,10 @@
 		return nil
 	}
 	c.revision = revision
-	return errors.Errorf("record is still %q", rec.State)
+	return errors.Errorf("the stored record is still in state %q", rec.State)
 }
 
-func (c *Claim) fields() eventlog.Fields {
+func (c *Claim) logFields() eventlog.Fields {
 	return eventlog.Fields{
 		"request":     c.call.RequestID,
 		"row":         c.call.Row(),
@@ -245,8 +248,9 @@
 // Attempt returns the number of the claimed attempt.
 func (c *Claim) Attempt() int { return c.record.Attempt }
 
-// read returns the call's record and its revision, or nil and 0.
-func (k *Keeper) read(ctx context.Context, call Call) (*record, uint64, error) {
+// readRecord returns the record of the call and its revision, or nil and 0 if
+// there is none.
+func (k *Keeper) readRecord(ctx context.Context, call Call) (*record, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.config.TableTimeout)
 	defer cancel()
 	row, err := k.table.Get(ctx, call.Row(), 0)
@@ -260,8 +264,9 @@
 	return rec, row.Revision, err
 }
 
-// write replaces the row whose revision is still the given one.
-func (k *Keeper) write(ctx context.Context, call Call, r *record, revision uint64) error {
+// writeRecord replaces the row of the call if its revision is still the given
+// one.
+func (k *Keeper) writeRecord(ctx context.Context, call Call, r *record, revision uint64) error {
 	value, err := r.encode()
 	if err != nil {
 		return err
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -17,36 +17,37 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// memory is a table and an object store; the errors are given once each.
-type memory struct {
+// fakePlatform is a table and an object store in memory. Each of its errors is
+// returned once.
+type fakePlatform struct {
 	rows      map[string]platform.Row
 	objects   map[string][]byte
 	getErr    error
 	commitErr error
-	// lost makes the next commit take effect and lose its answer.
-	lost bool
+	// loseReply makes the next commit take effect but return an unknown outcome.
+	loseReply bool
 }
 
-func take(err *error) error {
+func takeError(err *error) error {
 	e := *err
 	*err = nil
 	return e
 }
 
-func (m *memory) Get(_ context.Context, key string, _ uint64) (platform.Row, error) {
-	if err := take(&m.getErr); err != nil {
+func (p *fakePlatform) Get(_ context.Context, key string, _ uint64) (platform.Row, error) {
+	if err := takeError(&p.getErr); err != nil {
 		return platform.Row{}, err
 	}
-	row, ok := m.rows[key]
+	row, ok := p.rows[key]
 	if !ok {
 		return row, platform.ErrNotFound
 	}
 	return row, nil
 }
 
-func (m *memory) List(_ context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+func (p *fakePlatform) List(_ context.Context, prefix, after string, limit int) ([]platform.Row, error) {
 	var rows []platform.Row
-	for key, row := range m.rows {
+	for key, row := range p.rows {
 		if strings.HasPrefix(key, prefix) && key > after {
 			rows = append(rows, row)
 		}
@@ -55,64 +56,64 @@
 	return rows[:min(limit, len(rows))], nil
 }
 
-func (m *memory) Commit(_ context.Context, writes []platform.Write) error {
-	if err := take(&m.commitErr); err != nil {
+func (p *fakePlatform) Commit(_ context.Context, writes []platform.Write) error {
+	if err := takeError(&p.commitErr); err != nil {
 		return err
 	}
 	w := writes[0]
-	row := m.rows[w.Key]
+	row := p.rows[w.Key]
 	if w.If != nil && *w.If != row.Revision {
 		return platform.ErrConflict
 	}
-	m.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Revision: row.Revision + 1}
+	p.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Revision: row.Revision + 1}
 	if w.Delete {
-		delete(m.rows, w.Key)
+		delete(p.rows, w.Key)
 	}
-	if m.lost {
-		m.lost = false
+	if p.loseReply {
+		p.loseReply = false
 		return platform.ErrUnknownOutcome
 	}
 	return nil
 }
 
-type objects struct{ *memory }
+type fakeObjects struct{ *fakePlatform }
 
-func (o objects) Get(_ context.Context, name string, _, _ int64) ([]byte, error) {
+func (o fakeObjects) Get(_ context.Context, name string, _, _ int64) ([]byte, error) {
 	return o.objects[name], nil
 }
 
-func (o objects) Put(_ context.Context, name string, body []byte) error {
-	o.memory.objects[name] = body
+func (o fakeObjects) Put(_ context.Context, name string, body []byte) error {
+	o.fakePlatform.objects[name] = body
 	return nil
 }
 
-// fixture is a Keeper over a memory, and one call.
+// fixture is a Keeper over a fakePlatform, and one call.
 type fixture struct {
-	m      *memory
-	clock  *clockwork.FakeClock
-	keeper *Keeper
-	call   Call
-	asked  int
-	answer frame.Answer
-	askErr error
+	platform *fakePlatform
+	clock    *clockwork.FakeClock
+	keeper   *Keeper
+	call     Call
+	askCount int
+	answer   frame.Answer
+	askErr   error
 }
 
 func newFixture() *fixture {
 	f := &fixture{
-		m:     &memory{rows: map[string]platform.Row{}, objects: map[string][]byte{}},
-		clock: clockwork.NewFakeClock(),
-		call:  Call{Account: "toa", Service: "booking", Key: "k", Request: RequestDigest("POST", "/deposits", []byte("1"))},
+		platform: &fakePlatform{rows: map[string]platform.Row{}, objects: map[string][]byte{}},
+		clock:    clockwork.NewFakeClock(),
+		call:     Call{Account: "toa", Service: "booking", Key: "k", Request: RequestDigest("POST", "/deposits", []byte("1"))},
 	}
-	f.keeper = New(Config{Entry: "entry-1", RowBodyBytes: 16}, f.m, objects{f.m}, eventlog.Discard(), f.clock)
+	f.keeper = New(Config{Entry: "entry-1", RowBodyBytes: 16}, f.platform, fakeObjects{f.platform}, eventlog.Discard(), f.clock)
 	return f
 }
 
 func (f *fixture) ask(context.Context, core.Instance, string, int) (frame.Answer, error) {
-	f.asked++
+	f.askCount++
 	return f.answer, f.askErr
 }
 
-// settle runs Settle while time passes.
+// settle runs Settle while the fake clock advances.
 func (f *fixture) settle() (*Outcome, Turn, error) {
 	done := make(chan struct{})
 	defer close(done)
@@ -122,7 +123,7 @@
 			case <-done:
 				return
 			case <-time.After(time.Millisecond):
-				f.clock.Advance(defaultPoll)
+				f.clock.Advance(defaultPollInterval)
 			}
 		}
 	}()
@@ -130,9 +131,9 @@
 }
 
 func (f *fixture) claim() *Claim {
-	_, turn, err := f.settle()
+	_, next, err := f.settle()
 	So(err, ShouldBeNil)
-	claim, err := f.keeper.Claim(context.Background(), f.call, turn, core.Instance{ID: "booking-1"}, "i1")
+	claim, err := f.keeper.Claim(context.Background(), f.call, next, core.Instance{ID: "booking-1"}, "i1")
 	So(err, ShouldBeNil)
 	return claim
 }
@@ -143,40 +144,40 @@
 		ctx := context.Background()
 		Convey("a resubmission gets the recorded answer, small or large", func() {
 			for _, body := range []string{"short", strings.Repeat("long", 100)} {
-				f.m.rows = map[string]platform.Row{}
+				f.platform.rows = map[string]platform.Row{}
 				So(f.claim().Done(ctx, Outcome{Status: 201, Body: []byte(body)}), ShouldBeNil)
 				o, _, err := f.settle()
 				So(err, ShouldBeNil)
 				So(o.Status, ShouldEqual, 201)
 				So(string(o.Body), ShouldEqual, body)
 			}
-			So(f.m.objects, ShouldHaveLength, 1)
+			So(f.platform.objects, ShouldHaveLength, 1)
 		})
-		Convey("the same key with another body is a mismatch", func() {
+		Convey("the same key with another body is refused as a mismatch", func() {
 			f.claim()
 			f.call.Request = RequestDigest("POST", "/deposits", []byte("2"))
 			_, _, err := f.settle()
 			So(err, ShouldEqual, ErrMismatch)
 		})
-		Convey("a claim whose answer was lost stands, and can be recorded", func() {
-			f.m.lost = true
+		Convey("a claim is valid and its outcome can be recorded although the table's reply was lost", func() {
+			f.platform.loseReply = true
 			claim := f.claim()
-			f.m.lost = true
+			f.platform.loseReply = true
 			So(claim.Done(ctx, Outcome{Status: 201}), ShouldBeNil)
 		})
-		Convey("of two claims with one turn the second is taken", func() {
-			_, turn, _ := f.settle()
+		Convey("the second of two claims for one attempt is refused", func() {
+			_, next, _ := f.settle()
 			f.claim()
-			_, err := f.keeper.Claim(ctx, f.call, turn, core.Instance{ID: "booking-2"}, "i2")
+			_, err := f.keeper.Claim(ctx, f.call, next, core.Instance{ID: "booking-2"}, "i2")
 			So(err, ShouldEqual, ErrTaken)
 		})
-		Convey("a table that cannot be reached is told as such", func() {
-			f.m.getErr = platform.ErrUnavailable
+		Convey("an unavailable table is reported as an error of the table", func() {
+			f.platform.getErr = platform.ErrUnavailable
 			_, _, err := f.settle()
 			So(errors.Is(err, ErrTable), ShouldBeTrue)
-			_, turn, _ := f.settle()
-			f.m.commitErr = platform.ErrUnavailable
-			_, err = f.keeper.Claim(ctx, f.call, turn, core.Instance{}, "i1")
+			_, next, _ := f.settle()
+			f.platform.commitErr = platform.ErrUnavailable
+			_, err = f.keeper.Claim(ctx, f.call, next, core.Instance{}, "i1")
 			So(errors.Is(err, ErrTable), ShouldBeTrue)
 		})
 		Convey("expired records are removed, others kept", func() {
@@ -192,21 +193,21 @@
 	})
 }
 
-func TestVanishedHolder(t *testing.T) {
-	Convey("Given an attempt whose holder has vanished", t, func() {
+func TestVanishedEntryInstance(t *testing.T) {
+	Convey("Given an attempt whose entry instance has vanished", t, func() {
 		f := newFixture()
-		old := f.claim()
-		Convey("a plain no of the same incarnation lets the next attempt run", func() {
+		claim := f.claim()
+		Convey("the next attempt may run if the same incarnation replies that the attempt never ran", func() {
 			f.answer = frame.Answer{Incarnation: "i1", Ran: frame.RanNo}
 			So(f.claim().Attempt(), ShouldEqual, 2)
-			So(errors.Is(old.Done(context.Background(), Outcome{}), ErrTaken), ShouldBeTrue)
+			So(errors.Is(claim.Done(context.Background(), Outcome{}), ErrTaken), ShouldBeTrue)
 		})
-		Convey("a no of another incarnation does not", func() {
+		Convey("the outcome is unknown if another incarnation replies that the attempt never ran", func() {
 			f.answer = frame.Answer{Incarnation: "i2", Ran: frame.RanNo}
 			_, _, err := f.settle()
 			So(err, ShouldEqual, ErrUnknown)
 		})
-		Convey("a yes, or no answer at all, is unknown", func() {
+		Convey("the outcome is unknown if the attempt ran or the agent does not reply", func() {
 			f.answer = frame.Answer{Incarnation: "i1", Ran: frame.RanYes}
 			_, _, err := f.settle()
 			So(err, ShouldEqual, ErrUnknown)
@@ -214,22 +215,22 @@
 			_, _, err = f.settle()
 			So(err, ShouldEqual, ErrUnknown)
 		})
-		Convey("an outcome that the agent kept is recorded and replayed", func() {
+		Convey("an outcome that the agent has kept is recorded and replayed", func() {
 			f.answer = frame.Answer{Incarnation: "i1", Ran: frame.RanYes, Outcome: &frame.Outcome{Status: 201, Body: []byte(strings.Repeat("b", 40))}}
 			for range 2 {
 				o, _, err := f.settle()
 				So(err, ShouldBeNil)
 				So(o.Body, ShouldHaveLength, 40)
 			}
-			So(f.asked, ShouldEqual, 1)
+			So(f.askCount, ShouldEqual, 1)
 		})
-		Convey("a lost attempt is asked about at once", func() {
-			So(old.Lost(context.Background()), ShouldBeNil)
+		Convey("the agent is asked about a lost attempt at once", func() {
+			So(claim.Lost(context.Background()), ShouldBeNil)
 			f.answer = frame.Answer{Incarnation: "i1", Ran: frame.RanNo}
-			_, turn, err := f.settle()
+			_, next, err := f.settle()
 			So(err, ShouldBeNil)
-			So(turn.Attempt, ShouldEqual, 2)
-			So(f.asked, ShouldEqual, 1)
+			So(next.Attempt, ShouldEqual, 2)
+			So(f.askCount, ShouldEqual, 1)
 		})
 	})
 }
--- a/request/once/record.go
+++ b/request/once/record.go
@@ -9,26 +9,26 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// rowPrefix begins the name of every row that a Keeper writes.
+// rowPrefix is the prefix of the keys of all rows that a Keeper writes.
 const rowPrefix = "once/"
 
-// Call identifies a keyed call.
+// Call describes one submission of a call with an idempotency key.
 type Call struct {
 	// RequestID is the id of this submission, for log lines.
 	RequestID string
-	// Account names the client account.
+	// Account is the name of the client account.
 	Account string
-	// Service names the plain service.
+	// Service is the name of the plain service.
 	Service string
-	// Key is the caller's Idempotency-Key.
+	// Key is the value of the caller's Idempotency-Key header.
 	Key string
-	// Request is the digest of method, path and body; a resubmission must
-	// have the same.
+	// Request is the digest of method, path and body. A resubmission must have the
+	// same digest.
 	Request core.Digest
 }
 
-// Row returns the name of the call's row. It also identifies the call to
-// agents.
+// Row returns the key of the call's row. The same text identifies the call in
+// messages to agents.
 func (c Call) Row() string {
 	return rowPrefix + c.Account + "/" + c.Service + "/" + string(core.DigestOf([]byte(c.Key)))
 }
@@ -39,29 +39,30 @@
 	return core.DigestOf(all)
 }
 
-// Outcome is a whole answer to a call.
+// Outcome is a complete answer to a call.
 type Outcome struct {
-	// Status is the HTTP status.
+	// Status is the HTTP status code.
 	Status int `json:"status"`
-	// Header is the answer's header.
+	// Header holds the HTTP header fields of the answer.
 	Header map[string][]string `json:"header,omitempty"`
-	// Body is the answer's body; empty in a row that refers to an object.
+	// Body is the body of the answer; empty in a row that refers to an object.
 	Body []byte `json:"body,omitempty"`
-	// Object names the object that holds a body too large for the row.
+	// Object is the name of the object that holds a body too large for the row.
 	Object string `json:"object,omitempty"`
 }
 
-// state says how far a recorded attempt has come.
+// state is the state of a recorded attempt.
 type state string
 
 const (
-	// stateRunning says that the attempt was claimed and may be running.
+	// stateRunning means that the attempt was claimed and may be running.
 	stateRunning state = "running"
-	// stateDone says that the outcome is recorded.
+	// stateDone means that the outcome is recorded.
 	stateDone state = "done"
-	// stateLost says that the holder gave up waiting for the answer.
+	// stateLost means that the entry instance that claimed the attempt gave up
+	// waiting for the answer.
 	stateLost state = "lost"
-	// stateNotRun says that the attempt never ran and never will.
+	// stateNotRun means that the attempt never ran and never will.
 	stateNotRun state = "not-run"
 )
 
@@ -70,13 +71,13 @@
 	// Request is Call.Request of the first submission.
 	Request core.Digest `json:"request"`
 	State   state       `json:"state"`
-	// Claim differs for every claim, so that a claim whose answer was lost
-	// can be recognised.
+	// Claim is a unique id of the claim. A reader compares it to find out whether a
+	// claim was stored although the table's reply was lost.
 	Claim   string `json:"claim"`
 	Attempt int    `json:"attempt"`
-	// Entry names the entry instance that holds the claim.
+	// Entry is the id of the entry instance that claimed the attempt.
 	Entry string `json:"entry"`
-	// Agent and Incarnation name the process that may run the attempt.
+	// Agent and Incarnation identify the process that may run the attempt.
 	Agent       core.Instance `json:"agent"`
 	Incarnation string        `json:"incarnation"`
 	Expires     time.Time     `json:"expires"`
--- a/request/once/settle.go
+++ b/request/once/settle.go
@@ -12,37 +12,39 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// Asker asks the agent whether it ran an attempt at the call that key
-// identifies, and forbids it to run that attempt from now on.
+// Asker asks the agent whether it ran an attempt at the call that key identifies,
+// and forbids the agent to run that attempt from now on.
 type Asker func(ctx context.Context, agent core.Instance, key string, attempt int) (frame.Answer, error)
 
-// wait is what a resubmission has learned while it waits for an outcome.
-type wait struct {
-	// attempt is the attempt that the times below belong to.
+// waitState is the state of a resubmission that waits for the outcome of an
+// attempt.
+type waitState struct {
+	// attempt is the number of the attempt that the times below belong to.
 	attempt int
-	// since is when the attempt was first seen running here.
-	since time.Time
-	// over is when the attempt was first known not to be running any more.
-	over time.Time
+	// firstSeen is when this resubmission first found the attempt running.
+	firstSeen time.Time
+	// unconfirmedSince is the time from which the agent no longer confirmed that the
+	// attempt is running; zero before.
+	unconfirmedSince time.Time
 }
 
-// Settle finds out what becomes of a submission. It returns the recorded
-// outcome; or a Turn when no earlier attempt ran or can run any more; or
-// ErrMismatch, ErrTable (the first look failed) or ErrUnknown. It waits, up
-// to the end of ctx, while an earlier attempt is running.
+// Settle determines the outcome of a submission. It returns the recorded outcome,
+// or a Turn if no earlier attempt ran or can still run, or ErrMismatch, ErrTable
+// (the first read failed) or ErrUnknown. While an earlier attempt is running, it
+// waits for its outcome until ctx ends.
 func (k *Keeper) Settle(ctx context.Context, call Call, ask Asker) (*Outcome, Turn, error) {
-	w := wait{}
-	for looks := 0; ; looks++ {
-		rec, revision, err := k.read(ctx, call)
-		if err != nil && looks == 0 {
+	w := waitState{}
+	for polls := 0; ; polls++ {
+		rec, revision, err := k.readRecord(ctx, call)
+		if err != nil && polls == 0 {
 			k.log.Fail(eventTableFailed, err, eventlog.Fields{"request": call.RequestID, "row": call.Row()})
 			return nil, Turn{}, errors.Wrap(ErrTable, err.Error())
 		}
 		if err == nil {
-			done, outcome, turn, err := k.judge(ctx, call, rec, revision, &w, ask)
+			done, outcome, next, err := k.decide(ctx, call, rec, revision, &w, ask)
 			if done {
-				turn.revision = revision
-				return outcome, turn, err
+				next.revision = revision
+				return outcome, next, err
 			}
 		}
 		if k.sleep(ctx, k.config.Poll) != nil {
@@ -51,20 +53,21 @@
 	}
 }
 
-// Moved reports whether another submission has changed the record since turn
-// was given, so that "not run" may no longer be true. claim is the claim that
-// was made with turn, or nil. A record that cannot be read counts as not
-// moved: when turn was given, no attempt had run.
-func (k *Keeper) Moved(ctx context.Context, call Call, turn Turn, claim *Claim) bool {
-	rec, revision, err := k.read(ctx, call)
-	if err != nil || revision == turn.revision || rec == nil {
+// Moved reports whether another submission has changed the record since Settle
+// returned next, so that "not run" may no longer be true. claim is the claim made
+// with next, or nil. If the record cannot be read, Moved returns false, because
+// no attempt had run when Settle returned next.
+func (k *Keeper) Moved(ctx context.Context, call Call, next Turn, claim *Claim) bool {
+	rec, revision, err := k.readRecord(ctx, call)
+	if err != nil || revision == next.revision || rec == nil {
 		return false
 	}
 	return claim == nil || rec.Claim != claim.record.Claim
 }
 
-// judge decides on one look at the record; done is false to look again.
-func (k *Keeper) judge(ctx context.Context, call Call, rec *record, revision uint64, w *wait, ask Asker) (done bool, o *Outcome, t Turn, err error) {
+// decide determines the result of Settle from one read of the record. done is
+// false if the record must be read again.
+func (k *Keeper) decide(ctx context.Context, call Call, rec *record, revision uint64, w *waitState, ask Asker) (done bool, o *Outcome, next Turn, err error) {
 	if rec == nil {
 		return true, nil, Turn{Attempt: 1}, nil
 	}
@@ -73,68 +76,70 @@
 	}
 	switch rec.State {
 	case stateDone:
-		o, err := k.replay(ctx, call, rec)
+		o, err := k.replayOutcome(ctx, call, rec)
 		return true, o, Turn{}, err
 	case stateNotRun:
 		return true, nil, Turn{Attempt: rec.Attempt + 1}, nil
 	}
-	found := k.probe(ctx, call, rec, w, ask)
+	result := k.probeAgent(ctx, call, rec, w, ask)
 	switch {
-	case found.free:
+	case result.neverRuns:
 		return true, nil, Turn{Attempt: rec.Attempt + 1}, nil
-	case found.unknown:
+	case result.outcomeUnknown:
 		return true, nil, Turn{}, ErrUnknown
-	case found.outcome != nil && k.adopt(ctx, call, *rec, revision, *found.outcome) == nil:
-		return true, found.outcome, Turn{}, nil
+	case result.outcome != nil && k.recordAgentOutcome(ctx, call, *rec, revision, *result.outcome) == nil:
+		return true, result.outcome, Turn{}, nil
 	}
 	return false, nil, Turn{}, nil
 }
 
-// finding is what an agent's answer says of an attempt without an outcome.
-type finding struct {
-	// free says that the attempt can never run.
-	free bool
-	// unknown says that waiting any longer is of no use.
-	unknown bool
-	// outcome is the attempt's, which the agent has kept; nil for none.
+// probeResult is the result of asking an agent about an attempt without a
+// recorded outcome.
+type probeResult struct {
+	// neverRuns is true if the attempt did not run and never will.
+	neverRuns bool
+	// outcomeUnknown is true if waiting longer cannot yield the outcome.
+	outcomeUnknown bool
+	// outcome is the outcome that the agent has kept; nil if there is none.
 	outcome *Outcome
 }
 
-// probe asks the agent about an attempt without an outcome.
-func (k *Keeper) probe(ctx context.Context, call Call, rec *record, w *wait, ask Asker) finding {
+// probeAgent asks the agent about an attempt without a recorded outcome. A zero
+// result means that the resubmission must keep waiting.
+func (k *Keeper) probeAgent(ctx context.Context, call Call, rec *record, w *waitState, ask Asker) probeResult {
 	now := k.clock.Now()
 	if w.attempt != rec.Attempt {
-		*w = wait{attempt: rec.Attempt, since: now}
+		*w = waitState{attempt: rec.Attempt, firstSeen: now}
 	}
 	lost := rec.State == stateLost
-	if !lost && now.Sub(w.since) < k.config.AskAfter {
-		return finding{}
+	if !lost && now.Sub(w.firstSeen) < k.config.AskAfter {
+		return probeResult{}
 	}
 	answer, err := ask(ctx, rec.Agent, call.Row(), rec.Attempt)
 	k.log.Event(eventAsked, eventlog.Fields{
 		"request": call.RequestID, "row": call.Row(), "attempt": rec.Attempt, "server": rec.Agent.ID,
 		"incarnation": rec.Incarnation, "answered": answer.Incarnation, "ran": answer.Ran, "error": errorText(err),
 	})
-	same := err == nil && answer.Incarnation == rec.Incarnation
-	if same && answer.Ran == frame.RanNo {
-		return finding{free: true}
+	sameIncarnation := err == nil && answer.Incarnation == rec.Incarnation
+	if sameIncarnation && answer.Ran == frame.RanNo {
+		return probeResult{neverRuns: true}
 	}
-	if same && answer.Ran == frame.RanRunning {
-		w.over = time.Time{}
-		return finding{}
+	if sameIncarnation && answer.Ran == frame.RanRunning {
+		w.unconfirmedSince = time.Time{}
+		return probeResult{}
 	}
-	if w.over.IsZero() {
-		w.over = now
+	if w.unconfirmedSince.IsZero() {
+		w.unconfirmedSince = now
 	}
-	if kept := answer.Outcome; same && kept != nil {
-		return finding{outcome: &Outcome{Status: kept.Status, Header: kept.Header, Body: kept.Body}}
+	if kept := answer.Outcome; sameIncarnation && kept != nil {
+		return probeResult{outcome: &Outcome{Status: kept.Status, Header: kept.Header, Body: kept.Body}}
 	}
-	return finding{unknown: lost && err == nil || now.Sub(w.over) >= k.config.RecordGrace}
+	return probeResult{outcomeUnknown: lost && err == nil || now.Sub(w.unconfirmedSince) >= k.config.RecordGrace}
 }
 
-// adopt records, for a holder that has vanished, the outcome that the agent
-// has kept.
-func (k *Keeper) adopt(ctx context.Context, call Call, rec record, revision uint64, o Outcome) error {
+// recordAgentOutcome records the outcome that the agent has kept, in place of the
+// entry instance that claimed the attempt and has not recorded it.
+func (k *Keeper) recordAgentOutcome(ctx context.Context, call Call, rec record, revision uint64, o Outcome) error {
 	if len(o.Body) > k.config.RowBodyBytes {
 		stored, err := k.storeBody(ctx, o)
 		if err != nil {
@@ -144,7 +149,7 @@
 	}
 	rec.State = stateDone
 	rec.Outcome = &o
-	if err := k.write(ctx, call, &rec, revision); err != nil {
+	if err := k.writeRecord(ctx, call, &rec, revision); err != nil {
 		return err
 	}
 	k.log.Event(eventAdopted, eventlog.Fields{
@@ -160,8 +165,8 @@
 	return err.Error()
 }
 
-// replay returns the recorded outcome with its body.
-func (k *Keeper) replay(ctx context.Context, call Call, rec *record) (*Outcome, error) {
+// replayOutcome returns the recorded outcome with its body.
+func (k *Keeper) replayOutcome(ctx context.Context, call Call, rec *record) (*Outcome, error) {
 	o := *rec.Outcome
 	if o.Object != "" {
 		body, err := k.objects.Get(ctx, o.Object, 0, -1)
@@ -169,7 +174,7 @@
 			return nil, errors.Wrap(ErrUnknown, core.Step("read once-only body", "objects", err).Error())
 		}
 		if !core.Digest(strings.TrimPrefix(o.Object, rowPrefix)).Matches(body) {
-			return nil, errors.Wrap(ErrUnknown, "the recorded body is damaged")
+			return nil, errors.Wrap(ErrUnknown, "the recorded body does not match its digest")
 		}
 		o.Body = body
 	}
--- a/request/once/sweep.go
+++ b/request/once/sweep.go
@@ -9,11 +9,12 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// sweepPage is the number of rows read at once by Sweep.
+// sweepPage is the number of rows that Sweep reads at once.
 const sweepPage = 200
 
-// Run removes expired records from time to time until ctx ends. The times
-// are spread out at random, so that entry instances seldom do it together.
+// Run removes expired records at random intervals until ctx ends. Random
+// intervals make it unlikely that several entry instances do this at the same
+// time.
 func (k *Keeper) Run(ctx context.Context) error {
 	for {
 		pause := k.config.SweepEvery/2 + rand.N(k.config.SweepEvery)
@@ -40,7 +41,7 @@
 			return removed, core.Step("list once-only records", "table", err)
 		}
 		for _, row := range rows {
-			ok, err := k.expire(ctx, row)
+			ok, err := k.removeIfExpired(ctx, row)
 			if err != nil {
 				return removed, err
 			}
@@ -55,8 +56,9 @@
 	}
 }
 
-// expire removes row if its time has come, and reports whether it did.
-func (k *Keeper) expire(ctx context.Context, row platform.Row) (bool, error) {
+// removeIfExpired removes row if its record has expired, and reports whether it
+// did.
+func (k *Keeper) removeIfExpired(ctx context.Context, row platform.Row) (bool, error) {
 	rec, err := decodeRecord(row.Value)
 	if err != nil {
 		return false, err
