--- a/request/relay/answer.go
+++ b/request/relay/answer.go
@@ -12,133 +12,142 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Parts of a stream of server-sent events.
+// Delimiters in a stream of server-sent events.
 var (
-	eventEnd  = []byte("\n\n")
-	eventDone = []byte("data: [DONE]")
+	sseEventEnd = []byte("\n\n")
+	sseDone     = []byte("data: [DONE]")
 )
 
-// answer passes an answer on to the caller. An answer that is not streamed is
-// held back until it is known to be whole or grows too large. Of a stream,
-// whole events are passed on at once, but the closing [DONE] is held back
-// until the end has been verified.
-type answer struct {
-	response *echo.Response
-	// stream says that the caller asked for server-sent events.
-	stream   bool
-	holdBack int
-	// first is called once before the first byte goes to the caller.
-	first func()
+// callerResponse writes the response of a call to the caller. A response that is
+// not streamed is buffered until it is known to be complete or exceeds
+// bufferLimit. In a stream of events, each complete event is sent at once, but
+// the closing [DONE] is buffered until the agent's End frame has been verified.
+type callerResponse struct {
+	w *echo.Response
+	// streamRequested is true when the caller requested server-sent events.
+	streamRequested bool
+	// bufferLimit is the number of bytes of a response that is not streamed
+	// that are buffered before the first are sent.
+	bufferLimit int
+	// beforeFirstByte is called once, before the first byte is sent to the
+	// caller.
+	beforeFirstByte func()
 
-	// started says that the header has gone to the caller.
-	started bool
-	// tokens is the number of tokens that have gone to the caller.
-	tokens int
-	head   frame.Head
-	// pending is what has been received and not passed on.
-	pending []byte
+	// headerSent is true once the header has been sent to the caller.
+	headerSent bool
+	// tokensSent is the number of tokens sent to the caller.
+	tokensSent int
+	// head is the Head frame of the current attempt.
+	head frame.Head
+	// buffered is the part of the body that was received and not sent yet.
+	buffered []byte
 }
 
-// streamed reports whether the attempt's answer is a stream of events.
-func (a *answer) streamed() bool { return a.stream && a.head.Status == http.StatusOK }
+// isEventStream reports whether the current attempt returns a stream of events.
+func (resp *callerResponse) isEventStream() bool {
+	return resp.streamRequested && resp.head.Status == http.StatusOK
+}
 
-// begin takes the head of an attempt's answer and forgets what an earlier
-// attempt left behind.
-func (a *answer) begin(h frame.Head) {
-	a.head = h
-	a.pending = a.pending[:0]
+// beginAttempt stores the head of a new attempt's response and discards what an
+// earlier attempt left in the buffer.
+func (resp *callerResponse) beginAttempt(head frame.Head) {
+	resp.head = head
+	resp.buffered = resp.buffered[:0]
 }
 
-// data takes a piece of the body.
-func (a *answer) data(d frame.Data) error {
-	a.pending = append(a.pending, d.Body...)
-	if a.streamed() {
-		return a.passEvents(d.Tokens)
+// write buffers a piece of the body and sends what may be sent already.
+func (resp *callerResponse) write(data frame.Data) error {
+	resp.buffered = append(resp.buffered, data.Body...)
+	if resp.isEventStream() {
+		return resp.sendCompleteEvents(data.Tokens)
 	}
-	if !a.started && len(a.pending) <= a.holdBack {
+	if !resp.headerSent && len(resp.buffered) <= resp.bufferLimit {
 		return nil
 	}
-	return a.pass(len(a.pending))
+	return resp.send(len(resp.buffered))
 }
 
-// passEvents passes on the whole events but for [DONE].
-func (a *answer) passEvents(tokens int) error {
-	n := bytes.LastIndex(a.pending, eventEnd) + len(eventEnd)
-	if n < len(eventEnd) {
-		a.tokens += tokens
+// sendCompleteEvents sends the complete events in the buffer, except for [DONE].
+// tokens is the number of tokens in the piece that was buffered last.
+func (resp *callerResponse) sendCompleteEvents(tokens int) error {
+	end := bytes.LastIndex(resp.buffered, sseEventEnd) + len(sseEventEnd)
+	if end < len(sseEventEnd) {
+		resp.tokensSent += tokens
 		return nil
 	}
-	if i := doneAt(a.pending[:n]); i >= 0 {
-		n = i
+	if i := doneIndex(resp.buffered[:end]); i >= 0 {
+		end = i
 	}
-	a.tokens += tokens
-	if n == 0 {
+	resp.tokensSent += tokens
+	if end == 0 {
 		return nil
 	}
-	return a.pass(n)
+	return resp.send(end)
 }
 
-// doneAt returns where the closing [DONE] event starts in events, or -1.
-func doneAt(events []byte) int {
-	if bytes.HasPrefix(events, eventDone) {
+// doneIndex returns the index of the closing [DONE] event in events, or -1.
+func doneIndex(events []byte) int {
+	if bytes.HasPrefix(events, sseDone) {
 		return 0
 	}
-	i := bytes.Index(events, append(eventEnd[:len(eventEnd):len(eventEnd)], eventDone...))
-	if i < 0 {
+	index := bytes.Index(events, append(sseEventEnd[:len(sseEventEnd):len(sseEventEnd)], sseDone...))
+	if index < 0 {
 		return -1
 	}
-	return i + len(eventEnd)
+	return index + len(sseEventEnd)
 }
 
-// pass writes the first n pending bytes to the caller.
-func (a *answer) pass(n int) error {
-	a.start("")
-	if _, err := a.response.Write(a.pending[:n]); err != nil {
+// send writes the first n buffered bytes to the caller.
+func (resp *callerResponse) send(n int) error {
+	resp.sendHeader("")
+	if _, err := resp.w.Write(resp.buffered[:n]); err != nil {
 		return err
 	}
-	a.pending = append(a.pending[:0], a.pending[n:]...)
-	a.response.Flush()
+	resp.buffered = append(resp.buffered[:0], resp.buffered[n:]...)
+	resp.w.Flush()
 	return nil
 }
 
-// finish ends an answer that is known to be whole.
-func (a *answer) finish() error {
-	a.start(strconv.Itoa(len(a.pending)))
-	_, err := a.response.Write(a.pending)
+// finish sends the rest of a response that is known to be complete.
+func (resp *callerResponse) finish() error {
+	resp.sendHeader(strconv.Itoa(len(resp.buffered)))
+	_, err := resp.w.Write(resp.buffered)
 	return err
 }
 
-// start sends the header once; a length of "" means that it is not known.
-func (a *answer) start(length string) {
-	if a.started {
+// sendHeader sends the header unless that was done before. length is the value
+// of Content-Length; "" means that the length is not known.
+func (resp *callerResponse) sendHeader(length string) {
+	if resp.headerSent {
 		return
 	}
-	a.started = true
-	a.first()
-	header := a.response.Header()
-	for name, values := range passedOn(a.head.Header) {
+	resp.headerSent = true
+	resp.beforeFirstByte()
+	header := resp.w.Header()
+	for name, values := range forwardedHeader(resp.head.Header) {
 		header[name] = values
 	}
 	if length != "" {
 		header.Set(echo.HeaderContentLength, length)
 	}
-	if a.head.Digest != "" {
-		header.Set(core.HeaderDigest, string(a.head.Digest))
+	if resp.head.Digest != "" {
+		header.Set(core.HeaderDigest, string(resp.head.Digest))
 	}
-	a.response.WriteHeader(a.head.Status)
+	resp.w.WriteHeader(resp.head.Status)
 }
 
-// cut breaks the answer off so that the caller can see it: an error event in
-// a stream, and in any case a connection that ends without the closing chunk.
-func (a *answer) cut(p *Problem) {
-	if a.streamed() {
+// abort ends an incomplete response so that the caller can detect it: a stream
+// gets an error event, and every connection ends without the final chunk. It
+// does not return but panics with http.ErrAbortHandler.
+func (resp *callerResponse) abort(p *Problem) {
+	if resp.isEventStream() {
 		body, err := json.Marshal(p)
 		if err == nil {
-			a.response.Write([]byte("event: error\ndata: "))
-			a.response.Write(body)
-			a.response.Write(eventEnd)
+			resp.w.Write([]byte("event: error\ndata: "))
+			resp.w.Write(body)
+			resp.w.Write(sseEventEnd)
 		}
 	}
-	a.response.Flush()
+	resp.w.Flush()
 	panic(http.ErrAbortHandler)
 }
--- a/request/relay/attempt.go
+++ b/request/relay/attempt.go
@@ -16,56 +16,61 @@
 	"github.com/rattanway/rattanway/request/routing"
 )
 
-// Errors of one attempt, wrapped with step and peer.
+// Errors of one attempt.
 var (
-	errCrossed   = errors.New("frame of another request")
-	errDigest    = errors.New("answered from other weights")
-	errNotWhole  = errors.New("answer is not whole")
-	errBrokeOff  = errors.New("answer broke off")
-	errOverload  = errors.New("server is overloaded")
-	errWrongKind = errors.New("unexpected frame")
+	errWrongRequestID  = errors.New("frame carries the id of another request")
+	errWrongDigest     = errors.New("response was produced from other weights")
+	errIncomplete      = errors.New("response is incomplete or corrupt")
+	errResponseFailed  = errors.New("response ended early")
+	errOverloaded      = errors.New("server is overloaded")
+	errUnexpectedFrame = errors.New("unexpected frame")
 )
 
-// callerError says that the caller could not be written to.
-type callerError struct{ err error }
+// callerWriteError wraps an error of writing the response to the caller.
+type callerWriteError struct{ err error }
 
 // Error implements error.
-func (e callerError) Error() string { return "write to caller: " + e.err.Error() }
+func (e callerWriteError) Error() string { return "write to caller: " + e.err.Error() }
 
-// verdict is what became of an attempt.
-type verdict struct {
+// attemptResult is the result of one attempt at a backend server.
+type attemptResult struct {
 	result routing.Result
-	// load is the agent's last word on its load, or nil.
+	// load is the load in the agent's last frame; nil if there was none.
 	load *frame.Load
-	// refused is set when the agent did not admit the call.
-	refused *frame.Refuse
-	// word is what the agent says became of a call that failed, or "".
-	word core.Refusal
-	err  error
+	// refusal is the agent's Refuse frame; nil unless the agent refused the
+	// call.
+	refusal *frame.Refuse
+	// failOutcome is the outcome in the agent's Fail frame; "" without one.
+	failOutcome core.Refusal
+	err         error
 }
 
-func failed(err error) verdict { return verdict{result: routing.ResultFailed, err: err} }
+func failedAttempt(err error) attemptResult {
+	return attemptResult{result: routing.ResultFailed, err: err}
+}
 
-// receiveWithin is receive with a time limit.
-func receiveWithin(ctx context.Context, x work.Exchange, id string, within time.Duration) (any, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// receiveWithTimeout is receive with a time limit.
+func receiveWithTimeout(ctx context.Context, x work.Exchange, id string, timeout time.Duration) (any, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return receive(ctx, x, id)
 }
 
-// receive reads the next frame and checks its id.
+// receive returns the next frame of an exchange, or errWrongRequestID when the
+// frame does not carry the request id.
 func receive(ctx context.Context, x work.Exchange, id string) (any, error) {
 	msg, err := x.Receive(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if got := frameID(msg); got != id {
-		return nil, fmt.Errorf("%w: %q", errCrossed, got)
+	if gotID := frameID(msg); gotID != id {
+		return nil, fmt.Errorf("%w: %q", errWrongRequestID, gotID)
 	}
 	return msg, nil
 }
 
-// frameID returns the request id that a message of an agent carries.
+// frameID returns the request id of a message from an agent, or "" for an
+// unexpected message type.
 func frameID(msg any) string {
 	switch m := msg.(type) {
 	case *frame.Admit:
@@ -86,91 +91,98 @@
 	return ""
 }
 
-// tally checks that the body is the one its sender vouches for.
-type tally struct {
+// bodyChecksum computes the length and hash of a response body, to be compared
+// with those in the agent's End frame.
+type bodyChecksum struct {
 	bytes int64
 	sum   *xxhash.Digest
 }
 
-func newTally() *tally { return &tally{sum: xxhash.New()} }
+func newBodyChecksum() *bodyChecksum { return &bodyChecksum{sum: xxhash.New()} }
 
-func (t *tally) add(body []byte) {
-	t.bytes += int64(len(body))
-	t.sum.Write(body)
+func (c *bodyChecksum) add(body []byte) {
+	c.bytes += int64(len(body))
+	c.sum.Write(body)
 }
 
-func (t *tally) matches(e frame.End) bool { return t.bytes == e.Bytes && t.sum.Sum64() == e.Sum }
+func (c *bodyChecksum) matches(end frame.End) bool {
+	return c.bytes == end.Bytes && c.sum.Sum64() == end.Sum
+}
 
-// reader reads one answer from an exchange.
-type reader struct {
-	id     string
+// responseReader reads one response from an exchange.
+type responseReader struct {
+	id string
+	// digest is the weights digest that the response must carry; empty for
+	// calls to plain services.
 	digest core.Digest
-	// heard is called for each piece of the body.
-	heard func()
-	// head and data take what arrives, in order.
-	head func(frame.Head) error
-	data func(frame.Data) error
+	// onProgress is called for each piece of the body, before onData.
+	onProgress func()
+	// onHead and onData process the frames in order; an error ends the attempt.
+	onHead func(frame.Head) error
+	onData func(frame.Data) error
 }
 
-// read runs until the answer ends in one way or another.
-func (rd *reader) read(ctx context.Context, x work.Exchange) verdict {
-	t := newTally()
-	begun := false
+// read reads frames until the response is complete, refused or failed, or ctx
+// ends.
+func (rd *responseReader) read(ctx context.Context, x work.Exchange) attemptResult {
+	checksum := newBodyChecksum()
+	headReceived := false
 	for {
 		msg, err := receive(ctx, x, rd.id)
 		if err != nil {
-			return failed(err)
+			return failedAttempt(err)
 		}
 		switch m := msg.(type) {
 		case *frame.Refuse:
-			return verdict{result: routing.ResultRefused, load: &m.Load, refused: m}
+			return attemptResult{result: routing.ResultRefused, load: &m.Load, refusal: m}
 		case *frame.Fail:
-			err := fmt.Errorf("%w: %s", errBrokeOff, m.Detail)
-			return verdict{result: routing.ResultFailed, load: &m.Load, word: m.Word, err: err}
+			err := fmt.Errorf("%w: %s", errResponseFailed, m.Detail)
+			return attemptResult{result: routing.ResultFailed, load: &m.Load, failOutcome: m.Word, err: err}
 		case *frame.Head:
 			if m.Digest != rd.digest {
-				return failed(fmt.Errorf("%w: %s", errDigest, m.Digest.Short()))
+				return failedAttempt(fmt.Errorf("%w: %s", errWrongDigest, m.Digest.Short()))
 			}
-			begun = true
-			err = rd.head(*m)
+			headReceived = true
+			err = rd.onHead(*m)
 		case *frame.Data:
-			if !begun {
-				return failed(errWrongKind)
+			if !headReceived {
+				return failedAttempt(errUnexpectedFrame)
 			}
-			t.add(m.Body)
-			rd.heard()
-			err = rd.data(*m)
+			checksum.add(m.Body)
+			rd.onProgress()
+			err = rd.onData(*m)
 		case *frame.End:
-			if !begun || !t.matches(*m) {
-				return verdict{result: routing.ResultFailed, load: &m.Load, err: errNotWhole}
+			if !headReceived || !checksum.matches(*m) {
+				return attemptResult{result: routing.ResultFailed, load: &m.Load, err: errIncomplete}
 			}
-			return verdict{result: routing.ResultOK, load: &m.Load}
+			return attemptResult{result: routing.ResultOK, load: &m.Load}
 		default:
-			return failed(errWrongKind)
+			return failedAttempt(errUnexpectedFrame)
 		}
 		if err != nil {
-			return failed(err)
+			return failedAttempt(err)
 		}
 	}
 }
 
-// close gives the connection back to the pool if the exchange came to its
-// proper end, and cancels the call at the agent otherwise.
-func (v verdict) close(x work.Exchange) {
-	x.Close(v.result == routing.ResultOK || v.refused != nil || v.word != "")
+// closeExchange closes x. It returns the connection to the pool if the agent
+// ended the exchange with a final frame, and cancels the call at the agent
+// otherwise.
+func (res attemptResult) closeExchange(x work.Exchange) {
+	x.Close(res.result == routing.ResultOK || res.refusal != nil || res.failOutcome != "")
 }
 
-// attemptEnded tells routing and the log what became of an attempt.
-func (r *Relay) attemptEnded(c *call, s registry.Server, v verdict) {
-	r.picker.Done(s.Instance.ID, v.result, v.load)
+// recordAttempt reports the result of an attempt to routing and logs it.
+func (r *Relay) recordAttempt(c *call, server registry.Server, res attemptResult) {
+	r.picker.Done(server.Instance.ID, res.result, res.load)
 	fields := eventlog.Fields{
-		"request": c.id, "server": s.Instance.ID, "result": v.result.String(),
+		"request": c.id, "server": server.Instance.ID, "result": res.result.String(),
 	}
-	if v.refused != nil {
-		fields["reason"] = v.refused.Reason
+	if res.refusal != nil {
+		fields["reason"] = res.refusal.Reason
 	}
-	if v.err != nil {
-		fields["error"] = v.err.Error()
+	if res.err != nil {
+		fields["error"] = res.err.Error()
 	}
 	r.log.Event(eventAttemptEnded, fields)
 }
--- a/request/relay/budget.go
+++ b/request/relay/budget.go
@@ -5,60 +5,68 @@
 	"sync"
 )
 
-// budget bounds retries to a share of the calls in flight, so that they
-// cannot multiply an overload. A retry counts until its first byte arrives.
-type budget struct {
+// retryBudget limits concurrent retries to a share of the calls in flight, so
+// that retries cannot amplify an overload. A retry counts until its first byte
+// arrives.
+type retryBudget struct {
+	// ratio is the share of the calls in flight; negative for no limit.
 	ratio float64
-	least int
+	// minRetries is the smallest limit.
+	minRetries int
 
-	mu      sync.Mutex
-	calls   int
-	retries int
-	// freed is closed when a retry is given back.
-	freed chan struct{}
+	mu            sync.Mutex
+	callsInFlight int
+	retries       int
+	// retryReleased is closed, and replaced, when a retry is released.
+	retryReleased chan struct{}
 }
 
-func newBudget(ratio float64, least int) *budget {
-	return &budget{ratio: ratio, least: least, freed: make(chan struct{})}
+func newRetryBudget(ratio float64, minRetries int) *retryBudget {
+	return &retryBudget{ratio: ratio, minRetries: minRetries, retryReleased: make(chan struct{})}
 }
 
-// enter counts a call in flight; the returned function ends it.
-func (b *budget) enter() func() {
-	b.add(1, 0)
-	return func() { b.add(-1, 0) }
+// addCall counts one more call in flight until the returned function is called.
+func (b *retryBudget) addCall() func() {
+	b.adjust(1, 0)
+	return func() { b.adjust(-1, 0) }
 }
 
-// take waits for one retry, until ctx ends. The returned function gives it
-// back; further calls of it do nothing.
-func (b *budget) take(ctx context.Context) (giveBack func(), ok bool) {
+// acquire waits until the budget admits one more retry, or returns false when ctx
+// ends first. The first call of release releases the retry; further calls do
+// nothing.
+func (b *retryBudget) acquire(ctx context.Context) (release func(), ok bool) {
 	for {
 		b.mu.Lock()
-		if b.ratio < 0 || b.retries < b.allowed() {
+		if b.ratio < 0 || b.retries < b.retryLimit() {
 			b.retries++
 			b.mu.Unlock()
-			return sync.OnceFunc(func() { b.add(0, -1) }), true
+			return sync.OnceFunc(func() { b.adjust(0, -1) }), true
 		}
-		freed := b.freed
+		retryReleased := b.retryReleased
 		b.mu.Unlock()
 		select {
-		case <-freed:
+		case <-retryReleased:
 		case <-ctx.Done():
 			return nil, false
 		}
 	}
 }
 
-// allowed is the number of retries that may wait for their first byte at
-// once; the lock is held.
-func (b *budget) allowed() int { return max(b.least, int(b.ratio*float64(b.calls))) }
+// retryLimit returns the number of retries that may wait for their first byte at
+// the same time. The caller must hold b.mu.
+func (b *retryBudget) retryLimit() int {
+	return max(b.minRetries, int(b.ratio*float64(b.callsInFlight)))
+}
 
-func (b *budget) add(calls, retries int) {
+// adjust changes the counts of calls in flight and of retries, and wakes waiting
+// retries when one is released.
+func (b *retryBudget) adjust(callsDelta, retriesDelta int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.calls += calls
-	b.retries += retries
-	if retries < 0 {
-		close(b.freed)
-		b.freed = make(chan struct{})
+	b.callsInFlight += callsDelta
+	b.retries += retriesDelta
+	if retriesDelta < 0 {
+		close(b.retryReleased)
+		b.retryReleased = make(chan struct{})
 	}
 }
--- a/request/relay/budget_test.go
+++ b/request/relay/budget_test.go
@@ -12,33 +12,34 @@
 
 const overloadCalls = 100
 
-// attemptsUnderOverload returns how many attempts the servers get for a
-// number of calls when none of them answers in time.
+// attemptsUnderOverload returns the number of attempts that the servers receive
+// for overloadCalls calls when no server responds in time. ratio is the
+// RetryBudgetRatio.
 func attemptsUnderOverload(t *testing.T, ratio float64) int {
 	stall := func(x *fakeExchange, _ frame.Kind, _ any) { <-x.closed }
-	b := newBench(t, Config{
+	fx := newFixture(t, Config{
 		RetryBudgetRatio: ratio, MinRetries: 2, BudgetWait: 100 * time.Millisecond, FirstTokenTimeout: 200 * time.Millisecond,
 	}, nil, map[string]fakeAgent{"a": stall, "b": stall, "c": stall, "d": stall})
 	var calls sync.WaitGroup
 	for range overloadCalls {
 		calls.Go(func() {
-			if resp, err := b.post("/v1/completions", streamBody); err == nil {
-				_, _ = body(resp)
+			if resp, err := fx.post("/v1/completions", streamBody); err == nil {
+				_, _ = readBody(resp)
 			}
 		})
 	}
 	calls.Wait()
-	b.opener.mu.Lock()
-	defer b.opener.mu.Unlock()
-	return len(b.opener.opened)
+	fx.opener.mu.Lock()
+	defer fx.opener.mu.Unlock()
+	return len(fx.opener.opened)
 }
 
 func TestRetryBudget(t *testing.T) {
-	Convey("Given servers that are too slow for every call", t, func() {
-		without := attemptsUnderOverload(t, -1)
-		with := attemptsUnderOverload(t, defaultRetryBudgetRatio)
-		t.Logf("attempts for %d calls: %d without a budget, %d with a budget of %.1f", overloadCalls, without, with, defaultRetryBudgetRatio)
-		So(without, ShouldBeGreaterThan, 2*overloadCalls)
-		So(with, ShouldBeLessThan, 2*overloadCalls)
+	Convey("Given servers that time out on every call", t, func() {
+		attemptsWithoutBudget := attemptsUnderOverload(t, -1)
+		attemptsWithBudget := attemptsUnderOverload(t, defaultRetryBudgetRatio)
+		t.Logf("attempts for %d calls: %d without a budget, %d with a budget of %.1f", overloadCalls, attemptsWithoutBudget, attemptsWithBudget, defaultRetryBudgetRatio)
+		So(attemptsWithoutBudget, ShouldBeGreaterThan, 2*overloadCalls)
+		So(attemptsWithBudget, ShouldBeLessThan, 2*overloadCalls)
 	})
 }
--- a/request/relay/call.go
+++ b/request/relay/call.go
@@ -20,49 +20,56 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// maxRequestIDBytes bounds a request id that a caller chooses.
+// maxRequestIDBytes is the greatest length of a request id that a caller may
+// choose.
 const maxRequestIDBytes = 128
 
-// resumePriority is the priority of a call whose answer has begun: what is
-// half done comes before what has not been started.
+// resumePriority is the priority of a call whose response has begun: such a
+// call takes precedence over calls that have not started.
 const resumePriority = 9
 
-// call is one call of a caller.
+// call is one HTTP call received from a client account.
 type call struct {
-	id      string
-	account *declare.ClientAccount
-	arrived time.Time
-	// request is what agents get; its deadline is set for each attempt.
+	id        string
+	account   *declare.ClientAccount
+	arrivedAt time.Time
+	// request is sent to agents; attemptRequest sets its timeout for each
+	// attempt.
 	request frame.Request
-	// service names the plain service; empty for model calls.
+	// service is the name of the plain service; empty for model calls.
 	service string
-	// prefix is the hash of the prompt's beginning; 0 for none.
-	prefix uint64
-	// stream says that the caller asked for server-sent events.
-	stream bool
-	// due says that the call is within its account's fair share.
-	due bool
-	// key is the Idempotency-Key of a once-only call.
-	key string
+	// prefixHash is the hash of the prompt's prefix; 0 for calls to plain
+	// services.
+	prefixHash uint64
+	// streamRequested is true when the caller requested server-sent events.
+	streamRequested bool
+	// withinFairShare is true when the call is within the fair share of its
+	// client account.
+	withinFairShare bool
+	// idempotencyKey is the Idempotency-Key of a once-only call; empty for none.
+	idempotencyKey string
 }
 
-// query returns what routing needs to know.
-func (c *call) query(tried map[string]bool) routing.Query {
+// routingQuery returns the query for a backend server for the call. tried holds
+// the ids of the servers that earlier attempts used.
+func (c *call) routingQuery(tried map[string]bool) routing.Query {
 	return routing.Query{
 		RequestID: c.id,
 		Model:     c.request.Model,
 		Digest:    c.request.Digest,
 		Service:   c.service,
-		Prefix:    c.prefix,
+		Prefix:    c.prefixHash,
 		Tried:     tried,
 	}
 }
 
-// attempt returns the request for one attempt under the deadline of ctx.
-func (c *call) attempt(ctx context.Context, resume int) frame.Request {
+// attemptRequest returns the request for one attempt. Its timeout is the time
+// left until the deadline of ctx, and resumeTokens is the number of tokens that
+// the caller has already received.
+func (c *call) attemptRequest(ctx context.Context, resumeTokens int) frame.Request {
 	req := c.request
-	req.ResumeTokens = resume
-	if resume > 0 {
+	req.ResumeTokens = resumeTokens
+	if resumeTokens > 0 {
 		req.Priority = resumePriority
 	}
 	if deadline, ok := ctx.Deadline(); ok {
@@ -71,72 +78,75 @@
 	return req
 }
 
-// requestID returns the caller's request id, or a new one, and sets it on the
-// answer.
+// requestID returns the request id that the caller sent, or a new one when it
+// is missing or invalid, and sets it in the response header.
 func requestID(c echo.Context) string {
 	id := c.Request().Header.Get(core.HeaderRequestID)
-	if id == "" || len(id) > maxRequestIDBytes || strings.ContainsFunc(id, unprintable) {
+	if id == "" || len(id) > maxRequestIDBytes || strings.ContainsFunc(id, isUnprintable) {
 		id = uuid.NewString()
 	}
 	c.Response().Header().Set(core.HeaderRequestID, id)
 	return id
 }
 
-// reserveID is requestID for a call, and gives a new id to a call whose id
-// another one in flight has: answers are told apart by it. release is called
-// once.
-func (r *Relay) reserveID(c echo.Context) (id string, release func()) {
+// reserveRequestID returns the id of a call like requestID, but a new one when
+// another call in flight has the same id, because responses are matched to calls
+// by their id. release must be called once.
+func (r *Relay) reserveRequestID(c echo.Context) (id string, release func()) {
 	id = requestID(c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ids[id] {
+	if r.requestIDs[id] {
 		id = uuid.NewString()
 		c.Response().Header().Set(core.HeaderRequestID, id)
 	}
-	r.ids[id] = true
+	r.requestIDs[id] = true
 	return id, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.ids, id)
+		delete(r.requestIDs, id)
 	}
 }
 
-func unprintable(r rune) bool { return r <= ' ' || r > '~' }
+// isUnprintable reports whether r is a space or not a printable ASCII character.
+func isUnprintable(r rune) bool { return r <= ' ' || r > '~' }
 
-// newCall authenticates the caller and reads the request's body.
+// newCall authenticates the caller, reads the request body and returns the
+// call. It returns a Problem when either fails.
 func (r *Relay) newCall(c echo.Context, id string) (*call, *Problem) {
 	req := c.Request()
-	account, err := r.book.Authenticate(req.Header.Get(echo.HeaderAuthorization))
+	account, err := r.accounts.Authenticate(req.Header.Get(echo.HeaderAuthorization))
 	if err != nil {
-		return nil, refusal(http.StatusUnauthorized, core.RefusalNotRun, err.Error())
+		return nil, newProblem(http.StatusUnauthorized, core.RefusalNotRun, err.Error())
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), req.Body, r.config.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, refusal(http.StatusRequestEntityTooLarge, core.RefusalNotRun, err.Error())
+		return nil, newProblem(http.StatusRequestEntityTooLarge, core.RefusalNotRun, err.Error())
 	}
 	if err != nil {
-		return nil, refusal(http.StatusBadRequest, core.RefusalNotRun, "read body: "+err.Error())
+		return nil, newProblem(http.StatusBadRequest, core.RefusalNotRun, "read body: "+err.Error())
 	}
 	return &call{
-		id:      id,
-		account: account,
-		arrived: r.clock.Now(),
+		id:        id,
+		account:   account,
+		arrivedAt: r.clock.Now(),
 		request: frame.Request{
 			ID:       id,
 			Account:  account.Name,
 			Share:    accounts.Share(account),
-			Priority: priority(req.Header, account),
+			Priority: requestPriority(req.Header, account),
 			Method:   req.Method,
-			Header:   passedOn(req.Header),
+			Header:   forwardedHeader(req.Header),
 			Body:     body,
-			Config:   r.holder.Current().Number,
+			Config:   r.configStore.Current().Number,
 		},
 	}, nil
 }
 
-// priority returns the priority asked for, within the account's bound.
-func priority(h http.Header, a *declare.ClientAccount) int {
+// requestPriority returns the priority in the request header, limited to the
+// account's MaxPriority, or 0 if there is no valid one.
+func requestPriority(h http.Header, a *declare.ClientAccount) int {
 	n, err := strconv.Atoi(h.Get(core.HeaderPriority))
 	if err != nil {
 		return 0
@@ -144,36 +154,38 @@
 	return max(0, min(n, a.MaxPriority))
 }
 
-// notPassedOn lists the header fields that concern one connection only, or
-// that the system itself sets.
-var notPassedOn = map[string]bool{
+// notForwarded lists the header fields that are not copied between caller and
+// backend server: they concern a single connection, or the system itself sets
+// them.
+var notForwarded = map[string]bool{
 	"Authorization": true, "Connection": true, "Content-Length": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Host": true, "Accept-Encoding": true, "Expect": true,
 	core.HeaderRequestID: true, core.HeaderPeerToken: true, core.HeaderPriority: true, core.HeaderDigest: true,
 }
 
-// passedOn returns the header fields that travel from end to end.
-func passedOn(h http.Header) map[string][]string {
-	kept := map[string][]string{}
+// forwardedHeader returns the fields of h that are forwarded end to end.
+func forwardedHeader(h http.Header) map[string][]string {
+	forwarded := map[string][]string{}
 	for name, values := range h {
-		if !notPassedOn[http.CanonicalHeaderKey(name)] {
-			kept[name] = values
+		if !notForwarded[http.CanonicalHeaderKey(name)] {
+			forwarded[name] = values
 		}
 	}
-	return kept
+	return forwarded
 }
 
-// findRoute returns the declared route of a call: the exact path before the
-// longest prefix.
-func findRoute(s *declare.Service, method, p string) (declare.Route, bool) {
-	if clean := path.Clean(p); clean != p && clean+"/" != p {
+// findRoute returns the declared route of a service for a method and path. An
+// exact path takes precedence over prefixes, and a longer prefix over a shorter
+// one. Paths that are not in clean form match no route.
+func findRoute(service *declare.Service, method, requestPath string) (declare.Route, bool) {
+	if clean := path.Clean(requestPath); clean != requestPath && clean+"/" != requestPath {
 		return declare.Route{}, false
 	}
 	var best declare.Route
 	found := false
-	for _, route := range s.Routes {
-		if route.Method != method || !covers(route.Path, p) {
+	for _, route := range service.Routes {
+		if route.Method != method || !routeMatches(route.Path, requestPath) {
 			continue
 		}
 		if !found || len(route.Path) > len(best.Path) {
@@ -184,10 +196,11 @@
 	return best, found
 }
 
-// covers reports whether the declared path is p or a prefix of it.
-func covers(declared, p string) bool {
+// routeMatches reports whether a declared path matches requestPath: exactly, or
+// as a prefix if it ends in a slash.
+func routeMatches(declared, requestPath string) bool {
 	if strings.HasSuffix(declared, "/") {
-		return strings.HasPrefix(p, declared)
+		return strings.HasPrefix(requestPath, declared)
 	}
-	return declared == p
+	return declared == requestPath
 }
--- a/request/relay/fakes_test.go
+++ b/request/relay/fakes_test.go
@@ -31,10 +31,12 @@
 	testDigest = core.Digest("sha256:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa")
 )
 
-// fakeAgent answers one exchange by sending frames in order.
+// fakeAgent is the behaviour of an agent in one exchange. msg is the first
+// message of the entry instance.
 type fakeAgent func(x *fakeExchange, kind frame.Kind, msg any)
 
-// fakeExchange is both ends of one exchange.
+// fakeExchange is an exchange between an entry instance and a fakeAgent. Its
+// exported methods are the end of the entry instance.
 type fakeExchange struct {
 	toEntry chan any
 	toAgent chan any
@@ -65,8 +67,9 @@
 
 func (x *fakeExchange) Close(bool) { x.once.Do(func() { close(x.closed) }) }
 
-// say sends frames to the entry until it has closed the exchange.
-func (x *fakeExchange) say(msgs ...any) {
+// sendToEntry sends messages to the entry instance, and stops once the entry
+// instance has closed the exchange.
+func (x *fakeExchange) sendToEntry(msgs ...any) {
 	for _, m := range msgs {
 		select {
 		case x.toEntry <- m:
@@ -76,44 +79,47 @@
 	}
 }
 
-// reset breaks the connection.
-func (x *fakeExchange) reset() { close(x.toEntry) }
+// breakConnection makes the entry instance see a connection reset.
+func (x *fakeExchange) breakConnection() { close(x.toEntry) }
 
-// fakeOpener gives each agent its behaviour.
+// fakeOpener opens exchanges with fakeAgents.
 type fakeOpener struct {
 	mu     sync.Mutex
 	agents map[string]fakeAgent
+	// opened lists the agents of all exchanges, in the order of opening.
 	opened []string
-	// running lets a test wait for agents that are still at work.
+	// running counts the exchanges that agents have not finished.
 	running sync.WaitGroup
 }
 
 func (o *fakeOpener) Open(_ context.Context, agent core.Instance, _ string, kind frame.Kind, msg any) (work.Exchange, error) {
 	o.mu.Lock()
-	behave, ok := o.agents[agent.ID]
+	respond, ok := o.agents[agent.ID]
 	o.opened = append(o.opened, agent.ID)
 	o.mu.Unlock()
 	if !ok {
 		return nil, errors.New("connection refused")
 	}
 	x := &fakeExchange{toEntry: make(chan any), toAgent: make(chan any, 1), closed: make(chan struct{})}
-	o.running.Go(func() { behave(x, kind, msg) })
+	o.running.Go(func() { respond(x, kind, msg) })
 	return x, nil
 }
 
-// bench is a Relay with fakes around it, behind a real HTTP server.
-type bench struct {
+// fixture is a Relay with fake agents, served by a real HTTP server.
+type fixture struct {
 	opener *fakeOpener
 	relay  *Relay
 	holder *confstore.Holder
 	server *httptest.Server
 }
 
-func newBench(t *testing.T, c Config, keeper *once.Keeper, agents map[string]fakeAgent) *bench {
+// newFixture starts a Relay with the given agents. An agent whose id begins with
+// "booking" runs the plain service booking, and any other one an engine.
+func newFixture(t *testing.T, config Config, keeper *once.Keeper, agents map[string]fakeAgent) *fixture {
 	t.Helper()
-	b := &bench{opener: &fakeOpener{agents: agents}, holder: confstore.NewHolder()}
+	fx := &fixture{opener: &fakeOpener{agents: agents}, holder: confstore.NewHolder()}
 	reg := registry.New()
-	set := testSet()
+	set := testDeclarations()
 	for id := range agents {
 		service := ""
 		if strings.HasPrefix(id, "booking") {
@@ -126,20 +132,21 @@
 			Report: frame.Report{State: frame.StateReady, Limit: 100, Loaded: []frame.Loaded{{Model: "labels", Digest: testDigest}}},
 		})
 	}
-	b.holder.Offer(&declare.Snapshot{Number: 1, Set: set})
+	fx.holder.Offer(&declare.Snapshot{Number: 1, Set: set})
 	clock := clockwork.NewRealClock()
 	router := routing.New(routing.Config{Self: core.Instance{DataCentre: "palermo", Region: "west"}, Policy: routing.PolicyRoundRobin},
-		reg, b.holder, eventlog.Discard(), clock)
-	b.relay = New(c, b.holder, router, b.opener, keeper, eventlog.Discard(), clock)
+		reg, fx.holder, eventlog.Discard(), clock)
+	fx.relay = New(config, fx.holder, router, fx.opener, keeper, eventlog.Discard(), clock)
 	e := echo.New()
-	b.relay.Register(e)
-	b.server = httptest.NewServer(e)
-	b.server.Config.ErrorLog = nil
-	t.Cleanup(b.server.Close)
-	return b
+	fx.relay.Register(e)
+	fx.server = httptest.NewServer(e)
+	fx.server.Config.ErrorLog = nil
+	t.Cleanup(fx.server.Close)
+	return fx
 }
 
-func testSet() *declare.Set {
+// testDeclarations returns declarations without backend servers.
+func testDeclarations() *declare.Set {
 	set := declare.NewSet()
 	set.DataCentres["palermo"] = &declare.DataCentre{Name: "palermo", Region: "west"}
 	set.Models["labels"] = &declare.Model{Name: "labels", Version: "v1", Replicas: 1}
@@ -152,9 +159,9 @@
 	return set
 }
 
-// post sends a call; header holds pairs of names and values.
-func (b *bench) post(path, body string, header ...string) (*http.Response, error) {
-	req, err := http.NewRequest(http.MethodPost, b.server.URL+path, strings.NewReader(body))
+// post sends a call. header holds alternating names and values of header fields.
+func (fx *fixture) post(path, body string, header ...string) (*http.Response, error) {
+	req, err := http.NewRequest(http.MethodPost, fx.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -165,39 +172,42 @@
 	return http.DefaultClient.Do(req)
 }
 
-func event(n int) []byte { return fmt.Appendf(nil, "data: {\"token\":\"t%d\"}\n\n", n) }
+// tokenEvent returns the event with token n.
+func tokenEvent(n int) []byte { return fmt.Appendf(nil, "data: {\"token\":\"t%d\"}\n\n", n) }
 
-// stream is an agent that sends tokens up to total, going on after
-// ResumeTokens, and then ends; after breakAfter tokens it breaks off (0 for
-// never).
-func stream(total, breakAfter int) fakeAgent {
+// streamingAgent returns an agent that streams tokens from ResumeTokens up to
+// total and then ends the response. If breakAfter is not 0, it breaks the
+// connection when the response has that many tokens.
+func streamingAgent(total, breakAfter int) fakeAgent {
 	return func(x *fakeExchange, _ frame.Kind, msg any) {
 		req := msg.(frame.Request)
-		x.say(&frame.Head{ID: req.ID, Status: 200, Digest: testDigest, Header: map[string][]string{"Content-Type": {"text/event-stream"}}})
+		x.sendToEntry(&frame.Head{ID: req.ID, Status: 200, Digest: testDigest, Header: map[string][]string{"Content-Type": {"text/event-stream"}}})
 		var sent bytes.Buffer
 		for n := req.ResumeTokens; n < total; n++ {
 			if breakAfter > 0 && n >= breakAfter {
-				x.reset()
+				x.breakConnection()
 				return
 			}
-			sent.Write(event(n))
-			x.say(&frame.Data{ID: req.ID, Body: event(n), Tokens: 1})
+			sent.Write(tokenEvent(n))
+			x.sendToEntry(&frame.Data{ID: req.ID, Body: tokenEvent(n), Tokens: 1})
 		}
 		done := []byte("data: [DONE]\n\n")
 		sent.Write(done)
-		x.say(&frame.Data{ID: req.ID, Body: done})
-		x.say(endOf(req.ID, sent.Bytes()))
+		x.sendToEntry(&frame.Data{ID: req.ID, Body: done})
+		x.sendToEntry(endFrame(req.ID, sent.Bytes()))
 	}
 }
 
-func endOf(id string, body []byte) *frame.End {
+// endFrame returns the End frame of a response with the given body.
+func endFrame(id string, body []byte) *frame.End {
 	return &frame.End{ID: id, Bytes: int64(len(body)), Sum: xxhash.Sum64(body), Load: frame.Load{Limit: 100}}
 }
 
-func wholeStream(total int) string {
+// completeStream returns the body of a complete stream with total tokens.
+func completeStream(total int) string {
 	var b strings.Builder
 	for n := range total {
-		b.Write(event(n))
+		b.Write(tokenEvent(n))
 	}
 	return b.String() + "data: [DONE]\n\n"
 }
--- a/request/relay/handlers.go
+++ b/request/relay/handlers.go
@@ -18,7 +18,8 @@
 // servicesPrefix begins the path of every call to a plain service.
 const servicesPrefix = "/services/"
 
-// completionBody is the part of a completion request that the entry reads.
+// completionBody is the part of a completion request that the entry instance
+// reads.
 type completionBody struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
@@ -26,20 +27,21 @@
 	Messages json.RawMessage `json:"messages"`
 }
 
-// prefixBytes is the length of a prompt's beginning that tells prompts apart
-// for prefix affinity.
-const prefixBytes = 256
+// affinityPrefixBytes is the length of the prompt prefix that prefix affinity
+// compares.
+const affinityPrefixBytes = 256
 
-// prefix returns the hash of the prompt's beginning.
-func (b completionBody) prefix() uint64 {
+// prefixHash returns the hash of the beginning of the prompt or messages, as raw
+// JSON.
+func (b completionBody) prefixHash() uint64 {
 	text := b.Prompt
 	if len(text) == 0 {
 		text = b.Messages
 	}
-	return xxhash.Sum64(text[:min(len(text), prefixBytes)])
+	return xxhash.Sum64(text[:min(len(text), affinityPrefixBytes)])
 }
 
-// modelList is the answer to GET /v1/models.
+// modelList is the response body of GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -52,106 +54,108 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the declared models.
-func (r *Relay) models(c echo.Context) error {
+// handleModels lists the declared models.
+func (r *Relay) handleModels(c echo.Context) error {
 	id := requestID(c)
-	if _, err := r.book.Authenticate(c.Request().Header.Get(echo.HeaderAuthorization)); err != nil {
-		return r.refuse(c, id, refusal(http.StatusUnauthorized, core.RefusalNotRun, err.Error()))
+	if _, err := r.accounts.Authenticate(c.Request().Header.Get(echo.HeaderAuthorization)); err != nil {
+		return r.refuseCall(c, id, newProblem(http.StatusUnauthorized, core.RefusalNotRun, err.Error()))
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
-	for name := range r.holder.Current().Set.Models {
+	for name := range r.configStore.Current().Set.Models {
 		list.Data = append(list.Data, modelItem{ID: name, Object: "model", OwnedBy: "rattanway"})
 	}
 	sort.Slice(list.Data, func(i, j int) bool { return list.Data[i].ID < list.Data[j].ID })
 	return c.JSON(http.StatusOK, list)
 }
 
-// completion serves a call to a model.
-func (r *Relay) completion(c echo.Context) error {
-	return r.serve(c, func(call *call) (bool, *Problem) {
+// handleCompletion serves a call to a model.
+func (r *Relay) handleCompletion(c echo.Context) error {
+	return r.serveCall(c, func(call *call) (bool, *Problem) {
 		var body completionBody
 		if err := json.Unmarshal(call.request.Body, &body); err != nil {
-			return false, refusal(http.StatusBadRequest, core.RefusalNotRun, "body: "+err.Error())
+			return false, newProblem(http.StatusBadRequest, core.RefusalNotRun, "body: "+err.Error())
 		}
-		if r.holder.Current().Set.Models[body.Model] == nil {
-			return false, refusal(http.StatusNotFound, core.RefusalNotRun, "no model "+body.Model)
+		if r.configStore.Current().Set.Models[body.Model] == nil {
+			return false, newProblem(http.StatusNotFound, core.RefusalNotRun, "no model "+body.Model)
 		}
 		digest, ok := r.picker.Pin(body.Model)
 		if !ok {
-			p := refusal(http.StatusServiceUnavailable, core.RefusalNotRun, "no server can answer for model "+body.Model)
-			return false, p.after(r.config.RetryAfter)
+			p := newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, "no server can answer for model "+body.Model)
+			return false, p.withRetryAfter(r.config.RetryAfter)
 		}
 		call.request.Path = c.Request().URL.RequestURI()
 		call.request.Model = body.Model
 		call.request.Digest = digest
-		call.stream = body.Stream
-		call.prefix = body.prefix()
+		call.streamRequested = body.Stream
+		call.prefixHash = body.prefixHash()
 		return true, nil
 	})
 }
 
-// service serves a call to a plain service.
-func (r *Relay) service(c echo.Context) error {
-	return r.serve(c, func(call *call) (bool, *Problem) {
+// handleService serves a call to a plain service.
+func (r *Relay) handleService(c echo.Context) error {
+	return r.serveCall(c, func(call *call) (bool, *Problem) {
 		url := c.Request().URL
 		name := c.Param("service")
-		service := r.holder.Current().Set.Services[name]
+		service := r.configStore.Current().Set.Services[name]
 		if service == nil {
-			return false, refusal(http.StatusNotFound, core.RefusalNotRun, "no service "+name)
+			return false, newProblem(http.StatusNotFound, core.RefusalNotRun, "no service "+name)
 		}
-		below := strings.TrimPrefix(url.Path, servicesPrefix+name)
-		route, ok := findRoute(service, c.Request().Method, below)
+		subpath := strings.TrimPrefix(url.Path, servicesPrefix+name)
+		route, ok := findRoute(service, c.Request().Method, subpath)
 		if !ok {
-			return false, refusal(http.StatusNotFound, core.RefusalNotRun, "no such route of service "+name)
+			return false, newProblem(http.StatusNotFound, core.RefusalNotRun, "no such route of service "+name)
 		}
 		call.request.Path = strings.TrimPrefix(url.RequestURI(), servicesPrefix+name)
 		call.service = name
 		if !route.Repeatable {
-			call.key = c.Request().Header.Get(core.HeaderIdempotencyKey)
+			call.idempotencyKey = c.Request().Header.Get(core.HeaderIdempotencyKey)
 		}
 		return route.Repeatable, nil
 	})
 }
 
-// serve runs a call from its arrival to its end. describe fills in the call
-// and reports whether it may be repeated.
-func (r *Relay) serve(c echo.Context, describe func(*call) (repeatable bool, p *Problem)) error {
-	id, release := r.reserveID(c)
+// serveCall serves a call from its arrival to the end of its response. prepare
+// completes the call and reports whether it may be repeated, or returns the
+// Problem to refuse it with.
+func (r *Relay) serveCall(c echo.Context, prepare func(*call) (repeatable bool, p *Problem)) error {
+	id, release := r.reserveRequestID(c)
 	defer release()
-	if !r.begin() {
+	if !r.beginCall() {
 		c.Response().Header().Set("Connection", "close")
-		p := refusal(http.StatusServiceUnavailable, core.RefusalNotRun, "this entry instance is stopping")
-		return r.refuse(c, id, p.after(r.config.RetryAfter))
+		p := newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, "this entry instance is stopping")
+		return r.refuseCall(c, id, p.withRetryAfter(r.config.RetryAfter))
 	}
-	defer r.end()
+	defer r.endWork()
 	call, p := r.newCall(c, id)
 	if p != nil {
-		return r.refuse(c, id, p)
+		return r.refuseCall(c, id, p)
 	}
-	repeatable, p := describe(call)
+	repeatable, p := prepare(call)
 	if p != nil {
-		return r.refuse(c, id, p)
+		return r.refuseCall(c, id, p)
 	}
-	entered, err := r.book.Enter(call.account, r.picker.Short(call.query(nil)))
+	admitted, err := r.accounts.Enter(call.account, r.picker.Short(call.routingQuery(nil)))
 	if err != nil {
-		return r.refuse(c, id, r.overLimit(err))
+		return r.refuseCall(c, id, r.problemFromAccountError(err))
 	}
-	defer entered.Leave()
-	call.due = entered.Due
-	defer r.budget.enter()()
+	defer admitted.Leave()
+	call.withinFairShare = admitted.Due
+	defer r.retryBudget.addCall()()
 	ctx, cancel := context.WithTimeout(c.Request().Context(), r.config.DefaultDeadline)
 	defer cancel()
 	if repeatable {
-		return r.repeat(ctx, c, call)
+		return r.serveRepeatable(ctx, c, call)
 	}
-	return r.runOnce(ctx, c, call)
+	return r.serveOnce(ctx, c, call)
 }
 
-// overLimit turns an error of accounts.Enter into a refusal.
-func (r *Relay) overLimit(err error) *Problem {
+// problemFromAccountError returns the Problem for an error of
+// accounts.Book.Enter.
+func (r *Relay) problemFromAccountError(err error) *Problem {
 	status := http.StatusTooManyRequests
 	if errors.Is(err, accounts.ErrShare) {
 		status = http.StatusServiceUnavailable
 	}
-	return refusal(status, core.RefusalNotRun, err.Error()).after(r.config.RetryAfter)
+	return newProblem(status, core.RefusalNotRun, err.Error()).withRetryAfter(r.config.RetryAfter)
 }
--- a/request/relay/metrics.go
+++ b/request/relay/metrics.go
@@ -8,23 +8,26 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Names of the metrics of the callers' side.
+// Names of the metrics of calls from client accounts.
 const (
-	metricWhole      = "entry.calls.whole"
-	metricRefused    = "entry.calls.refused."
-	metricCut        = "entry.calls.cut"
-	metricRetries    = "entry.attempts.retries"
-	metricNoBudget   = "entry.attempts.no-budget"
-	metricFirstBytes = "entry.first-byte"
+	metricCallsAnswered      = "entry.calls.whole"
+	metricCallsRefusedPrefix = "entry.calls.refused."
+	metricCallsAborted       = "entry.calls.cut"
+	metricRetries            = "entry.attempts.retries"
+	metricRetryBudgetSpent   = "entry.attempts.no-budget"
+	metricFirstByteTime      = "entry.first-byte"
 )
 
-func count(name string) {
+// incrementCounter adds 1 to the named counter.
+func incrementCounter(name string) {
 	metrics.GetOrRegisterCounter(name, metrics.DefaultRegistry).Inc(1)
 }
 
-func countRefusal(word core.Refusal) { count(metricRefused + string(word)) }
+// countRefusal counts a refused call by its outcome.
+func countRefusal(outcome core.Refusal) { incrementCounter(metricCallsRefusedPrefix + string(outcome)) }
 
-// observeFirstByte records the time from a call's arrival to its first byte.
+// observeFirstByte records the time from the arrival of a call to the first byte
+// of its response.
 func observeFirstByte(d time.Duration) {
-	metrics.GetOrRegisterTimer(metricFirstBytes, metrics.DefaultRegistry).Update(d)
+	metrics.GetOrRegisterTimer(metricFirstByteTime, metrics.DefaultRegistry).Update(d)
 }
--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -17,22 +17,23 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// faults decides, from a seed, what goes wrong. It is shared by the fakes.
-type faults struct {
+// faultSource decides at random, from a seed, which faults happen. All fakes
+// share one.
+type faultSource struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// chance reports true with probability p.
-func (f *faults) chance(p float64) bool {
+// happens returns true with probability p.
+func (f *faultSource) happens(p float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.Float64() < p
 }
 
-// fakeTable is a table with outages and lost answers.
+// fakeTable is a table with outages and lost requests and responses.
 type fakeTable struct {
-	faults *faults
+	faults *faultSource
 	down   atomic.Bool
 	mu     sync.Mutex
 	rows   map[string]platform.Row
@@ -59,7 +60,7 @@
 	if t.down.Load() {
 		return platform.ErrUnavailable
 	}
-	if t.faults.chance(0.01) { // lost before it took effect
+	if t.faults.happens(0.01) { // request lost
 		return platform.ErrUnknownOutcome
 	}
 	w := writes[0]
@@ -69,36 +70,39 @@
 		return platform.ErrConflict
 	}
 	t.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Revision: t.rows[w.Key].Revision + 1}
-	if t.faults.chance(0.03) { // lost after it took effect
+	if t.faults.happens(0.03) { // response lost after the commit
 		return platform.ErrUnknownOutcome
 	}
 	return nil
 }
 
-// fakeServer is an agent with a plain service that keeps to the protocol of
-// once-only calls, and may be killed, frozen or lose its answers.
+// fakeServer is an agent with a plain service that follows the protocol of
+// once-only calls. It may be killed, pause, or lose its responses.
 type fakeServer struct {
 	id      string
-	faults  *faults
+	faults  *faultSource
 	history *history.Writer
 
 	mu          sync.Mutex
 	incarnation int
-	killed      chan struct{}
-	// forbidden and started are the attempts by key of this incarnation.
-	forbidden map[string]int
-	started   map[string]frame.Ran
-	outcomes  map[string]*frame.Outcome
-	runs      int
+	// killed is closed when the current incarnation is killed.
+	killed chan struct{}
+	// forbidden is the highest attempt that must not run, by key of the call;
+	// executions and outcomes are by key and attempt. All are of the current
+	// incarnation.
+	forbidden  map[string]int
+	executions map[string]frame.Ran
+	outcomes   map[string]*frame.Outcome
+	runCount   int
 }
 
-func newFakeServer(id string, f *faults, h *history.Writer) *fakeServer {
+func newFakeServer(id string, f *faultSource, h *history.Writer) *fakeServer {
 	s := &fakeServer{id: id, faults: f, history: h}
 	s.restart()
 	return s
 }
 
-// restart replaces the process by a new incarnation that remembers nothing.
+// restart kills the current incarnation and starts a new one without its state.
 func (s *fakeServer) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,32 +112,32 @@
 	s.incarnation++
 	s.killed = make(chan struct{})
 	s.forbidden = map[string]int{}
-	s.started = map[string]frame.Ran{}
+	s.executions = map[string]frame.Ran{}
 	s.outcomes = map[string]*frame.Outcome{}
 }
 
-// behave is the server's fakeAgent.
-func (s *fakeServer) behave(x *fakeExchange, kind frame.Kind, msg any) {
+// respond is the fakeAgent of the server.
+func (s *fakeServer) respond(x *fakeExchange, kind frame.Kind, msg any) {
 	s.mu.Lock()
 	incarnation, killed := strconv.Itoa(s.incarnation), s.killed
 	s.mu.Unlock()
-	defer x.reset()
-	if s.faults.chance(0.01) { // frozen before it reads
-		pause(killed, 150*time.Millisecond)
+	defer x.breakConnection()
+	if s.faults.happens(0.01) { // paused before it processes the message
+		sleepUnlessKilled(killed, 150*time.Millisecond)
 	}
 	if kind == frame.KindAsk {
 		ask := msg.(frame.Ask)
-		if ran, alive := s.ask(ask, incarnation); alive {
-			x.say(&frame.Answer{ID: ask.ID, Incarnation: incarnation, Ran: ran, Outcome: s.kept(ask, ran)})
+		if ran, alive := s.answerAsk(ask, incarnation); alive {
+			x.sendToEntry(&frame.Answer{ID: ask.ID, Incarnation: incarnation, Ran: ran, Outcome: s.keptOutcome(ask, ran)})
 		}
 		return
 	}
 	req := msg.(frame.Request)
-	if s.faults.chance(0.02) {
-		x.say(&frame.Refuse{ID: req.ID, Reason: frame.ReasonFull, Load: frame.Load{Limit: 1000}})
+	if s.faults.happens(0.02) {
+		x.sendToEntry(&frame.Refuse{ID: req.ID, Reason: frame.ReasonFull, Load: frame.Load{Limit: 1000}})
 		return
 	}
-	x.say(&frame.Admit{ID: req.ID, Incarnation: incarnation, HoldMillis: 100})
+	x.sendToEntry(&frame.Admit{ID: req.ID, Incarnation: incarnation, HoldMillis: 100})
 	select {
 	case <-x.toAgent:
 	case <-x.closed:
@@ -141,29 +145,32 @@
 	case <-killed:
 		return
 	}
-	if s.faults.chance(0.01) { // frozen after Go has arrived
-		pause(killed, 150*time.Millisecond)
+	if s.faults.happens(0.01) { // paused after Go has arrived
+		sleepUnlessKilled(killed, 150*time.Millisecond)
 	}
-	s.run(x, req, incarnation, killed)
+	s.runAttempt(x, req, incarnation, killed)
 }
 
-// ask answers for an incarnation; alive is false when it has been killed.
-func (s *fakeServer) ask(a frame.Ask, incarnation string) (ran frame.Ran, alive bool) {
+// answerAsk returns the state of an attempt in an incarnation, and forbids an
+// attempt that has not started. alive is false when the incarnation has been
+// killed.
+func (s *fakeServer) answerAsk(a frame.Ask, incarnation string) (ran frame.Ran, alive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if incarnation != strconv.Itoa(s.incarnation) {
 		return "", false
 	}
-	if ran, ok := s.started[a.Key+"#"+strconv.Itoa(a.Attempt)]; ok {
+	if ran, ok := s.executions[a.Key+"#"+strconv.Itoa(a.Attempt)]; ok {
 		return ran, true
 	}
 	s.forbidden[a.Key] = max(s.forbidden[a.Key], a.Attempt)
 	return frame.RanNo, true
 }
 
-// kept returns the outcome of an attempt that ran; some are forgotten.
-func (s *fakeServer) kept(a frame.Ask, ran frame.Ran) *frame.Outcome {
-	if ran != frame.RanYes || s.faults.chance(0.3) {
+// keptOutcome returns the outcome of an attempt that ran, or, with a
+// probability, nil as if it were no longer kept.
+func (s *fakeServer) keptOutcome(a frame.Ask, ran frame.Ran) *frame.Outcome {
+	if ran != frame.RanYes || s.faults.happens(0.3) {
 		return nil
 	}
 	s.mu.Lock()
@@ -171,8 +178,9 @@
 	return s.outcomes[a.Key+"#"+strconv.Itoa(a.Attempt)]
 }
 
-// start notes the attempt as running, unless it may not run.
-func (s *fakeServer) start(req frame.Request, incarnation string) (result string, ok bool) {
+// startAttempt records the attempt as running and returns its result. ok is false
+// when the attempt is forbidden or the incarnation has been killed.
+func (s *fakeServer) startAttempt(req frame.Request, incarnation string) (result string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if incarnation != strconv.Itoa(s.incarnation) {
@@ -182,8 +190,8 @@
 		return "", false
 	}
 	s.setRan(req, frame.RanRunning)
-	s.runs++
-	result = s.id + "/" + incarnation + "/" + strconv.Itoa(s.runs)
+	s.runCount++
+	result = s.id + "/" + incarnation + "/" + strconv.Itoa(s.runCount)
 	s.history.Add(history.Line{
 		Kind: history.KindRun, Call: string(req.Body), Submission: req.ID, Server: s.id,
 		Incarnation: incarnation, Body: core.DigestOf([]byte(result)),
@@ -191,100 +199,105 @@
 	return result, true
 }
 
+// setRan records the state of an attempt of a keyed call. The caller must hold
+// s.mu.
 func (s *fakeServer) setRan(req frame.Request, ran frame.Ran) {
 	if req.Key != "" {
-		s.started[req.Key+"#"+strconv.Itoa(req.Attempt)] = ran
+		s.executions[req.Key+"#"+strconv.Itoa(req.Attempt)] = ran
 	}
 }
 
-func (s *fakeServer) run(x *fakeExchange, req frame.Request, incarnation string, killed chan struct{}) {
-	result, ok := s.start(req, incarnation)
+// runAttempt runs the call and sends the response, or refuses an attempt that
+// must not run.
+func (s *fakeServer) runAttempt(x *fakeExchange, req frame.Request, incarnation string, killed chan struct{}) {
+	result, ok := s.startAttempt(req, incarnation)
 	if !ok {
-		x.say(&frame.Refuse{ID: req.ID, Reason: frame.ReasonDuplicate, Load: frame.Load{Limit: 1000}})
+		x.sendToEntry(&frame.Refuse{ID: req.ID, Reason: frame.ReasonDuplicate, Load: frame.Load{Limit: 1000}})
 		return
 	}
-	pause(killed, time.Millisecond)
+	sleepUnlessKilled(killed, time.Millisecond)
 	s.mu.Lock()
 	if incarnation == strconv.Itoa(s.incarnation) {
 		s.setRan(req, frame.RanYes)
 		s.outcomes[req.Key+"#"+strconv.Itoa(req.Attempt)] = &frame.Outcome{Status: 201, Body: []byte(result)}
 	}
 	s.mu.Unlock()
-	if s.faults.chance(0.03) { // the answer is lost
+	if s.faults.happens(0.03) { // response lost
 		return
 	}
-	x.say(&frame.Head{ID: req.ID, Status: 201}, &frame.Data{ID: req.ID, Body: []byte(result)}, endOf(req.ID, []byte(result)))
+	x.sendToEntry(&frame.Head{ID: req.ID, Status: 201}, &frame.Data{ID: req.ID, Body: []byte(result)}, endFrame(req.ID, []byte(result)))
 }
 
-func pause(killed chan struct{}, d time.Duration) {
+// sleepUnlessKilled sleeps for d, or until killed is closed.
+func sleepUnlessKilled(killed chan struct{}, d time.Duration) {
 	select {
 	case <-killed:
 	case <-time.After(d):
 	}
 }
 
-// entryProcess is what an entry instance reaches the world through; once
-// killed it reaches nothing.
-type entryProcess struct {
+// entryConnections connects an entry instance to the table and the agents. Once
+// the entry instance is killed, every operation fails.
+type entryConnections struct {
 	*fakeTable
 	opener *fakeOpener
-	dead   chan struct{}
+	killed chan struct{}
 }
 
-func (p *entryProcess) gone() bool {
+func (c *entryConnections) isKilled() bool {
 	select {
-	case <-p.dead:
+	case <-c.killed:
 		return true
 	default:
 		return false
 	}
 }
 
-func (p *entryProcess) Get(ctx context.Context, key string, known uint64) (platform.Row, error) {
-	if p.gone() {
+func (c *entryConnections) Get(ctx context.Context, key string, known uint64) (platform.Row, error) {
+	if c.isKilled() {
 		return platform.Row{}, platform.ErrUnavailable
 	}
-	return p.fakeTable.Get(ctx, key, known)
+	return c.fakeTable.Get(ctx, key, known)
 }
 
-func (p *entryProcess) Commit(ctx context.Context, writes []platform.Write) error {
-	if p.gone() {
+func (c *entryConnections) Commit(ctx context.Context, writes []platform.Write) error {
+	if c.isKilled() {
 		return platform.ErrUnavailable
 	}
-	return p.fakeTable.Commit(ctx, writes)
+	return c.fakeTable.Commit(ctx, writes)
 }
 
-func (p *entryProcess) Open(ctx context.Context, agent core.Instance, id string, kind frame.Kind, msg any) (work.Exchange, error) {
-	if p.gone() {
+func (c *entryConnections) Open(ctx context.Context, agent core.Instance, id string, kind frame.Kind, msg any) (work.Exchange, error) {
+	if c.isKilled() {
 		return nil, errors.New("killed")
 	}
-	x, err := p.opener.Open(ctx, agent, id, kind, msg)
+	x, err := c.opener.Open(ctx, agent, id, kind, msg)
 	if err != nil {
 		return nil, err
 	}
-	return &processExchange{Exchange: x, process: p}, nil
+	return &entryExchange{Exchange: x, entry: c}, nil
 }
 
-// processExchange breaks when its entry instance is killed.
-type processExchange struct {
+// entryExchange is an exchange that fails once its entry instance is killed.
+type entryExchange struct {
 	work.Exchange
-	process *entryProcess
+	entry *entryConnections
 }
 
-func (x *processExchange) Send(kind frame.Kind, msg any) error {
-	if x.process.gone() {
+func (x *entryExchange) Send(kind frame.Kind, msg any) error {
+	if x.entry.isKilled() {
 		x.Close(false)
 		return errors.New("killed")
 	}
 	return x.Exchange.Send(kind, msg)
 }
 
-func (x *processExchange) Receive(ctx context.Context) (any, error) {
+func (x *entryExchange) Receive(ctx context.Context) (any, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-x.process.dead:
+		case <-x.entry.killed:
 			cancel()
 		case <-ctx.Done():
 		}
--- a/request/relay/once_test.go
+++ b/request/relay/once_test.go
@@ -38,8 +38,8 @@
 	onceSeed    = 5
 )
 
-// onceBench is a few entry instances that share a table and servers.
-type onceBench struct {
+// onceFixture consists of several entry instances that share a table and servers.
+type onceFixture struct {
 	table   *fakeTable
 	servers map[string]*fakeServer
 	opener  *fakeOpener
@@ -50,81 +50,83 @@
 	entries []*onceEntry
 }
 
+// onceEntry is an entry instance of an onceFixture.
 type onceEntry struct {
-	process *entryProcess
-	http    *httptest.Server
+	connections *entryConnections
+	http        *httptest.Server
 }
 
-func newOnceBench(out io.Writer, f *faults) *onceBench {
-	b := &onceBench{
+func newOnceFixture(out io.Writer, f *faultSource) *onceFixture {
+	fx := &onceFixture{
 		table:   &fakeTable{faults: f, rows: map[string]platform.Row{}},
 		servers: map[string]*fakeServer{},
 		opener:  &fakeOpener{agents: map[string]fakeAgent{}},
 		holder:  confstore.NewHolder(),
 		history: history.NewWriter(out),
 	}
-	set := testSet()
+	set := testDeclarations()
 	for _, id := range []string{"booking-1", "booking-2", "booking-3"} {
-		s := newFakeServer(id, f, b.history)
-		b.servers[id] = s
-		b.opener.agents[id] = s.behave
+		s := newFakeServer(id, f, fx.history)
+		fx.servers[id] = s
+		fx.opener.agents[id] = s.respond
 		set.BackendServers[id] = &declare.BackendServer{Name: id, DataCentre: "palermo", Service: "booking", Limit: 1000}
 	}
-	b.holder.Offer(&declare.Snapshot{Number: 1, Set: set})
+	fx.holder.Offer(&declare.Snapshot{Number: 1, Set: set})
 	for range onceEntries {
-		b.entries = append(b.entries, b.newEntry())
+		fx.entries = append(fx.entries, fx.newEntry())
 	}
-	return b
+	return fx
 }
 
-func (b *onceBench) newEntry() *onceEntry {
+func (fx *onceFixture) newEntry() *onceEntry {
 	clock := clockwork.NewRealClock()
 	log := eventlog.Discard()
 	reg := registry.New()
-	for id := range b.servers {
+	for id := range fx.servers {
 		reg.Put(registry.Server{
 			Instance: core.Instance{ID: id, DataCentre: "palermo"}, Service: "booking",
 			Report: frame.Report{State: frame.StateReady, Limit: 1000},
 		})
 	}
-	process := &entryProcess{fakeTable: b.table, opener: b.opener, dead: make(chan struct{})}
+	connections := &entryConnections{fakeTable: fx.table, opener: fx.opener, killed: make(chan struct{})}
 	keeper := once.New(once.Config{
 		Poll: 5 * time.Millisecond, AskAfter: 20 * time.Millisecond, RecordGrace: 60 * time.Millisecond,
-	}, process, nil, log, clock)
-	router := routing.New(routing.Config{}, reg, b.holder, log, clock)
+	}, connections, nil, log, clock)
+	router := routing.New(routing.Config{}, reg, fx.holder, log, clock)
 	r := New(Config{AskTimeout: 50 * time.Millisecond, AdmitTimeout: 100 * time.Millisecond,
 		AnswerTimeout: 100 * time.Millisecond, DefaultDeadline: 2 * time.Second},
-		b.holder, router, process, keeper, log, clock)
+		fx.holder, router, connections, keeper, log, clock)
 	e := echo.New()
 	r.Register(e)
-	return &onceEntry{process: process, http: httptest.NewServer(e)}
+	return &onceEntry{connections: connections, http: httptest.NewServer(e)}
 }
 
-// killEntry replaces one entry instance by a new one.
-func (b *onceBench) killEntry(i int) {
-	fresh := b.newEntry()
-	b.mu.Lock()
-	old := b.entries[i]
-	b.entries[i] = fresh
-	b.mu.Unlock()
-	close(old.process.dead)
+// replaceEntry kills entry instance i and puts a new one in its place.
+func (fx *onceFixture) replaceEntry(i int) {
+	replacement := fx.newEntry()
+	fx.mu.Lock()
+	old := fx.entries[i]
+	fx.entries[i] = replacement
+	fx.mu.Unlock()
+	close(old.connections.killed)
 	old.http.CloseClientConnections()
 	go old.http.Close()
 }
 
-func (b *onceBench) close() {
-	for _, e := range b.entries {
+func (fx *onceFixture) close() {
+	for _, e := range fx.entries {
 		e.http.Close()
 	}
-	b.opener.running.Wait()
+	fx.opener.running.Wait()
 }
 
-// submit sends a call through entry i and notes the answer.
-func (b *onceBench) submit(client *http.Client, i int, id, key string) history.Line {
-	b.mu.Lock()
-	entry := b.entries[i]
-	b.mu.Unlock()
-	line := history.Line{Kind: history.KindAnswer, Call: id, Entry: strconv.Itoa(i), Sent: b.history.Now()}
+// submit sends a call through entry instance i, and returns the line that it adds
+// to the history.
+func (fx *onceFixture) submit(client *http.Client, i int, id, key string) history.Line {
+	fx.mu.Lock()
+	entry := fx.entries[i]
+	fx.mu.Unlock()
+	line := history.Line{Kind: history.KindAnswer, Call: id, Entry: strconv.Itoa(i), Sent: fx.history.Now()}
 	req, err := http.NewRequest(http.MethodPost, entry.http.URL+"/services/booking/deposits", strings.NewReader(id))
 	if err != nil {
 		return line
@@ -135,15 +137,15 @@
 	}
 	resp, err := client.Do(req)
 	if err == nil {
-		b.note(resp, &line)
+		fx.recordResponse(resp, &line)
 	}
-	b.history.Add(line)
+	fx.history.Add(line)
 	return line
 }
 
-// note fills in what a whole answer says.
-func (b *onceBench) note(resp *http.Response, line *history.Line) {
-	got, err := body(resp)
+// recordResponse copies a response to line if the response is complete.
+func (fx *onceFixture) recordResponse(resp *http.Response, line *history.Line) {
+	got, err := readBody(resp)
 	if err != nil {
 		return
 	}
@@ -159,61 +161,62 @@
 	line.Body = core.DigestOf([]byte(got))
 }
 
-// call makes one call: a keyed one is submitted up to four times, each time
-// through another entry instance, and once more after it was answered. Some
-// are submitted through two entry instances at once.
-func (b *onceBench) call(client *http.Client, n int) {
+// runCall makes call n. Calls with an even number have no Idempotency-Key and are
+// submitted once. The others are submitted up to four times, through one entry
+// instance after another, until one submission succeeds, and then once more.
+// Every tenth call is also submitted through two entry instances concurrently.
+func (fx *onceFixture) runCall(client *http.Client, n int) {
 	id := fmt.Sprintf("call-%d", n)
 	if n%2 == 0 {
-		b.submit(client, n%onceEntries, id, "")
+		fx.submit(client, n%onceEntries, id, "")
 		return
 	}
 	if n%10 == 1 {
-		var twin sync.WaitGroup
-		twin.Go(func() { b.submit(client, (n+2)%onceEntries, id, "key-"+id) })
-		defer twin.Wait()
+		var concurrent sync.WaitGroup
+		concurrent.Go(func() { fx.submit(client, (n+2)%onceEntries, id, "key-"+id) })
+		defer concurrent.Wait()
 	}
-	for try := range 4 {
-		line := b.submit(client, (n+try)%onceEntries, id, "key-"+id)
+	for attempt := range 4 {
+		line := fx.submit(client, (n+attempt)%onceEntries, id, "key-"+id)
 		if line.Status == http.StatusCreated {
 			break
 		}
 	}
-	b.submit(client, (n+1)%onceEntries, id, "key-"+id)
+	fx.submit(client, (n+1)%onceEntries, id, "key-"+id)
 }
 
-// disturb kills agents and entry instances and takes the table away, until
-// stop is closed.
-func (b *onceBench) disturb(f *faults, stop <-chan struct{}) {
+// injectFaults kills agents and entry instances and makes the table unavailable,
+// until stop is closed.
+func (fx *onceFixture) injectFaults(f *faultSource, stop <-chan struct{}) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
-			b.table.down.Store(false)
+			fx.table.down.Store(false)
 			return
 		case <-tick.C:
 		}
-		b.table.down.Store(n%7 == 3)
-		if f.chance(0.3) {
-			b.servers[fmt.Sprintf("booking-%d", 1+n%3)].restart()
+		fx.table.down.Store(n%7 == 3)
+		if f.happens(0.3) {
+			fx.servers[fmt.Sprintf("booking-%d", 1+n%3)].restart()
 		}
-		if f.chance(0.2) {
-			b.killEntry(n % onceEntries)
+		if f.happens(0.2) {
+			fx.replaceEntry(n % onceEntries)
 		}
 	}
 }
 
-// TestOnceOnlyCallsRunAtMostOnce writes its history to the file named by
-// RATTANWAY_TEST_HISTORY, for checking again later, when that is set.
+// TestOnceOnlyCallsRunAtMostOnce also writes its history to the file named by
+// RATTANWAY_TEST_HISTORY if that is set, so that it can be checked again later.
 func TestOnceOnlyCallsRunAtMostOnce(t *testing.T) {
-	Convey("Given 10,000 once-only calls under kills, freezes, lost answers and outages", t, func() {
+	Convey("Given 10,000 once-only calls with killed and paused processes, lost responses and table outages", t, func() {
 		var out bytes.Buffer
-		f := &faults{rng: rand.New(rand.NewPCG(onceSeed, onceSeed))}
-		b := newOnceBench(&out, f)
-		runOnceCalls(b, f)
-		b.close()
-		So(b.history.Err(), ShouldBeNil)
+		f := &faultSource{rng: rand.New(rand.NewPCG(onceSeed, onceSeed))}
+		fx := newOnceFixture(&out, f)
+		runOnceCalls(fx, f)
+		fx.close()
+		So(fx.history.Err(), ShouldBeNil)
 		if path := os.Getenv("RATTANWAY_TEST_HISTORY"); path != "" {
 			So(os.WriteFile(path, out.Bytes(), 0o644), ShouldBeNil)
 		}
@@ -227,17 +230,18 @@
 	})
 }
 
-func runOnceCalls(b *onceBench, f *faults) {
+// runOnceCalls makes all calls concurrently while faults are injected.
+func runOnceCalls(fx *onceFixture, f *faultSource) {
 	stop := make(chan struct{})
-	var disturbed, workers sync.WaitGroup
-	disturbed.Go(func() { b.disturb(f, stop) })
+	var disturber, workers sync.WaitGroup
+	disturber.Go(func() { fx.injectFaults(f, stop) })
 	calls := make(chan int)
 	for range onceWorkers {
 		workers.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
 			defer client.CloseIdleConnections()
 			for n := range calls {
-				b.call(client, n)
+				fx.runCall(client, n)
 			}
 		})
 	}
@@ -247,5 +251,5 @@
 	close(calls)
 	workers.Wait()
 	close(stop)
-	disturbed.Wait()
+	disturber.Wait()
 }
--- a/request/relay/problem.go
+++ b/request/relay/problem.go
@@ -13,29 +13,30 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// problemType is the media type of RFC 9457.
+// problemType is the media type of a problem document, RFC 9457.
 const problemType = "application/problem+json"
 
-// Problem is a refusal in the form of RFC 9457.
+// Problem is the problem document, RFC 9457, in the response to a refused call.
 type Problem struct {
-	// Type is "about:blank": the title is the status's text.
+	// Type is always "about:blank": the problem has no meaning beyond that of
+	// its status.
 	Type string `json:"type"`
-	// Title is the text of the status.
+	// Title is the standard text of the HTTP status.
 	Title string `json:"title"`
 	// Status is the HTTP status.
 	Status int `json:"status"`
-	// Detail tells the caller why.
+	// Detail is the reason for the refusal.
 	Detail string `json:"detail"`
-	// Outcome says what became of the call.
+	// Outcome shows whether any part of the call ran or may have run.
 	Outcome core.Refusal `json:"outcome"`
-	// RequestID is the call's id, for questions to the operators.
+	// RequestID is the id of the call, for inquiries to the operators.
 	RequestID string `json:"requestId"`
-	// RetryAfter becomes the Retry-After header; 0 sends none.
+	// RetryAfter is the value of the Retry-After header; 0 omits the header.
 	RetryAfter time.Duration `json:"-"`
 }
 
-// refusal returns a Problem with the title that belongs to status.
-func refusal(status int, outcome core.Refusal, detail string) *Problem {
+// newProblem returns a Problem with the standard title of status.
+func newProblem(status int, outcome core.Refusal, detail string) *Problem {
 	return &Problem{
 		Type:    "about:blank",
 		Title:   http.StatusText(status),
@@ -45,16 +46,17 @@
 	}
 }
 
-// after sets the time after which the caller may try again.
-func (p *Problem) after(d time.Duration) *Problem {
+// withRetryAfter sets the time after which the caller may try again, and
+// returns p.
+func (p *Problem) withRetryAfter(d time.Duration) *Problem {
 	p.RetryAfter = d
 	return p
 }
 
-// refuse answers with p.
-func (r *Relay) refuse(c echo.Context, id string, p *Problem) error {
+// refuseCall logs and counts the refusal of a call and sends p to the caller.
+func (r *Relay) refuseCall(c echo.Context, id string, p *Problem) error {
 	p.RequestID = id
-	r.log.Event(eventRefused, eventlog.Fields{
+	r.log.Event(eventCallRefused, eventlog.Fields{
 		"request": id, "status": p.Status, "outcome": p.Outcome, "detail": p.Detail,
 	})
 	countRefusal(p.Outcome)
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -1,7 +1,8 @@
-// Package relay answers callers' HTTP at an entry instance. It gives each
-// call to a backend server that routing chose, passes the answer on, and
-// retries, resumes or refuses according to what may be repeated. It never
-// ends an answer as though it were whole when it is not.
+// Package relay is the reverse proxy of an entry instance: it forwards each
+// call of a client account to a backend server that routing chooses, and sends
+// the response to the caller. It retries, resumes or refuses calls depending
+// on whether they may be repeated, and never ends an incomplete response as if
+// it were complete.
 package relay
 
 import (
@@ -22,7 +23,7 @@
 	"github.com/rattanway/rattanway/version/confstore"
 )
 
-// Defaults of Config.
+// Default values of the fields of Config.
 const (
 	defaultDeadline          = 2 * time.Minute
 	defaultFirstTokenTimeout = 10 * time.Second
@@ -49,23 +50,23 @@
 
 var (
 	eventAttemptEnded = eventlog.Define(510, "attempt-ended", logrus.InfoLevel,
-		"an attempt at a call ended, with its result")
-	eventCallEnded = eventlog.Define(511, "call-answered", logrus.InfoLevel,
-		"a call was answered whole")
-	eventRefused = eventlog.Define(512, "call-refused", logrus.WarnLevel,
-		"a call was refused; the outcome word says what became of it")
-	eventCut = eventlog.Define(513, "answer-cut", logrus.WarnLevel,
-		"an answer that had begun was broken off visibly, because no server could go on with it")
-	eventRetry = eventlog.Define(514, "call-retried", logrus.InfoLevel,
-		"a call is tried at another backend server, or resumed there after the tokens already sent")
-	eventNoBudget = eventlog.Define(515, "retry-budget-spent", logrus.WarnLevel,
-		"a call was not retried, because retries already have their share of the traffic")
-	eventGo = eventlog.Define(516, "once-go", logrus.InfoLevel,
-		"a call that may run only once is released to the agent that holds a slot for it")
-	eventGone = eventlog.Define(517, "caller-gone", logrus.InfoLevel,
-		"the caller went away before its answer ended")
-	eventOtherVersion = eventlog.Define(518, "call-other-version", logrus.InfoLevel,
-		"while a new version comes in, a call that the servers of one version refused is given to those of the other")
+		"an attempt to run a call on a backend server ended; the result field holds its result")
+	eventCallAnswered = eventlog.Define(511, "call-answered", logrus.InfoLevel,
+		"the complete response to a call was sent to the caller")
+	eventCallRefused = eventlog.Define(512, "call-refused", logrus.WarnLevel,
+		"a call was refused; the outcome field shows whether any part of it may have run")
+	eventResponseAborted = eventlog.Define(513, "answer-cut", logrus.WarnLevel,
+		"a response that had begun was aborted, because no backend server could complete it")
+	eventCallRetried = eventlog.Define(514, "call-retried", logrus.InfoLevel,
+		"a call is retried at another backend server, or its response is resumed there after the tokens already sent")
+	eventRetryBudgetSpent = eventlog.Define(515, "retry-budget-spent", logrus.WarnLevel,
+		"a call was not retried, because the concurrent retries had reached the retry budget")
+	eventOnceGo = eventlog.Define(516, "once-go", logrus.InfoLevel,
+		"the agent that holds a slot for a once-only call is instructed to run the call")
+	eventCallerGone = eventlog.Define(517, "caller-gone", logrus.InfoLevel,
+		"the caller disconnected before its response was complete")
+	eventCallOtherVersion = eventlog.Define(518, "call-other-version", logrus.InfoLevel,
+		"during a rollout, a call that the servers of one version refused is offered to the servers of the other version")
 )
 
 // Config holds the settings of a Relay.
@@ -75,57 +76,66 @@
 	// DefaultDeadline bounds a call from its arrival; default 2 min.
 	DefaultDeadline time.Duration
 	// FirstTokenTimeout bounds the wait for the first piece of a streamed
-	// answer, time in the agent's queue included; default 10 s.
+	// response, including the time in the agent's queue; default 10 s.
 	FirstTokenTimeout time.Duration
-	// StallTimeout bounds the wait for each further piece; default 3 s.
+	// StallTimeout bounds the wait for each further piece of a streamed
+	// response; default 3 s.
 	StallTimeout time.Duration
-	// AnswerTimeout bounds one attempt at an answer that is not streamed;
-	// default 1 min.
+	// AnswerTimeout bounds the wait for each piece, including the first, of a
+	// response that is not streamed; default 1 min.
 	AnswerTimeout time.Duration
-	// AdmitTimeout bounds the wait for an offer's answer; default 5 s.
+	// AdmitTimeout bounds the wait for an agent to admit or refuse a once-only
+	// call; default 5 s.
 	AdmitTimeout time.Duration
-	// AskTimeout bounds one question about an earlier attempt; default 1 s.
+	// AskTimeout bounds one request to an agent for the state of an earlier
+	// attempt; default 1 s.
 	AskTimeout time.Duration
-	// RetryBudgetRatio is the share of the calls in flight that may be
-	// retries waiting for their first byte; default 0.2. Negative values
-	// lift the budget.
+	// RetryBudgetRatio bounds the retries that wait for their first byte, as
+	// a share of the calls in flight; default 0.2. A negative value removes
+	// the bound.
 	RetryBudgetRatio float64
-	// MinRetries is the number of such retries that is always allowed;
-	// default 10.
+	// MinRetries is the number of retries that may wait for their first byte
+	// at the same time however few calls are in flight; default 10.
 	MinRetries int
-	// MaxAttempts bounds the attempts at one call; default 4.
+	// MaxAttempts bounds the attempts of one call; default 4.
 	MaxAttempts int
-	// BudgetWait bounds a retry's wait for its share of the budget; default
-	// 2 s.
+	// BudgetWait bounds the time that a retry waits until the retry budget
+	// admits it; default 2 s.
 	BudgetWait time.Duration
-	// MaxRefusals bounds the agents that may refuse a call whose answer has
-	// not begun; default 4.
+	// MaxRefusals is the number of refusals by agents after which a call whose
+	// response has not begun is refused; default 4.
 	MaxRefusals int
-	// RefuseAfter is the age from which such a call is refused when no other
-	// server is known to have room; default 50 ms.
+	// RefuseAfter is the age from which a call whose response has not begun is
+	// refused when no other server is known to have a free slot; default
+	// 50 ms.
 	RefuseAfter time.Duration
-	// DueWithin is the age up to which a call within its account's fair
-	// share looks for a slot when capacity is short; default 250 ms.
+	// DueWithin is the age up to which a call within the fair share of its
+	// client account is offered to further servers after a refusal; default
+	// 250 ms.
 	DueWithin time.Duration
-	// ResumeWithin bounds the search for a server that goes on with an
-	// answer that has begun; default 10 s.
+	// ResumeWithin bounds the search for a server that resumes a response that
+	// has begun; default 10 s.
 	ResumeWithin time.Duration
-	// ResumePause is the time between two rounds of that search, and between
-	// two tries at agents without the newest configuration; default 50 ms.
+	// ResumePause is the time between two rounds of that search. It is also the
+	// pause before a call is offered again to agents with an old configuration,
+	// or to the servers of another version; default 50 ms.
 	ResumePause time.Duration
 	// MaxBodyBytes is the largest request body; default 8 MiB.
 	MaxBodyBytes int64
-	// HoldBackBytes is how much of an answer that is not streamed is held
-	// back until it is known to be whole; default 1 MiB.
+	// HoldBackBytes is the largest part of a response that is not streamed that
+	// is buffered until the response is known to be complete; default 1 MiB.
 	HoldBackBytes int
-	// MaxAnswerBytes bounds the answer to a once-only call; default 8 MiB.
+	// MaxAnswerBytes is the largest response body of a once-only call; default
+	// 8 MiB.
 	MaxAnswerBytes int
-	// RetryAfter is suggested to refused callers; default 1 s.
+	// RetryAfter is the Retry-After time of refused calls for which the agent
+	// suggested none; default 1 s.
 	RetryAfter time.Duration
-	// ConfigWait is the age up to which a call waits for agents that have
-	// not got the newest configuration yet; default 1 s.
+	// ConfigWait is the age up to which a call waits for agents that have not
+	// received the newest configuration yet; default 1 s.
 	ConfigWait time.Duration
-	// RecordTimeout bounds the recording of one outcome; default 30 s.
+	// RecordTimeout bounds the recording of the outcome of a once-only call;
+	// default 30 s.
 	RecordTimeout time.Duration
 }
 
@@ -153,104 +163,110 @@
 	core.SetDefault(&c.RecordTimeout, defaultRecordTimeout)
 }
 
-// Relay serves callers. It is safe for concurrent use.
+// Relay serves the HTTP calls of client accounts. It is safe for concurrent
+// use.
 type Relay struct {
-	config Config
-	holder *confstore.Holder
-	picker routing.Picker
-	opener work.Opener
-	keeper *once.Keeper
-	book   *accounts.Book
-	budget *budget
-	watch  *watch
-	log    *eventlog.Logger
-	clock  clockwork.Clock
+	config       Config
+	configStore  *confstore.Holder
+	picker       routing.Picker
+	opener       work.Opener
+	onceKeeper   *once.Keeper
+	accounts     *accounts.Book
+	retryBudget  *retryBudget
+	stallMonitor *stallMonitor
+	log          *eventlog.Logger
+	clock        clockwork.Clock
 
 	mu       sync.Mutex
 	draining bool
-	running  int
-	idle     chan struct{}
-	// ids are the request ids of the calls in flight.
-	ids map[string]bool
+	// inFlight counts calls in flight and outcomes being recorded.
+	inFlight int
+	// allDone is closed once Drain was called and inFlight is 0.
+	allDone chan struct{}
+	// requestIDs are the request ids of the calls in flight.
+	requestIDs map[string]bool
 }
 
-// New returns a Relay. keeper may be nil where no table is at hand; keyed
-// once-only calls are refused then.
-func New(c Config, holder *confstore.Holder, picker routing.Picker, opener work.Opener, keeper *once.Keeper, log *eventlog.Logger, clock clockwork.Clock) *Relay {
-	c.applyDefaults()
+// New returns a Relay. keeper may be nil if there is no table for the records
+// of once-only calls; once-only calls with an Idempotency-Key are then refused.
+func New(config Config, configStore *confstore.Holder, picker routing.Picker, opener work.Opener, keeper *once.Keeper, log *eventlog.Logger, clock clockwork.Clock) *Relay {
+	config.applyDefaults()
 	return &Relay{
-		config: c,
-		holder: holder,
-		picker: picker,
-		opener: opener,
-		keeper: keeper,
-		book:   accounts.New(holder),
-		budget: newBudget(c.RetryBudgetRatio, c.MinRetries),
-		watch:  newWatch(picker.Suspended, clock),
-		log:    log,
-		clock:  clock,
-		idle:   make(chan struct{}),
-		ids:    map[string]bool{},
+		config:       config,
+		configStore:  configStore,
+		picker:       picker,
+		opener:       opener,
+		onceKeeper:   keeper,
+		accounts:     accounts.New(configStore),
+		retryBudget:  newRetryBudget(config.RetryBudgetRatio, config.MinRetries),
+		stallMonitor: newStallMonitor(picker.Suspended, clock),
+		log:          log,
+		clock:        clock,
+		allDone:      make(chan struct{}),
+		requestIDs:   map[string]bool{},
 	}
 }
 
-// Register adds the callers' routes to e.
+// Register adds the routes that callers use to e.
 func (r *Relay) Register(e *echo.Echo) {
-	e.POST("/v1/chat/completions", r.completion)
-	e.POST("/v1/completions", r.completion)
-	e.GET("/v1/models", r.models)
-	e.Any("/services/:service", r.service)
-	e.Any("/services/:service/*", r.service)
+	e.POST("/v1/chat/completions", r.handleCompletion)
+	e.POST("/v1/completions", r.handleCompletion)
+	e.GET("/v1/models", r.handleModels)
+	e.Any("/services/:service", r.handleService)
+	e.Any("/services/:service/*", r.handleService)
 }
 
-// Drain refuses new calls as not run, and returns once every call in flight
-// has ended and its outcome is recorded, or with the error of ctx.
+// Drain makes the Relay refuse new calls with the outcome "not-run". It returns
+// nil once every call in flight has ended and its outcome is recorded, or an
+// error when ctx ends first.
 func (r *Relay) Drain(ctx context.Context) error {
 	r.mu.Lock()
-	if !r.draining && r.running == 0 {
-		close(r.idle)
+	if !r.draining && r.inFlight == 0 {
+		close(r.allDone)
 	}
 	r.draining = true
 	r.mu.Unlock()
 	select {
-	case <-r.idle:
+	case <-r.allDone:
 		return nil
 	case <-ctx.Done():
 		return core.Step("drain", "", ctx.Err())
 	}
 }
 
-// begin counts a call in flight; it reports false while draining.
-func (r *Relay) begin() bool {
+// beginCall counts one more call in flight. It returns false while draining.
+func (r *Relay) beginCall() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.draining {
 		return false
 	}
-	r.running++
+	r.inFlight++
 	return true
 }
 
-// hold counts background work that Drain waits for, for a call in flight.
-func (r *Relay) hold() {
+// beginBackgroundWork counts background work that Drain waits for. It must be
+// called while the call that it belongs to is in flight.
+func (r *Relay) beginBackgroundWork() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.running++
+	r.inFlight++
 }
 
-// end is called once for each begin and hold.
-func (r *Relay) end() {
+// endWork ends what one successful beginCall or one beginBackgroundWork began.
+func (r *Relay) endWork() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.running--
-	if r.draining && r.running == 0 {
-		close(r.idle)
+	r.inFlight--
+	if r.draining && r.inFlight == 0 {
+		close(r.allDone)
 	}
 }
 
-// InFlight returns the number of calls that have not ended.
+// InFlight returns the number of calls that have not ended and of outcomes
+// that are still being recorded.
 func (r *Relay) InFlight() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.running
+	return r.inFlight
 }
--- a/request/relay/repeat.go
+++ b/request/relay/repeat.go
@@ -17,162 +17,167 @@
 	"github.com/rattanway/rattanway/request/routing"
 )
 
-// repetition is a call that may be repeated, over all its attempts.
-type repetition struct {
-	relay  *Relay
-	call   *call
-	answer *answer
-	// tried and failed name servers that were tried, and those that failed.
+// repeatableCall is the state of a call that may be repeated, across all its
+// attempts.
+type repeatableCall struct {
+	relay    *Relay
+	call     *call
+	response *callerResponse
+	// tried holds the ids of the servers not to be tried again in this round,
+	// and failed those of the servers at which an attempt failed.
 	tried, failed map[string]bool
-	// attempts and refusals count what has been tried.
+	// attempts counts all attempts, and refusals those that an agent refused;
+	// switchVersion sets refusals back to 0.
 	attempts, refusals int
-	// mayHaveRun says that some attempt got beyond admission.
+	// mayHaveRun is true once an attempt failed after it may have been admitted.
 	mayHaveRun bool
-	// brokeOff is when the last attempt failed.
-	brokeOff time.Time
-	// switches counts how often the call was given to another version.
-	switches int
-	// refused is the newest refusal by an agent.
-	refused *frame.Refuse
-	// giveBack returns the retry that the running attempt took from the
-	// budget.
-	giveBack func()
+	// failedAt is the time of the last failed attempt.
+	failedAt time.Time
+	// versionSwitches counts how often the call was switched to another version.
+	versionSwitches int
+	// lastRefusal is the newest refusal by an agent; nil for none.
+	lastRefusal *frame.Refuse
+	// releaseRetry releases the retry that the current attempt holds in the
+	// retry budget; it does nothing when there is none.
+	releaseRetry func()
 }
 
-// repeat serves a call that may be repeated.
-func (r *Relay) repeat(ctx context.Context, c echo.Context, call *call) error {
-	rep := &repetition{relay: r, call: call, tried: map[string]bool{}, failed: map[string]bool{}, giveBack: func() {}}
-	rep.answer = &answer{
-		response: c.Response(),
-		stream:   call.stream,
-		holdBack: r.config.HoldBackBytes,
-		first:    func() { observeFirstByte(r.clock.Since(call.arrived)) },
+// serveRepeatable serves a call that may be repeated.
+func (r *Relay) serveRepeatable(ctx context.Context, c echo.Context, call *call) error {
+	rc := &repeatableCall{relay: r, call: call, tried: map[string]bool{}, failed: map[string]bool{}, releaseRetry: func() {}}
+	rc.response = &callerResponse{
+		w:               c.Response(),
+		streamRequested: call.streamRequested,
+		bufferLimit:     r.config.HoldBackBytes,
+		beforeFirstByte: func() { observeFirstByte(r.clock.Since(call.arrivedAt)) },
 	}
-	defer func() { rep.giveBack() }()
-	p, err := rep.run(ctx)
+	defer func() { rc.releaseRetry() }()
+	p, err := rc.run(ctx)
 	switch {
 	case err != nil:
-		r.log.Fail(eventGone, err, eventlog.Fields{"request": call.id, "tokens": rep.answer.tokens})
+		r.log.Fail(eventCallerGone, err, eventlog.Fields{"request": call.id, "tokens": rc.response.tokensSent})
 		panic(http.ErrAbortHandler)
 	case p == nil:
-		count(metricWhole)
-		r.log.Event(eventCallEnded, eventlog.Fields{
-			"request": call.id, "attempts": rep.attempts, "tokens": rep.answer.tokens,
-			"millis": r.clock.Since(call.arrived).Milliseconds(),
+		incrementCounter(metricCallsAnswered)
+		r.log.Event(eventCallAnswered, eventlog.Fields{
+			"request": call.id, "attempts": rc.attempts, "tokens": rc.response.tokensSent,
+			"millis": r.clock.Since(call.arrivedAt).Milliseconds(),
 		})
 		return nil
-	case !rep.answer.started:
-		return r.refuse(c, call.id, p)
+	case !rc.response.headerSent:
+		return r.refuseCall(c, call.id, p)
 	}
 	p.RequestID = call.id
 	p.Outcome = core.RefusalIncomplete
-	count(metricCut)
-	r.log.Event(eventCut, eventlog.Fields{"request": call.id, "tokens": rep.answer.tokens, "detail": p.Detail})
-	rep.answer.cut(p)
+	incrementCounter(metricCallsAborted)
+	r.log.Event(eventResponseAborted, eventlog.Fields{"request": call.id, "tokens": rc.response.tokensSent, "detail": p.Detail})
+	rc.response.abort(p)
 	return nil
 }
 
-// run makes attempts until the answer is whole (nil, nil), nothing more can
-// be tried (a problem), or the caller has gone (an error).
-func (rep *repetition) run(ctx context.Context) (*Problem, error) {
+// run makes attempts until the response is complete. It returns a Problem when
+// no further attempt is possible, and an error when the caller disconnected.
+func (rc *repeatableCall) run(ctx context.Context) (*Problem, error) {
 	for {
-		server, ok := rep.relay.picker.Pick(rep.call.query(rep.tried))
-		if !ok && rep.nextRound(ctx) {
+		server, ok := rc.relay.picker.Pick(rc.call.routingQuery(rc.tried))
+		if !ok && rc.startNextRound(ctx) {
 			continue
 		}
 		if !ok {
-			return rep.problem("no backend server can take the call"), nil
+			return rc.finalProblem("no backend server can take the call"), nil
 		}
-		rep.attempts++
-		v := rep.attempt(ctx, server)
-		rep.giveBack()
-		rep.relay.attemptEnded(rep.call, server, v)
-		if v.result == routing.ResultOK {
+		rc.attempts++
+		res := rc.runAttempt(ctx, server)
+		rc.releaseRetry()
+		rc.relay.recordAttempt(rc.call, server, res)
+		if res.result == routing.ResultOK {
 			return nil, nil
 		}
-		if v.result == routing.ResultCancelled {
-			return nil, v.err
+		if res.result == routing.ResultCancelled {
+			return nil, res.err
 		}
-		if p := rep.again(ctx, server, v); p != nil {
+		if p := rc.prepareNextAttempt(ctx, server, res); p != nil {
 			return p, nil
 		}
 	}
 }
 
-// again prepares the next attempt, or returns why there is none.
-func (rep *repetition) again(ctx context.Context, server registry.Server, v verdict) *Problem {
-	rep.tried[server.Instance.ID] = true
+// prepareNextAttempt prepares the attempt after one that was refused or failed.
+// It returns a Problem when there is to be no further attempt.
+func (rc *repeatableCall) prepareNextAttempt(ctx context.Context, server registry.Server, res attemptResult) *Problem {
+	rc.tried[server.Instance.ID] = true
 	if ctx.Err() != nil {
-		return rep.problem("the deadline has passed")
+		return rc.finalProblem("the deadline has passed")
 	}
-	if v.refused != nil {
-		return rep.afterRefusal(ctx, v.refused)
+	if res.refusal != nil {
+		return rc.afterRefusal(ctx, res.refusal)
 	}
-	return rep.afterFailure(ctx, server, v)
+	return rc.afterFailure(ctx, server, res)
 }
 
-// afterRefusal decides whether another server is offered the call. A call
-// whose answer has not begun is refused early, so that its caller can go
-// elsewhere; an answer that has begun, and a call within its account's fair
-// share, are worth a longer search.
-func (rep *repetition) afterRefusal(ctx context.Context, refused *frame.Refuse) *Problem {
-	config := rep.relay.config
-	rep.refused = refused
-	rep.refusals++
-	if rep.answer.started {
-		if rep.relay.picker.Short(rep.call.query(rep.tried)) && !rep.nextRound(ctx) {
-			return rep.problem("no backend server goes on with the answer: " + string(refused.Reason))
+// afterRefusal decides whether the call is offered to another server after a
+// refusal by an agent. A call whose response has not begun is refused early, so
+// that its caller can try elsewhere soon; the search is longer for a response
+// that has begun and for a call within the fair share of its client account.
+func (rc *repeatableCall) afterRefusal(ctx context.Context, refusal *frame.Refuse) *Problem {
+	config := rc.relay.config
+	rc.lastRefusal = refusal
+	rc.refusals++
+	if rc.response.headerSent {
+		if rc.relay.picker.Short(rc.call.routingQuery(rc.tried)) && !rc.startNextRound(ctx) {
+			return rc.finalProblem("no backend server goes on with the answer: " + string(refusal.Reason))
 		}
 		return nil
 	}
-	if refused.Reason == frame.ReasonStale && rep.relay.pauseUntil(ctx, rep.call, config.ConfigWait) {
-		clear(rep.tried)
+	if refusal.Reason == frame.ReasonStale && rc.relay.pauseBeforeOffer(ctx, rc.call, config.ConfigWait) {
+		clear(rc.tried)
 		return nil
 	}
-	age := rep.relay.clock.Since(rep.call.arrived)
-	if rep.call.due && age < config.DueWithin {
-		if rep.refusals%config.MaxRefusals == 0 {
-			clear(rep.tried)
+	age := rc.relay.clock.Since(rc.call.arrivedAt)
+	if rc.call.withinFairShare && age < config.DueWithin {
+		if rc.refusals%config.MaxRefusals == 0 {
+			clear(rc.tried)
 		}
 		return nil
 	}
-	late := age >= config.RefuseAfter
-	if rep.refusals >= config.MaxRefusals || late && rep.relay.picker.Short(rep.call.query(rep.tried)) {
-		if rep.otherVersion(ctx) {
+	pastRefuseAge := age >= config.RefuseAfter
+	if rc.refusals >= config.MaxRefusals || pastRefuseAge && rc.relay.picker.Short(rc.call.routingQuery(rc.tried)) {
+		if rc.switchVersion(ctx) {
 			return nil
 		}
-		return rep.problem("backend servers refused the call: " + string(refused.Reason))
+		return rc.finalProblem("backend servers refused the call: " + string(refusal.Reason))
 	}
 	return nil
 }
 
-// otherVersion gives a call that was refused, and of which no part has run, to
-// another version of its model, the first time at once and then after a pause,
-// while it is young.
-func (rep *repetition) otherVersion(ctx context.Context) bool {
-	if rep.mayHaveRun || rep.call.service != "" {
+// switchVersion switches a refused call, if no part of it may have run, to
+// another version of its model. The first switch happens at once; each further
+// one follows a pause and is made only while the call is younger than DueWithin.
+// It reports whether it switched the version.
+func (rc *repeatableCall) switchVersion(ctx context.Context) bool {
+	if rc.mayHaveRun || rc.call.service != "" {
 		return false
 	}
-	pinned := rep.call.request.Digest
-	other, ok := rep.relay.picker.Alternative(rep.call.request.Model, pinned)
-	if !ok || rep.switches > 0 && !rep.relay.pauseUntil(ctx, rep.call, rep.relay.config.DueWithin) {
+	currentDigest := rc.call.request.Digest
+	otherDigest, ok := rc.relay.picker.Alternative(rc.call.request.Model, currentDigest)
+	if !ok || rc.versionSwitches > 0 && !rc.relay.pauseBeforeOffer(ctx, rc.call, rc.relay.config.DueWithin) {
 		return false
 	}
-	rep.switches++
-	rep.call.request.Digest = other
-	rep.refusals = 0
-	clear(rep.tried)
-	rep.relay.log.Event(eventOtherVersion, eventlog.Fields{
-		"request": rep.call.id, "from": pinned.Short(), "to": other.Short(), "refused": rep.refused.Reason,
+	rc.versionSwitches++
+	rc.call.request.Digest = otherDigest
+	rc.refusals = 0
+	clear(rc.tried)
+	rc.relay.log.Event(eventCallOtherVersion, eventlog.Fields{
+		"request": rc.call.id, "from": currentDigest.Short(), "to": otherDigest.Short(), "refused": rc.lastRefusal.Reason,
 	})
 	return true
 }
 
-// pauseUntil waits a little before a call is offered again, such as for a
-// configuration that is newer here than at the agents; it reports false when
-// the call has reached the age of longest.
-func (r *Relay) pauseUntil(ctx context.Context, c *call, longest time.Duration) bool {
-	if r.clock.Since(c.arrived) >= longest {
+// pauseBeforeOffer waits for ResumePause before a call is offered again, for
+// example until agents have received the newest configuration. It returns false
+// without waiting when the call has reached maxAge, and false when ctx ends.
+func (r *Relay) pauseBeforeOffer(ctx context.Context, c *call, maxAge time.Duration) bool {
+	if r.clock.Since(c.arrivedAt) >= maxAge {
 		return false
 	}
 	select {
@@ -183,124 +188,132 @@
 	}
 }
 
-// nextRound waits a little and lets the servers be tried again that refused,
-// later also those that failed, for an answer that has begun and broke off
-// not long ago.
-func (rep *repetition) nextRound(ctx context.Context) bool {
-	config := rep.relay.config
-	if !rep.answer.started || rep.relay.clock.Since(rep.brokeOff) >= config.ResumeWithin {
+// startNextRound waits for ResumePause and makes the servers that refused the
+// call eligible again; in the second half of ResumeWithin also those that
+// failed. It returns false when the response has not begun, when ResumeWithin
+// has passed since the last failure, or when ctx ends.
+func (rc *repeatableCall) startNextRound(ctx context.Context) bool {
+	config := rc.relay.config
+	if !rc.response.headerSent || rc.relay.clock.Since(rc.failedAt) >= config.ResumeWithin {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-rep.relay.clock.After(config.ResumePause):
+	case <-rc.relay.clock.After(config.ResumePause):
 	}
-	clear(rep.tried)
-	if rep.relay.clock.Since(rep.brokeOff) < config.ResumeWithin/2 {
-		maps.Copy(rep.tried, rep.failed)
+	clear(rc.tried)
+	if rc.relay.clock.Since(rc.failedAt) < config.ResumeWithin/2 {
+		maps.Copy(rc.tried, rc.failed)
 	}
 	return true
 }
 
-// afterFailure decides whether the call is retried or resumed.
-func (rep *repetition) afterFailure(ctx context.Context, server registry.Server, v verdict) *Problem {
-	config := rep.relay.config
-	rep.brokeOff = rep.relay.clock.Now()
-	rep.failed[server.Instance.ID] = true
-	rep.mayHaveRun = rep.mayHaveRun || v.word != core.RefusalNotRun
-	if rep.attempts-rep.refusals >= config.MaxAttempts {
-		return rep.problem("every attempt failed")
+// afterFailure decides whether the call is retried or resumed after a failed
+// attempt. It returns a Problem when it is not.
+func (rc *repeatableCall) afterFailure(ctx context.Context, server registry.Server, res attemptResult) *Problem {
+	config := rc.relay.config
+	rc.failedAt = rc.relay.clock.Now()
+	rc.failed[server.Instance.ID] = true
+	rc.mayHaveRun = rc.mayHaveRun || res.failOutcome != core.RefusalNotRun
+	if rc.attempts-rc.refusals >= config.MaxAttempts {
+		return rc.finalProblem("every attempt failed")
 	}
-	if rep.answer.started && !rep.answer.streamed() {
-		return rep.problem("the answer broke off")
+	if rc.response.headerSent && !rc.response.isEventStream() {
+		return rc.finalProblem("the answer broke off")
 	}
 	ctx, cancel := context.WithTimeout(ctx, config.BudgetWait)
 	defer cancel()
-	giveBack, ok := rep.relay.budget.take(ctx)
+	releaseRetry, ok := rc.relay.retryBudget.acquire(ctx)
 	if !ok {
-		count(metricNoBudget)
-		rep.relay.log.Event(eventNoBudget, eventlog.Fields{"request": rep.call.id})
-		return rep.problem("the attempt failed and the retry budget is spent")
+		incrementCounter(metricRetryBudgetSpent)
+		rc.relay.log.Event(eventRetryBudgetSpent, eventlog.Fields{"request": rc.call.id})
+		return rc.finalProblem("the attempt failed and the retry budget is spent")
 	}
-	rep.giveBack = giveBack
-	count(metricRetries)
-	rep.relay.log.Event(eventRetry, eventlog.Fields{
-		"request": rep.call.id, "after": server.Instance.ID, "tokens": rep.answer.tokens,
+	rc.releaseRetry = releaseRetry
+	incrementCounter(metricRetries)
+	rc.relay.log.Event(eventCallRetried, eventlog.Fields{
+		"request": rc.call.id, "after": server.Instance.ID, "tokens": rc.response.tokensSent,
 	})
 	return nil
 }
 
-// problem returns the refusal that is true for the call as a whole.
-func (rep *repetition) problem(detail string) *Problem {
-	after := rep.relay.config.RetryAfter
-	if rep.refused != nil && rep.refused.RetryAfterMillis > 0 {
-		after = time.Duration(rep.refused.RetryAfterMillis) * time.Millisecond
+// finalProblem returns the Problem for the call as a whole. Its outcome is
+// "unknown" if any attempt may have run, and "not-run" otherwise.
+func (rc *repeatableCall) finalProblem(detail string) *Problem {
+	retryAfter := rc.relay.config.RetryAfter
+	if rc.lastRefusal != nil && rc.lastRefusal.RetryAfterMillis > 0 {
+		retryAfter = time.Duration(rc.lastRefusal.RetryAfterMillis) * time.Millisecond
 	}
-	if rep.mayHaveRun {
-		return refusal(http.StatusBadGateway, core.RefusalUnknown, detail).after(after)
+	if rc.mayHaveRun {
+		return newProblem(http.StatusBadGateway, core.RefusalUnknown, detail).withRetryAfter(retryAfter)
 	}
-	return refusal(http.StatusServiceUnavailable, core.RefusalNotRun, detail).after(after)
+	return newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter)
 }
 
-// attempt tries the call at one server.
-func (rep *repetition) attempt(ctx context.Context, server registry.Server) verdict {
-	config := rep.relay.config
-	first, next := config.AnswerTimeout, config.AnswerTimeout
-	if rep.call.stream {
-		first, next = config.FirstTokenTimeout, config.StallTimeout
+// runAttempt makes one attempt of the call at server.
+func (rc *repeatableCall) runAttempt(ctx context.Context, server registry.Server) attemptResult {
+	config := rc.relay.config
+	firstTimeout, nextTimeout := config.AnswerTimeout, config.AnswerTimeout
+	if rc.call.streamRequested {
+		firstTimeout, nextTimeout = config.FirstTokenTimeout, config.StallTimeout
 	}
-	watching, watched := rep.relay.watch.add(ctx, server.Instance.ID, first, next)
-	defer rep.relay.watch.remove(watched)
-	rd := &reader{
-		id:     rep.call.id,
-		digest: rep.call.request.Digest,
-		heard:  watched.heard,
-		head:   rep.head,
-		data:   rep.data,
+	attemptCtx, monitored := rc.relay.stallMonitor.add(ctx, server.Instance.ID, firstTimeout, nextTimeout)
+	defer rc.relay.stallMonitor.remove(monitored)
+	reader := &responseReader{
+		id:         rc.call.id,
+		digest:     rc.call.request.Digest,
+		onProgress: monitored.recordProgress,
+		onHead:     rc.handleHead,
+		onData:     rc.handleData,
 	}
-	req := rep.call.attempt(ctx, rep.answer.tokens)
-	x, err := rep.relay.opener.Open(ctx, server.Instance, rep.call.id, frame.KindRequest, req)
+	req := rc.call.attemptRequest(ctx, rc.response.tokensSent)
+	x, err := rc.relay.opener.Open(ctx, server.Instance, rc.call.id, frame.KindRequest, req)
 	if err != nil {
-		return rep.blame(ctx, failed(err))
+		return rc.classifyFailure(ctx, failedAttempt(err))
 	}
-	v := rd.read(watching, x)
-	v.close(x)
-	if v.result == routing.ResultOK {
-		if err := rep.answer.finish(); err != nil {
-			return rep.blame(ctx, failed(callerError{err}))
+	res := reader.read(attemptCtx, x)
+	res.closeExchange(x)
+	if res.result == routing.ResultOK {
+		if err := rc.response.finish(); err != nil {
+			return rc.classifyFailure(ctx, failedAttempt(callerWriteError{err}))
 		}
 	}
-	return rep.blame(ctx, v)
+	return rc.classifyFailure(ctx, res)
 }
 
-func (rep *repetition) head(h frame.Head) error {
-	if h.Status == http.StatusServiceUnavailable || h.Status == http.StatusBadGateway || h.Status == http.StatusGatewayTimeout {
-		return fmt.Errorf("%w: status %d", errOverload, h.Status)
+// handleHead processes the Head frame of an attempt. Statuses 502, 503 and 504
+// fail the attempt, so that the call is retried.
+func (rc *repeatableCall) handleHead(head frame.Head) error {
+	if head.Status == http.StatusServiceUnavailable || head.Status == http.StatusBadGateway || head.Status == http.StatusGatewayTimeout {
+		return fmt.Errorf("%w: status %d", errOverloaded, head.Status)
 	}
-	if rep.answer.started && h.Status != rep.answer.head.Status {
-		return fmt.Errorf("%w: status %d on resuming", errBrokeOff, h.Status)
+	if rc.response.headerSent && head.Status != rc.response.head.Status {
+		return fmt.Errorf("%w: status %d of the resumed response", errResponseFailed, head.Status)
 	}
-	rep.answer.begin(h)
+	rc.response.beginAttempt(head)
 	return nil
 }
 
-func (rep *repetition) data(d frame.Data) error {
-	rep.giveBack()
-	if err := rep.answer.data(d); err != nil {
-		return callerError{err}
+// handleData processes a piece of the body and releases the retry, because the
+// budget counts a retry only until its first byte.
+func (rc *repeatableCall) handleData(data frame.Data) error {
+	rc.releaseRetry()
+	if err := rc.response.write(data); err != nil {
+		return callerWriteError{err}
 	}
 	return nil
 }
 
-// blame tells a caller that went away from a server that failed.
-func (rep *repetition) blame(ctx context.Context, v verdict) verdict {
-	if v.result != routing.ResultFailed {
-		return v
+// classifyFailure changes a failed result to cancelled when the caller
+// disconnected, so that routing does not count it as a failure of the server.
+func (rc *repeatableCall) classifyFailure(ctx context.Context, res attemptResult) attemptResult {
+	if res.result != routing.ResultFailed {
+		return res
 	}
-	var gone callerError
-	if errors.As(v.err, &gone) || errors.Is(ctx.Err(), context.Canceled) {
-		v.result = routing.ResultCancelled
+	var writeErr callerWriteError
+	if errors.As(res.err, &writeErr) || errors.Is(ctx.Err(), context.Canceled) {
+		res.result = routing.ResultCancelled
 	}
-	return v
+	return res
 }
--- a/request/relay/runonce.go
+++ b/request/relay/runonce.go
@@ -17,127 +17,133 @@
 	"github.com/rattanway/rattanway/request/routing"
 )
 
-// errHoldPassed says that the agent's slot may be free again.
-var errHoldPassed = errors.New("the held slot has expired")
+// errHoldExpired is returned when the time for which the agent holds the slot
+// has passed, so that the slot may be free again.
+var errHoldExpired = errors.New("the held slot has expired")
 
-// errTooLarge says that the answer to a once-only call is too large.
-var errTooLarge = errors.New("answer is too large")
+// errResponseTooLarge is returned when the response to a once-only call exceeds
+// MaxAnswerBytes.
+var errResponseTooLarge = errors.New("response is too large")
 
-// runOnce serves a call that may not be repeated.
-func (r *Relay) runOnce(ctx context.Context, c echo.Context, call *call) error {
-	outcome, p := r.settle(ctx, call)
+// serveOnce serves a call that may run at most once.
+func (r *Relay) serveOnce(ctx context.Context, c echo.Context, call *call) error {
+	outcome, p := r.resolveOutcome(ctx, call)
 	if p != nil {
-		return r.refuse(c, call.id, p)
+		return r.refuseCall(c, call.id, p)
 	}
-	a := &answer{
-		response: c.Response(),
-		first:    func() { observeFirstByte(r.clock.Since(call.arrived)) },
-		head:     frame.Head{Status: outcome.Status, Header: outcome.Header},
-		pending:  outcome.Body,
+	resp := &callerResponse{
+		w:               c.Response(),
+		beforeFirstByte: func() { observeFirstByte(r.clock.Since(call.arrivedAt)) },
+		head:            frame.Head{Status: outcome.Status, Header: outcome.Header},
+		buffered:        outcome.Body,
 	}
-	if err := a.finish(); err != nil {
-		r.log.Fail(eventGone, err, eventlog.Fields{"request": call.id})
+	if err := resp.finish(); err != nil {
+		r.log.Fail(eventCallerGone, err, eventlog.Fields{"request": call.id})
 		panic(http.ErrAbortHandler)
 	}
-	count(metricWhole)
-	r.log.Event(eventCallEnded, eventlog.Fields{
-		"request": call.id, "millis": r.clock.Since(call.arrived).Milliseconds(),
+	incrementCounter(metricCallsAnswered)
+	r.log.Event(eventCallAnswered, eventlog.Fields{
+		"request": call.id, "millis": r.clock.Since(call.arrivedAt).Milliseconds(),
 	})
 	return nil
 }
 
-// settle finds the outcome of the call, by its record or by running it.
-func (r *Relay) settle(ctx context.Context, call *call) (*once.Outcome, *Problem) {
-	if call.key == "" {
-		o, p, _ := r.offer(ctx, call, nil)
-		return o, p
+// resolveOutcome returns the recorded outcome of the call, or runs the call and
+// returns its outcome.
+func (r *Relay) resolveOutcome(ctx context.Context, call *call) (*once.Outcome, *Problem) {
+	if call.idempotencyKey == "" {
+		runOutcome, p, _ := r.offerToServers(ctx, call, nil)
+		return runOutcome, p
 	}
-	if r.keeper == nil {
-		return nil, refusal(http.StatusServiceUnavailable, core.RefusalNotRun, once.ErrTable.Error())
+	if r.onceKeeper == nil {
+		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, once.ErrTable.Error())
 	}
 	keyed := &keyedCall{Call: once.Call{
 		RequestID: call.id,
 		Account:   call.account.Name,
 		Service:   call.service,
-		Key:       call.key,
+		Key:       call.idempotencyKey,
 		Request:   once.RequestDigest(call.request.Method, call.request.Path, call.request.Body),
 	}}
 	for {
-		outcome, turn, err := r.keeper.Settle(ctx, keyed.Call, r.ask)
+		outcome, turn, err := r.onceKeeper.Settle(ctx, keyed.Call, r.queryAttempt)
 		if err != nil {
-			return nil, r.unsettled(err)
+			return nil, r.problemFromKeeperError(err)
 		}
 		if outcome != nil {
 			return outcome, nil
 		}
 		keyed.turn = turn
 		keyed.claim = nil
-		o, p, err := r.offer(ctx, call, keyed)
+		runOutcome, p, err := r.offerToServers(ctx, call, keyed)
 		if errors.Is(err, once.ErrTaken) {
 			continue
 		}
-		if p != nil && p.Outcome == core.RefusalNotRun && r.keeper.Moved(ctx, keyed.Call, turn, keyed.claim) {
+		if p != nil && p.Outcome == core.RefusalNotRun && r.onceKeeper.Moved(ctx, keyed.Call, turn, keyed.claim) {
 			continue
 		}
-		return o, p
+		return runOutcome, p
 	}
 }
 
-// keyedCall is a keyed call, the turn to claim it, and the claim once made.
+// keyedCall is a once-only call with an Idempotency-Key. turn is the permission
+// to claim its next attempt, and claim is nil until the attempt is claimed.
 type keyedCall struct {
 	once.Call
 	turn  once.Turn
 	claim *once.Claim
 }
 
-// unsettled turns an error of once.Settle into a refusal. When the record
-// cannot be read, an earlier submission with the same key may have run, so
-// "not run" might not be true.
-func (r *Relay) unsettled(err error) *Problem {
+// problemFromKeeperError returns the Problem for an error of
+// once.Keeper.Settle. When the record cannot be read, the outcome is
+// "unknown" instead of "not-run", because an earlier submission with the same key
+// may have run.
+func (r *Relay) problemFromKeeperError(err error) *Problem {
 	if errors.Is(err, once.ErrMismatch) {
-		return refusal(http.StatusUnprocessableEntity, core.RefusalNotRun, once.ErrMismatch.Error())
+		return newProblem(http.StatusUnprocessableEntity, core.RefusalNotRun, once.ErrMismatch.Error())
 	}
 	status, detail := http.StatusBadGateway, once.ErrUnknown.Error()
 	if errors.Is(err, once.ErrTable) {
 		status, detail = http.StatusServiceUnavailable, once.ErrTable.Error()
 	}
-	return refusal(status, core.RefusalUnknown, detail).after(r.config.RetryAfter)
+	return newProblem(status, core.RefusalUnknown, detail).withRetryAfter(r.config.RetryAfter)
 }
 
-// offer offers the call to one server after another until one admits it, and
-// runs it there. keyed is nil for calls without a key. The error is
-// once.ErrTaken when another submission came first.
-func (r *Relay) offer(ctx context.Context, call *call, keyed *keyedCall) (*once.Outcome, *Problem, error) {
+// offerToServers offers the call to one server after another until an agent
+// admits it, and runs it there. keyed is nil for calls without an
+// Idempotency-Key. The error is once.ErrTaken when another submission has
+// claimed the call, and nil otherwise.
+func (r *Relay) offerToServers(ctx context.Context, call *call, keyed *keyedCall) (*once.Outcome, *Problem, error) {
 	tried := map[string]bool{}
-	after := r.config.RetryAfter
+	retryAfter := r.config.RetryAfter
 	detail := "no backend server can take the call"
 	for len(tried) < r.config.MaxAttempts {
-		server, ok := r.picker.Pick(call.query(tried))
+		server, ok := r.picker.Pick(call.routingQuery(tried))
 		if !ok {
 			break
 		}
 		tried[server.Instance.ID] = true
-		run := &onceRun{relay: r, call: call, keyed: keyed, server: server}
-		outcome, p, err := run.do(ctx)
+		attempt := &onceAttempt{relay: r, call: call, keyed: keyed, server: server}
+		outcome, p, err := attempt.run(ctx)
 		if outcome != nil || p != nil || errors.Is(err, once.ErrTaken) {
 			return outcome, p, err
 		}
-		detail = run.detail(err)
-		if run.retryAfter > 0 {
-			after = run.retryAfter
+		detail = attempt.refusalDetail(err)
+		if attempt.retryAfter > 0 {
+			retryAfter = attempt.retryAfter
 		}
-		if run.refused == frame.ReasonStale && r.pauseUntil(ctx, call, r.config.ConfigWait) {
+		if attempt.refusalReason == frame.ReasonStale && r.pauseBeforeOffer(ctx, call, r.config.ConfigWait) {
 			clear(tried)
 		}
 		if ctx.Err() != nil || errors.Is(err, once.ErrTable) {
 			break
 		}
 	}
-	return nil, refusal(http.StatusServiceUnavailable, core.RefusalNotRun, detail).after(after), nil
+	return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter), nil
 }
 
-// ask implements once.Asker.
-func (r *Relay) ask(ctx context.Context, agent core.Instance, key string, attempt int) (frame.Answer, error) {
+// queryAttempt implements once.Asker.
+func (r *Relay) queryAttempt(ctx context.Context, agent core.Instance, key string, attempt int) (frame.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.AskTimeout)
 	defer cancel()
 	id := key
@@ -145,135 +151,145 @@
 	if err != nil {
 		return frame.Answer{}, err
 	}
-	msg, err := receiveWithin(ctx, x, id, r.config.AskTimeout)
+	msg, err := receiveWithTimeout(ctx, x, id, r.config.AskTimeout)
 	answer, ok := msg.(*frame.Answer)
 	x.Close(ok)
 	if ok {
-		return withPassedOn(*answer), nil
+		return withForwardedHeader(*answer), nil
 	}
 	if err == nil {
-		err = errWrongKind
+		err = errUnexpectedFrame
 	}
 	return frame.Answer{}, core.Step("ask", agent.ID, err)
 }
 
-// withPassedOn drops from a kept outcome the header fields that are not
-// recorded either, so that both ways give the caller the same answer.
-func withPassedOn(a frame.Answer) frame.Answer {
-	if a.Outcome == nil {
-		return a
+// withForwardedHeader removes the header fields that are not forwarded from the
+// outcome that an agent kept. They are not recorded either, so the caller gets
+// the same response from the agent's copy and from the record.
+func withForwardedHeader(answer frame.Answer) frame.Answer {
+	if answer.Outcome == nil {
+		return answer
 	}
-	kept := *a.Outcome
-	kept.Header = passedOn(kept.Header)
-	a.Outcome = &kept
-	return a
+	outcome := *answer.Outcome
+	outcome.Header = forwardedHeader(outcome.Header)
+	answer.Outcome = &outcome
+	return answer
 }
 
-// onceRun is one offer of a once-only call to one server.
-type onceRun struct {
-	relay      *Relay
-	call       *call
-	keyed      *keyedCall
-	server     registry.Server
+// onceAttempt is one attempt of a once-only call at one server.
+type onceAttempt struct {
+	relay *Relay
+	call  *call
+	// keyed is nil for calls without an Idempotency-Key.
+	keyed  *keyedCall
+	server registry.Server
+	// retryAfter is the time that the agent suggested when it refused the call;
+	// 0 for none.
 	retryAfter time.Duration
-	// refused is the agent's reason for not admitting the call; "" for none.
-	refused frame.Reason
+	// refusalReason is the agent's reason for not admitting the call; "" for none.
+	refusalReason frame.Reason
 }
 
-// do offers the call and runs it when admitted. An error alone means that
-// the call was not run and may be offered to another server.
-func (o *onceRun) do(ctx context.Context) (*once.Outcome, *Problem, error) {
-	x, admitted, v := o.admit(ctx)
-	if v.result != routing.ResultOK {
-		o.relay.attemptEnded(o.call, o.server, v)
-		return nil, nil, v.err
+// run offers the call and runs it if the agent admits it. If only the error is
+// set, the call did not run; it may then be offered to another server, unless
+// the error is once.ErrTaken.
+func (oa *onceAttempt) run(ctx context.Context) (*once.Outcome, *Problem, error) {
+	x, admission, res := oa.offer(ctx)
+	if res.result != routing.ResultOK {
+		oa.relay.recordAttempt(oa.call, oa.server, res)
+		return nil, nil, res.err
 	}
-	if err := o.prepare(ctx, admitted); err != nil {
+	if err := oa.claimAndCheckHold(ctx, admission); err != nil {
 		x.Close(false)
-		o.relay.attemptEnded(o.call, o.server, verdict{result: routing.ResultCancelled, err: err})
+		oa.relay.recordAttempt(oa.call, oa.server, attemptResult{result: routing.ResultCancelled, err: err})
 		return nil, nil, err
 	}
-	// From here on the call may run: it goes on even when the caller leaves.
-	ctx, cancel := o.detach(ctx)
+	// From here on the call may run, so it continues even if the caller
+	// disconnects.
+	ctx, cancel := oa.detachFromCaller(ctx)
 	defer cancel()
-	outcome, v := o.release(ctx, x)
-	v.close(x)
-	o.relay.attemptEnded(o.call, o.server, v)
-	return o.conclude(ctx, outcome, v)
+	outcome, res := oa.runAdmitted(ctx, x)
+	res.closeExchange(x)
+	oa.relay.recordAttempt(oa.call, oa.server, res)
+	return oa.conclude(ctx, outcome, res)
 }
 
-// detail says to the caller why the call was not run. Errors name peers and
-// rows, which are for the log only.
-func (o *onceRun) detail(err error) string {
+// refusalDetail returns the reason, for the caller, why the call was not run. It
+// does not contain err itself, which names peers and rows that only the log may
+// show.
+func (oa *onceAttempt) refusalDetail(err error) string {
 	switch {
-	case o.refused != "":
-		return "backend servers refused the call: " + string(o.refused)
+	case oa.refusalReason != "":
+		return "backend servers refused the call: " + string(oa.refusalReason)
 	case errors.Is(err, once.ErrTable):
 		return once.ErrTable.Error()
 	}
 	return "the call was not run: no backend server could be reached in time"
 }
 
-// admission is the agent's admission and when it was asked for.
+// admission is an agent's Admit frame and the time at which the call was
+// offered.
 type admission struct {
 	frame.Admit
-	asked time.Time
+	offeredAt time.Time
 }
 
-// admit offers the call and waits for a slot.
-func (o *onceRun) admit(ctx context.Context) (work.Exchange, admission, verdict) {
-	req := o.call.attempt(ctx, 0)
-	if o.keyed != nil {
-		req.Key = o.keyed.Row()
-		req.Attempt = o.keyed.turn.Attempt
+// offer offers the call to the agent and waits until it admits or refuses it.
+func (oa *onceAttempt) offer(ctx context.Context) (work.Exchange, admission, attemptResult) {
+	req := oa.call.attemptRequest(ctx, 0)
+	if oa.keyed != nil {
+		req.Key = oa.keyed.Row()
+		req.Attempt = oa.keyed.turn.Attempt
 	}
-	asked := o.relay.clock.Now()
-	x, err := o.relay.opener.Open(ctx, o.server.Instance, o.call.id, frame.KindOffer, req)
+	offeredAt := oa.relay.clock.Now()
+	x, err := oa.relay.opener.Open(ctx, oa.server.Instance, oa.call.id, frame.KindOffer, req)
 	if err != nil {
-		return nil, admission{}, failed(err)
+		return nil, admission{}, failedAttempt(err)
 	}
-	msg, err := receiveWithin(ctx, x, o.call.id, o.relay.config.AdmitTimeout)
+	msg, err := receiveWithTimeout(ctx, x, oa.call.id, oa.relay.config.AdmitTimeout)
 	switch m := msg.(type) {
 	case *frame.Admit:
-		return x, admission{Admit: *m, asked: asked}, verdict{result: routing.ResultOK}
+		return x, admission{Admit: *m, offeredAt: offeredAt}, attemptResult{result: routing.ResultOK}
 	case *frame.Refuse:
 		x.Close(true)
-		o.refused = m.Reason
-		o.retryAfter = time.Duration(m.RetryAfterMillis) * time.Millisecond
-		err = errors.Errorf("refused by %s: %s", o.server.Instance.ID, m.Reason)
-		return nil, admission{}, verdict{result: routing.ResultRefused, load: &m.Load, refused: m, err: err}
+		oa.refusalReason = m.Reason
+		oa.retryAfter = time.Duration(m.RetryAfterMillis) * time.Millisecond
+		err = errors.Errorf("refused by %s: %s", oa.server.Instance.ID, m.Reason)
+		return nil, admission{}, attemptResult{result: routing.ResultRefused, load: &m.Load, refusal: m, err: err}
 	}
 	x.Close(false)
 	if err == nil {
-		err = errWrongKind
+		err = errUnexpectedFrame
 	}
-	return nil, admission{}, failed(err)
+	return nil, admission{}, failedAttempt(err)
 }
 
-// prepare claims a keyed call for the incarnation that admitted it, and makes
-// sure that the slot is still held.
-func (o *onceRun) prepare(ctx context.Context, a admission) error {
-	if o.keyed != nil {
-		claim, err := o.relay.keeper.Claim(ctx, o.keyed.Call, o.keyed.turn, o.server.Instance, a.Incarnation)
+// claimAndCheckHold claims a keyed call for the agent incarnation that admitted
+// it, and returns an error if the agent's slot is no longer held or ctx has
+// ended.
+func (oa *onceAttempt) claimAndCheckHold(ctx context.Context, admission admission) error {
+	if oa.keyed != nil {
+		claim, err := oa.relay.onceKeeper.Claim(ctx, oa.keyed.Call, oa.keyed.turn, oa.server.Instance, admission.Incarnation)
 		if err != nil {
 			return err
 		}
-		o.keyed.claim = claim
+		oa.keyed.claim = claim
 	}
-	held := time.Duration(a.HoldMillis) * time.Millisecond
-	expired := o.relay.clock.Since(a.asked) >= held
+	holdDuration := time.Duration(admission.HoldMillis) * time.Millisecond
+	expired := oa.relay.clock.Since(admission.offeredAt) >= holdDuration
 	if !expired && ctx.Err() == nil {
 		return nil
 	}
-	o.record(ctx, (*once.Claim).NotRun)
+	oa.recordInBackground(ctx, (*once.Claim).NotRun)
 	if expired {
-		return errHoldPassed
+		return errHoldExpired
 	}
 	return ctx.Err()
 }
 
-// detach returns a context that outlives the caller but not its deadline.
-func (o *onceRun) detach(ctx context.Context) (context.Context, context.CancelFunc) {
+// detachFromCaller returns a context with the deadline of ctx that is not
+// cancelled when the caller disconnects.
+func (oa *onceAttempt) detachFromCaller(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	ctx = context.WithoutCancel(ctx)
 	if !ok {
@@ -282,66 +298,67 @@
 	return context.WithDeadline(ctx, deadline)
 }
 
-// release sends Go and reads the answer.
-func (o *onceRun) release(ctx context.Context, x work.Exchange) (*once.Outcome, verdict) {
-	o.relay.log.Event(eventGo, eventlog.Fields{"request": o.call.id, "server": o.server.Instance.ID})
-	if err := x.Send(frame.KindGo, frame.Go{ID: o.call.id}); err != nil {
-		return nil, failed(err)
+// runAdmitted instructs the agent to run the call and reads the response.
+func (oa *onceAttempt) runAdmitted(ctx context.Context, x work.Exchange) (*once.Outcome, attemptResult) {
+	oa.relay.log.Event(eventOnceGo, eventlog.Fields{"request": oa.call.id, "server": oa.server.Instance.ID})
+	if err := x.Send(frame.KindGo, frame.Go{ID: oa.call.id}); err != nil {
+		return nil, failedAttempt(err)
 	}
-	watching, watched := o.relay.watch.add(ctx, o.server.Instance.ID, o.relay.config.AnswerTimeout, o.relay.config.AnswerTimeout)
-	defer o.relay.watch.remove(watched)
+	attemptCtx, monitored := oa.relay.stallMonitor.add(ctx, oa.server.Instance.ID, oa.relay.config.AnswerTimeout, oa.relay.config.AnswerTimeout)
+	defer oa.relay.stallMonitor.remove(monitored)
 	outcome := &once.Outcome{}
-	rd := &reader{
-		id:    o.call.id,
-		heard: watched.heard,
-		head: func(h frame.Head) error {
-			outcome.Status = h.Status
-			outcome.Header = passedOn(h.Header)
+	reader := &responseReader{
+		id:         oa.call.id,
+		onProgress: monitored.recordProgress,
+		onHead: func(head frame.Head) error {
+			outcome.Status = head.Status
+			outcome.Header = forwardedHeader(head.Header)
 			return nil
 		},
-		data: func(d frame.Data) error {
-			outcome.Body = append(outcome.Body, d.Body...)
-			if len(outcome.Body) > o.relay.config.MaxAnswerBytes {
-				return errTooLarge
+		onData: func(data frame.Data) error {
+			outcome.Body = append(outcome.Body, data.Body...)
+			if len(outcome.Body) > oa.relay.config.MaxAnswerBytes {
+				return errResponseTooLarge
 			}
 			return nil
 		},
 	}
-	return outcome, rd.read(watching, x)
+	return outcome, reader.read(attemptCtx, x)
 }
 
-// conclude records what became of the call and says it to the caller.
-func (o *onceRun) conclude(ctx context.Context, outcome *once.Outcome, v verdict) (*once.Outcome, *Problem, error) {
-	after := o.relay.config.RetryAfter
-	if v.result == routing.ResultOK {
-		o.record(ctx, func(c *once.Claim, ctx context.Context) error { return c.Done(ctx, *outcome) })
+// conclude records the result of the call, and returns the outcome or the
+// Problem to send to the caller.
+func (oa *onceAttempt) conclude(ctx context.Context, outcome *once.Outcome, res attemptResult) (*once.Outcome, *Problem, error) {
+	retryAfter := oa.relay.config.RetryAfter
+	if res.result == routing.ResultOK {
+		oa.recordInBackground(ctx, func(c *once.Claim, ctx context.Context) error { return c.Done(ctx, *outcome) })
 		return outcome, nil, nil
 	}
-	if v.refused != nil {
-		o.record(ctx, (*once.Claim).NotRun)
-		detail := "the server did not run the call: " + string(v.refused.Reason)
-		return nil, refusal(http.StatusServiceUnavailable, core.RefusalNotRun, detail).after(after), nil
+	if res.refusal != nil {
+		oa.recordInBackground(ctx, (*once.Claim).NotRun)
+		detail := "the server did not run the call: " + string(res.refusal.Reason)
+		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter), nil
 	}
-	if v.word == core.RefusalNotRun {
-		o.record(ctx, (*once.Claim).NotRun)
-		return nil, refusal(http.StatusServiceUnavailable, core.RefusalNotRun, "the server did not run the call").after(after), nil
+	if res.failOutcome == core.RefusalNotRun {
+		oa.recordInBackground(ctx, (*once.Claim).NotRun)
+		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, "the server did not run the call").withRetryAfter(retryAfter), nil
 	}
-	o.record(ctx, (*once.Claim).Lost)
-	return nil, refusal(http.StatusBadGateway, core.RefusalUnknown, "the server was lost after it was told to run the call").after(after), nil
+	oa.recordInBackground(ctx, (*once.Claim).Lost)
+	return nil, newProblem(http.StatusBadGateway, core.RefusalUnknown, "the server was lost after it was told to run the call").withRetryAfter(retryAfter), nil
 }
 
-// record writes the end of a keyed call in the background, as the table may
-// be out of reach for long; Drain waits for it.
-func (o *onceRun) record(ctx context.Context, write func(*once.Claim, context.Context) error) {
-	if o.keyed == nil || o.keyed.claim == nil {
+// recordInBackground records the result of a claimed call in the background,
+// because the table may be unreachable for long. Drain waits for it.
+func (oa *onceAttempt) recordInBackground(ctx context.Context, write func(*once.Claim, context.Context) error) {
+	if oa.keyed == nil || oa.keyed.claim == nil {
 		return
 	}
-	claim := o.keyed.claim
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), o.relay.config.RecordTimeout)
-	o.relay.hold()
+	claim := oa.keyed.claim
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), oa.relay.config.RecordTimeout)
+	oa.relay.beginBackgroundWork()
 	go func() {
-		defer o.relay.end()
+		defer oa.relay.endWork()
 		defer cancel()
-		_ = write(claim, ctx) // the keeper has logged the error
+		_ = write(claim, ctx) // the keeper logs the error
 	}()
 }
--- a/request/relay/watch.go
+++ b/request/relay/watch.go
@@ -10,119 +10,128 @@
 )
 
 const (
-	// watchEvery is the time between two looks at the servers of attempts.
-	watchEvery = 200 * time.Millisecond
-	// silentAfter is how long an attempt at a suspended server may be silent.
-	silentAfter = time.Second
+	// checkInterval is the time between two checks of the attempts.
+	checkInterval = 200 * time.Millisecond
+	// suspendedIdleLimit is how long an attempt at a suspended server may go
+	// without data.
+	suspendedIdleLimit = time.Second
 )
 
-// Causes for which a watch ends attempts.
+// Causes with which a stallMonitor cancels attempts.
 var (
-	errSuspended = errors.New("server is silent and suspended")
-	errStalled   = errors.New("server is silent for too long")
+	errSuspendedIdle = errors.New("suspended server sends no data")
+	errStalled       = errors.New("server has sent no data for too long")
 )
 
-// watch ends attempts whose server has been silent for too long, sooner when
-// the server is known not to answer. It counts time only while this process
-// runs: after a pause, what has arrived meanwhile is read first. Its goroutine
-// runs while there are attempts.
-type watch struct {
+// stallMonitor cancels attempts whose server has sent no data for too long, and
+// earlier if routing has suspended the server. After a pause of this process only
+// a short part of the pause counts as idle time, so that data that arrived
+// meanwhile is read first. Its goroutine runs only while there are attempts.
+type stallMonitor struct {
+	// suspended reports whether routing has suspended the server.
 	suspended func(server string) bool
 	clock     clockwork.Clock
 
 	mu       sync.Mutex
-	attempts map[*watched]bool
-	running  bool
-	looked   time.Time
+	attempts map[*monitoredAttempt]bool
+	// running is true while the goroutine runs.
+	running   bool
+	lastCheck time.Time
 }
 
-// watched is one attempt.
-type watched struct {
+// monitoredAttempt is an attempt that a stallMonitor checks.
+type monitoredAttempt struct {
 	server string
 	cancel context.CancelCauseFunc
-	// next is the longest silence after the first piece of the answer.
-	next time.Duration
+	// nextIdleLimit is the idle limit after the first piece of the response.
+	nextIdleLimit time.Duration
 
 	mu sync.Mutex
-	// longest is the longest silence now, and silence how long it has been.
-	longest, silence time.Duration
+	// idleLimit is the idle time at which the attempt is cancelled, and idleTime
+	// the time since the last piece of the response.
+	idleLimit, idleTime time.Duration
 }
 
-func newWatch(suspended func(string) bool, clock clockwork.Clock) *watch {
-	return &watch{suspended: suspended, clock: clock, attempts: map[*watched]bool{}}
+func newStallMonitor(suspended func(string) bool, clock clockwork.Clock) *stallMonitor {
+	return &stallMonitor{suspended: suspended, clock: clock, attempts: map[*monitoredAttempt]bool{}}
 }
 
-// add watches an attempt at server that may be silent for first before its
-// answer begins and for next after that. The attempt ends when the returned
-// context does; remove must be called once.
-func (w *watch) add(ctx context.Context, server string, first, next time.Duration) (context.Context, *watched) {
+// add monitors an attempt at server. firstIdleLimit bounds the wait for the first
+// piece of the response, and nextIdleLimit the wait for each further piece. The
+// returned context is cancelled when a limit is exceeded. The caller must call
+// remove once.
+func (m *stallMonitor) add(ctx context.Context, server string, firstIdleLimit, nextIdleLimit time.Duration) (context.Context, *monitoredAttempt) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	a := &watched{server: server, cancel: cancel, longest: first, next: next}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.attempts[a] = true
-	if !w.running {
-		w.running = true
-		w.looked = w.clock.Now()
-		go w.run()
+	a := &monitoredAttempt{server: server, cancel: cancel, idleLimit: firstIdleLimit, nextIdleLimit: nextIdleLimit}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.attempts[a] = true
+	if !m.running {
+		m.running = true
+		m.lastCheck = m.clock.Now()
+		go m.run()
 	}
 	return ctx, a
 }
 
-func (w *watch) remove(a *watched) {
+// remove ends the monitoring of an attempt and cancels its context.
+func (m *stallMonitor) remove(a *monitoredAttempt) {
 	a.cancel(nil)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.attempts, a)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.attempts, a)
 }
 
-// heard notes that a piece of the answer has arrived.
-func (a *watched) heard() {
+// recordProgress restarts the idle time because a piece of the response has
+// arrived.
+func (a *monitoredAttempt) recordProgress() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silence = 0
-	a.longest = a.next
+	a.idleTime = 0
+	a.idleLimit = a.nextIdleLimit
 }
 
-// age adds to the silence and says why the attempt must end, or nil.
-func (a *watched) age(d time.Duration, suspended bool) error {
+// addIdleTime adds d to the idle time. It returns the cause with which the
+// attempt must be cancelled, or nil.
+func (a *monitoredAttempt) addIdleTime(d time.Duration, suspended bool) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silence += d
-	if a.silence >= a.longest {
+	a.idleTime += d
+	if a.idleTime >= a.idleLimit {
 		return errStalled
 	}
-	if suspended && a.silence >= silentAfter {
-		return errSuspended
+	if suspended && a.idleTime >= suspendedIdleLimit {
+		return errSuspendedIdle
 	}
 	return nil
 }
 
-// run looks at the attempts until there is none.
-func (w *watch) run() {
-	for w.look() {
-		<-w.clock.After(watchEvery)
+// run checks the attempts until there are none left.
+func (m *stallMonitor) run() {
+	for m.check() {
+		<-m.clock.After(checkInterval)
 	}
 }
 
-// look ends the attempts that wait in vain, and reports whether any is left.
-func (w *watch) look() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.clock.Now()
-	passed := min(now.Sub(w.looked), 2*watchEvery)
-	w.looked = now
-	suspended := map[string]bool{}
-	for a := range w.attempts {
-		bad, known := suspended[a.server]
+// check cancels the attempts that exceeded an idle limit, and reports whether
+// any attempts are left.
+func (m *stallMonitor) check() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.clock.Now()
+	elapsed := min(now.Sub(m.lastCheck), 2*checkInterval)
+	m.lastCheck = now
+	suspendedByServer := map[string]bool{}
+	for a := range m.attempts {
+		isSuspended, known := suspendedByServer[a.server]
 		if !known {
-			bad = w.suspended(a.server)
-			suspended[a.server] = bad
+			isSuspended = m.suspended(a.server)
+			suspendedByServer[a.server] = isSuspended
 		}
-		if err := a.age(passed, bad); err != nil {
+		if err := a.addIdleTime(elapsed, isSuspended); err != nil {
 			a.cancel(err)
 		}
 	}
-	w.running = len(w.attempts) > 0
-	return w.running
+	m.running = len(m.attempts) > 0
+	return m.running
 }
