--- a/request/serve/bench_test.go
+++ b/request/serve/bench_test.go
@@ -13,26 +13,28 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// instantEngine answers every call at once with one event per token, so that
-// a benchmark measures the agent alone. It writes each event separately.
+// instantEngine answers every call at once with one event per token, so that a
+// benchmark measures only the agent. Each Read of the answer returns one event.
 type instantEngine struct {
 	engine.Engine
+	// tokens is the number of tokens in each answer.
 	tokens int
 }
 
-// eventBody gives one event per Read.
+// eventBody is the body of an instantEngine's answer.
 type eventBody struct {
 	event []byte
-	left  int
+	// readsLeft counts down to the [DONE] event, which is read at 0.
+	readsLeft int
 }
 
 // Read implements io.Reader.
 func (b *eventBody) Read(p []byte) (int, error) {
-	b.left--
-	if b.left == 0 {
+	b.readsLeft--
+	if b.readsLeft == 0 {
 		return copy(p, doneEvent), nil
 	}
-	if b.left < 0 {
+	if b.readsLeft < 0 {
 		return 0, io.EOF
 	}
 	return copy(p, b.event), nil
@@ -50,63 +52,64 @@
 	return engine.Answer{
 		ID: c.ID, Status: 200, Digest: testDigest,
 		Header: map[string][]string{"Content-Type": {eventStreamType}, core.HeaderRequestID: {c.ID}},
-		Body:   &eventBody{event: []byte(event), left: e.tokens + 1},
+		Body:   &eventBody{event: []byte(event), readsLeft: e.tokens + 1},
 	}, nil
 }
 
-// discard is an exchange whose entry takes everything.
-type discard struct{}
+// discardExchange is an exchange whose frames are dropped, as if an entry
+// instance took them without delay.
+type discardExchange struct{}
 
-// Send encodes the frame, as a connection would, and drops it.
-func (discard) Send(kind frame.Kind, msg any) error {
+// Send encodes the frame, which a connection would do too, and drops it.
+func (discardExchange) Send(kind frame.Kind, msg any) error {
 	_, err := frame.Encode(kind, msg)
 	return err
 }
 
 // Receive waits until the context ends.
-func (discard) Receive(ctx context.Context) (frame.Frame, error) {
+func (discardExchange) Receive(ctx context.Context) (frame.Frame, error) {
 	<-ctx.Done()
 	return frame.Frame{}, ctx.Err()
 }
 
 // Peer implements work.AgentExchange.
-func (discard) Peer() string { return "bench" }
+func (discardExchange) Peer() string { return "bench" }
 
-// cpu returns the processor time that the process has used.
-func cpu(b *testing.B) time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		b.Fatal(err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkHandler measures the processor time of the agent's own code per
-// call, for answers of 1 and of 201 tokens; the difference over 200 is the
-// cost of a token. The sockets are not in it.
+// BenchmarkHandler measures the CPU time that the agent's own code takes per
+// call, without sockets, for answers of 1 and of 201 tokens. The difference
+// divided by 200 is the cost of one token.
 func BenchmarkHandler(b *testing.B) {
 	for _, tokens := range []int{1, 201} {
 		b.Run("tokens="+strconv.Itoa(tokens), func(b *testing.B) {
-			bench := newBench(b, options{wrap: func(e engine.Engine) engine.Engine {
+			h := newHarness(b, options{wrap: func(e engine.Engine) engine.Engine {
 				return instantEngine{Engine: e, tokens: tokens}
 			}})
 			status := engine.Status{Loaded: []frame.Loaded{{Model: testModel, Digest: testDigest}}}
-			bench.handler.status = func() (engine.Status, bool) { return status, true }
-			raw, err := frame.Encode(frame.KindRequest, completionRequest("r1", strconv.Itoa(tokens)))
+			h.handler.status = func() (engine.Status, bool) { return status, true }
+			encoded, err := frame.Encode(frame.KindRequest, completionRequest("r1", strconv.Itoa(tokens)))
 			if err != nil {
 				b.Fatal(err)
 			}
-			first, err := frame.Parse(raw)
+			first, err := frame.Parse(encoded)
 			if err != nil {
 				b.Fatal(err)
 			}
-			start := cpu(b)
+			start := cpuTime(b)
 			for b.Loop() {
-				if err := bench.handler.Handle(context.Background(), first, discard{}); err != nil {
+				if err := h.handler.Handle(context.Background(), first, discardExchange{}); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(cpu(b)-start)/float64(b.N)/1000, "cpu-us/call")
+			b.ReportMetric(float64(cpuTime(b)-start)/float64(b.N)/1000, "cpu-us/call")
 		})
 	}
 }
--- a/request/serve/check.go
+++ b/request/serve/check.go
@@ -8,18 +8,20 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Paths that a model engine answers.
+// Paths that a model engine serves.
 const (
 	chatPath       = "/v1/chat/completions"
 	completionPath = "/v1/completions"
 )
 
-// check says why a new call may not run here now; the empty reason lets it.
-// repeatable is true for a call that the entry sent without an offer.
-func (h *Handler) check(req *frame.Request, repeatable bool) frame.Reason {
-	// The configuration is read after the check that it is confirmed: a newer
-	// version may come in between, and its confirmation says nothing of the old.
-	unconfirmed := h.unconfirmed()
+// refusalReason returns why the new call req may not run on this server now, or
+// "" when it may. repeatable is true when the entry instance sent the call
+// without an offer.
+func (h *Handler) refusalReason(req *frame.Request, repeatable bool) frame.Reason {
+	// The confirmation is checked before the configuration is read. In the other
+	// order a newer version could arrive in between, and its confirmation would
+	// be taken for that of the older version.
+	unconfirmed := h.configUnconfirmed()
 	current := h.holder.Current()
 	if unconfirmed || req.Config > current.Number {
 		return frame.ReasonStale
@@ -30,30 +32,31 @@
 	if dc := current.Set.DataCentres[h.cfg.Self.DataCentre]; dc != nil && dc.Out {
 		return frame.ReasonOut
 	}
-	if !h.known(current.Set, req, repeatable) {
+	if !h.servesCall(current.Set, req, repeatable) {
 		return frame.ReasonUnknown
 	}
-	return h.checkEngine(req)
+	return h.engineRefusalReason(req)
 }
 
-// unconfirmed reports whether no entry instance has confirmed the
-// configuration recently, such as after a pause of this process.
-func (h *Handler) unconfirmed() bool {
+// configUnconfirmed reports whether the configuration was last confirmed more
+// than MaxConfirmAge ago, for example because this process was paused.
+func (h *Handler) configUnconfirmed() bool {
 	if h.cfg.Confirmed == nil {
 		return false
 	}
-	return passed(h.cfg.Confirmed(), h.clock.Now(), h.cfg.MaxConfirmAge)
+	return hasElapsed(h.cfg.Confirmed(), h.clock.Now(), h.cfg.MaxConfirmAge)
 }
 
-// declaredLeaving reports whether the declarations make this server leave.
+// declaredLeaving reports whether the configuration marks this backend server
+// as leaving.
 func (h *Handler) declaredLeaving() bool {
 	server := h.holder.Current().Set.BackendServers[h.cfg.Self.ID]
 	return server != nil && server.Leaving
 }
 
-// known reports whether the server answers calls like req. A route that may
-// not be repeated is only run after an offer.
-func (h *Handler) known(set *declare.Set, req *frame.Request, repeatable bool) bool {
+// servesCall reports whether this server serves the path and method of req. A
+// non-repeatable route is only served after an offer.
+func (h *Handler) servesCall(set *declare.Set, req *frame.Request, repeatable bool) bool {
 	path, _, _ := strings.Cut(req.Path, "?")
 	if h.cfg.Service == "" {
 		return repeatable && req.Digest != "" && (path == chatPath || path == completionPath)
@@ -63,52 +66,55 @@
 		return false
 	}
 	for _, route := range service.Routes {
-		if route.Method == req.Method && matches(route.Path, path) {
+		if route.Method == req.Method && pathMatches(route.Path, path) {
 			return route.Repeatable || !repeatable
 		}
 	}
 	return false
 }
 
-// matches reports whether path is the pattern, or below it when the pattern
-// ends in a slash.
-func matches(pattern, path string) bool {
+// pathMatches reports whether path equals pattern or, when pattern ends in a
+// slash, begins with it.
+func pathMatches(pattern, path string) bool {
 	if strings.HasSuffix(pattern, "/") {
 		return strings.HasPrefix(path, pattern)
 	}
 	return path == pattern
 }
 
-// checkEngine checks what the engine reports of itself.
-func (h *Handler) checkEngine(req *frame.Request) frame.Reason {
+// engineRefusalReason returns why the engine or service can't run req according
+// to its latest status, or "" when it can.
+func (h *Handler) engineRefusalReason(req *frame.Request) frame.Reason {
 	status, ok := h.status()
 	if !ok {
 		return frame.ReasonDown
 	}
 	h.NoteBoot(status.Boot)
-	if req.Digest != "" && !holds(status, req) {
+	if req.Digest != "" && !hasLoaded(status, req) {
 		return frame.ReasonDigest
 	}
 	return ""
 }
 
-// holds reports whether the engine reports the weights that req pins.
-func holds(status engine.Status, req *frame.Request) bool {
-	for _, l := range status.Loaded {
-		if l.Model == req.Model && l.Digest == req.Digest {
+// hasLoaded reports whether the engine lists the model version pinned by req as
+// loaded.
+func hasLoaded(status engine.Status, req *frame.Request) bool {
+	for _, loaded := range status.Loaded {
+		if loaded.Model == req.Model && loaded.Digest == req.Digest {
 			return true
 		}
 	}
 	return false
 }
 
-// NoteBoot resets the limiter when the engine has started again.
+// NoteBoot stores the engine's boot id and resets the limiter when it has
+// changed, which means that the engine restarted or turned cold.
 func (h *Handler) NoteBoot(boot string) {
 	h.mu.Lock()
-	was := h.boot
-	h.boot = boot
+	previous := h.bootID
+	h.bootID = boot
 	h.mu.Unlock()
-	if was != "" && was != boot {
+	if previous != "" && previous != boot {
 		h.limiter.Reset()
 	}
 }
--- a/request/serve/ledger.go
+++ b/request/serve/ledger.go
@@ -7,112 +7,128 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// maxAskedBack is the number of earlier attempts that a question forbids too.
-const maxAskedBack = 64
+// maxEarlierForbidden is the largest number of earlier attempts with the same
+// key that a query about an attempt also forbids.
+const maxEarlierForbidden = 64
 
-// attemptID names one attempt at a once-only call.
+// attemptID identifies one attempt at a non-repeatable call.
 type attemptID struct {
 	key     string
 	attempt int
 }
 
-// attemptState is what has become of an attempt.
+// attemptState is the progress of an attempt.
 type attemptState uint8
 
+// The states of an attempt.
 const (
-	attemptHeld attemptState = iota
+	// attemptOffered means that the attempt may still be started.
+	attemptOffered attemptState = iota
+	// attemptForbidden means that the attempt did not run and never will.
 	attemptForbidden
+	// attemptRunning means that the attempt was started and has not ended.
 	attemptRunning
-	attemptRan
+	// attemptFinished means that the attempt ended; its outcome may be unknown.
+	attemptFinished
 )
 
-// record is what the ledger knows of one attempt.
-type record struct {
-	id      attemptID
-	state   attemptState
-	holds   int
+// attemptRecord is the ledger's entry for one attempt.
+type attemptRecord struct {
+	id    attemptID
+	state attemptState
+	// openOffers is the number of exchanges that offer the attempt now.
+	openOffers int
+	// outcome is nil while the attempt has not finished, and when its outcome
+	// is unknown or has been dropped.
 	outcome *frame.Outcome
 }
 
-// settled reports whether the record may be forgotten when room is short.
-func (r *record) settled() bool {
-	return r.state == attemptRan || r.state == attemptForbidden || r.state == attemptHeld && r.holds == 0
+// evictable reports whether the record may be dropped to make room: its attempt
+// has finished, is forbidden, or has no open offer.
+func (r *attemptRecord) evictable() bool {
+	return r.state == attemptFinished || r.state == attemptForbidden || r.state == attemptOffered && r.openOffers == 0
 }
 
-// size is the memory that the record's outcome takes, in bytes.
-func (r *record) size() int {
+// outcomeBytes returns the size of the outcome's body, 0 without an outcome.
+func (r *attemptRecord) outcomeBytes() int {
 	if r.outcome == nil {
 		return 0
 	}
 	return len(r.outcome.Body)
 }
 
-// ledger makes each attempt start at most once in this incarnation, and
-// remembers what became of it. It is bounded: the oldest settled records are
-// forgotten first, and from then on it says of what it does not find that it
-// is unknown, never that it did not run.
+// ledger lets each attempt start at most once in this incarnation of the agent
+// and keeps its outcome. Its size is bounded: the oldest evictable records are
+// dropped first. Once a record has been dropped, an attempt without a record is
+// reported as unknown, never as not run.
 type ledger struct {
 	maxEntries int
 	maxBytes   int
 
-	mu      sync.Mutex
-	records map[attemptID]*list.Element
-	order   *list.List
-	bytes   int
-	// forgot is true once a record has been forgotten.
-	forgot bool
+	mu sync.Mutex
+	// records holds the list element of each record, oldestFirst the records
+	// (*attemptRecord) in the order in which they were added.
+	records     map[attemptID]*list.Element
+	oldestFirst *list.List
+	// outcomeBytes is the total size of the kept outcomes' bodies.
+	outcomeBytes int
+	// evicted is true once a record has been dropped.
+	evicted bool
 }
 
+// newLedger returns an empty ledger for at most maxEntries records and maxBytes
+// bytes of outcome bodies.
 func newLedger(maxEntries, maxBytes int) *ledger {
 	return &ledger{
-		maxEntries: maxEntries,
-		maxBytes:   maxBytes,
-		records:    map[attemptID]*list.Element{},
-		order:      list.New(),
+		maxEntries:  maxEntries,
+		maxBytes:    maxBytes,
+		records:     map[attemptID]*list.Element{},
+		oldestFirst: list.New(),
 	}
 }
 
-// hold notes an offer of the attempt. It returns false when the attempt was
-// started or forbidden before, or when there is no room.
-func (l *ledger) hold(id attemptID) bool {
+// beginOffer records an open offer of the attempt. It returns false when the
+// attempt has been started or forbidden already, or when the ledger is full.
+func (l *ledger) beginOffer(id attemptID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.find(id)
 	if r == nil {
 		r = l.add(id)
 	}
-	if r == nil || r.state != attemptHeld {
+	if r == nil || r.state != attemptOffered {
 		return false
 	}
-	r.holds++
+	r.openOffers++
 	return true
 }
 
-// release ends a hold that was not started.
-func (l *ledger) release(id attemptID) {
+// endOffer ends an offer that beginOffer recorded, whether or not the attempt
+// was started.
+func (l *ledger) endOffer(id attemptID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r := l.find(id); r != nil && r.holds > 0 {
-		r.holds--
+	if r := l.find(id); r != nil && r.openOffers > 0 {
+		r.openOffers--
 	}
 }
 
-// start lets the attempt run, once: it returns false when it was started or
-// forbidden before, or when its hold is unknown.
+// start marks the attempt as running. It returns false when the attempt has been
+// started or forbidden already, or has no open offer.
 func (l *ledger) start(id attemptID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.find(id)
-	if r == nil || r.state != attemptHeld || r.holds == 0 {
+	if r == nil || r.state != attemptOffered || r.openOffers == 0 {
 		return false
 	}
 	r.state = attemptRunning
 	return true
 }
 
-// notSent takes back a start whose call provably did not reach the service;
-// the attempt may never be started again.
-func (l *ledger) notSent(id attemptID) {
+// markNotSent records that the call of a started attempt provably did not reach
+// the service. The attempt is forbidden from now on.
+func (l *ledger) markNotSent(id attemptID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.find(id); r != nil {
@@ -120,7 +136,8 @@
 	}
 }
 
-// finish keeps the outcome of a started attempt; nil when it is unknown.
+// finish marks a started attempt as finished and keeps its outcome, which is nil
+// when it is unknown.
 func (l *ledger) finish(id attemptID, outcome *frame.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,22 +145,23 @@
 	if r == nil {
 		return
 	}
-	r.state = attemptRan
+	r.state = attemptFinished
 	r.outcome = outcome
-	l.bytes += r.size()
-	l.trimOutcomes()
+	l.outcomeBytes += r.outcomeBytes()
+	l.evictOutcomes()
 }
 
-// ask says what became of the attempt and forbids it and the earlier attempts
-// of the same key from now on.
-func (l *ledger) ask(id attemptID) (frame.Ran, *frame.Outcome) {
+// queryAndForbid reports whether the attempt ran, with its outcome if the ledger
+// still has it. It forbids the attempt and earlier attempts with the same key
+// unless they have started.
+func (l *ledger) queryAndForbid(id attemptID) (frame.Ran, *frame.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for n := max(1, id.attempt-maxAskedBack); n < id.attempt; n++ {
+	for n := max(1, id.attempt-maxEarlierForbidden); n < id.attempt; n++ {
 		l.forbid(attemptID{key: id.key, attempt: n})
 	}
 	r := l.find(id)
-	if r == nil && l.forgot {
+	if r == nil && l.evicted {
 		return frame.RanUnknown, nil
 	}
 	if r == nil {
@@ -155,7 +173,7 @@
 	switch r.state {
 	case attemptRunning:
 		return frame.RanRunning, nil
-	case attemptRan:
+	case attemptFinished:
 		return frame.RanYes, r.outcome
 	default:
 		r.state = attemptForbidden
@@ -163,55 +181,57 @@
 	}
 }
 
-// forbid forbids a known attempt that has not started; the lock is held.
+// forbid forbids the attempt if it has a record and has not started. The caller
+// holds l.mu.
 func (l *ledger) forbid(id attemptID) {
-	if r := l.find(id); r != nil && r.state == attemptHeld {
+	if r := l.find(id); r != nil && r.state == attemptOffered {
 		r.state = attemptForbidden
 	}
 }
 
-// find returns the record of id or nil; the lock is held.
-func (l *ledger) find(id attemptID) *record {
+// find returns the record of id, or nil if there is none. The caller holds l.mu.
+func (l *ledger) find(id attemptID) *attemptRecord {
 	e, ok := l.records[id]
 	if !ok {
 		return nil
 	}
-	return e.Value.(*record)
+	return e.Value.(*attemptRecord)
 }
 
-// add makes a record, or returns nil when there is no room; the lock is held.
-func (l *ledger) add(id attemptID) *record {
-	if len(l.records) >= l.maxEntries && !l.forgetOldest() {
+// add adds a record for id and returns it, or nil when the ledger is full of
+// records that may not be dropped. The caller holds l.mu.
+func (l *ledger) add(id attemptID) *attemptRecord {
+	if len(l.records) >= l.maxEntries && !l.evictOldest() {
 		return nil
 	}
-	r := &record{id: id}
-	l.records[id] = l.order.PushBack(r)
+	r := &attemptRecord{id: id}
+	l.records[id] = l.oldestFirst.PushBack(r)
 	return r
 }
 
-// forgetOldest forgets the oldest settled record and reports whether there
-// was one; the lock is held.
-func (l *ledger) forgetOldest() bool {
-	for e := l.order.Front(); e != nil; e = e.Next() {
-		r := e.Value.(*record)
-		if !r.settled() {
+// evictOldest drops the oldest evictable record and reports whether there was
+// one. The caller holds l.mu.
+func (l *ledger) evictOldest() bool {
+	for e := l.oldestFirst.Front(); e != nil; e = e.Next() {
+		r := e.Value.(*attemptRecord)
+		if !r.evictable() {
 			continue
 		}
-		l.order.Remove(e)
+		l.oldestFirst.Remove(e)
 		delete(l.records, r.id)
-		l.bytes -= r.size()
-		l.forgot = true
+		l.outcomeBytes -= r.outcomeBytes()
+		l.evicted = true
 		return true
 	}
 	return false
 }
 
-// trimOutcomes forgets the oldest outcomes, but not that their attempts ran,
-// until the rest fit; the lock is held.
-func (l *ledger) trimOutcomes() {
-	for e := l.order.Front(); e != nil && l.bytes > l.maxBytes; e = e.Next() {
-		r := e.Value.(*record)
-		l.bytes -= r.size()
+// evictOutcomes drops the oldest outcomes until the rest fit into maxBytes. The
+// records stay, so the attempts still count as finished. The caller holds l.mu.
+func (l *ledger) evictOutcomes() {
+	for e := l.oldestFirst.Front(); e != nil && l.outcomeBytes > l.maxBytes; e = e.Next() {
+		r := e.Value.(*attemptRecord)
+		l.outcomeBytes -= r.outcomeBytes()
 		r.outcome = nil
 	}
 }
--- a/request/serve/load_test.go
+++ b/request/serve/load_test.go
@@ -19,74 +19,83 @@
 )
 
 const (
-	// Answers are from half of to one and a half times loadTokens long. In
-	// virtual time, answers of one length would all begin and end together.
+	// loadTokens is the mean length of an answer; lengths vary from 0.5 to 1.5
+	// times that. In virtual time, answers of equal length would all begin and
+	// end together.
 	loadTokens = 20
-	warmBears  = 32
-	coldBears  = 8
-	perToken   = 5 * time.Millisecond
-	// measureFor is how long it is measured what an engine bears.
-	measureFor = 10 * time.Second
-	// overloadFor is how long more is offered, so that what begins and ends
-	// half way counts little.
-	overloadFor  = 20 * time.Second
-	neverWarms   = 1e-9
-	refusalBound = 100 * time.Millisecond
+	// warmCapacity and coldCapacity are the numbers of concurrent calls that a
+	// warm and a cold engine run at full speed.
+	warmCapacity = 32
+	coldCapacity = 8
+	// perToken is the time that the engine takes for one token at full speed.
+	perToken = 5 * time.Millisecond
+	// capacityTestTime is how long the capacity of an engine is measured.
+	capacityTestTime = 10 * time.Second
+	// overloadTestTime is how long an overload lasts. It is long so that calls
+	// which are cut by its start or end count for little.
+	overloadTestTime = 20 * time.Second
+	// negligibleWarmPerCall keeps an engine cold however many calls finish.
+	negligibleWarmPerCall = 1e-9
+	// maxRefusalTime is the longest time that a refusal may take.
+	maxRefusalTime = 100 * time.Millisecond
 )
 
-// lengths draws the lengths of answers, in tokens.
-type lengths struct{ rng *rand.Rand }
+// answerLengths generates random lengths of answers, in tokens.
+type answerLengths struct{ rng *rand.Rand }
 
-func newLengths(seed uint64) lengths { return lengths{rand.New(rand.NewPCG(seed, loadTokens))} }
+func newAnswerLengths(seed uint64) answerLengths {
+	return answerLengths{rand.New(rand.NewPCG(seed, loadTokens))}
+}
 
-func (l lengths) next() string { return strconv.Itoa(loadTokens/2 + l.rng.IntN(loadTokens+1)) }
+// next returns a length as the value of max_tokens.
+func (l answerLengths) next() string { return strconv.Itoa(loadTokens/2 + l.rng.IntN(loadTokens+1)) }
 
 // tally counts replies by client account.
 type tally struct {
-	mu       sync.Mutex
-	whole    map[string]int
-	refused  map[string]int
-	other    int
-	slowest  time.Duration
-	finished int
+	mu             sync.Mutex
+	completed      map[string]int
+	refused        map[string]int
+	otherReplies   int
+	slowestRefusal time.Duration
+	finished       int
 }
 
-func newTally() *tally { return &tally{whole: map[string]int{}, refused: map[string]int{}} }
+func newTally() *tally { return &tally{completed: map[string]int{}, refused: map[string]int{}} }
 
-func (c *tally) add(account string, r reply, took time.Duration) {
+func (c *tally) add(account string, r reply, elapsed time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.finished++
 	switch {
 	case r.end != nil:
-		c.whole[account]++
+		c.completed[account]++
 	case r.refuse != nil:
 		c.refused[account]++
-		c.slowest = max(c.slowest, took)
+		c.slowestRefusal = max(c.slowestRefusal, elapsed)
 	default:
-		c.other++
+		c.otherReplies++
 	}
 }
 
-func (c *tally) wholeAll() int {
+func (c *tally) totalCompleted() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, calls := range c.whole {
+	for _, calls := range c.completed {
 		n += calls
 	}
 	return n
 }
 
-// offerLoad sends calls of account at a steady rate for a time, without
-// waiting for answers, and adds every reply to c. It returns when the time is
-// over; wait waits for the answers.
-func (b *bench) offerLoad(c *tally, account string, perSecond float64, total time.Duration) (wait func()) {
+// offerLoad sends calls of account at a constant rate for the time total, without
+// waiting for answers, and adds every reply to c. It returns when that time is
+// over; the returned wait function waits for the remaining answers.
+func (h *harness) offerLoad(c *tally, account string, perSecond float64, total time.Duration) (wait func()) {
 	var calls sync.WaitGroup
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 	defer ticker.Stop()
 	end := time.After(total)
-	tokens := newLengths(xxhash.Sum64String(account))
+	tokens := newAnswerLengths(xxhash.Sum64String(account))
 	for i := 0; ; i++ {
 		select {
 		case <-end:
@@ -99,15 +108,15 @@
 			defer calls.Done()
 			req.Account = account
 			start := time.Now()
-			r := b.do(frame.KindRequest, req)
+			r := h.do(frame.KindRequest, req)
 			c.add(account, r, time.Since(start))
 		}()
 	}
 }
 
-// closedLoop keeps n calls running for a time and returns how many came back
-// whole per second: what the engine bears at n.
-func (b *bench) closedLoop(n int, total time.Duration) float64 {
+// closedLoop keeps n calls running for the time total and returns the number of
+// complete answers per second, which is the engine's throughput at concurrency n.
+func (h *harness) closedLoop(n int, total time.Duration) float64 {
 	c := newTally()
 	ctx, cancel := context.WithTimeout(context.Background(), total)
 	defer cancel()
@@ -117,66 +126,70 @@
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			tokens := newLengths(uint64(w))
+			tokens := newAnswerLengths(uint64(w))
 			for i := 0; ctx.Err() == nil; i++ {
 				req := completionRequest(fmt.Sprintf("w%d-%d", w, i), tokens.next())
-				c.add("w", b.do(frame.KindRequest, req), 0)
+				c.add("w", h.do(frame.KindRequest, req), 0)
 			}
 		}()
 	}
 	workers.Wait()
-	return float64(c.wholeAll()) / time.Since(start).Seconds()
+	return float64(c.totalCompleted()) / time.Since(start).Seconds()
 }
 
-func loadEngine(warmPerCall float64) standin.Config {
+// loadTestEngine returns the settings of the stand-in engine. Each finished call
+// adds warmPerCall to the number of calls that it runs at full speed.
+func loadTestEngine(warmPerCall float64) standin.Config {
 	return standin.Config{
-		Slots: 128, WarmLimit: warmBears, ColdLimit: coldBears, WarmPerCall: warmPerCall,
+		Slots: 128, WarmLimit: warmCapacity, ColdLimit: coldCapacity, WarmPerCall: warmPerCall,
 		FirstToken: 2 * perToken, PerToken: perToken,
 	}
 }
 
-func loadGate(fixed bool) admission.Config {
-	return admission.Config{Limit: warmBears, ColdLimit: coldBears, Fixed: fixed}
+// loadTestGate returns the settings of the limiter. With fixed, the limit is
+// warmCapacity from the start and doesn't adapt.
+func loadTestGate(fixed bool) admission.Config {
+	return admission.Config{Limit: warmCapacity, ColdLimit: coldCapacity, Fixed: fixed}
 }
 
-// coldGoodput offers a cold engine three times what it bears, and returns the
-// goodput as a share of what the engine bears at its cold limit.
-func coldGoodput(t *testing.T, bears float64, fixed bool, total time.Duration) float64 {
-	b := newVirtualBench(t, options{engine: loadEngine(neverWarms), gate: loadGate(fixed)})
+// coldGoodput offers a cold engine three times its capacity in calls per second,
+// and returns the goodput as a share of that capacity.
+func coldGoodput(t *testing.T, capacity float64, fixed bool, total time.Duration) float64 {
+	h := newVirtualHarness(t, options{engine: loadTestEngine(negligibleWarmPerCall), gate: loadTestGate(fixed)})
 	c := newTally()
 	start := time.Now()
-	b.offerLoad(c, "a", 3*bears, total)()
-	share := float64(c.wholeAll()) / time.Since(start).Seconds() / bears
-	t.Logf("fixed=%v: cold engine bears %.1f calls/s, goodput %.2f of it, engine %+v", fixed, bears, share, b.engine.Counters())
+	h.offerLoad(c, "a", 3*capacity, total)()
+	share := float64(c.totalCompleted()) / time.Since(start).Seconds() / capacity
+	t.Logf("fixed=%v: cold engine capacity %.1f calls/s, goodput %.2f of it, engine %+v", fixed, capacity, share, h.engine.Counters())
 	return share
 }
 
-// coldRate is what a cold engine bears, in calls per second.
-func coldRate(t *testing.T) float64 {
-	calm := newVirtualBench(t, options{engine: loadEngine(neverWarms), gate: loadGate(false)})
-	return calm.closedLoop(coldBears, measureFor)
+// coldCallRate returns the capacity of a cold engine, in calls per second.
+func coldCallRate(t *testing.T) float64 {
+	baseline := newVirtualHarness(t, options{engine: loadTestEngine(negligibleWarmPerCall), gate: loadTestGate(false)})
+	return baseline.closedLoop(coldCapacity, capacityTestTime)
 }
 
 func TestColdEngine(t *testing.T) { inprocess.Virtually(t, coldEngine) }
 
 func coldEngine(t *testing.T) {
-	bears := coldRate(t)
-	Convey("A cold engine under three times its load keeps 90% of what it bears with the ramp", t, func() {
-		So(coldGoodput(t, bears, false, overloadFor), ShouldBeGreaterThan, 0.9)
+	capacity := coldCallRate(t)
+	Convey("A cold engine offered three times its capacity keeps 90% of its throughput when the limit adapts", t, func() {
+		So(coldGoodput(t, capacity, false, overloadTestTime), ShouldBeGreaterThan, 0.9)
 	})
-	Convey("Without the ramp the same load makes it collapse", t, func() {
-		So(coldGoodput(t, bears, true, time.Second), ShouldBeLessThan, 0.5)
+	Convey("A cold engine offered three times its capacity collapses when the limit is fixed", t, func() {
+		So(coldGoodput(t, capacity, true, time.Second), ShouldBeLessThan, 0.5)
 	})
-	Convey("An engine that turns cold under load without warning keeps 90% of what it bears cold", t, func() {
-		b := newVirtualBench(t, options{engine: loadEngine(100), gate: loadGate(false)})
-		b.offerLoad(newTally(), "a", 3*bears, 1500*time.Millisecond)
-		So(b.gate.State(), ShouldNotEqual, frame.StateCold)
-		b.engine.SetFaults(standin.Faults{Cold: true, StayCold: true})
+	Convey("An engine that turns cold under load without warning keeps 90% of the throughput of a cold engine", t, func() {
+		h := newVirtualHarness(t, options{engine: loadTestEngine(100), gate: loadTestGate(false)})
+		h.offerLoad(newTally(), "a", 3*capacity, 1500*time.Millisecond)
+		So(h.gate.State(), ShouldNotEqual, frame.StateCold)
+		h.engine.SetFaults(standin.Faults{Cold: true, StayCold: true})
 		c := newTally()
 		start := time.Now()
-		b.offerLoad(c, "a", 3*bears, overloadFor)()
-		share := float64(c.wholeAll()) / time.Since(start).Seconds() / bears
-		t.Logf("bears %.1f calls/s cold, goodput %.2f of it, gate %+v, engine %+v", bears, share, b.gate.Load(), b.engine.Counters())
+		h.offerLoad(c, "a", 3*capacity, overloadTestTime)()
+		share := float64(c.totalCompleted()) / time.Since(start).Seconds() / capacity
+		t.Logf("cold capacity %.1f calls/s, goodput %.2f of it, gate %+v, engine %+v", capacity, share, h.gate.Load(), h.engine.Counters())
 		So(share, ShouldBeGreaterThan, 0.9)
 	})
 }
@@ -184,21 +197,21 @@
 func TestTwiceTheCapacity(t *testing.T) { inprocess.Virtually(t, twiceTheCapacity) }
 
 func twiceTheCapacity(t *testing.T) {
-	Convey("Given a warm engine, a declared limit four times what it bears, and twice the load, most of it from one large account", t, func() {
-		engine := loadEngine(1)
-		engine.ColdLimit = warmBears
-		gate := admission.Config{Limit: 4 * warmBears, ColdLimit: warmBears}
-		calm := newVirtualBench(t, options{engine: engine, gate: gate})
-		bears := calm.closedLoop(warmBears, measureFor)
-
-		b := newVirtualBench(t, options{engine: engine, gate: gate})
+	Convey("Given a warm engine, a declared limit of four times its capacity, and a load of twice its capacity, mostly from one large account", t, func() {
+		engine := loadTestEngine(1)
+		engine.ColdLimit = warmCapacity
+		gate := admission.Config{Limit: 4 * warmCapacity, ColdLimit: warmCapacity}
+		baseline := newVirtualHarness(t, options{engine: engine, gate: gate})
+		capacity := baseline.closedLoop(warmCapacity, capacityTestTime)
+
+		h := newVirtualHarness(t, options{engine: engine, gate: gate})
 		c := newTally()
 		var accounts sync.WaitGroup
 		load := func(account string, share float64) {
 			accounts.Add(1)
 			go func() {
 				defer accounts.Done()
-				b.offerLoad(c, account, share*bears, overloadFor)()
+				h.offerLoad(c, account, share*capacity, overloadTestTime)()
 			}()
 		}
 		start := time.Now()
@@ -206,14 +219,14 @@
 		load("small-1", 0.15)
 		load("small-2", 0.15)
 		accounts.Wait()
-		share := float64(c.wholeAll()) / time.Since(start).Seconds() / bears
-		t.Logf("bears %.1f calls/s, goodput %.2f of it, slowest refusal %s, whole %v, refused %v, other %d",
-			bears, share, c.slowest, c.whole, c.refused, c.other)
+		share := float64(c.totalCompleted()) / time.Since(start).Seconds() / capacity
+		t.Logf("capacity %.1f calls/s, goodput %.2f of it, slowest refusal %s, completed %v, refused %v, other replies %d",
+			capacity, share, c.slowestRefusal, c.completed, c.refused, c.otherReplies)
 		So(share, ShouldBeGreaterThan, 0.95)
-		So(c.slowest, ShouldBeLessThan, refusalBound)
-		So(c.other, ShouldEqual, 0)
+		So(c.slowestRefusal, ShouldBeLessThan, maxRefusalTime)
+		So(c.otherReplies, ShouldEqual, 0)
 		for _, small := range []string{"small-1", "small-2"} {
-			So(float64(c.whole[small])/float64(c.whole[small]+c.refused[small]), ShouldBeGreaterThan, 0.95)
+			So(float64(c.completed[small])/float64(c.completed[small]+c.refused[small]), ShouldBeGreaterThan, 0.95)
 		}
 	})
 }
--- a/request/serve/once.go
+++ b/request/serve/once.go
@@ -16,77 +16,79 @@
 	"github.com/rattanway/rattanway/request/admission"
 )
 
-// maxOutcomeBytes bounds the answer to a call that may not be repeated.
+// maxOutcomeBytes is the largest body of an answer to a non-repeatable call.
 const maxOutcomeBytes = 4 << 20
 
-// Errors of calls that may not be repeated.
+// Errors of non-repeatable calls.
 var (
-	errLongOutcome = errors.New("answer too long")
-	errStillRuns   = errors.New("call still runs at the deadline")
+	errAnswerTooLong = errors.New("answer too long")
+	errStillRunning  = errors.New("call still runs at the deadline")
 )
 
-// passed reports whether more than d has passed since start, by the monotonic
-// clock or by the wall clock: the former may stand still while the machine is
-// paused, the latter may be set back.
-func passed(start, now time.Time, d time.Duration) bool {
+// hasElapsed reports whether more than d has passed from start to now by the
+// monotonic clock or by the wall clock. It uses both because the monotonic clock
+// may stop while the machine is paused, and the wall clock may be set back.
+func hasElapsed(start, now time.Time, d time.Duration) bool {
 	return now.Sub(start) > d || now.Round(0).Sub(start.Round(0)) > d
 }
 
-// idOf names the attempt of a call; one without a key is named by its request
-// id.
-func idOf(req *frame.Request) attemptID {
+// attemptIDOf returns the ledger's id for the attempt that req makes. A call
+// without a key is identified by its request id.
+func attemptIDOf(req *frame.Request) attemptID {
 	if req.Key == "" {
 		return attemptID{key: "request/" + req.ID, attempt: 1}
 	}
 	return attemptID{key: "key/" + req.Key, attempt: req.Attempt}
 }
 
-// offer serves a call that may not be repeated: it holds a slot, waits for the
-// entry's go, and runs the call once.
-func (h *Handler) offer(ctx context.Context, first frame.Frame, x work.AgentExchange) error {
+// handleOffer runs a non-repeatable call: it holds a slot, waits for the entry
+// instance's Go frame, and makes the call once.
+func (h *Handler) handleOffer(ctx context.Context, first frame.Frame, exchange work.AgentExchange) error {
 	var req frame.Request
 	if err := first.Decode(&req); err != nil {
-		return core.Step("serve offer", x.Peer(), err)
+		return core.Step("serve offer", exchange.Peer(), err)
 	}
 	received := h.clock.Now()
-	if reason := h.check(&req, false); reason != "" {
-		return h.refuse(x, &req, reason)
+	if reason := h.refusalReason(&req, false); reason != "" {
+		return h.sendRefusal(exchange, &req, reason)
 	}
-	id := idOf(&req)
-	if !h.ledger.hold(id) {
-		return h.refuse(x, &req, frame.ReasonDuplicate)
+	id := attemptIDOf(&req)
+	if !h.ledger.beginOffer(id) {
+		return h.sendRefusal(exchange, &req, frame.ReasonDuplicate)
 	}
-	defer h.ledger.release(id)
-	release, reason := h.limiter.Acquire(ctx, h.ticket(&req, received))
+	defer h.ledger.endOffer(id)
+	release, reason := h.limiter.Acquire(ctx, h.newTicket(&req, received))
 	if reason != "" {
-		return h.refuse(x, &req, reason)
+		return h.sendRefusal(exchange, &req, reason)
 	}
 	slot := &heldSlot{release: release}
 	defer slot.free(admission.Outcome{Cancelled: true})
-	held := h.clock.Now()
-	h.logCall(eventHeld, &req, eventlog.Fields{"hold_ms": h.cfg.Hold.Milliseconds()})
+	heldSince := h.clock.Now()
+	h.logCall(eventSlotHeld, &req, eventlog.Fields{"hold_ms": h.cfg.Hold.Milliseconds()})
 	admit := frame.Admit{ID: req.ID, Incarnation: h.cfg.Incarnation, HoldMillis: h.cfg.Hold.Milliseconds()}
-	if err := x.Send(frame.KindAdmit, admit); err != nil {
+	if err := exchange.Send(frame.KindAdmit, admit); err != nil {
 		return err
 	}
-	if err := h.awaitGo(ctx, &req, x, slot); err != nil {
+	if err := h.awaitGo(ctx, &req, exchange, slot); err != nil {
 		return err
 	}
-	if passed(held, h.clock.Now(), h.cfg.Hold) {
-		return h.refuse(x, &req, frame.ReasonExpired)
+	if hasElapsed(heldSince, h.clock.Now(), h.cfg.Hold) {
+		return h.sendRefusal(exchange, &req, frame.ReasonExpired)
 	}
 	if !h.ledger.start(id) {
-		return h.refuse(x, &req, frame.ReasonDuplicate)
+		return h.sendRefusal(exchange, &req, frame.ReasonDuplicate)
 	}
-	return h.runOnce(ctx, &req, x, slot, received)
+	return h.runOnce(ctx, &req, exchange, slot, received)
 }
 
-// heldSlot is a slot that is released once.
+// heldSlot is a slot of the limiter that is released at most once.
 type heldSlot struct {
+	// release returns the slot to the limiter; nil once it has been called or
+	// handed over.
 	release func(admission.Outcome)
 }
 
-// free releases the slot unless that has been done.
+// free releases the slot unless it has been released or handed over.
 func (s *heldSlot) free(o admission.Outcome) {
 	if s.release == nil {
 		return
@@ -95,146 +97,149 @@
 	s.release = nil
 }
 
-// take hands the release over to the caller.
-func (s *heldSlot) take() func(admission.Outcome) {
+// takeRelease returns the release function, which the caller must call; free
+// does nothing from now on.
+func (s *heldSlot) takeRelease() func(admission.Outcome) {
 	release := s.release
 	s.release = nil
 	return release
 }
 
-// awaitGo waits for the entry's go. The slot is freed when the hold expires;
-// a go that comes later is still read, so that it can be refused.
-func (h *Handler) awaitGo(ctx context.Context, req *frame.Request, x work.AgentExchange, slot *heldSlot) error {
+// awaitGo waits for the entry instance's Go frame. When the hold expires first,
+// it frees the slot and keeps waiting, so that a late Go can be refused.
+func (h *Handler) awaitGo(ctx context.Context, req *frame.Request, exchange work.AgentExchange, slot *heldSlot) error {
 	holdCtx, cancel := context.WithTimeout(ctx, h.cfg.Hold)
 	defer cancel()
-	f, err := x.Receive(holdCtx)
+	f, err := exchange.Receive(holdCtx)
 	if err != nil && ctx.Err() == nil {
 		slot.free(admission.Outcome{Cancelled: true})
-		f, err = x.Receive(ctx)
+		f, err = exchange.Receive(ctx)
 	}
 	if err != nil {
 		return err
 	}
 	if f.Kind != frame.KindGo {
-		return core.Step("await go", x.Peer(), errors.Wrapf(frame.ErrUnexpected, "kind %d", f.Kind))
+		return core.Step("await go", exchange.Peer(), errors.Wrapf(frame.ErrUnexpected, "kind %d", f.Kind))
 	}
 	var msg frame.Go
 	if err := f.Decode(&msg); err != nil {
-		return core.Step("await go", x.Peer(), err)
+		return core.Step("await go", exchange.Peer(), err)
 	}
 	if msg.ID != req.ID {
-		return core.Step("await go", x.Peer(), errors.Wrapf(frame.ErrUnexpected, "go for %s, offered %s", msg.ID, req.ID))
+		return core.Step("await go", exchange.Peer(), errors.Wrapf(frame.ErrUnexpected, "go for %s, offered %s", msg.ID, req.ID))
 	}
 	return nil
 }
 
-// result is the end of a started call.
-type result struct {
+// onceResult is the result of a started non-repeatable call: its outcome, or an
+// error.
+type onceResult struct {
 	outcome *frame.Outcome
 	err     error
 }
 
-// runOnce runs a started call. The call goes on to its end when the entry
-// goes away, and its outcome is kept for the entry that asks for it.
-func (h *Handler) runOnce(ctx context.Context, req *frame.Request, x work.AgentExchange, slot *heldSlot, received time.Time) error {
-	h.logCall(eventStarted, req, eventlog.Fields{})
-	done := make(chan result, 1)
-	release := slot.take()
-	h.begin()
+// runOnce makes the call of a started attempt and sends its outcome. When the
+// entry instance disconnects, the call still runs to its end, and the ledger
+// keeps the outcome for a later Ask.
+func (h *Handler) runOnce(ctx context.Context, req *frame.Request, exchange work.AgentExchange, slot *heldSlot, received time.Time) error {
+	h.logCall(eventOnceStarted, req, eventlog.Fields{})
+	done := make(chan onceResult, 1)
+	release := slot.takeRelease()
+	h.addActive()
 	go func() {
-		defer h.end()
+		defer h.removeActive()
 		r := h.executeOnce(context.WithoutCancel(ctx), req)
 		release(admission.Outcome{Cancelled: r.err != nil})
 		done <- r
 	}()
 	var deadline <-chan time.Time
 	if req.TimeoutMillis > 0 {
-		left := time.Duration(req.TimeoutMillis)*time.Millisecond - h.clock.Since(received)
-		timer := h.clock.NewTimer(left)
+		remaining := time.Duration(req.TimeoutMillis)*time.Millisecond - h.clock.Since(received)
+		timer := h.clock.NewTimer(remaining)
 		defer timer.Stop()
 		deadline = timer.Chan()
 	}
 	select {
 	case r := <-done:
-		return h.answerOnce(req, x, r)
+		return h.sendOnceResult(req, exchange, r)
 	case <-deadline:
-		return h.fail(x, req, core.RefusalUnknown, errStillRuns)
+		return h.sendFailure(exchange, req, core.RefusalUnknown, errStillRunning)
 	case <-ctx.Done():
-		return core.Step("serve offer", x.Peer(), ctx.Err())
+		return core.Step("serve offer", exchange.Peer(), ctx.Err())
 	}
 }
 
-// executeOnce makes the call and records what became of it.
-func (h *Handler) executeOnce(ctx context.Context, req *frame.Request) result {
+// executeOnce makes the call and records its outcome in the ledger.
+func (h *Handler) executeOnce(ctx context.Context, req *frame.Request) onceResult {
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.OnceTimeout)
 	defer cancel()
 	outcome, err := h.callOnce(ctx, req)
-	id := idOf(req)
+	id := attemptIDOf(req)
 	if errors.Is(err, engine.ErrNotSent) {
-		h.ledger.notSent(id)
+		h.ledger.markNotSent(id)
 	} else {
 		h.ledger.finish(id, outcome)
 	}
 	if err != nil {
-		h.log.Fail(eventEnded, err, eventlog.Fields{"request": req.ID, "key": req.Key, "attempt": req.Attempt})
-		return result{err: err}
+		h.log.Fail(eventOnceEnded, err, eventlog.Fields{"request": req.ID, "key": req.Key, "attempt": req.Attempt})
+		return onceResult{err: err}
 	}
-	h.logCall(eventEnded, req, eventlog.Fields{"status": outcome.Status, "bytes": len(outcome.Body)})
-	return result{outcome: outcome}
+	h.logCall(eventOnceEnded, req, eventlog.Fields{"status": outcome.Status, "bytes": len(outcome.Body)})
+	return onceResult{outcome: outcome}
 }
 
-// callOnce makes the call and reads its whole answer.
+// callOnce makes the call and reads the complete answer.
 func (h *Handler) callOnce(ctx context.Context, req *frame.Request) (*frame.Outcome, error) {
-	got, err := h.engine.Do(ctx, engineCall(req, true))
+	answer, err := h.engine.Do(ctx, newEngineCall(req, true))
 	if err != nil {
 		return nil, err
 	}
-	defer got.Body.Close()
-	if got.ID != "" && got.ID != req.ID {
-		return nil, errCrossed
+	defer answer.Body.Close()
+	if answer.ID != "" && answer.ID != req.ID {
+		return nil, errWrongRequest
 	}
-	body, err := io.ReadAll(io.LimitReader(got.Body, maxOutcomeBytes+1))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxOutcomeBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > maxOutcomeBytes {
-		return nil, errLongOutcome
+		return nil, errAnswerTooLong
 	}
-	return &frame.Outcome{Status: got.Status, Header: passedHeader(got.Header), Body: body}, nil
+	return &frame.Outcome{Status: answer.Status, Header: forwardedHeader(answer.Header), Body: body}, nil
 }
 
-// answerOnce passes the outcome of a started call on.
-func (h *Handler) answerOnce(req *frame.Request, x work.AgentExchange, r result) error {
+// sendOnceResult sends the result of a started call to the entry instance.
+func (h *Handler) sendOnceResult(req *frame.Request, exchange work.AgentExchange, r onceResult) error {
 	switch {
 	case errors.Is(r.err, engine.ErrNotSent):
-		return h.refuse(x, req, frame.ReasonDown)
+		return h.sendRefusal(exchange, req, frame.ReasonDown)
 	case r.err != nil:
-		return h.fail(x, req, core.RefusalUnknown, r.err)
+		return h.sendFailure(exchange, req, core.RefusalUnknown, r.err)
 	}
 	head := frame.Head{ID: req.ID, Status: r.outcome.Status, Header: r.outcome.Header}
-	if err := x.Send(frame.KindHead, head); err != nil {
+	if err := exchange.Send(frame.KindHead, head); err != nil {
 		return err
 	}
-	if err := x.Send(frame.KindData, frame.Data{ID: req.ID, Body: r.outcome.Body}); err != nil {
+	if err := exchange.Send(frame.KindData, frame.Data{ID: req.ID, Body: r.outcome.Body}); err != nil {
 		return err
 	}
-	h.logCall(eventWhole, req, eventlog.Fields{"bytes": len(r.outcome.Body)})
+	h.logCall(eventCallCompleted, req, eventlog.Fields{"bytes": len(r.outcome.Body)})
 	end := frame.End{
 		ID: req.ID, Bytes: int64(len(r.outcome.Body)), Sum: xxhash.Sum64(r.outcome.Body), Load: h.limiter.Load(),
 	}
-	return x.Send(frame.KindEnd, end)
+	return exchange.Send(frame.KindEnd, end)
 }
 
-// ask tells whether an attempt ran in this incarnation, and forbids it from
-// now on.
-func (h *Handler) ask(first frame.Frame, x work.AgentExchange) error {
+// handleAsk answers whether an attempt ran in this incarnation of the agent, and
+// forbids the attempt unless it has started.
+func (h *Handler) handleAsk(first frame.Frame, exchange work.AgentExchange) error {
 	var msg frame.Ask
 	if err := first.Decode(&msg); err != nil {
-		return core.Step("serve ask", x.Peer(), err)
+		return core.Step("serve ask", exchange.Peer(), err)
 	}
-	ran, outcome := h.ledger.ask(attemptID{key: "key/" + msg.Key, attempt: msg.Attempt})
-	h.log.Event(eventAsked, eventlog.Fields{"request": msg.ID, "key": msg.Key, "attempt": msg.Attempt, "ran": ran})
-	return x.Send(frame.KindAnswer, frame.Answer{
+	ran, outcome := h.ledger.queryAndForbid(attemptID{key: "key/" + msg.Key, attempt: msg.Attempt})
+	h.log.Event(eventAttemptQueried, eventlog.Fields{"request": msg.ID, "key": msg.Key, "attempt": msg.Attempt, "ran": ran})
+	return exchange.Send(frame.KindAnswer, frame.Answer{
 		ID: msg.ID, Incarnation: h.cfg.Incarnation, Ran: ran, Outcome: outcome,
 	})
 }
--- a/request/serve/once_test.go
+++ b/request/serve/once_test.go
@@ -16,6 +16,8 @@
 	"github.com/rattanway/rattanway/standin/service"
 )
 
+// lotRequest returns a non-repeatable call to the service "lots". An empty key
+// makes a call without an Idempotency-Key.
 func lotRequest(id, key string, attempt int) frame.Request {
 	r := frame.Request{
 		ID: id, Account: "a", Share: 1, Method: http.MethodPost, Path: "/lots", Config: 1,
@@ -27,207 +29,212 @@
 	return r
 }
 
-// offered opens an exchange with an offer and returns it with the answer.
-func (b *bench) offered(req frame.Request) (work.Exchange, any) {
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+// openOffer opens an exchange with an offer and returns it with the agent's
+// first message, an Admit or a Refuse.
+func (h *harness) openOffer(req frame.Request) (work.Exchange, any) {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	x, err := b.pool.Open(ctx, b.agent, req.ID, frame.KindOffer, req)
+	exchange, err := h.pool.Open(ctx, h.agent, req.ID, frame.KindOffer, req)
 	So(err, ShouldBeNil)
-	msg, err := x.Receive(ctx)
+	msg, err := exchange.Receive(ctx)
 	So(err, ShouldBeNil)
-	return x, msg
+	return exchange, msg
 }
 
-// goOn sends the go and returns the reply.
-func goOn(x work.Exchange, id string) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+// sendGo sends Go and returns the reply.
+func sendGo(exchange work.Exchange, id string) reply {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	if err := x.Send(frame.KindGo, frame.Go{ID: id}); err != nil {
+	if err := exchange.Send(frame.KindGo, frame.Go{ID: id}); err != nil {
 		return reply{err: err}
 	}
-	r := collect(ctx, x)
-	x.Close(r.err == nil)
+	r := collectReply(ctx, exchange)
+	exchange.Close(r.err == nil)
 	return r
 }
 
-// ask asks about an attempt.
-func (b *bench) ask(key string, attempt int) *frame.Answer {
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+// askAttempt sends an Ask about an attempt and returns the answer, or nil if
+// there is none.
+func (h *harness) askAttempt(key string, attempt int) *frame.Answer {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	msg := frame.Ask{ID: "ask", Key: key, Attempt: attempt}
-	x, err := b.pool.Open(ctx, b.agent, msg.ID, frame.KindAsk, msg)
+	exchange, err := h.pool.Open(ctx, h.agent, msg.ID, frame.KindAsk, msg)
 	if err != nil {
 		return nil
 	}
-	got, err := x.Receive(ctx)
-	x.Close(err == nil)
+	got, err := exchange.Receive(ctx)
+	exchange.Close(err == nil)
 	answer, _ := got.(*frame.Answer)
 	return answer
 }
 
 func TestOnceOnlyCall(t *testing.T) {
 	Convey("Given an agent in front of a plain service", t, func() {
-		b := newBench(t, options{service: true, serve: Config{Hold: 300 * time.Millisecond}})
+		h := newHarness(t, options{service: true, serve: Config{Hold: 300 * time.Millisecond}})
 
-		Convey("an offered call runs once after the go, and its outcome is kept", func() {
-			x, msg := b.offered(lotRequest("r1", "k1", 1))
+		Convey("an offered call runs once after Go, and its outcome is kept", func() {
+			exchange, msg := h.openOffer(lotRequest("r1", "k1", 1))
 			So(msg, ShouldHaveSameTypeAs, &frame.Admit{})
-			So(b.service.Executions(), ShouldBeEmpty)
-			r := goOn(x, "r1")
-			So(r.word(), ShouldEqual, "whole")
-			So(b.service.Executions()["k1"], ShouldEqual, 1)
-			answer := b.ask("k1", 1)
+			So(h.service.Executions(), ShouldBeEmpty)
+			r := sendGo(exchange, "r1")
+			So(r.summary(), ShouldEqual, "whole")
+			So(h.service.Executions()["k1"], ShouldEqual, 1)
+			answer := h.askAttempt("k1", 1)
 			So(answer.Ran, ShouldEqual, frame.RanYes)
 			So(string(answer.Outcome.Body), ShouldEqual, string(r.body))
 		})
 		Convey("an attempt that ran is refused when it is offered again", func() {
-			x, _ := b.offered(lotRequest("r1", "k1", 1))
-			goOn(x, "r1")
-			_, msg := b.offered(lotRequest("r2", "k1", 1))
+			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
+			sendGo(exchange, "r1")
+			_, msg := h.openOffer(lotRequest("r2", "k1", 1))
 			So(msg.(*frame.Refuse).Reason, ShouldEqual, frame.ReasonDuplicate)
-			So(b.service.Executions()["k1"], ShouldEqual, 1)
+			So(h.service.Executions()["k1"], ShouldEqual, 1)
 		})
 		Convey("a call without a key is refused when its request id comes again", func() {
-			x, _ := b.offered(lotRequest("r1", "", 0))
-			goOn(x, "r1")
-			_, msg := b.offered(lotRequest("r1", "", 0))
+			exchange, _ := h.openOffer(lotRequest("r1", "", 0))
+			sendGo(exchange, "r1")
+			_, msg := h.openOffer(lotRequest("r1", "", 0))
 			So(msg.(*frame.Refuse).Reason, ShouldEqual, frame.ReasonDuplicate)
 		})
-		Convey("a question before the go forbids the attempt, and the go is refused", func() {
-			x, _ := b.offered(lotRequest("r1", "k1", 1))
-			So(b.ask("k1", 1).Ran, ShouldEqual, frame.RanNo)
-			So(goOn(x, "r1").word(), ShouldEqual, "refused duplicate")
-			So(b.service.Executions()["k1"], ShouldEqual, 0)
+		Convey("an Ask before Go forbids the attempt, and Go is refused", func() {
+			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
+			So(h.askAttempt("k1", 1).Ran, ShouldEqual, frame.RanNo)
+			So(sendGo(exchange, "r1").summary(), ShouldEqual, "refused duplicate")
+			So(h.service.Executions()["k1"], ShouldEqual, 0)
 		})
-		Convey("a go that comes after the hold expired is refused, and the slot is free before", func() {
-			x, _ := b.offered(lotRequest("r1", "k1", 1))
-			eventually(t, "the slot is free", func() bool { return b.gate.Load().InFlight == 0 })
-			So(goOn(x, "r1").word(), ShouldEqual, "refused expired")
-			So(b.service.Executions()["k1"], ShouldEqual, 0)
+		Convey("when the hold expires the slot is freed, and a later Go is refused", func() {
+			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
+			eventually(t, "the slot is free", func() bool { return h.gate.Load().InFlight == 0 })
+			So(sendGo(exchange, "r1").summary(), ShouldEqual, "refused expired")
+			So(h.service.Executions()["k1"], ShouldEqual, 0)
 		})
-		Convey("a started call runs to its end when the entry goes away, and Drain waits for it", func() {
-			b.service.SetFaults(service.Faults{DelayMillis: 200})
-			x, _ := b.offered(lotRequest("r1", "k1", 1))
-			So(x.Send(frame.KindGo, frame.Go{ID: "r1"}), ShouldBeNil)
-			eventually(t, "it runs", func() bool { return b.service.Executions()["k1"] == 1 })
-			x.Close(false)
-			So(b.ask("k1", 1).Ran, ShouldEqual, frame.RanRunning)
-			b.handler.Leave()
-			ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+		Convey("a started call runs to its end when the entry instance disconnects, and Drain waits for it", func() {
+			h.service.SetFaults(service.Faults{DelayMillis: 200})
+			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
+			So(exchange.Send(frame.KindGo, frame.Go{ID: "r1"}), ShouldBeNil)
+			eventually(t, "the call runs", func() bool { return h.service.Executions()["k1"] == 1 })
+			exchange.Close(false)
+			So(h.askAttempt("k1", 1).Ran, ShouldEqual, frame.RanRunning)
+			h.handler.Leave()
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
-			So(b.handler.Drain(ctx), ShouldBeNil)
-			answer := b.ask("k1", 1)
+			So(h.handler.Drain(ctx), ShouldBeNil)
+			answer := h.askAttempt("k1", 1)
 			So(answer.Ran, ShouldEqual, frame.RanYes)
 			So(answer.Outcome.Status, ShouldEqual, http.StatusOK)
 		})
-		Convey("a connection lost after the go is unknown, and the attempt counts as run", func() {
-			b.service.SetFaults(service.Faults{DropAfter: true})
-			x, _ := b.offered(lotRequest("r1", "k1", 1))
-			So(goOn(x, "r1").word(), ShouldEqual, "failed unknown")
-			So(b.service.Executions()["k1"], ShouldEqual, 1)
-			answer := b.ask("k1", 1)
+		Convey("when the connection to the service is lost during the call, the outcome is unknown and the attempt counts as run", func() {
+			h.service.SetFaults(service.Faults{DropAfter: true})
+			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
+			So(sendGo(exchange, "r1").summary(), ShouldEqual, "failed unknown")
+			So(h.service.Executions()["k1"], ShouldEqual, 1)
+			answer := h.askAttempt("k1", 1)
 			So(answer.Ran, ShouldEqual, frame.RanYes)
 			So(answer.Outcome, ShouldBeNil)
 		})
-		Convey("a call that may not be repeated is refused without an offer", func() {
-			So(b.do(frame.KindRequest, lotRequest("r1", "k1", 1)).word(), ShouldEqual, "refused unknown-op")
-			So(b.service.Executions(), ShouldBeEmpty)
+		Convey("a non-repeatable call is refused without an offer", func() {
+			So(h.do(frame.KindRequest, lotRequest("r1", "k1", 1)).summary(), ShouldEqual, "refused unknown-op")
+			So(h.service.Executions(), ShouldBeEmpty)
 		})
-		Convey("a leaving agent refuses offers but honours the go of an admitted one", func() {
-			x, _ := b.offered(lotRequest("r1", "k1", 1))
-			b.handler.Leave()
-			_, msg := b.offered(lotRequest("r2", "k2", 1))
+		Convey("a leaving agent refuses new offers but runs an offer admitted before", func() {
+			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
+			h.handler.Leave()
+			_, msg := h.openOffer(lotRequest("r2", "k2", 1))
 			So(msg.(*frame.Refuse).Reason, ShouldEqual, frame.ReasonLeaving)
-			So(goOn(x, "r1").word(), ShouldEqual, "whole")
+			So(sendGo(exchange, "r1").summary(), ShouldEqual, "whole")
 		})
 	})
 }
 
-// TestOnceOnlyRaces offers each attempt over two exchanges while a third asks
-// about it, all at once, and checks that it ran at most once and that every
-// "no" and every refusal was true.
+// TestOnceOnlyRaces offers each attempt over two exchanges while a third
+// exchange asks about it concurrently. Each attempt must run at most once, each
+// execution must have exactly one complete answer, and an attempt that was
+// reported as not run must never run.
 func TestOnceOnlyRaces(t *testing.T) {
-	Convey("Attempts raced by two goes and a question run at most once, and every no is true", t, func() {
+	Convey("Attempts with two concurrent offers and an Ask run at most once, and never after the answer no", t, func() {
 		const keys = 200
-		b := newBench(t, options{service: true})
-		b.gate.Configure(64, 64)
-		type history struct {
+		h := newHarness(t, options{service: true})
+		h.gate.Configure(64, 64)
+		type raceResult struct {
 			replies [2]reply
 			answer  *frame.Answer
 		}
-		histories := make([]history, keys)
-		var all sync.WaitGroup
-		limit := make(chan struct{}, 16)
-		for i := range histories {
-			limit <- struct{}{}
-			all.Add(1)
+		results := make([]raceResult, keys)
+		var races sync.WaitGroup
+		running := make(chan struct{}, 16)
+		for i := range results {
+			running <- struct{}{}
+			races.Add(1)
 			go func() {
-				defer func() { <-limit; all.Done() }()
+				defer func() { <-running; races.Done() }()
 				key := fmt.Sprintf("k%d", i)
-				var raced sync.WaitGroup
-				for side := range histories[i].replies {
-					raced.Add(1)
+				var offers sync.WaitGroup
+				for side := range results[i].replies {
+					offers.Add(1)
 					go func() {
-						defer raced.Done()
-						histories[i].replies[side] = b.offerAndGo(lotRequest(fmt.Sprintf("r%d-%d", i, side), key, 1))
+						defer offers.Done()
+						results[i].replies[side] = h.offerAndGo(lotRequest(fmt.Sprintf("r%d-%d", i, side), key, 1))
 					}()
 				}
 				if i%2 == 0 {
-					eventually(t, "offered", func() bool { return b.ledgerKnows(key) })
+					eventually(t, "offered", func() bool { return h.ledgerHasRecord(key) })
 				}
-				histories[i].answer = b.ask(key, 1)
-				raced.Wait()
+				results[i].answer = h.askAttempt(key, 1)
+				offers.Wait()
 			}()
 		}
-		all.Wait()
-		executions := b.service.Executions()
-		asked := map[frame.Ran]int{}
-		for i, h := range histories {
+		races.Wait()
+		executions := h.service.Executions()
+		answers := map[frame.Ran]int{}
+		for i, result := range results {
 			n := executions[fmt.Sprintf("k%d", i)]
-			whole := 0
-			for _, r := range h.replies {
+			complete := 0
+			for _, r := range result.replies {
 				if r.end != nil {
-					whole++
+					complete++
 				}
 			}
-			asked[h.answer.Ran]++
-			if n > 1 || whole != n {
-				t.Errorf("key %d: %d executions, %d whole answers", i, n, whole)
+			answers[result.answer.Ran]++
+			if n > 1 || complete != n {
+				t.Errorf("key %d: %d executions, %d complete answers", i, n, complete)
 			}
-			if h.answer.Ran == frame.RanNo && n != 0 {
-				t.Errorf("key %d: answered no and ran %d times", i, n)
+			if result.answer.Ran == frame.RanNo && n != 0 {
+				t.Errorf("key %d: Ask was answered no, but the attempt ran %d times", i, n)
 			}
 		}
-		t.Logf("questions answered %v", asked)
+		t.Logf("answers to Ask: %v", answers)
 	})
 }
 
-// ledgerKnows reports whether the first attempt of key was offered.
-func (b *bench) ledgerKnows(key string) bool {
-	l := b.handler.ledger
+// ledgerHasRecord reports whether the ledger has a record of the first attempt
+// with key.
+func (h *harness) ledgerHasRecord(key string) bool {
+	l := h.handler.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.find(attemptID{key: "key/" + key, attempt: 1}) != nil
 }
 
-// offerAndGo offers a call and lets it go on when it is admitted.
-func (b *bench) offerAndGo(req frame.Request) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+// offerAndGo offers a call, sends Go when the call is admitted, and returns the
+// reply.
+func (h *harness) offerAndGo(req frame.Request) reply {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	x, err := b.pool.Open(ctx, b.agent, req.ID, frame.KindOffer, req)
+	exchange, err := h.pool.Open(ctx, h.agent, req.ID, frame.KindOffer, req)
 	if err != nil {
 		return reply{err: err}
 	}
-	msg, err := x.Receive(ctx)
+	msg, err := exchange.Receive(ctx)
 	if refused, ok := msg.(*frame.Refuse); ok {
-		x.Close(true)
+		exchange.Close(true)
 		return reply{refuse: refused}
 	}
 	if err != nil {
-		x.Close(false)
+		exchange.Close(false)
 		return reply{err: err}
 	}
-	return goOn(x, req.ID)
+	return sendGo(exchange, req.ID)
 }
 
 func TestLedgerForgets(t *testing.T) {
@@ -235,25 +242,25 @@
 		l := newLedger(2, 10)
 		for _, key := range []string{"a", "b"} {
 			id := attemptID{key: key, attempt: 1}
-			So(l.hold(id), ShouldBeTrue)
+			So(l.beginOffer(id), ShouldBeTrue)
 			So(l.start(id), ShouldBeTrue)
-			l.release(id)
+			l.endOffer(id)
 		}
 		c := attemptID{key: "c", attempt: 1}
 
-		Convey("running attempts are never forgotten: a new one is refused", func() {
-			So(l.hold(c), ShouldBeFalse)
+		Convey("running attempts are never dropped, so a new attempt is refused", func() {
+			So(l.beginOffer(c), ShouldBeFalse)
 		})
-		Convey("what was forgotten is unknown, never said not to have run", func() {
+		Convey("an attempt whose record was dropped is reported as unknown, never as not run", func() {
 			l.finish(attemptID{key: "a", attempt: 1}, &frame.Outcome{Body: []byte("done")})
-			So(l.hold(c), ShouldBeTrue)
-			ran, _ := l.ask(attemptID{key: "a", attempt: 1})
+			So(l.beginOffer(c), ShouldBeTrue)
+			ran, _ := l.queryAndForbid(attemptID{key: "a", attempt: 1})
 			So(ran, ShouldEqual, frame.RanUnknown)
 		})
-		Convey("outcomes beyond the bound are forgotten, but not that they ran", func() {
+		Convey("outcomes beyond the size limit are dropped, but the attempts still count as run", func() {
 			l.finish(attemptID{key: "a", attempt: 1}, &frame.Outcome{Body: make([]byte, 8)})
 			l.finish(attemptID{key: "b", attempt: 1}, &frame.Outcome{Body: make([]byte, 8)})
-			ran, outcome := l.ask(attemptID{key: "a", attempt: 1})
+			ran, outcome := l.queryAndForbid(attemptID{key: "a", attempt: 1})
 			So(ran, ShouldEqual, frame.RanYes)
 			So(outcome, ShouldBeNil)
 		})
--- a/request/serve/run.go
+++ b/request/serve/run.go
@@ -18,51 +18,56 @@
 	"github.com/rattanway/rattanway/request/admission"
 )
 
-// pieceBytes is the size of the buffer that an answer is read into.
-const pieceBytes = 16 << 10
+// readBufferBytes is the initial size of the buffer for reading an answer.
+const readBufferBytes = 16 << 10
 
-// Errors about an answer, for logs and Fail frames.
+// Errors of a call to the engine or service, for logs and Fail frames.
 var (
-	errCrossed    = errors.New("answer to another request")
-	errDigest     = errors.New("answer from other weights")
-	errOverloaded = errors.New("engine refused under load")
-	errNotLoaded  = errors.New("engine does not hold the weights it reports")
-	errEngine     = errors.New("engine failed")
+	errWrongRequest = errors.New("answer to another request")
+	errWrongDigest  = errors.New("answer from other weights")
+	errOverloaded   = errors.New("engine refused under load")
+	errNotLoaded    = errors.New("engine does not hold the weights it reports")
+	errEngineFailed = errors.New("engine failed")
 )
 
-// errPeer marks errors of the connection to the entry.
-type errPeer struct{ error }
+// sendError wraps an error of sending a frame to the entry instance.
+type sendError struct{ error }
 
-// Unwrap returns the cause.
-func (e errPeer) Unwrap() error { return e.error }
+// Unwrap returns the wrapped error.
+func (e sendError) Unwrap() error { return e.error }
 
-// answer is one running answer to a call that may be repeated.
-type answer struct {
-	h      *Handler
-	req    *frame.Request
-	x      work.AgentExchange
-	stream *stream
-	// head is true once the Head frame is sent.
-	head  bool
-	bytes int64
-	sum   *xxhash.Digest
+// answerForwarder forwards the answer to one repeatable call to the entry
+// instance.
+type answerForwarder struct {
+	handler  *Handler
+	req      *frame.Request
+	exchange work.AgentExchange
+	call     *watchedCall
+	// headSent is true from just before the Head frame is sent.
+	headSent bool
+	// bodyBytes and checksum are the length and the xxhash64 of the body sent so
+	// far.
+	bodyBytes int64
+	checksum  *xxhash.Digest
 }
 
-// run calls the engine and passes the answer on. cancel ends ctx.
-func (h *Handler) run(ctx context.Context, cancel context.CancelCauseFunc, req *frame.Request,
-	x work.AgentExchange, release func(admission.Outcome)) error {
-	a := &answer{h: h, req: req, x: x, stream: h.watch.add(cancel, h.firstByteTimeout(req)), sum: xxhash.New()}
-	err := a.pass(ctx)
-	h.watch.remove(a.stream)
+// runRepeatable calls the engine or service and forwards the answer. cancel must
+// cancel ctx; release is called once, when the call has ended.
+func (h *Handler) runRepeatable(ctx context.Context, cancel context.CancelCauseFunc, req *frame.Request,
+	exchange work.AgentExchange, release func(admission.Outcome)) error {
+	f := &answerForwarder{handler: h, req: req, exchange: exchange, call: h.watcher.add(cancel, h.firstByteTimeout(req)), checksum: xxhash.New()}
+	err := f.forward(ctx)
+	h.watcher.remove(f.call)
 	if err != nil && ctx.Err() != nil {
 		err = errors.Wrap(context.Cause(ctx), "call ended")
 	}
-	release(outcome(ctx, err))
-	return a.finish(ctx, err)
+	release(limiterOutcome(ctx, err))
+	return f.finish(ctx, err)
 }
 
-// firstByteTimeout bounds the wait for the first byte of the answer to req. An
-// answer that is not streamed comes in one piece at its end.
+// firstByteTimeout returns the longest wait for the first byte of the answer to
+// req. It is longer for an answer from an engine that is not streamed, because
+// the engine sends nothing until the answer is complete.
 func (h *Handler) firstByteTimeout(req *frame.Request) time.Duration {
 	var options struct {
 		Stream bool `json:"stream"`
@@ -73,65 +78,69 @@
 	return h.cfg.FirstByteTimeout
 }
 
-// outcome is what the limiter learns of a call.
-func outcome(ctx context.Context, err error) admission.Outcome {
+// limiterOutcome returns what to report to the limiter about a call that ended
+// with err.
+func limiterOutcome(ctx context.Context, err error) admission.Outcome {
 	switch {
 	case err == nil:
 		return admission.Outcome{}
-	case errors.Is(err, errOverloaded), errors.Is(err, errFirstByte), errors.Is(err, errStalled):
+	case errors.Is(err, errOverloaded), errors.Is(err, errFirstByteTimeout), errors.Is(err, errStalled):
 		return admission.Outcome{Overloaded: true}
 	default:
 		return admission.Outcome{Cancelled: true}
 	}
 }
 
-// finish sends the last frame of the exchange.
-func (a *answer) finish(ctx context.Context, err error) error {
-	var peer errPeer
+// finish sends the last frame of the exchange: End when err is nil, otherwise
+// Refuse or Fail. It sends nothing when the entry instance has disconnected.
+func (f *answerForwarder) finish(ctx context.Context, err error) error {
+	var sendErr sendError
 	switch {
 	case err == nil:
-		a.h.logCall(eventWhole, a.req, eventlog.Fields{"bytes": a.bytes, "tokens": a.stream.tokens.Load()})
-		end := frame.End{ID: a.req.ID, Bytes: a.bytes, Sum: a.sum.Sum64(), Load: a.h.limiter.Load()}
-		return a.x.Send(frame.KindEnd, end)
-	case errors.As(err, &peer), errors.Is(err, context.Canceled):
-		a.h.log.Fail(eventBroken, err, eventlog.Fields{"request": a.req.ID, "account": a.req.Account, "why": "entry gone"})
+		f.handler.logCall(eventCallCompleted, f.req, eventlog.Fields{"bytes": f.bodyBytes, "tokens": f.call.tokenCount.Load()})
+		end := frame.End{ID: f.req.ID, Bytes: f.bodyBytes, Sum: f.checksum.Sum64(), Load: f.handler.limiter.Load()}
+		return f.exchange.Send(frame.KindEnd, end)
+	case errors.As(err, &sendErr), errors.Is(err, context.Canceled):
+		f.handler.log.Fail(eventCallFailed, err, eventlog.Fields{"request": f.req.ID, "account": f.req.Account, "why": "entry gone"})
 		return err
-	case a.head:
-		return a.h.fail(a.x, a.req, core.RefusalIncomplete, err)
+	case f.headSent:
+		return f.handler.sendFailure(f.exchange, f.req, core.RefusalIncomplete, err)
 	case errors.Is(err, errOverloaded):
-		return a.h.refuse(a.x, a.req, frame.ReasonFull)
+		return f.handler.sendRefusal(f.exchange, f.req, frame.ReasonFull)
 	case errors.Is(err, errNotLoaded):
-		return a.h.refuse(a.x, a.req, frame.ReasonDigest)
+		return f.handler.sendRefusal(f.exchange, f.req, frame.ReasonDigest)
 	case errors.Is(err, engine.ErrNotSent):
-		return a.h.refuse(a.x, a.req, frame.ReasonDown)
+		return f.handler.sendRefusal(f.exchange, f.req, frame.ReasonDown)
 	default:
-		return a.h.fail(a.x, a.req, core.RefusalIncomplete, err)
+		return f.handler.sendFailure(f.exchange, f.req, core.RefusalIncomplete, err)
 	}
 }
 
-// pass calls the engine and passes its answer on to the entry.
-func (a *answer) pass(ctx context.Context) error {
-	got, err := a.h.engine.Do(ctx, engineCall(a.req, false))
+// forward calls the engine or service and forwards its answer to the entry
+// instance.
+func (f *answerForwarder) forward(ctx context.Context) error {
+	answer, err := f.handler.engine.Do(ctx, newEngineCall(f.req, false))
 	if err != nil {
 		return err
 	}
-	defer got.Body.Close()
-	if err := a.check(got); err != nil {
+	defer answer.Body.Close()
+	if err := f.checkAnswer(answer); err != nil {
 		return err
 	}
-	head := frame.Head{ID: a.req.ID, Status: got.Status, Header: passedHeader(got.Header), Digest: got.Digest}
-	a.head = true
-	if err := a.send(frame.KindHead, head); err != nil {
+	head := frame.Head{ID: f.req.ID, Status: answer.Status, Header: forwardedHeader(answer.Header), Digest: answer.Digest}
+	f.headSent = true
+	if err := f.sendFrame(frame.KindHead, head); err != nil {
 		return err
 	}
-	if got.Status == http.StatusOK && isEventStream(http.Header(got.Header).Get("Content-Type")) {
-		return a.passEvents(got.Body)
+	if answer.Status == http.StatusOK && isEventStream(http.Header(answer.Header).Get("Content-Type")) {
+		return f.forwardEvents(answer.Body)
 	}
-	return a.passBytes(got.Body)
+	return f.forwardBytes(answer.Body)
 }
 
-// engineCall turns a request into the call of the engine.
-func engineCall(req *frame.Request, once bool) engine.Call {
+// newEngineCall returns the call to the engine or service for req. once is true
+// for a non-repeatable call.
+func newEngineCall(req *frame.Request, once bool) engine.Call {
 	return engine.Call{
 		ID:           req.ID,
 		Method:       req.Method,
@@ -145,126 +154,133 @@
 	}
 }
 
-// check makes sure that the answer is to this request and from the pinned
-// weights before any of it is passed on.
-func (a *answer) check(got engine.Answer) error {
-	if a.req.Digest == "" {
-		if got.ID != "" && got.ID != a.req.ID {
-			return a.mismatch(errCrossed, got)
+// checkAnswer returns an error unless the answer belongs to this request and
+// comes from the pinned model version, or is a client error (4xx) to be
+// forwarded. It is called before any of the answer is forwarded.
+func (f *answerForwarder) checkAnswer(answer engine.Answer) error {
+	if f.req.Digest == "" {
+		if answer.ID != "" && answer.ID != f.req.ID {
+			return f.logMismatch(errWrongRequest, answer)
 		}
 		return nil
 	}
 	switch {
-	case got.Status == http.StatusTooManyRequests, got.Status == http.StatusServiceUnavailable:
+	case answer.Status == http.StatusTooManyRequests, answer.Status == http.StatusServiceUnavailable:
 		return errOverloaded
-	case got.Status == http.StatusNotFound, got.Status == http.StatusConflict:
-		a.distrust()
-		return a.mismatch(errNotLoaded, got)
-	case got.Status >= http.StatusInternalServerError:
-		return errors.Wrapf(errEngine, "status %d", got.Status)
-	case got.Status >= http.StatusBadRequest:
+	case answer.Status == http.StatusNotFound, answer.Status == http.StatusConflict:
+		f.reportWrongVersion()
+		return f.logMismatch(errNotLoaded, answer)
+	case answer.Status >= http.StatusInternalServerError:
+		return errors.Wrapf(errEngineFailed, "status %d", answer.Status)
+	case answer.Status >= http.StatusBadRequest:
 		return nil
-	case got.ID != a.req.ID:
-		return a.mismatch(errCrossed, got)
-	case got.Digest != a.req.Digest:
-		a.distrust()
-		return a.mismatch(errDigest, got)
+	case answer.ID != f.req.ID:
+		return f.logMismatch(errWrongRequest, answer)
+	case answer.Digest != f.req.Digest:
+		f.reportWrongVersion()
+		return f.logMismatch(errWrongDigest, answer)
 	}
 	return nil
 }
 
-// distrust says that the engine did not answer from the version it reports.
-func (a *answer) distrust() {
-	if a.h.cfg.Distrust != nil {
-		a.h.cfg.Distrust(a.req.Digest)
+// reportWrongVersion calls Config.Distrust with the pinned version, which the
+// engine reports as loaded but did not answer from.
+func (f *answerForwarder) reportWrongVersion() {
+	if f.handler.cfg.Distrust != nil {
+		f.handler.cfg.Distrust(f.req.Digest)
 	}
 }
 
-// mismatch logs an answer that must not be passed on.
-func (a *answer) mismatch(err error, got engine.Answer) error {
-	a.h.log.Fail(eventMismatch, err, eventlog.Fields{
-		"request": a.req.ID, "answered": got.ID, "want": a.req.Digest.Short(), "digest": got.Digest.Short(), "status": got.Status,
+// logMismatch logs an answer that must not be forwarded, and returns err.
+func (f *answerForwarder) logMismatch(err error, answer engine.Answer) error {
+	f.handler.log.Fail(eventAnswerMismatch, err, eventlog.Fields{
+		"request": f.req.ID, "answered": answer.ID, "want": f.req.Digest.Short(), "digest": answer.Digest.Short(), "status": answer.Status,
 	})
 	return err
 }
 
-// send sends one frame; its error is marked as the entry's.
-func (a *answer) send(kind frame.Kind, msg any) error {
-	a.stream.sending.Store(true)
-	err := a.x.Send(kind, msg)
-	a.stream.sending.Store(false)
+// sendFrame sends one frame to the entry instance. It returns a sendError on
+// failure.
+func (f *answerForwarder) sendFrame(kind frame.Kind, msg any) error {
+	f.call.sending.Store(true)
+	err := f.exchange.Send(kind, msg)
+	f.call.sending.Store(false)
 	if err != nil {
-		return errPeer{err}
+		return sendError{err}
 	}
 	return nil
 }
 
-// data sends a piece of the body.
-func (a *answer) data(piece []byte, tokens int) error {
+// sendData sends a piece of the answer's body, which contains the given number
+// of tokens. An empty piece is not sent.
+func (f *answerForwarder) sendData(piece []byte, tokens int) error {
 	if len(piece) == 0 {
 		return nil
 	}
-	_, _ = a.sum.Write(piece)
-	a.bytes += int64(len(piece))
-	return a.send(frame.KindData, frame.Data{ID: a.req.ID, Body: piece, Tokens: tokens})
+	_, _ = f.checksum.Write(piece)
+	f.bodyBytes += int64(len(piece))
+	return f.sendFrame(frame.KindData, frame.Data{ID: f.req.ID, Body: piece, Tokens: tokens})
 }
 
-// passEvents passes a stream on, whole events only, each as soon as it is
-// there.
-func (a *answer) passEvents(body io.Reader) error {
-	parser := events{digest: a.req.Digest}
-	buf := make([]byte, 0, pieceBytes)
+// forwardEvents forwards an event stream as it arrives. It sends complete events
+// only.
+func (f *answerForwarder) forwardEvents(body io.Reader) error {
+	parser := eventParser{digest: f.req.Digest}
+	buf := make([]byte, 0, readBufferBytes)
 	for {
 		if len(buf) == cap(buf) {
 			buf = append(buf, make([]byte, cap(buf))...)[:len(buf)]
 		}
 		n, readErr := body.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		whole, tokens, err := parser.take(buf)
+		completeBytes, tokens, err := parser.consume(buf)
 		if n > 0 {
-			a.arrived(tokens)
+			f.recordArrival(tokens)
 		}
-		if sendErr := a.data(buf[:whole], tokens); sendErr != nil {
+		if sendErr := f.sendData(buf[:completeBytes], tokens); sendErr != nil {
 			return sendErr
 		}
 		if err != nil {
 			return err
 		}
-		buf = buf[:copy(buf, buf[whole:])]
+		buf = buf[:copy(buf, buf[completeBytes:])]
 		if readErr != nil {
-			return endOfEvents(readErr, parser.done, len(buf))
+			return streamEndError(readErr, parser.doneSeen, len(buf))
 		}
 	}
 }
 
-// arrived notes a piece, and the time to the first token with the limiter.
-func (a *answer) arrived(tokens int) {
-	if tokens > 0 && a.stream.tokens.Load() == 0 {
-		a.h.limiter.Observe(admission.Sample{FirstToken: a.h.clock.Since(a.stream.started)})
+// recordArrival records that a piece with the given number of tokens arrived,
+// and reports the time to the first token to the limiter.
+func (f *answerForwarder) recordArrival(tokens int) {
+	if tokens > 0 && f.call.tokenCount.Load() == 0 {
+		f.handler.limiter.Observe(admission.Sample{FirstToken: f.handler.clock.Since(f.call.started)})
 	}
-	a.stream.arrived(a.h.clock, tokens)
+	f.call.recordArrival(f.handler.clock, tokens)
 }
 
-// endOfEvents judges the end of a stream.
-func endOfEvents(err error, done bool, left int) error {
+// streamEndError returns the error of an event stream whose last read returned
+// err. The stream is complete, and the error nil, only if err is io.EOF, the
+// [DONE] event was seen and no bytes of an incomplete event are left over.
+func streamEndError(err error, doneSeen bool, leftover int) error {
 	if err != io.EOF {
 		return err
 	}
-	if !done || left > 0 {
-		return errNoDone
+	if !doneSeen || leftover > 0 {
+		return errMissingDone
 	}
 	return nil
 }
 
-// passBytes passes a body on as it comes.
-func (a *answer) passBytes(body io.Reader) error {
-	buf := make([]byte, pieceBytes)
+// forwardBytes forwards a body that is not an event stream as it arrives.
+func (f *answerForwarder) forwardBytes(body io.Reader) error {
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, readErr := body.Read(buf)
 		if n > 0 {
-			a.stream.arrived(a.h.clock, 0)
+			f.call.recordArrival(f.handler.clock, 0)
 		}
-		if err := a.data(buf[:n], 0); err != nil {
+		if err := f.sendData(buf[:n], 0); err != nil {
 			return err
 		}
 		if readErr == io.EOF {
@@ -276,14 +292,16 @@
 	}
 }
 
-// hopHeaders are not passed on.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Trailer", "Upgrade", "Date"}
+// unforwardedHeaders are the headers of an answer that are not forwarded: Date
+// and the hop-by-hop headers.
+var unforwardedHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Trailer", "Upgrade", "Date"}
 
-// passedHeader returns the header that goes to the caller.
-func passedHeader(header map[string][]string) map[string][]string {
-	passed := http.Header(header).Clone()
-	for _, name := range hopHeaders {
-		passed.Del(name)
+// forwardedHeader returns a copy of an answer's header without the
+// unforwardedHeaders.
+func forwardedHeader(header map[string][]string) map[string][]string {
+	forwarded := http.Header(header).Clone()
+	for _, name := range unforwardedHeaders {
+		forwarded.Del(name)
 	}
-	return passed
+	return forwarded
 }
--- a/request/serve/serve.go
+++ b/request/serve/serve.go
@@ -1,6 +1,9 @@
-// Package serve runs calls at the agent: it checks that a call may run here
-// now, asks for a slot, calls the engine or service, and passes the answer on
-// with an explicit end. Calls that may not be repeated run at most once.
+// Package serve handles the calls that entry instances send to an agent: it
+// checks that a call may run on this server now, acquires a slot from the
+// limiter, calls the engine or service, and forwards the answer followed by an
+// explicit End frame. A non-repeatable call, which must not be executed twice,
+// runs at most once: the entry instance offers it, the agent holds a slot for it,
+// and the entry instance then sends Go.
 package serve
 
 import (
@@ -20,55 +23,69 @@
 	"github.com/rattanway/rattanway/version/confstore"
 )
 
-// Defaults of a Config.
+// Default values of Config.
 const (
-	// DefaultHold is how long a slot is held for an offered call.
+	// DefaultHold is how long a slot is held for an offered call until the
+	// entry instance sends Go.
 	DefaultHold = 2 * time.Second
-	// DefaultFirstByteTimeout bounds the wait for an answer's first byte.
+	// DefaultFirstByteTimeout is the longest wait for the first byte of an
+	// answer.
 	DefaultFirstByteTimeout = 10 * time.Second
-	// DefaultStallTimeout bounds the time between two pieces of an answer.
+	// DefaultStallTimeout is the longest time between two reads of an answer
+	// that return data.
 	DefaultStallTimeout = 5 * time.Second
-	// DefaultOnceTimeout bounds a started call that may not be repeated.
+	// DefaultOnceTimeout is the longest run time of a non-repeatable call.
 	DefaultOnceTimeout = time.Minute
-	// DefaultMaxConfirmAge is the age from which a configuration that no
-	// entry instance has confirmed is too old for new work.
+	// DefaultMaxConfirmAge is the longest time since the configuration was
+	// last confirmed during which new calls are accepted.
 	DefaultMaxConfirmAge = 10 * time.Second
-	// DefaultLedgerEntries is the number of once-only attempts remembered.
+	// DefaultLedgerEntries is the largest number of attempts at
+	// non-repeatable calls that the ledger keeps.
 	DefaultLedgerEntries = 64 << 10
-	// DefaultLedgerBytes bounds the outcomes kept, in bytes.
+	// DefaultLedgerBytes is the largest total size of the answer bodies that
+	// the ledger keeps, in bytes.
 	DefaultLedgerBytes = 8 << 20
-	// fullRetryAfter is suggested to callers refused by a full server.
+	// fullRetryAfter is the retry delay suggested when a call is refused
+	// because the server is full.
 	fullRetryAfter = 500 * time.Millisecond
 )
 
-// Config sets up a Handler. Zero values take the defaults.
+// Config holds the settings of a Handler. Zero values select the defaults.
 type Config struct {
-	// Self is the agent.
+	// Self is the agent's own instance.
 	Self core.Instance
-	// Incarnation is different each time the agent starts.
+	// Incarnation identifies this run of the agent process; it changes with
+	// each start.
 	Incarnation string
-	// Service names the plain service beside the agent; empty for an engine.
+	// Service is the name of the plain service that this agent serves; empty
+	// when it serves a model engine.
 	Service string
-	// Hold is how long a slot is held for an offered call.
+	// Hold is how long a slot is held for an offered call until the entry
+	// instance sends Go.
 	Hold time.Duration
-	// FirstByteTimeout bounds the wait for an answer's first byte.
+	// FirstByteTimeout is the longest wait for the first byte of an answer.
 	FirstByteTimeout time.Duration
-	// StallTimeout bounds the time between two pieces of an answer.
+	// StallTimeout is the longest time between two reads of an answer that
+	// return data.
 	StallTimeout time.Duration
-	// OnceTimeout bounds a started call that may not be repeated; then its
-	// outcome stays unknown.
+	// OnceTimeout is the longest run time of a non-repeatable call. The
+	// outcome of a call that exceeds it is recorded as unknown. It is also the
+	// longest wait for an engine's answer that is not streamed.
 	OnceTimeout time.Duration
-	// Distrust is told the manifest digest of a version that the engine
-	// reports as loaded and did not answer from; nil tells nobody.
+	// Distrust is called with the manifest digest of a version that the
+	// engine reports as loaded but did not answer from. It may be nil.
 	Distrust func(core.Digest)
 	// Confirmed returns when an entry instance last confirmed that the
-	// configuration is in force; nil makes no check.
+	// agent's configuration is the newest. Nil disables the check.
 	Confirmed func() time.Time
-	// MaxConfirmAge is the age from which the configuration is too old.
+	// MaxConfirmAge is the longest time since Confirmed during which new
+	// calls are accepted.
 	MaxConfirmAge time.Duration
-	// LedgerEntries is the number of once-only attempts remembered.
+	// LedgerEntries is the largest number of attempts at non-repeatable
+	// calls that the ledger keeps.
 	LedgerEntries int
-	// LedgerBytes bounds the outcomes kept, in bytes.
+	// LedgerBytes is the largest total size of the answer bodies that the
+	// ledger keeps, in bytes.
 	LedgerBytes int
 }
 
@@ -82,7 +99,7 @@
 	core.SetDefault(&c.LedgerBytes, DefaultLedgerBytes)
 }
 
-// Handler is the agent's work.Handler.
+// Handler implements work.Handler for the agent.
 type Handler struct {
 	cfg     Config
 	holder  *confstore.Holder
@@ -92,21 +109,26 @@
 	log     *eventlog.Logger
 	clock   clockwork.Clock
 	ledger  *ledger
-	watch   *watch
-	// versions counts the calls on each version.
-	versions *versions
+	watcher *callWatcher
+	// versions counts the running calls of each model version.
+	versions *versionCalls
 
 	mu      sync.Mutex
 	leaving bool
-	active  int
-	idle    chan struct{}
-	boot    string
+	// active is the number of exchanges being handled plus the number of
+	// started non-repeatable calls.
+	active int
+	// idle is closed when active drops to 0; nil while no Drain waits.
+	idle chan struct{}
+	// bootID is the engine's last reported boot id.
+	bootID string
 }
 
 var _ work.Handler = (*Handler)(nil)
 
-// New returns a Handler. status returns the engine's newest report; its
-// second result is false while the engine does not answer.
+// New returns a Handler. status returns the latest status of the engine or
+// service; its second result is false while the engine or service does not
+// answer.
 func New(cfg Config, holder *confstore.Holder, limiter admission.Limiter, eng engine.Engine,
 	status func() (engine.Status, bool), log *eventlog.Logger, clock clockwork.Clock) *Handler {
 	cfg.applyDefaults()
@@ -119,28 +141,28 @@
 		log:      log,
 		clock:    clock,
 		ledger:   newLedger(cfg.LedgerEntries, cfg.LedgerBytes),
-		watch:    newWatch(cfg, limiter, clock),
-		versions: newVersions(),
+		watcher:  newCallWatcher(cfg, limiter, clock),
+		versions: newVersionCalls(),
 	}
 }
 
 // Handle implements work.Handler.
-func (h *Handler) Handle(ctx context.Context, first frame.Frame, x work.AgentExchange) error {
-	h.begin()
-	defer h.end()
+func (h *Handler) Handle(ctx context.Context, first frame.Frame, exchange work.AgentExchange) error {
+	h.addActive()
+	defer h.removeActive()
 	switch first.Kind {
 	case frame.KindRequest:
-		return h.request(ctx, first, x)
+		return h.handleRequest(ctx, first, exchange)
 	case frame.KindOffer:
-		return h.offer(ctx, first, x)
+		return h.handleOffer(ctx, first, exchange)
 	case frame.KindAsk:
-		return h.ask(first, x)
+		return h.handleAsk(first, exchange)
 	default:
-		return core.Step("serve", x.Peer(), errors.Wrapf(frame.ErrUnexpected, "kind %d", first.Kind))
+		return core.Step("serve", exchange.Peer(), errors.Wrapf(frame.ErrUnexpected, "kind %d", first.Kind))
 	}
 }
 
-// Leave makes the handler refuse new work from now on.
+// Leave makes the handler refuse new calls from now on.
 func (h *Handler) Leave() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -151,8 +173,8 @@
 	h.log.Event(eventLeaving, eventlog.Fields{"active": h.active})
 }
 
-// Leaving reports whether the handler refuses new work: after Leave, or
-// because the declarations say so.
+// Leaving reports whether the handler refuses new calls, either after Leave or
+// because the configuration marks this backend server as leaving.
 func (h *Handler) Leaving() bool {
 	h.mu.Lock()
 	leaving := h.leaving
@@ -160,7 +182,8 @@
 	return leaving || h.declaredLeaving()
 }
 
-// Drain waits until no call is in flight.
+// Drain waits until no call is in flight, or returns an error when ctx ends
+// first.
 func (h *Handler) Drain(ctx context.Context) error {
 	for {
 		h.mu.Lock()
@@ -182,13 +205,16 @@
 	}
 }
 
-func (h *Handler) begin() {
+// addActive counts an exchange or a started non-repeatable call as in flight.
+func (h *Handler) addActive() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.active++
 }
 
-func (h *Handler) end() {
+// removeActive undoes one addActive, and wakes Drain when nothing is in flight
+// any more.
+func (h *Handler) removeActive() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.active--
@@ -198,39 +224,39 @@
 	}
 }
 
-// request serves a call that may be repeated.
-func (h *Handler) request(ctx context.Context, first frame.Frame, x work.AgentExchange) error {
+// handleRequest runs a repeatable call.
+func (h *Handler) handleRequest(ctx context.Context, first frame.Frame, exchange work.AgentExchange) error {
 	var req frame.Request
 	if err := first.Decode(&req); err != nil {
-		return core.Step("serve request", x.Peer(), err)
+		return core.Step("serve request", exchange.Peer(), err)
 	}
-	if reason := h.check(&req, true); reason != "" {
-		return h.refuse(x, &req, reason)
+	if reason := h.refusalReason(&req, true); reason != "" {
+		return h.sendRefusal(exchange, &req, reason)
 	}
-	if !h.versions.enter(req.Digest) {
-		return h.refuse(x, &req, frame.ReasonDigest)
+	if !h.versions.begin(req.Digest) {
+		return h.sendRefusal(exchange, &req, frame.ReasonDigest)
 	}
-	defer h.versions.leave(req.Digest)
+	defer h.versions.end(req.Digest)
 	received := h.clock.Now()
 	if req.TimeoutMillis > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeoutCause(ctx, time.Duration(req.TimeoutMillis)*time.Millisecond, errDeadline)
+		ctx, stop = context.WithTimeoutCause(ctx, time.Duration(req.TimeoutMillis)*time.Millisecond, errDeadlinePassed)
 		defer stop()
 	}
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	ticket := h.ticket(&req, received)
+	ticket := h.newTicket(&req, received)
 	ticket.Shed = func() { cancel(errShed) }
 	release, reason := h.limiter.Acquire(runCtx, ticket)
 	if reason != "" {
-		return h.refuse(x, &req, reason)
+		return h.sendRefusal(exchange, &req, reason)
 	}
-	h.logCall(eventAdmitted, &req, eventlog.Fields{"waited_ms": h.clock.Since(received).Milliseconds()})
-	return h.run(runCtx, cancel, &req, x, release)
+	h.logCall(eventCallAdmitted, &req, eventlog.Fields{"waited_ms": h.clock.Since(received).Milliseconds()})
+	return h.runRepeatable(runCtx, cancel, &req, exchange, release)
 }
 
-// ticket asks for a slot for req.
-func (h *Handler) ticket(req *frame.Request, received time.Time) admission.Ticket {
+// newTicket returns the ticket with which req asks the limiter for a slot.
+func (h *Handler) newTicket(req *frame.Request, received time.Time) admission.Ticket {
 	t := admission.Ticket{Account: req.Account, Share: req.Share, Priority: req.Priority}
 	if req.TimeoutMillis > 0 {
 		t.Deadline = received.Add(time.Duration(req.TimeoutMillis) * time.Millisecond)
@@ -238,26 +264,27 @@
 	return t
 }
 
-// refuse tells the entry that no part of the call ran.
-func (h *Handler) refuse(x work.AgentExchange, req *frame.Request, reason frame.Reason) error {
+// sendRefusal sends a Refuse frame: no part of the call has run.
+func (h *Handler) sendRefusal(exchange work.AgentExchange, req *frame.Request, reason frame.Reason) error {
 	load := h.limiter.Load()
-	h.logCall(eventRefused, req, eventlog.Fields{
+	h.logCall(eventCallRefused, req, eventlog.Fields{
 		"why": reason, "limit": load.Limit, "in_flight": load.InFlight, "queued": load.Queued,
 	})
 	msg := frame.Refuse{ID: req.ID, Reason: reason, Load: load}
 	if reason == frame.ReasonFull {
 		msg.RetryAfterMillis = fullRetryAfter.Milliseconds()
 	}
-	return x.Send(frame.KindRefuse, msg)
+	return exchange.Send(frame.KindRefuse, msg)
 }
 
-// fail tells the entry what became of a call that has no whole answer.
-func (h *Handler) fail(x work.AgentExchange, req *frame.Request, word core.Refusal, cause error) error {
-	h.log.Fail(eventBroken, cause, eventlog.Fields{"request": req.ID, "account": req.Account, "word": word})
-	return x.Send(frame.KindFail, frame.Fail{ID: req.ID, Word: word, Detail: cause.Error(), Load: h.limiter.Load()})
+// sendFailure sends a Fail frame for a call without a complete answer. word is
+// the refusal word for the caller, cause the reason for the logs.
+func (h *Handler) sendFailure(exchange work.AgentExchange, req *frame.Request, word core.Refusal, cause error) error {
+	h.log.Fail(eventCallFailed, cause, eventlog.Fields{"request": req.ID, "account": req.Account, "word": word})
+	return exchange.Send(frame.KindFail, frame.Fail{ID: req.ID, Word: word, Detail: cause.Error(), Load: h.limiter.Load()})
 }
 
-// logCall writes an event about one call.
+// logCall logs an event about req, with the fields that identify the call.
 func (h *Handler) logCall(e eventlog.Event, req *frame.Request, fields eventlog.Fields) {
 	fields["request"] = req.ID
 	fields["account"] = req.Account
--- a/request/serve/serve_test.go
+++ b/request/serve/serve_test.go
@@ -29,15 +29,15 @@
 )
 
 const (
-	testModel  = "oregano"
-	waitBound  = 10 * time.Second
-	testDigest = core.Digest("sha256:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa")
-	nextDigest = core.Digest("sha256:bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb")
+	testModel   = "oregano"
+	waitTimeout = 10 * time.Second
+	testDigest  = core.Digest("sha256:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa")
+	otherDigest = core.Digest("sha256:bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb")
 )
 
-// bench is one agent's handler behind a real work connection, with a stand-in
-// behind it.
-type bench struct {
+// harness runs one agent's handler between an entry instance, which the test
+// plays, and a stand-in for the engine or service.
+type harness struct {
 	t       testing.TB
 	engine  *standin.Engine
 	service *service.Service
@@ -50,45 +50,47 @@
 	clock   clockwork.Clock
 }
 
-// options change a bench.
+// options are the settings of a harness; zero values select defaults.
 type options struct {
 	engine  standin.Config
 	gate    admission.Config
 	serve   Config
 	service bool
 	clock   clockwork.Clock
-	// wrap stands between the handler and the engine's client.
+	// wrap, if set, wraps the client through which the handler calls the engine.
 	wrap func(engine.Engine) engine.Engine
 }
 
-func newBench(t testing.TB, o options) *bench {
-	b := assemble(t, o, (*bench).listen)
-	server := work.NewServer(b.handler, eventlog.Discard())
+// newHarness returns a harness with a real work connection and a real connection
+// to the stand-in.
+func newHarness(t testing.TB, o options) *harness {
+	h := assemble(t, o, (*harness).serveStandin)
+	server := work.NewServer(h.handler, eventlog.Discard())
 	listener := httptest.NewServer(server)
 	t.Cleanup(func() { server.Close(); listener.Close() })
-	b.agent = core.Instance{ID: "s1", Addr: strings.TrimPrefix(listener.URL, "http://")}
-	b.pool = work.NewPool(work.PoolConfig{})
-	t.Cleanup(b.pool.Close)
-	b.opener = b.pool
-	return b
+	h.agent = core.Instance{ID: "s1", Addr: strings.TrimPrefix(listener.URL, "http://")}
+	h.pool = work.NewPool(work.PoolConfig{})
+	t.Cleanup(h.pool.Close)
+	h.opener = h.pool
+	return h
 }
 
-// newVirtualBench is newBench without sockets, for virtual time.
-func newVirtualBench(t testing.TB, o options) *bench {
-	b := assemble(t, o, func(_ *bench, handler http.Handler) engine.Engine { return inprocess.NewEngine(handler) })
-	b.agent = core.Instance{ID: "s1"}
-	b.opener = inprocess.Opener{Agents: map[string]work.Handler{"s1": b.handler}}
-	return b
+// newVirtualHarness returns a harness without sockets, for tests in virtual time.
+func newVirtualHarness(t testing.TB, o options) *harness {
+	h := assemble(t, o, func(_ *harness, handler http.Handler) engine.Engine { return inprocess.NewEngine(handler) })
+	h.agent = core.Instance{ID: "s1"}
+	h.opener = inprocess.Opener{Agents: map[string]work.Handler{"s1": h.handler}}
+	return h
 }
 
-// assemble makes the handler and the stand-in behind it; connect returns the
-// client of the stand-in's handler.
-func assemble(t testing.TB, o options, connect func(*bench, http.Handler) engine.Engine) *bench {
-	b := &bench{t: t, holder: confstore.NewHolder(), clock: o.clock}
-	if b.clock == nil {
-		b.clock = clockwork.NewRealClock()
+// assemble makes the handler and the stand-in, but nothing that plays the entry
+// instance. connect returns a client for the stand-in's HTTP handler.
+func assemble(t testing.TB, o options, connect func(*harness, http.Handler) engine.Engine) *harness {
+	h := &harness{t: t, holder: confstore.NewHolder(), clock: o.clock}
+	if h.clock == nil {
+		h.clock = clockwork.NewRealClock()
 	}
-	client := connect(b, b.backend(o))
+	client := connect(h, h.newStandin(o))
 	if o.service {
 		o.serve.Service = "lots"
 	}
@@ -104,44 +106,45 @@
 	if o.gate.Limit == 0 {
 		o.gate.Limit, o.gate.ColdLimit = 8, 8
 	}
-	b.gate = admission.New(o.gate, b.clock)
+	h.gate = admission.New(o.gate, h.clock)
 	status := func() (engine.Status, bool) {
 		s, err := client.Status(context.Background())
 		return s, err == nil
 	}
-	b.handler = New(o.serve, b.holder, b.gate, client, status, eventlog.Discard(), b.clock)
-	b.configure(1, func(*declare.Set) {})
-	return b
+	h.handler = New(o.serve, h.holder, h.gate, client, status, eventlog.Discard(), h.clock)
+	h.configure(1, func(*declare.Set) {})
+	return h
 }
 
-// backend makes the stand-in and returns its handler.
-func (b *bench) backend(o options) http.Handler {
+// newStandin makes the stand-in engine or service and returns its HTTP handler.
+func (h *harness) newStandin(o options) http.Handler {
 	if o.service {
-		b.service = service.New(service.Config{Name: "lots"}, clockwork.NewRealClock())
-		return b.service.Handler()
+		h.service = service.New(service.Config{Name: "lots"}, clockwork.NewRealClock())
+		return h.service.Handler()
 	}
 	if o.engine.ColdLimit == 0 {
 		o.engine.Slots, o.engine.ColdLimit = 64, 64
 	}
-	b.engine = standin.New(o.engine, clockwork.NewRealClock())
-	b.engine.Preload(frame.Loaded{Model: testModel, Version: "v1", Digest: testDigest})
-	return b.engine.Handler()
+	h.engine = standin.New(o.engine, clockwork.NewRealClock())
+	h.engine.Preload(frame.Loaded{Model: testModel, Version: "v1", Digest: testDigest})
+	return h.engine.Handler()
 }
 
-// listen serves the stand-in's handler on the loopback address and returns
-// its client.
-func (b *bench) listen(handler http.Handler) engine.Engine {
+// serveStandin serves the stand-in's handler on the loopback address and returns
+// a client for it.
+func (h *harness) serveStandin(handler http.Handler) engine.Engine {
 	server := httptest.NewServer(handler)
-	b.t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
+	h.t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	addr := strings.TrimPrefix(server.URL, "http://")
-	if b.service != nil {
+	if h.service != nil {
 		return engine.NewServiceHTTP(addr, "")
 	}
 	return engine.NewHTTP(addr, "")
 }
 
-// configure puts a configuration in force.
-func (b *bench) configure(number uint64, change func(*declare.Set)) {
+// configure puts a configuration with the given number in force. change modifies
+// the default one.
+func (h *harness) configure(number uint64, change func(*declare.Set)) {
 	set := declare.NewSet()
 	set.DataCentres["palermo"] = &declare.DataCentre{Name: "palermo"}
 	set.BackendServers["s1"] = &declare.BackendServer{Name: "s1"}
@@ -149,9 +152,11 @@
 		{Method: "POST", Path: "/lots"}, {Method: "GET", Path: "/lots/", Repeatable: true},
 	}}
 	change(set)
-	b.holder.Offer(&declare.Snapshot{Number: number, Set: set})
+	h.holder.Offer(&declare.Snapshot{Number: number, Set: set})
 }
 
+// completionRequest returns a streamed call to the engine for an answer of the
+// given number of tokens.
 func completionRequest(id string, tokens string) frame.Request {
 	return frame.Request{
 		ID: id, Account: "a", Share: 1, Method: http.MethodPost, Path: chatPath, Model: testModel, Digest: testDigest, Config: 1,
@@ -160,7 +165,7 @@
 	}
 }
 
-// reply is what an exchange gave.
+// reply collects the frames that the agent sent in an exchange.
 type reply struct {
 	head   *frame.Head
 	body   []byte
@@ -171,8 +176,8 @@
 	err    error
 }
 
-// word says how the exchange ended.
-func (r reply) word() string {
+// summary describes how the exchange ended, such as "whole" or "refused full".
+func (r reply) summary() string {
 	switch {
 	case r.end != nil:
 		return "whole"
@@ -184,11 +189,11 @@
 	return "broken"
 }
 
-// collect receives frames until the exchange ends.
-func collect(ctx context.Context, x work.Exchange) reply {
+// collectReply receives frames until the exchange ends, and returns the reply.
+func collectReply(ctx context.Context, exchange work.Exchange) reply {
 	var r reply
 	for {
-		msg, err := x.Receive(ctx)
+		msg, err := exchange.Receive(ctx)
 		if err != nil {
 			r.err = err
 			return r
@@ -212,21 +217,21 @@
 	}
 }
 
-// do sends one request and returns its reply.
-func (b *bench) do(kind frame.Kind, req frame.Request) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+// do opens an exchange with req and returns the reply.
+func (h *harness) do(kind frame.Kind, req frame.Request) reply {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	x, err := b.opener.Open(ctx, b.agent, req.ID, kind, req)
+	exchange, err := h.opener.Open(ctx, h.agent, req.ID, kind, req)
 	if err != nil {
 		return reply{err: err}
 	}
-	r := collect(ctx, x)
-	x.Close(r.err == nil)
+	r := collectReply(ctx, exchange)
+	exchange.Close(r.err == nil)
 	return r
 }
 
-// text joins the tokens of a stream.
-func text(stream []byte) string {
+// joinTokens returns the text of an event stream.
+func joinTokens(stream []byte) string {
 	var out strings.Builder
 	for _, line := range strings.Split(string(stream), "\n") {
 		_, rest, ok := strings.Cut(line, `"content":"`)
@@ -239,51 +244,52 @@
 	return out.String()
 }
 
-// eventually waits for a condition with a bound.
+// eventually waits until condition is true, and fails the test after waitTimeout.
+// what describes the condition.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.After(waitBound)
+	deadline := time.After(waitTimeout)
 	ticker := time.NewTicker(2 * time.Millisecond)
 	defer ticker.Stop()
 	for !condition() {
 		select {
 		case <-ticker.C:
 		case <-deadline:
-			t.Fatalf("not within %s: %s", waitBound, what)
+			t.Fatalf("not within %s: %s", waitTimeout, what)
 		}
 	}
 }
 
 func TestRepeatableCall(t *testing.T) {
 	Convey("Given an agent in front of an engine", t, func() {
-		b := newBench(t, options{engine: standin.Config{PerToken: time.Millisecond, FirstToken: time.Millisecond}})
+		h := newHarness(t, options{engine: standin.Config{PerToken: time.Millisecond, FirstToken: time.Millisecond}})
 
-		Convey("a stream is passed on whole, with its tokens counted", func() {
+		Convey("a stream is forwarded completely, with its tokens counted", func() {
 			req := completionRequest("r1", "20")
-			r := b.do(frame.KindRequest, req)
-			So(r.word(), ShouldEqual, "whole")
+			r := h.do(frame.KindRequest, req)
+			So(r.summary(), ShouldEqual, "whole")
 			want, err := standin.Expected(testDigest, req.Body)
 			So(err, ShouldBeNil)
-			So(text(r.body), ShouldEqual, want)
+			So(joinTokens(r.body), ShouldEqual, want)
 			So(r.tokens, ShouldEqual, 20)
 			So(r.head.Digest, ShouldEqual, testDigest)
 			So(r.end.Bytes, ShouldEqual, len(r.body))
 			So(r.end.Sum, ShouldEqual, xxhash.Sum64(r.body))
 		})
-		Convey("a resumed stream goes on after the tokens that the caller has", func() {
+		Convey("a resumed stream continues after the tokens that the caller already has", func() {
 			req := completionRequest("r1", "20")
 			whole, err := standin.Expected(testDigest, req.Body)
 			So(err, ShouldBeNil)
 			req.ResumeTokens = 12
-			r := b.do(frame.KindRequest, req)
+			r := h.do(frame.KindRequest, req)
 			So(r.tokens, ShouldEqual, 8)
-			So(strings.HasSuffix(whole, text(r.body)), ShouldBeTrue)
+			So(strings.HasSuffix(whole, joinTokens(r.body)), ShouldBeTrue)
 		})
-		Convey("an answer that is not streamed is passed on whole", func() {
+		Convey("an answer that is not streamed is forwarded completely", func() {
 			req := completionRequest("r1", "5")
 			req.Body = []byte(strings.Replace(string(req.Body), `"stream":true,`, "", 1))
-			r := b.do(frame.KindRequest, req)
-			So(r.word(), ShouldEqual, "whole")
+			r := h.do(frame.KindRequest, req)
+			So(r.summary(), ShouldEqual, "whole")
 			want, err := standin.Expected(testDigest, req.Body)
 			So(err, ShouldBeNil)
 			So(string(r.body), ShouldContainSubstring, want)
@@ -291,13 +297,13 @@
 		Convey("closing the exchange cancels the call at the engine", func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			x, err := b.pool.Open(ctx, b.agent, "r1", frame.KindRequest, completionRequest("r1", "100000"))
+			exchange, err := h.pool.Open(ctx, h.agent, "r1", frame.KindRequest, completionRequest("r1", "100000"))
 			So(err, ShouldBeNil)
-			_, err = x.Receive(ctx)
+			_, err = exchange.Receive(ctx)
 			So(err, ShouldBeNil)
-			x.Close(false)
-			eventually(t, "the engine sees the cancel", func() bool { return b.engine.Counters().Cancelled == 1 })
-			eventually(t, "the slot is free", func() bool { return b.gate.Load().InFlight == 0 })
+			exchange.Close(false)
+			eventually(t, "the engine sees the cancellation", func() bool { return h.engine.Counters().Cancelled == 1 })
+			eventually(t, "the slot is free", func() bool { return h.gate.Load().InFlight == 0 })
 		})
 	})
 }
--- a/request/serve/sse.go
+++ b/request/serve/sse.go
@@ -11,80 +11,83 @@
 
 const (
 	eventStreamType = "text/event-stream"
-	// fingerprintField precedes the name of the weights in each event.
+	// fingerprintField is the JSON that precedes the fingerprint in an event.
 	fingerprintField = `"system_fingerprint":"`
-	// digestPrefix begins a fingerprint that is a manifest digest.
+	// digestPrefix is the prefix of a fingerprint that is a manifest digest.
 	digestPrefix = "sha256:"
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes is the largest size of an incomplete event, in bytes.
 	maxEventBytes = 1 << 20
 )
 
 var (
-	eventEnd  = []byte("\n\n")
-	dataField = []byte("data:")
-	doneData  = []byte("[DONE]")
+	eventSeparator = []byte("\n\n")
+	dataField      = []byte("data:")
+	doneData       = []byte("[DONE]")
 )
 
-// Errors about an answer, for logs and Fail frames.
+// Errors of an event stream, for logs and Fail frames.
 var (
-	errMixed     = errors.New("answer went on from other weights")
-	errNoDone    = errors.New("stream ended without its last event")
-	errLongEvent = errors.New("event too long")
+	errDigestChanged = errors.New("answer went on from other weights")
+	errMissingDone   = errors.New("stream ended without its last event")
+	errEventTooLong  = errors.New("event too long")
 )
 
-// events cuts a stream into whole events and counts its tokens.
-type events struct {
-	// digest is the manifest digest that each event must bear, if it bears
-	// any.
+// eventParser splits a stream of server-sent events into events, counts their
+// tokens and checks which model version they come from.
+type eventParser struct {
+	// digest is the pinned manifest digest. An event with a different digest
+	// is an error; an event without a digest is accepted.
 	digest core.Digest
-	// done is true once the last event has passed.
-	done bool
+	// doneSeen is true once the [DONE] event has been parsed.
+	doneSeen bool
 }
 
-// isEventStream reports whether a content type is that of a stream.
+// isEventStream reports whether contentType is that of server-sent events.
 func isEventStream(contentType string) bool {
 	return strings.HasPrefix(contentType, eventStreamType)
 }
 
-// take returns the length of the whole events at the start of buf and the
-// number of tokens in them.
-func (s *events) take(buf []byte) (n, tokens int, err error) {
+// consume parses the complete events at the start of buf. It returns their length
+// in bytes and the number of tokens in them, also together with an error.
+func (p *eventParser) consume(buf []byte) (n, tokens int, err error) {
 	for {
-		i := bytes.Index(buf[n:], eventEnd)
+		i := bytes.Index(buf[n:], eventSeparator)
 		if i < 0 {
 			break
 		}
-		token, err := s.event(buf[n : n+i])
+		token, err := p.parseEvent(buf[n : n+i])
 		if err != nil {
 			return n, tokens, err
 		}
 		tokens += token
-		n += i + len(eventEnd)
+		n += i + len(eventSeparator)
 	}
 	if len(buf)-n > maxEventBytes {
-		return n, tokens, errLongEvent
+		return n, tokens, errEventTooLong
 	}
 	return n, tokens, nil
 }
 
-// event counts the tokens of one event, 0 or 1, and checks its weights.
-func (s *events) event(event []byte) (int, error) {
+// parseEvent returns the number of tokens in one event, 0 or 1, or an error when
+// the event comes from another model version.
+func (p *eventParser) parseEvent(event []byte) (int, error) {
 	data, ok := bytes.CutPrefix(event, dataField)
 	if !ok {
 		return 0, nil
 	}
 	if bytes.Equal(bytes.TrimSpace(data), doneData) {
-		s.done = true
+		p.doneSeen = true
 		return 0, nil
 	}
-	if !s.sameWeights(data) {
-		return 0, errMixed
+	if !p.digestMatches(data) {
+		return 0, errDigestChanged
 	}
 	return 1, nil
 }
 
-// sameWeights reports whether the event bears no digest or the pinned one.
-func (s *events) sameWeights(data []byte) bool {
+// digestMatches reports whether the event contains the pinned manifest digest or
+// none.
+func (p *eventParser) digestMatches(data []byte) bool {
 	i := bytes.Index(data, []byte(fingerprintField))
 	if i < 0 {
 		return true
@@ -93,6 +96,6 @@
 	if !bytes.HasPrefix(value, []byte(digestPrefix)) {
 		return true
 	}
-	rest, ok := bytes.CutPrefix(value, []byte(s.digest))
+	rest, ok := bytes.CutPrefix(value, []byte(p.digest))
 	return ok && len(rest) > 0 && rest[0] == '"'
 }
--- a/request/serve/versions.go
+++ b/request/serve/versions.go
@@ -7,37 +7,39 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// versions counts the calls that run on each version, so that a version can
-// be drained before the engine unloads it.
-type versions struct {
-	mu      sync.Mutex
-	running map[core.Digest]int
-	closed  map[core.Digest]bool
-	// ended is closed when a call of a closed version ends.
-	ended chan struct{}
+// versionCalls counts the running calls of each model version, so that a version
+// can be drained before the engine unloads it.
+type versionCalls struct {
+	mu       sync.Mutex
+	running  map[core.Digest]int
+	draining map[core.Digest]bool
+	// changed is closed and replaced when the last running call of a version
+	// ends.
+	changed chan struct{}
 }
 
-func newVersions() *versions {
-	return &versions{
-		running: map[core.Digest]int{},
-		closed:  map[core.Digest]bool{},
-		ended:   make(chan struct{}),
+func newVersionCalls() *versionCalls {
+	return &versionCalls{
+		running:  map[core.Digest]int{},
+		draining: map[core.Digest]bool{},
+		changed:  make(chan struct{}),
 	}
 }
 
-// enter counts a call of version d, unless the version is closed.
-func (v *versions) enter(d core.Digest) bool {
+// begin counts a new call of version d. It returns false, and counts nothing,
+// while the version is draining.
+func (v *versionCalls) begin(d core.Digest) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.closed[d] {
+	if v.draining[d] {
 		return false
 	}
 	v.running[d]++
 	return true
 }
 
-// leave ends a call of version d.
-func (v *versions) leave(d core.Digest) {
+// end uncounts a call of version d that begin counted.
+func (v *versionCalls) end(d core.Digest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.running[d]--
@@ -45,24 +47,25 @@
 		return
 	}
 	delete(v.running, d)
-	close(v.ended)
-	v.ended = make(chan struct{})
+	close(v.changed)
+	v.changed = make(chan struct{})
 }
 
-// idle reports whether no call of version d runs, and returns a channel that
-// is closed when that may have changed.
-func (v *versions) idle(d core.Digest) (bool, <-chan struct{}) {
+// idle reports whether no call of version d is running, and returns a channel
+// that is closed when this may have changed.
+func (v *versionCalls) idle(d core.Digest) (bool, <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.running[d] == 0, v.ended
+	return v.running[d] == 0, v.changed
 }
 
-// DrainVersion refuses new calls of the version with manifest digest d and
-// waits until those that run have ended, or returns the error of ctx. The
-// version stays closed until ResumeVersion.
+// DrainVersion makes the handler refuse new calls of the version with manifest
+// digest d and waits until its running calls have ended, or returns an error
+// when ctx ends first. In both cases the handler refuses calls of the version
+// until ResumeVersion.
 func (h *Handler) DrainVersion(ctx context.Context, d core.Digest) error {
 	h.versions.mu.Lock()
-	h.versions.closed[d] = true
+	h.versions.draining[d] = true
 	h.versions.mu.Unlock()
 	for {
 		idle, changed := h.versions.idle(d)
@@ -77,9 +80,10 @@
 	}
 }
 
-// ResumeVersion lets calls of the version in again.
+// ResumeVersion makes the handler accept calls of the version with manifest
+// digest d again.
 func (h *Handler) ResumeVersion(d core.Digest) {
 	h.versions.mu.Lock()
 	defer h.versions.mu.Unlock()
-	delete(h.versions.closed, d)
+	delete(h.versions.draining, d)
 }
--- a/request/serve/watch.go
+++ b/request/serve/watch.go
@@ -12,148 +12,161 @@
 	"github.com/rattanway/rattanway/request/admission"
 )
 
-// watchInterval is the time between two looks at the running calls.
+// watchInterval is the time between two checks of the running calls.
 const watchInterval = 50 * time.Millisecond
 
-// Causes for which a running call is ended.
+// Causes with which a running call is cancelled.
 var (
-	errDeadline  = errors.New("deadline passed")
-	errShed      = errors.New("server turned cold")
-	errFirstByte = errors.New("no first byte in time")
-	errStalled   = errors.New("answer stalled")
+	errDeadlinePassed   = errors.New("deadline passed")
+	errShed             = errors.New("server turned cold")
+	errFirstByteTimeout = errors.New("no first byte in time")
+	errStalled          = errors.New("answer stalled")
 )
 
-// stream is what the watch sees of one running call. The goroutine of the
-// call stores, the watch loads.
-type stream struct {
+// watchedCall is the progress of one running call. The goroutine of the call
+// writes the atomic fields and the callWatcher reads them.
+type watchedCall struct {
 	cancel  context.CancelCauseFunc
 	started time.Time
-	// firstByte bounds the wait for the first byte.
-	firstByte time.Duration
-	// last is when the last piece arrived, as nanoseconds after started; 0
-	// before the first.
-	last atomic.Int64
-	// first is when the first token arrived, likewise, and firstTokens the
-	// number of tokens that arrived then.
-	first       atomic.Int64
-	firstTokens atomic.Int64
-	// tokens counts the whole tokens that arrived.
-	tokens atomic.Int64
-	// sending is true while the entry does not take what arrived.
+	// firstByteTimeout is the longest wait for the first byte.
+	firstByteTimeout time.Duration
+	// lastArrival is when the last piece of the answer arrived, in nanoseconds
+	// after started; 0 before the first piece.
+	lastArrival atomic.Int64
+	// firstTokenAt is when the first tokens arrived, in nanoseconds after
+	// started, and firstTokenCount the number of tokens in that piece.
+	firstTokenAt    atomic.Int64
+	firstTokenCount atomic.Int64
+	// tokenCount is the number of complete tokens that have arrived.
+	tokenCount atomic.Int64
+	// sending is true while a frame is being sent to the entry instance. A slow
+	// entry instance delays the reading of the answer, so the call does not
+	// count as stalled meanwhile.
 	sending atomic.Bool
 
-	// These belong to the watch.
-	seenAt     int64
-	seenTokens int64
-	lastSample time.Duration
+	// sampledAt and sampledTokens are the values of lastArrival and tokenCount
+	// up to which tokens have been reported to the limiter or skipped.
+	// lastTokenTime is the time per token reported last. The mutex of the
+	// callWatcher guards all three.
+	sampledAt     int64
+	sampledTokens int64
+	lastTokenTime time.Duration
 }
 
-// arrived notes a piece with some tokens.
-func (s *stream) arrived(clock clockwork.Clock, tokens int) {
-	now := max(int64(clock.Since(s.started)), 1)
-	if tokens > 0 && s.first.Load() == 0 {
-		s.firstTokens.Store(int64(tokens))
-		s.first.Store(now)
+// recordArrival records that a piece with the given number of tokens arrived.
+func (c *watchedCall) recordArrival(clock clockwork.Clock, tokens int) {
+	now := max(int64(clock.Since(c.started)), 1)
+	if tokens > 0 && c.firstTokenAt.Load() == 0 {
+		c.firstTokenCount.Store(int64(tokens))
+		c.firstTokenAt.Store(now)
 	}
-	s.tokens.Add(int64(tokens))
-	s.last.Store(now)
+	c.tokenCount.Add(int64(tokens))
+	c.lastArrival.Store(now)
 }
 
-// watch looks at all running calls in one goroutine, which lives while there
-// are any: it ends calls that stall and tells the limiter their pace.
-type watch struct {
+// callWatcher cancels calls that stall and reports the time per token of the
+// others to the limiter. It checks all running calls in one goroutine, which
+// ends when there are none.
+type callWatcher struct {
 	cfg     Config
 	limiter admission.Limiter
 	clock   clockwork.Clock
 
-	mu      sync.Mutex
-	streams map[*stream]bool
+	mu    sync.Mutex
+	calls map[*watchedCall]bool
+	// running is true while the goroutine runs.
 	running bool
 }
 
-func newWatch(cfg Config, limiter admission.Limiter, clock clockwork.Clock) *watch {
-	return &watch{cfg: cfg, limiter: limiter, clock: clock, streams: map[*stream]bool{}}
+func newCallWatcher(cfg Config, limiter admission.Limiter, clock clockwork.Clock) *callWatcher {
+	return &callWatcher{cfg: cfg, limiter: limiter, clock: clock, calls: map[*watchedCall]bool{}}
 }
 
-// add starts watching a call.
-func (w *watch) add(cancel context.CancelCauseFunc, firstByte time.Duration) *stream {
-	s := &stream{cancel: cancel, started: w.clock.Now(), firstByte: firstByte}
+// add starts watching a call. cancel cancels the call; firstByteTimeout is the
+// longest wait for its first byte.
+func (w *callWatcher) add(cancel context.CancelCauseFunc, firstByteTimeout time.Duration) *watchedCall {
+	c := &watchedCall{cancel: cancel, started: w.clock.Now(), firstByteTimeout: firstByteTimeout}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.streams[s] = true
+	w.calls[c] = true
 	if !w.running {
 		w.running = true
-		go w.loop()
+		go w.run()
 	}
-	return s
+	return c
 }
 
-// remove ends the watching of a call.
-func (w *watch) remove(s *stream) {
+// remove stops watching a call, after reporting the tokens that arrived since
+// the last check.
+func (w *callWatcher) remove(c *watchedCall) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.streams, s)
-	if !s.sending.Load() {
-		w.sample(s, s.last.Load(), s.last.Load())
+	delete(w.calls, c)
+	if !c.sending.Load() {
+		w.observeTokenTime(c, c.lastArrival.Load(), c.lastArrival.Load())
 	}
 }
 
-// loop looks at the calls until there are none.
-func (w *watch) loop() {
+// run checks the calls at every watchInterval until there are none.
+func (w *callWatcher) run() {
 	ticker := w.clock.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for range ticker.Chan() {
-		if !w.look() {
+		if !w.checkAll() {
 			return
 		}
 	}
 }
 
-// look looks at every call once and reports whether there are any.
-func (w *watch) look() bool {
+// checkAll checks every call once and reports whether there are any.
+func (w *callWatcher) checkAll() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for s := range w.streams {
-		w.judge(s)
+	for c := range w.calls {
+		w.checkCall(c)
 	}
-	w.running = len(w.streams) > 0
+	w.running = len(w.calls) > 0
 	return w.running
 }
 
-// judge ends s when it stalls, or samples its pace.
-func (w *watch) judge(s *stream) {
-	now := int64(w.clock.Since(s.started))
-	last := s.last.Load()
+// checkCall cancels c when its first byte is overdue or its answer has stalled,
+// and otherwise reports its time per token. The caller holds w.mu.
+func (w *callWatcher) checkCall(c *watchedCall) {
+	now := int64(w.clock.Since(c.started))
+	last := c.lastArrival.Load()
 	switch {
-	case last == 0 && time.Duration(now) > s.firstByte:
-		s.cancel(errFirstByte)
+	case last == 0 && time.Duration(now) > c.firstByteTimeout:
+		c.cancel(errFirstByteTimeout)
 	case last == 0:
-	case s.sending.Load():
-		s.seenAt, s.seenTokens = last, s.tokens.Load()
+	case c.sending.Load():
+		c.sampledAt, c.sampledTokens = last, c.tokenCount.Load()
 	case time.Duration(now-last) > w.cfg.StallTimeout:
-		s.cancel(errStalled)
+		c.cancel(errStalled)
 	default:
-		w.sample(s, now, last)
+		w.observeTokenTime(c, now, last)
 	}
 }
 
-// sample tells the limiter the mean time between the tokens that arrived
-// since the last look, or the present gap when it is longer than that.
-func (w *watch) sample(s *stream, now, last int64) {
-	if s.first.Load() == 0 {
+// observeTokenTime reports to the limiter the mean time between the tokens that
+// arrived since the last report. When none arrived, it reports the time since
+// the last arrival if that is longer than the time per token reported last. now
+// is the current time and last that of the last arrival, both in nanoseconds
+// after c.started. The caller holds w.mu.
+func (w *callWatcher) observeTokenTime(c *watchedCall, now, last int64) {
+	if c.firstTokenAt.Load() == 0 {
 		return
 	}
-	if s.seenAt == 0 {
-		s.seenAt, s.seenTokens = s.first.Load(), s.firstTokens.Load()
+	if c.sampledAt == 0 {
+		c.sampledAt, c.sampledTokens = c.firstTokenAt.Load(), c.firstTokenCount.Load()
 	}
-	if count := s.tokens.Load() - s.seenTokens; count > 0 {
-		s.lastSample = time.Duration(last-s.seenAt) / time.Duration(count)
-		s.seenAt, s.seenTokens = last, s.seenTokens+count
-		w.limiter.Observe(admission.Sample{PerToken: s.lastSample})
+	if count := c.tokenCount.Load() - c.sampledTokens; count > 0 {
+		c.lastTokenTime = time.Duration(last-c.sampledAt) / time.Duration(count)
+		c.sampledAt, c.sampledTokens = last, c.sampledTokens+count
+		w.limiter.Observe(admission.Sample{PerToken: c.lastTokenTime})
 		return
 	}
-	if gap := time.Duration(now - last); gap > s.lastSample {
-		s.lastSample = gap
+	if gap := time.Duration(now - last); gap > c.lastTokenTime {
+		c.lastTokenTime = gap
 		w.limiter.Observe(admission.Sample{PerToken: gap})
 	}
 }
