--- a/version/spread/client.go
+++ b/version/spread/client.go
@@ -14,17 +14,17 @@
 	"github.com/rattanway/rattanway/process/dial"
 )
 
-// Headers between agents.
+// HTTP headers of requests and responses between agents.
 const (
 	headerPeerAddr       = "X-Peer-Addr"
 	headerPeerDataCentre = "X-Peer-Data-Centre"
 	headerPeerRegion     = "X-Peer-Region"
-	// headerHolders names peers that hold a chunk or soon will, as a list of
-	// "ip:port" separated by commas.
+	// headerHolders lists the addresses of peers that hold an object or will
+	// soon hold it, as "ip:port" separated by commas.
 	headerHolders = "X-Chunk-Holders"
 )
 
-// Query parameters between agents.
+// Query parameters of requests between agents.
 const (
 	queryVersion = "version"
 	queryTier    = "tier"
@@ -33,10 +33,10 @@
 	queryOwners  = "owners"
 )
 
-// maxObjectBytes bounds what is read of one answer, in bytes.
+// maxObjectBytes is the largest response body that is accepted, in bytes.
 const maxObjectBytes = 256 << 20
 
-// Connection bounds of an agent towards its peers.
+// Limits of the HTTP connections from an agent to its peers.
 const (
 	idleTimeout      = 10 * time.Second
 	maxIdlePerPeer   = 4
@@ -44,33 +44,39 @@
 	writeBufferBytes = 4 << 10
 )
 
-// tier says what the asked agent does for an object that it does not hold.
+// tier selects what an agent does when a peer requests an object that the
+// agent does not hold.
 type tier int
 
-// The tiers. An agent asked at one tier asks others only at a higher one, so
-// that two agents never wait for each other.
+// The tiers in ascending order. An agent that serves a request at one tier
+// sends its own requests only at a higher tier, so that two agents never wait
+// for each other.
 const (
-	// tierReader is an agent that wants an object for itself.
+	// tierReader means that an agent fetches an object for its own use.
 	tierReader tier = iota
-	// tierDataCentre is the owner in a data centre: it asks the region's.
+	// tierDataCentre means that the owner in a data centre requests the object
+	// from the owner in the region.
 	tierDataCentre
-	// tierRegion is the owner in a region: it reads the origin, or with
-	// Config.OneOriginCopy asks the owner among all agents.
+	// tierRegion means that the owner in a region reads the origin, or with
+	// Config.OneOriginCopy requests the object from the owner among all agents.
 	tierRegion
-	// tierFleet is the owner among all agents: it reads the origin.
+	// tierFleet means that the owner among all agents reads the origin.
 	tierFleet
-	// tierHeld gives only what is held or already on its way.
+	// tierHeld means that the agent returns an object only if the object is held
+	// or is being fetched.
 	tierHeld
-	// tierReading gives only what is held or being read from the origin.
-	tierReading
+	// tierOriginRead means that the agent returns an object only if the object
+	// is held or is being read from the origin.
+	tierOriginRead
 )
 
 var tierNames = map[tier]string{
 	tierReader: "reader", tierDataCentre: "data-centre", tierRegion: "region", tierFleet: "fleet", tierHeld: "held",
-	tierReading: "reading",
+	tierOriginRead: "reading",
 }
 
-// parseTier returns the tier that a peer names; tierHeld for any other word.
+// parseTier returns the tier with the given name, or tierHeld for an unknown
+// name.
 func parseTier(name string) tier {
 	switch name {
 	case tierNames[tierDataCentre]:
@@ -79,23 +85,24 @@
 		return tierRegion
 	case tierNames[tierFleet]:
 		return tierFleet
-	case tierNames[tierReading]:
-		return tierReading
+	case tierNames[tierOriginRead]:
+		return tierOriginRead
 	}
 	return tierHeld
 }
 
-// object is a chunk or manifest of a version.
+// object identifies a chunk or the manifest of a version.
 type object struct {
 	version  core.Digest
 	digest   core.Digest
 	manifest bool
-	// owners names the region's owners, as a list of "ip:port" separated by
-	// commas, to an agent that has not heard of the version itself.
+	// owners lists the addresses of the object's owners in the region, as
+	// "ip:port" separated by commas. It is used by an agent that has no list
+	// of peers for the version.
 	owners string
 }
 
-// path returns the object's path at agents.
+// path returns the URL path at which agents serve the object.
 func (o object) path() string {
 	if o.manifest {
 		return ManifestPath + string(o.digest)
@@ -103,35 +110,39 @@
 	return ChunkPath + string(o.digest)
 }
 
-// Errors of asking a peer.
+// Errors that requestObject returns when the peer responded without the object.
 var (
-	// errPending says that the peer is bringing the object itself.
-	errPending = errors.New("not there yet")
-	// errMissing says that the peer neither holds nor wants the object.
-	errMissing = errors.New("not held")
-	// errBusy says that the peer names other holders, or sends enough already.
+	// errPending is returned when the peer is still fetching the object, or had
+	// no free upload slot in time.
+	errPending = errors.New("object is not available yet")
+	// errMissing is returned when the peer neither holds nor fetches the object.
+	errMissing = errors.New("object is not held")
+	// errBusy is returned when the peer has no upload slot for the request and
+	// names other holders of the object.
 	errBusy = errors.New("busy")
-	// errFailing says that the peer tried to bring the object and failed.
-	errFailing = errors.New("peer cannot get it")
+	// errPeerFailed is returned when the peer failed to fetch the object.
+	errPeerFailed = errors.New("peer failed to fetch the object")
 )
 
-// question is what an agent asks a peer.
-type question struct {
+// peerRequest is a request for an object to a peer.
+type peerRequest struct {
 	object
-	// tier says what the peer is to do for an object that it does not hold.
+	// tier selects what the peer does if it does not hold the object.
 	tier tier
 	// wait is how long the peer may hold the request open.
 	wait time.Duration
-	// queue makes the peer send the object itself, once it has a free slot.
-	queue bool
+	// waitForSlot makes the peer wait for a free upload slot and then send the
+	// object, instead of naming other holders.
+	waitForSlot bool
 }
 
-// newClient returns the HTTP client of an agent towards its peers.
-func newClient(idle int) *http.Client {
+// newHTTPClient returns the HTTP client for requests to peers. It keeps at most
+// maxIdle unused connections.
+func newHTTPClient(maxIdle int) *http.Client {
 	transport := &http.Transport{
 		DialContext:         dial.Context,
 		DisableCompression:  true,
-		MaxIdleConns:        idle,
+		MaxIdleConns:        maxIdle,
 		MaxIdleConnsPerHost: maxIdlePerPeer,
 		IdleConnTimeout:     idleTimeout,
 		ReadBufferSize:      readBufferBytes,
@@ -141,65 +152,67 @@
 	return &http.Client{Transport: transport, CheckRedirect: noRedirect}
 }
 
-// ask asks the peer at addr for an object once. The error wraps one of the
-// errors above when the peer answered; with errBusy the holders it named are
-// returned.
-func (s *Swarm) ask(ctx context.Context, addr string, q question) (body []byte, holders []string, err error) {
+// requestObject requests an object from the peer at addr once. If the peer
+// responds without the object, the error wraps errPending, errMissing, errBusy
+// or errPeerFailed. With errBusy it also returns the holders that the peer
+// named.
+func (s *Swarm) requestObject(ctx context.Context, addr string, req peerRequest) (body []byte, holders []string, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// The watchdog ends the request when no answer or no byte comes in time.
-	watchdog := time.AfterFunc(q.wait+s.cfg.AnswerMargin, cancel)
+	// The watchdog cancels the request when no response or no further byte
+	// arrives in time.
+	watchdog := time.AfterFunc(req.wait+s.cfg.AnswerMargin, cancel)
 	defer watchdog.Stop()
-	resp, err := s.client.Do(s.request(ctx, addr, q))
+	resp, err := s.client.Do(s.newRequest(ctx, addr, req))
 	if err != nil {
-		return nil, nil, core.Step("ask peer", addr, err)
+		return nil, nil, core.Step("request object", addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
 	case http.StatusOK:
-		body, err = s.receive(ctx, resp, addr, watchdog)
-		return body, nil, core.Step("read from peer", addr, err)
+		body, err = s.readBody(ctx, resp, addr, watchdog)
+		return body, nil, core.Step("read object", addr, err)
 	case http.StatusAccepted:
-		return nil, nil, core.Step("ask peer", addr, errPending)
+		return nil, nil, core.Step("request object", addr, errPending)
 	case http.StatusNotFound:
-		return nil, nil, core.Step("ask peer", addr, errMissing)
+		return nil, nil, core.Step("request object", addr, errMissing)
 	case http.StatusTemporaryRedirect:
-		if named := resp.Header.Get(headerHolders); named != "" {
-			holders = strings.Split(named, ",")
+		if list := resp.Header.Get(headerHolders); list != "" {
+			holders = strings.Split(list, ",")
 		}
-		return nil, holders, core.Step("ask peer", addr, errBusy)
+		return nil, holders, core.Step("request object", addr, errBusy)
 	case http.StatusServiceUnavailable:
-		return nil, nil, core.Step("ask peer", addr, errFailing)
+		return nil, nil, core.Step("request object", addr, errPeerFailed)
 	}
-	return nil, nil, core.Step("ask peer", addr, errors.Errorf("status %d", resp.StatusCode))
+	return nil, nil, core.Step("request object", addr, errors.Errorf("status %d", resp.StatusCode))
 }
 
-// request builds the request of ask.
-func (s *Swarm) request(ctx context.Context, addr string, q question) *http.Request {
+// newRequest builds the HTTP request for requestObject.
+func (s *Swarm) newRequest(ctx context.Context, addr string, req peerRequest) *http.Request {
 	query := url.Values{}
-	query.Set(queryVersion, string(q.version))
-	query.Set(queryTier, tierNames[q.tier])
-	query.Set(queryWait, q.wait.String())
-	if q.tier == tierDataCentre {
-		query.Set(queryOwners, q.owners)
+	query.Set(queryVersion, string(req.version))
+	query.Set(queryTier, tierNames[req.tier])
+	query.Set(queryWait, req.wait.String())
+	if req.tier == tierDataCentre {
+		query.Set(queryOwners, req.owners)
 	}
-	if q.queue {
+	if req.waitForSlot {
 		query.Set(queryQueue, "1")
 	}
-	u := url.URL{Scheme: "http", Host: addr, Path: q.path(), RawQuery: query.Encode()}
-	req := (&http.Request{Method: http.MethodGet, URL: &u, Host: addr, Header: http.Header{}}).WithContext(ctx)
-	req.Header.Set(core.HeaderPeerToken, s.cfg.Token)
-	req.Header.Set(headerPeerAddr, s.cfg.Self.Addr)
-	req.Header.Set(headerPeerDataCentre, s.cfg.Self.DataCentre)
-	req.Header.Set(headerPeerRegion, s.cfg.Self.Region)
-	return req
+	u := url.URL{Scheme: "http", Host: addr, Path: req.path(), RawQuery: query.Encode()}
+	httpReq := (&http.Request{Method: http.MethodGet, URL: &u, Host: addr, Header: http.Header{}}).WithContext(ctx)
+	httpReq.Header.Set(core.HeaderPeerToken, s.cfg.Token)
+	httpReq.Header.Set(headerPeerAddr, s.cfg.Self.Addr)
+	httpReq.Header.Set(headerPeerDataCentre, s.cfg.Self.DataCentre)
+	httpReq.Header.Set(headerPeerRegion, s.cfg.Self.Region)
+	return httpReq
 }
 
-// receive reads an answer's body within the budgets of the links.
-func (s *Swarm) receive(ctx context.Context, resp *http.Response, addr string, watchdog *time.Timer) ([]byte, error) {
+// readBody reads a response body within the bandwidth limits.
+func (s *Swarm) readBody(ctx context.Context, resp *http.Response, addr string, watchdog *time.Timer) ([]byte, error) {
 	size := resp.ContentLength
 	if size < 0 || size > maxObjectBytes {
-		return nil, errors.Errorf("answer of %d bytes", size)
+		return nil, errors.Errorf("response has an unacceptable length of %d bytes", size)
 	}
 	body := make([]byte, size)
 	for got := 0; got < len(body); {
@@ -210,21 +223,23 @@
 			return nil, err
 		}
 		got += n
-		// The pause for our own budget is not the peer's stall.
+		// Waiting for the local bandwidth limit must not count as a stall of
+		// the peer.
 		watchdog.Stop()
-		if err := s.payInbound(ctx, resp.Header.Get(headerPeerRegion), int64(n)); err != nil {
+		if err := s.waitInbound(ctx, resp.Header.Get(headerPeerRegion), int64(n)); err != nil {
 			return nil, err
 		}
 	}
 	return body, nil
 }
 
-// payInbound takes n bytes that come from a region out of the budgets.
-func (s *Swarm) payInbound(ctx context.Context, region string, n int64) error {
+// waitInbound waits until the bandwidth limits allow n more bytes received from
+// region.
+func (s *Swarm) waitInbound(ctx context.Context, region string, n int64) error {
 	if region != "" && region != s.cfg.Self.Region {
-		if err := s.region.Wait(ctx, n); err != nil {
+		if err := s.regionLimiter.Wait(ctx, n); err != nil {
 			return err
 		}
 	}
-	return s.download.Wait(ctx, n)
+	return s.downloadLimiter.Wait(ctx, n)
 }
--- a/version/spread/faults_test.go
+++ b/version/spread/faults_test.go
@@ -19,37 +19,39 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// maxFaultCopies is the origin's budget while something fails, in copies.
+// maxFaultCopies is the highest accepted number of copies read from the origin
+// when something fails.
 const maxFaultCopies = 1.3
 
-// impatient makes an agent find stalls soon.
-func impatient(_ int, c *Config) { c.AnswerMargin, c.Stall = time.Second, time.Second }
+// shortTimeouts makes an agent detect stalls soon.
+func shortTimeouts(_ int, c *Config) { c.AnswerMargin, c.Stall = time.Second, time.Second }
 
-// front puts a handler before an agent's own; next goes on to it.
-func (a *fakeAgent) front(h func(next http.Handler, w http.ResponseWriter, r *http.Request)) {
+// wrapHandler replaces the agent's handler by h; next is the original handler.
+func (a *fakeAgent) wrapHandler(h func(next http.Handler, w http.ResponseWriter, r *http.Request)) {
 	next := a.server.Config.Handler
 	a.server.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { h(next, w, r) })
 }
 
-// flipping is an answer of which one byte is changed.
-type flipping struct {
+// corruptingWriter is a ResponseWriter that changes one byte of the body.
+type corruptingWriter struct {
 	http.ResponseWriter
-	done bool
+	corrupted bool
 }
 
-func (f *flipping) Unwrap() http.ResponseWriter { return f.ResponseWriter }
+func (w *corruptingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (f *flipping) Write(p []byte) (int, error) {
-	if f.done || len(p) == 0 {
-		return f.ResponseWriter.Write(p)
+func (w *corruptingWriter) Write(p []byte) (int, error) {
+	if w.corrupted || len(p) == 0 {
+		return w.ResponseWriter.Write(p)
 	}
-	f.done = true
-	bad := slices.Clone(p)
-	bad[len(bad)/2] ^= 0xff
-	return f.ResponseWriter.Write(bad)
+	w.corrupted = true
+	corrupt := slices.Clone(p)
+	corrupt[len(corrupt)/2] ^= 0xff
+	return w.ResponseWriter.Write(corrupt)
 }
 
-// stallAfterFirstByte answers with one byte of a body and then nothing.
+// stallAfterFirstByte sends one byte of a body and then blocks until the request
+// ends.
 func stallAfterFirstByte(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Length", "1024")
 	_, _ = w.Write([]byte{0})
@@ -58,90 +60,90 @@
 }
 
 func TestOwnerDiesWithTheOnlyCopy(t *testing.T) {
-	Convey("Given an owner that dies once it alone holds its chunks", t, func() {
+	Convey("Given an owner that stops while no other agent holds its chunks", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
 		agents := startAgents(t, 12, origin, []string{"r1/a"}, nil)
-		dead, others := agents[0], agents[1:]
+		owner, others := agents[0], agents[1:]
 		var once sync.Once
-		dead.front(func(_ http.Handler, _ http.ResponseWriter, r *http.Request) {
-			once.Do(func() { go dead.stop() })
+		owner.wrapHandler(func(_ http.Handler, _ http.ResponseWriter, r *http.Request) {
+			once.Do(func() { go owner.stop() })
 			<-r.Context().Done()
 		})
 		So(fetchAll(agents[:1], d), ShouldBeNil)
 		origin.mu.Lock()
-		origin.drawn = 0
+		origin.bytesRead = 0
 		origin.mu.Unlock()
 
-		Convey("the next owners draw its chunks again, within the budget", func() {
-			So(fetchPart(others, agents, d), ShouldBeNil)
-			So(wholeEverywhere(others, m), ShouldBeTrue)
-			So(copies(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
+		Convey("the next owners read its chunks again, within the limit on origin reads", func() {
+			So(fetchWithView(others, agents, d), ShouldBeNil)
+			So(allHold(others, m), ShouldBeTrue)
+			So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
 		})
 	})
 }
 
 func TestStalledLink(t *testing.T) {
-	Convey("Given an agent whose link stalls in the middle of every answer", t, func() {
+	Convey("Given an agent whose connection stalls in the middle of every response", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
-		agents := startAgents(t, 12, origin, []string{"r1/a"}, impatient)
-		agents[0].front(func(_ http.Handler, w http.ResponseWriter, r *http.Request) { stallAfterFirstByte(w, r) })
+		agents := startAgents(t, 12, origin, []string{"r1/a"}, shortTimeouts)
+		agents[0].wrapHandler(func(_ http.Handler, w http.ResponseWriter, r *http.Request) { stallAfterFirstByte(w, r) })
 
-		Convey("the others fetch the whole, within the budget", func() {
+		Convey("all agents fetch the whole version, within the limit on origin reads", func() {
 			So(fetchAll(agents, d), ShouldBeNil)
-			So(wholeEverywhere(agents, m), ShouldBeTrue)
-			So(copies(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
+			So(allHold(agents, m), ShouldBeTrue)
+			So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
 		})
 	})
 }
 
 func TestCorruptChunks(t *testing.T) {
-	const every = 50
+	const corruptEvery = 50
 	Convey("Given chunks that are corrupted", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 128)
 		agents := startAgents(t, 8, origin, []string{"r1/a"}, nil)
-		whole := func() {
+		fetchAndCheck := func() {
 			So(fetchAll(agents, d), ShouldBeNil)
-			So(wholeEverywhere(agents, m), ShouldBeTrue)
-			So(copies(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
+			So(allHold(agents, m), ShouldBeTrue)
+			So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
 		}
-		Convey("at the origin, now and then: they are drawn again", func() {
+		Convey("at the origin, sometimes: they are read again", func() {
 			reads := 0
 			origin.fault = func(_ string, body []byte) ([]byte, error) {
-				if reads++; reads%every != 0 {
+				if reads++; reads%corruptEvery != 0 {
 					return body, nil
 				}
-				bad := slices.Clone(body)
-				bad[0] ^= 0xff
-				return bad, nil
+				corrupt := slices.Clone(body)
+				corrupt[0] ^= 0xff
+				return corrupt, nil
 			}
-			whole()
+			fetchAndCheck()
 		})
-		Convey("on the way, now and then: they are asked for again", func() {
+		Convey("in transfers between agents, sometimes: they are requested again", func() {
 			var answers atomic.Int64
 			for _, a := range agents {
-				a.front(func(next http.Handler, w http.ResponseWriter, r *http.Request) {
-					if answers.Add(1)%every == 0 {
-						w = &flipping{ResponseWriter: w}
+				a.wrapHandler(func(next http.Handler, w http.ResponseWriter, r *http.Request) {
+					if answers.Add(1)%corruptEvery == 0 {
+						w = &corruptingWriter{ResponseWriter: w}
 					}
 					next.ServeHTTP(w, r)
 				})
 			}
-			whole()
+			fetchAndCheck()
 		})
-		Convey("at one peer, always: others give them", func() {
-			agents[0].front(func(next http.Handler, w http.ResponseWriter, r *http.Request) {
-				next.ServeHTTP(&flipping{ResponseWriter: w}, r)
+		Convey("by one peer, always: other peers send them", func() {
+			agents[0].wrapHandler(func(next http.Handler, w http.ResponseWriter, r *http.Request) {
+				next.ServeHTTP(&corruptingWriter{ResponseWriter: w}, r)
 			})
-			whole()
+			fetchAndCheck()
 		})
 	})
 }
 
 func TestTwoVersionsAtOnce(t *testing.T) {
-	Convey("Given two versions that are fetched at once", t, func() {
+	Convey("Given two versions that are fetched at the same time", t, func() {
 		origin := newFakeOrigin()
 		first, m1 := origin.publish(t, "v1", 64)
 		second, m2 := origin.publish(t, "v2", 64)
@@ -150,21 +152,21 @@
 		go func() { errs <- fetchAll(agents, first) }()
 		So(fetchAll(agents, second), ShouldBeNil)
 		So(<-errs, ShouldBeNil)
-		So(wholeEverywhere(agents, m1), ShouldBeTrue)
-		So(wholeEverywhere(agents, m2), ShouldBeTrue)
-		So(copies(origin, m1), ShouldBeLessThanOrEqualTo, 2*1.05)
+		So(allHold(agents, m1), ShouldBeTrue)
+		So(allHold(agents, m2), ShouldBeTrue)
+		So(copiesRead(origin, m1), ShouldBeLessThanOrEqualTo, 2*1.05)
 	})
 }
 
 func TestAgentReplacedNearTheEnd(t *testing.T) {
-	Convey("Given a version that stands on all agents but one that was replaced", t, func() {
+	Convey("Given a version that all agents hold except one that was replaced", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
 		agents := startAgents(t, 10, origin, []string{"r1/a"}, nil)
 		So(fetchAll(agents[:9], d), ShouldBeNil)
-		So(fetchPart(agents[9:], agents, d), ShouldBeNil)
-		So(wholeEverywhere(agents, m), ShouldBeTrue)
-		So(copies(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
+		So(fetchWithView(agents[9:], agents, d), ShouldBeNil)
+		So(allHold(agents, m), ShouldBeTrue)
+		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
 	})
 }
 
@@ -175,28 +177,28 @@
 		agents := startAgents(t, 8, origin, []string{"r1/a", "r2/b"}, nil)
 		for _, a := range agents {
 			if a.cfg.Self.Region == "r2" {
-				a.origin = cutOff{}
+				a.origin = unreachableOrigin{}
 			}
 		}
-		Convey("they get the chunks from the neighbour", func() {
+		Convey("they fetch the chunks from the other region", func() {
 			So(fetchAll(agents, d), ShouldBeNil)
-			So(wholeEverywhere(agents, m), ShouldBeTrue)
-			So(copies(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
+			So(allHold(agents, m), ShouldBeTrue)
+			So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
 		})
 	})
 }
 
 // cutOff is an origin that cannot be reached.
-type cutOff struct{}
+type unreachableOrigin struct{}
 
-func (cutOff) Get(context.Context, string, int64, int64) ([]byte, error) {
+func (unreachableOrigin) Get(context.Context, string, int64, int64) ([]byte, error) {
 	return nil, platform.ErrUnavailable
 }
 
-func (cutOff) Put(context.Context, string, []byte) error { return platform.ErrUnavailable }
+func (unreachableOrigin) Put(context.Context, string, []byte) error { return platform.ErrUnavailable }
 
 func TestViewsOfTheLiveListThatDiffer(t *testing.T) {
-	Convey("Given agents that each miss another two of the list", t, func() {
+	Convey("Given agents whose lists of peers each lack two other agents", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
 		agents := startAgents(t, 12, origin, []string{"r1/a"}, nil)
@@ -208,18 +210,18 @@
 					view = append(view, other)
 				}
 			}
-			go func() { errs <- fetchPart([]*fakeAgent{a}, view, d) }()
+			go func() { errs <- fetchWithView([]*fakeAgent{a}, view, d) }()
 		}
 		for range agents {
 			So(<-errs, ShouldBeNil)
 		}
-		So(wholeEverywhere(agents, m), ShouldBeTrue)
-		So(copies(origin, m), ShouldBeLessThanOrEqualTo, 2)
+		So(allHold(agents, m), ShouldBeTrue)
+		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 2)
 	})
 }
 
 func TestOriginDownButForOneCopy(t *testing.T) {
-	Convey("Given an origin that gives each object once and then nothing", t, func() {
+	Convey("Given an origin that returns each object once and then fails", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
 		origin.fault = func(name string, body []byte) ([]byte, error) {
@@ -230,13 +232,13 @@
 		}
 		agents := startAgents(t, 9, origin, []string{"r1/a", "r1/b", "r2/c"}, nil)
 		So(fetchAll(agents, d), ShouldBeNil)
-		So(wholeEverywhere(agents, m), ShouldBeTrue)
-		So(copies(origin, m), ShouldBeLessThanOrEqualTo, 1)
+		So(allHold(agents, m), ShouldBeTrue)
+		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1)
 	})
 }
 
 func TestVersionLargerThanTheMemory(t *testing.T) {
-	Convey("A version that does not fit is refused at once", t, func() {
+	Convey("A version that does not fit into the store is rejected at once", t, func() {
 		origin := newFakeOrigin()
 		d, _ := origin.publish(t, "v1", 64)
 		agents := startAgents(t, 1, origin, []string{"r1/a"}, nil)
@@ -245,7 +247,7 @@
 		So(errors.Is(err, ErrFull), ShouldBeTrue)
 		So(agents[0].store.Bytes(), ShouldBeLessThanOrEqualTo, int64(32*testChunkBytes))
 	})
-	Convey("Of two versions that fit only one at a time, the second draws no chunk", t, func() {
+	Convey("Of two versions that do not fit together, no chunk of the second is read", t, func() {
 		origin := newFakeOrigin()
 		first, m := origin.publish(t, "v1", 64)
 		second, _ := origin.publish(t, "v2", 64)
@@ -255,8 +257,8 @@
 		for range 3 {
 			So(errors.Is(fetchAll(agents, second), ErrFull), ShouldBeTrue)
 		}
-		So(wholeEverywhere(agents, m), ShouldBeTrue)
-		So(copies(origin, m), ShouldBeLessThanOrEqualTo, 1.1)
+		So(allHold(agents, m), ShouldBeTrue)
+		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.1)
 	})
 }
 
@@ -269,42 +271,42 @@
 		So(fetchAll(agents, first), ShouldBeNil)
 		So(fetchAll(agents, second), ShouldBeNil)
 
-		Convey("going back to the first draws nothing", func() {
-			drawn := origin.drawn
+		Convey("fetching the first again reads nothing from the origin", func() {
+			bytesRead := origin.bytesRead
 			So(fetchAll(agents, first), ShouldBeNil)
-			So(origin.drawn, ShouldEqual, drawn)
+			So(origin.bytesRead, ShouldEqual, bytesRead)
 		})
-		Convey("after Retain only the named one is left", func() {
+		Convey("after Retain only the given version is left", func() {
 			agents[0].store.Retain([]*manifest.Manifest{m2})
-			So(wholeEverywhere(agents, m2), ShouldBeTrue)
-			So(wholeEverywhere(agents, m1), ShouldBeFalse)
+			So(allHold(agents, m2), ShouldBeTrue)
+			So(allHold(agents, m1), ShouldBeFalse)
 			_, held := agents[0].store.Get(core.Digest(first))
 			So(held, ShouldBeFalse)
 		})
 	})
 }
 
-func TestOwnersThatHaveNotHeardOfTheVersion(t *testing.T) {
-	Convey("Given agents that hear of the version when the others have it already", t, func() {
+func TestOwnersWithoutPeersOfTheVersion(t *testing.T) {
+	Convey("Given agents without a list of peers that fetch the version when the others hold it already", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
-		unaware := func(i int, c *Config) {
+		withoutPeers := func(i int, c *Config) {
 			if i >= 8 {
 				c.Peers = nil
 			}
 		}
-		agents := startAgents(t, 12, origin, []string{"r1/a", "r1/b"}, unaware)
-		So(fetchPart(agents[:8], agents, d), ShouldBeNil)
-		So(fetchPart(agents[8:], agents, d), ShouldBeNil)
-		So(wholeEverywhere(agents, m), ShouldBeTrue)
-		So(copies(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
+		agents := startAgents(t, 12, origin, []string{"r1/a", "r1/b"}, withoutPeers)
+		So(fetchWithView(agents[:8], agents, d), ShouldBeNil)
+		So(fetchWithView(agents[8:], agents, d), ShouldBeNil)
+		So(allHold(agents, m), ShouldBeTrue)
+		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
 	})
 }
 
 func TestReceiversThatStall(t *testing.T) {
-	Convey("Given peers that ask for a chunk and never read it, one for each upload slot", t, func() {
+	Convey("Given peers that request a chunk and never read it, one for each upload slot", t, func() {
 		const chunkBytes = 16 << 20
-		agents := startAgents(t, 2, newFakeOrigin(), []string{"r1/a"}, impatient)
+		agents := startAgents(t, 2, newFakeOrigin(), []string{"r1/a"}, shortTimeouts)
 		body := make([]byte, chunkBytes)
 		d := core.DigestOf(body)
 		So(agents[0].store.Put(d, body), ShouldBeNil)
@@ -319,13 +321,13 @@
 			_, err = conn.Read(make([]byte, 1))
 			So(err, ShouldBeNil)
 		}
-		Convey("another peer is served once they are given up", func() {
-			ctx, cancel := context.WithTimeout(context.Background(), testBound)
+		Convey("another peer is served once the stalled transfers are aborted", func() {
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			q := question{object: object{version: d, digest: d}, tier: tierHeld, wait: agents[1].cfg.Wait, queue: true}
+			req := peerRequest{object: object{version: d, digest: d}, tier: tierHeld, wait: agents[1].cfg.Wait, waitForSlot: true}
 			err := errBusy
 			for err != nil && ctx.Err() == nil {
-				_, _, err = agents[1].fetchOnce(ctx, addr, q)
+				_, _, err = agents[1].fetchFromPeer(ctx, addr, req)
 			}
 			So(err, ShouldBeNil)
 		})
--- a/version/spread/fetcher.go
+++ b/version/spread/fetcher.go
@@ -18,7 +18,7 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// Defaults of Config.
+// Default values of the fields of Config.
 const (
 	DefaultParallel        = 16
 	DefaultOriginParallel  = 2
@@ -34,70 +34,76 @@
 	DefaultRetryPause      = 250 * time.Millisecond
 )
 
-// Config holds the settings of an agent's part in spreading.
+// Config holds the settings of a Swarm.
 type Config struct {
 	// Self is this agent.
 	Self core.Instance
 	// Token authenticates the agents to each other.
 	Token string
-	// OriginRegion is the region in which the weight store stands; empty
-	// when it is not known, and then the store is never behind a region link.
+	// OriginRegion is the region of the weight store. If it is empty, the
+	// region is unknown, and reads of the store never count against the limit
+	// for traffic between regions.
 	OriginRegion string
-	// UploadBytesPerSecond is what weights may use of this machine's link
-	// outwards; 0 means no limit.
+	// UploadBytesPerSecond limits the outbound bandwidth that transfers of
+	// weights may use on this machine; 0 means no limit.
 	UploadBytesPerSecond int64
-	// DownloadBytesPerSecond is the same inwards.
+	// DownloadBytesPerSecond limits the inbound bandwidth in the same way.
 	DownloadBytesPerSecond int64
-	// RegionBytesPerSecond is what the weights for all agents of this region
-	// together may use of the link to other regions; 0 means that
-	// SetRegionBudget and SetRegionRate say it.
+	// RegionBytesPerSecond limits the bandwidth that transfers of weights to
+	// all agents of this region together may use on the link to other regions.
+	// 0 means that SetRegionBudget and SetRegionRate set the limit.
 	RegionBytesPerSecond int64
-	// OriginBytesPerSecond is the budget of the weight store's link for all
-	// agents together. An agent never draws more than this, and the agents
-	// take turns by it; 0 means no limit and no turns.
+	// OriginBytesPerSecond is the bandwidth of the weight store that all agents
+	// together may use. Each agent stays below this rate, and the due times of
+	// the chunks spread the reads of all agents over time. 0 means no limit
+	// and no spreading.
 	OriginBytesPerSecond int64
-	// OneOriginCopy lets each chunk be read from the origin once for all
-	// regions, whose owners then ask each other; otherwise each region reads
-	// the origin. It suits an origin that is slower than the links between
-	// regions.
+	// OneOriginCopy makes the agents read each chunk from the origin once for
+	// all regions; the owners of the regions then fetch it from each other.
+	// Otherwise each region reads the origin. Reading once suits an origin that
+	// is slower than the links between regions.
 	OneOriginCopy bool
-	// Parallel is the number of chunks asked of peers at once.
+	// Parallel is the number of chunks owned by other agents that are fetched
+	// at once.
 	Parallel int
-	// OriginParallel is the number of owned chunks fetched at once.
+	// OriginParallel is the number of chunks owned by this agent that are
+	// fetched at once.
 	OriginParallel int
-	// IdleConnections is the number of unused connections that are kept to
-	// all peers together.
+	// IdleConnections is the number of unused connections that are kept open
+	// to all peers together.
 	IdleConnections int
 	// UploadSlots is the number of chunks sent to peers at once.
 	UploadSlots int
 	// Fanout is the number of peers to which an agent sends one chunk before
-	// it names those peers to others.
+	// it redirects further peers to them.
 	Fanout int
-	// Owners is how many agents, in hash order, may stand in for a chunk's
-	// owner.
+	// Owners is the number of agents that may act as the owner of a chunk: the
+	// owner itself, and the agents after it in the ranking if it fails.
 	Owners int
-	// Wait is how long an agent holds a peer's request open for a chunk that
-	// is on its way.
+	// Wait is how long an agent keeps a peer's request open for a chunk that
+	// is still being fetched.
 	Wait time.Duration
-	// AnswerMargin is how much longer than Wait an answer may take before
+	// AnswerMargin is how much longer than Wait a response may take before
 	// the peer is suspected.
 	AnswerMargin time.Duration
-	// Stall is how long a transfer may bring no byte.
+	// Stall is how long a transfer may make no progress before it is aborted.
 	Stall time.Duration
-	// Suspect is how long a suspected peer is passed over.
+	// Suspect is how long a suspected peer is skipped.
 	Suspect time.Duration
-	// FlightTimeout ends the attempts for one chunk.
+	// FlightTimeout bounds the time for all attempts to fetch one chunk.
 	FlightTimeout time.Duration
-	// RetryPause is the pause after a round in which no source gave a chunk.
+	// RetryPause is the initial delay after a round in which no source
+	// delivered a chunk.
 	RetryPause time.Duration
-	// Peers returns the agents that need or hold a version this agent is not
-	// fetching itself; nil means none are known.
+	// Peers returns the agents that need or hold a version that this agent is
+	// not fetching itself; nil means that there are none.
 	Peers func(version core.Digest) []Peer
-	// Metrics takes the counters; nil means metrics.DefaultRegistry.
+	// Metrics is the registry of the counters; nil means
+	// metrics.DefaultRegistry.
 	Metrics metrics.Registry
 }
 
-// applyDefaults fills in what was left out.
+// applyDefaults sets every field that has its zero value to its default.
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.Parallel, DefaultParallel)
 	core.SetDefault(&c.OriginParallel, DefaultOriginParallel)
@@ -119,117 +125,122 @@
 	}
 }
 
-// Swarm is one agent's part in spreading: it fetches versions for its own
-// engine and serves what it holds to peers. It implements Fetcher; Handler
-// gives its HTTP side. It is safe for concurrent use.
+// Swarm fetches versions from peers and the origin for one agent, and sends the
+// objects that the agent holds to its peers. It implements Fetcher; Handler
+// returns its HTTP handler. It is safe for concurrent use.
 type Swarm struct {
-	cfg     Config
-	store   *MemStore
-	origin  platform.Objects
-	log     *eventlog.Logger
-	clock   clockwork.Clock
-	client  *http.Client
-	flights singleflight.Group
-	slots   chan struct{}
-	ctx     context.Context
-	cancel  context.CancelFunc
+	cfg         Config
+	store       *MemStore
+	origin      platform.Objects
+	log         *eventlog.Logger
+	clock       clockwork.Clock
+	client      *http.Client
+	fetchGroup  singleflight.Group
+	uploadSlots chan struct{}
+	ctx         context.Context
+	cancel      context.CancelFunc
 
-	upload, download, originLink *Link
-	region                       *regionLink
+	uploadLimiter, downloadLimiter, originLimiter *Link
+	regionLimiter                                 *regionLimiter
 
 	counters counters
 
-	mu     sync.Mutex
-	flying map[core.Digest]int
-	// reading counts the reads of the origin under way, and originFailure is
-	// the time of the last one that failed.
-	reading       map[core.Digest]int
-	originFailure time.Time
-	suspects      map[string]time.Time
-	holders       map[core.Digest]*holderList
-	versions      map[core.Digest]*fetch
+	mu sync.Mutex
+	// fetching counts the fetches in progress for each object.
+	fetching map[core.Digest]int
+	// originReads counts the reads of the origin in progress for each object,
+	// and lastOriginFailure is the time of the last read that failed.
+	originReads       map[core.Digest]int
+	lastOriginFailure time.Time
+	// suspects maps the address of each suspected peer to the time at which
+	// the suspicion ends.
+	suspects map[string]time.Time
+	holders  map[core.Digest]*holderList
+	fetches  map[core.Digest]*versionFetch
 }
 
 // counters are the metrics of a Swarm.
 type counters struct {
-	originBytes, peerBytes, sentBytes, corrupt metrics.Counter
+	originBytes, peerBytes, sentBytes, corruptChunks metrics.Counter
 }
 
-// fetch is a version that is being fetched.
-type fetch struct {
+// versionFetch is the state of one version that is being fetched.
+type versionFetch struct {
 	peers func() []Peer
-	// missing are the chunks that were not held at the start, with their
-	// sizes; the lock of the Swarm guards it.
+	// missing maps each chunk that was not held at the start to its size in
+	// bytes. Swarm.mu guards it.
 	missing map[core.Digest]int64
 
-	mu       sync.Mutex
-	at       time.Time
+	mu sync.Mutex
+	// rankedAt is the time at which ranking was computed.
+	rankedAt time.Time
 	ranking  *ranking
 	progress Progress
 }
 
-// NewFetcher returns a Swarm over store that reads the origin from weights.
-// Close ends it.
+// NewFetcher returns a Swarm that keeps objects in store and uses weights as
+// the origin. Close stops it.
 func NewFetcher(cfg Config, store *MemStore, weights platform.Objects, log *eventlog.Logger, clock clockwork.Clock) *Swarm {
 	cfg.applyDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
-	count := func(name string) metrics.Counter {
+	newCounter := func(name string) metrics.Counter {
 		return metrics.GetOrRegisterCounter("weights."+name, cfg.Metrics)
 	}
 	s := &Swarm{
-		cfg:        cfg,
-		store:      store,
-		origin:     weights,
-		log:        log,
-		clock:      clock,
-		client:     newClient(cfg.IdleConnections),
-		slots:      make(chan struct{}, cfg.UploadSlots),
-		ctx:        ctx,
-		cancel:     cancel,
-		upload:     NewLink(cfg.UploadBytesPerSecond),
-		download:   NewLink(cfg.DownloadBytesPerSecond),
-		region:     newRegionLink(),
-		originLink: NewLink(cfg.OriginBytesPerSecond),
+		cfg:             cfg,
+		store:           store,
+		origin:          weights,
+		log:             log,
+		clock:           clock,
+		client:          newHTTPClient(cfg.IdleConnections),
+		uploadSlots:     make(chan struct{}, cfg.UploadSlots),
+		ctx:             ctx,
+		cancel:          cancel,
+		uploadLimiter:   NewLink(cfg.UploadBytesPerSecond),
+		downloadLimiter: NewLink(cfg.DownloadBytesPerSecond),
+		regionLimiter:   newRegionLimiter(),
+		originLimiter:   NewLink(cfg.OriginBytesPerSecond),
 		counters: counters{
-			originBytes: count("origin-bytes"),
-			peerBytes:   count("peer-bytes"),
-			sentBytes:   count("sent-bytes"),
-			corrupt:     count("corrupt-chunks"),
+			originBytes:   newCounter("origin-bytes"),
+			peerBytes:     newCounter("peer-bytes"),
+			sentBytes:     newCounter("sent-bytes"),
+			corruptChunks: newCounter("corrupt-chunks"),
 		},
-		flying:   map[core.Digest]int{},
-		reading:  map[core.Digest]int{},
-		suspects: map[string]time.Time{},
-		holders:  map[core.Digest]*holderList{},
-		versions: map[core.Digest]*fetch{},
+		fetching:    map[core.Digest]int{},
+		originReads: map[core.Digest]int{},
+		suspects:    map[string]time.Time{},
+		holders:     map[core.Digest]*holderList{},
+		fetches:     map[core.Digest]*versionFetch{},
 	}
-	s.region.set(func() { s.region.budget = cfg.RegionBytesPerSecond })
+	s.regionLimiter.update(func() { s.regionLimiter.budget = cfg.RegionBytesPerSecond })
 	return s
 }
 
-// Store returns the store that the chunks are kept in.
+// Store returns the store that holds the chunks.
 func (s *Swarm) Store() *MemStore { return s.store }
 
-// Close ends every transfer and closes idle connections.
+// Close cancels every transfer and closes idle connections.
 func (s *Swarm) Close() {
 	s.cancel()
 	s.client.CloseIdleConnections()
 }
 
-// Progress says how far a fetch has come.
+// Progress is the progress of the fetch of one version.
 type Progress struct {
-	// Chunks and Bytes are what the version has.
+	// Chunks and Bytes are the number and total size of the version's chunks.
 	Chunks int
 	Bytes  int64
-	// HeldChunks and HeldBytes are what is held and verified of it.
+	// HeldChunks and HeldBytes are the number and total size of the chunks
+	// that are held and verified.
 	HeldChunks int
 	HeldBytes  int64
 }
 
-// Progress returns how far the fetch of version d has come; false when it is
-// not being fetched.
+// Progress returns the progress of the fetch of the version with manifest digest
+// d, or false if the version is not being fetched.
 func (s *Swarm) Progress(d core.Digest) (Progress, bool) {
 	s.mu.Lock()
-	v, ok := s.versions[d]
+	v, ok := s.fetches[d]
 	s.mu.Unlock()
 	if !ok {
 		return Progress{}, false
@@ -239,14 +250,14 @@
 	return v.progress, true
 }
 
-// Fetch implements Fetcher. It retries until ctx ends. It gives up with ErrFull
-// before any chunk is read when the version does not fit into the store beside
-// what is held and what other fetches are still to bring.
+// Fetch implements Fetcher. It retries until ctx ends. It returns ErrFull before
+// it fetches any chunk if the store has no room for the version beside the
+// objects that it holds and the missing chunks of other fetches.
 func (s *Swarm) Fetch(ctx context.Context, d core.Digest, peers func() []Peer) (*manifest.Manifest, error) {
 	start := s.clock.Now()
-	v := s.begin(d, peers)
-	defer s.end(d)
-	body, err := s.get(ctx, object{version: d, digest: d, manifest: true}, tierReader)
+	v := s.beginFetch(d, peers)
+	defer s.endFetch(d)
+	body, err := s.getObject(ctx, object{version: d, digest: d, manifest: true}, tierReader)
 	if err != nil {
 		return nil, core.Step("fetch manifest", d.Short(), err)
 	}
@@ -254,36 +265,38 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.reserve(v, m); err != nil {
+	if err := s.reserveSpace(v, m); err != nil {
 		return m, core.Step("fetch version", d.Short(), err)
 	}
 	if err := s.fetchChunks(ctx, v, d, m.Chunks()); err != nil {
 		return nil, core.Step("fetch version", d.Short(), err)
 	}
-	s.log.Event(eventFetched, eventlog.Fields{
+	s.log.Event(eventVersionFetched, eventlog.Fields{
 		"version": d, "bytes": m.Size(), "ms": s.clock.Since(start).Milliseconds(),
 	})
 	return m, nil
 }
 
-// begin registers the version as being fetched.
-func (s *Swarm) begin(d core.Digest, peers func() []Peer) *fetch {
-	v := &fetch{peers: peers}
+// beginFetch registers the version with manifest digest d as being fetched.
+func (s *Swarm) beginFetch(d core.Digest, peers func() []Peer) *versionFetch {
+	v := &versionFetch{peers: peers}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.versions[d] = v
+	s.fetches[d] = v
 	return v
 }
 
-func (s *Swarm) end(d core.Digest) {
+// endFetch removes the registration that beginFetch made.
+func (s *Swarm) endFetch(d core.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.versions, d)
+	delete(s.fetches, d)
 }
 
-// reserve checks that the chunks that are missing fit, and counts them for the
-// fetches that come after.
-func (s *Swarm) reserve(v *fetch, m *manifest.Manifest) error {
+// reserveSpace records the missing chunks of m, so that later fetches count
+// them. It returns ErrFull, and records nothing, if they do not fit into the
+// store.
+func (s *Swarm) reserveSpace(v *versionFetch, m *manifest.Manifest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v.missing = map[core.Digest]int64{}
@@ -292,20 +305,20 @@
 			v.missing[c.Digest] = c.Size
 		}
 	}
-	need := s.store.Bytes()
-	for _, other := range s.versions {
-		need += other.stillMissing(s.store)
+	needed := s.store.Bytes()
+	for _, other := range s.fetches {
+		needed += other.missingBytes(s.store)
 	}
-	if need > s.store.MaxBytes() {
+	if needed > s.store.MaxBytes() {
 		v.missing = nil
-		return errors.Wrapf(ErrFull, "%d bytes would be needed, the bound is %d", need, s.store.MaxBytes())
+		return errors.Wrapf(ErrFull, "%d bytes are needed, the limit is %d", needed, s.store.MaxBytes())
 	}
 	return nil
 }
 
-// stillMissing returns the bytes that a fetch has yet to bring. The lock of the
-// Swarm is held.
-func (v *fetch) stillMissing(store *MemStore) int64 {
+// missingBytes returns the total size of the chunks that are still missing. The
+// caller must hold Swarm.mu.
+func (v *versionFetch) missingBytes(store *MemStore) int64 {
 	var n int64
 	for d, size := range v.missing {
 		if _, held := store.Get(d); !held {
@@ -315,12 +328,13 @@
 	return n
 }
 
-// fetchChunks fetches all chunks: the owned ones and the others by separate
-// groups of workers, so that waiting for peers never holds up the scatter.
-func (s *Swarm) fetchChunks(ctx context.Context, v *fetch, d core.Digest, chunks []manifest.Chunk) error {
-	own, others := s.deal(s.ranking(d), chunks, s.clock.Now())
-	s.region.own(d, own, len(chunks))
-	defer s.region.own(d, nil, 0)
+// fetchChunks fetches all chunks. Separate groups of workers fetch the chunks
+// that this agent owns and the other chunks, so that waiting for peers never
+// delays the owned chunks, for which other agents wait.
+func (s *Swarm) fetchChunks(ctx context.Context, v *versionFetch, d core.Digest, chunks []manifest.Chunk) error {
+	own, others := s.splitByOwner(s.ranking(d), chunks, s.clock.Now())
+	s.regionLimiter.setOwnedChunks(d, own, len(chunks))
+	defer s.regionLimiter.setOwnedChunks(d, nil, 0)
 	v.mu.Lock()
 	v.progress.Chunks = len(chunks)
 	for _, c := range chunks {
@@ -328,17 +342,17 @@
 	}
 	size := v.progress.Bytes
 	v.mu.Unlock()
-	s.log.Event(eventFetch, eventlog.Fields{
+	s.log.Event(eventVersionFetchStarted, eventlog.Fields{
 		"version": d, "chunks": len(chunks), "bytes": size, "owned": len(own),
 	})
 	group, ctx := errgroup.WithContext(ctx)
-	s.work(ctx, group, s.cfg.OriginParallel, v, d, newSchedule(own, false, s.clock))
-	s.work(ctx, group, s.cfg.Parallel, v, d, newSchedule(others, true, s.clock))
+	s.startWorkers(ctx, group, s.cfg.OriginParallel, v, d, newSchedule(own, false, s.clock))
+	s.startWorkers(ctx, group, s.cfg.Parallel, v, d, newSchedule(others, true, s.clock))
 	return group.Wait()
 }
 
-// work starts workers that fetch the chunks of a schedule.
-func (s *Swarm) work(ctx context.Context, group *errgroup.Group, workers int, v *fetch, d core.Digest, queue *schedule) {
+// startWorkers starts workers that fetch the chunks of queue.
+func (s *Swarm) startWorkers(ctx context.Context, group *errgroup.Group, workers int, v *versionFetch, d core.Digest, queue *schedule) {
 	for range workers {
 		group.Go(func() error {
 			for {
@@ -346,17 +360,17 @@
 				if !ok || err != nil {
 					return err
 				}
-				if _, err := s.get(ctx, object{version: d, digest: c.Digest}, tierReader); err != nil {
+				if _, err := s.getObject(ctx, object{version: d, digest: c.Digest}, tierReader); err != nil {
 					return core.Step("fetch chunk", c.Digest.Short(), err)
 				}
-				v.count(c)
+				v.addHeld(c)
 			}
 		})
 	}
 }
 
-// count adds a held chunk to the progress.
-func (v *fetch) count(c manifest.Chunk) {
+// addHeld adds a held chunk to the progress.
+func (v *versionFetch) addHeld(c manifest.Chunk) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.progress.HeldChunks++
--- a/version/spread/fleet_test.go
+++ b/version/spread/fleet_test.go
@@ -11,58 +11,58 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-func TestFetchDrawsTheOriginOnceForAllRegions(t *testing.T) {
+func TestFetchReadsTheOriginOnceForAllRegions(t *testing.T) {
 	oneCopy := func(_ int, c *Config) { c.OneOriginCopy = true }
-	sites := []string{"r1/a", "r2/b", "r3/c"}
+	dataCentres := []string{"r1/a", "r2/b", "r3/c"}
 
-	Convey("Given twelve agents of three regions that begin together", t, func() {
+	Convey("Given twelve agents in three regions that start to fetch together", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
-		agents := startAgents(t, 12, origin, sites, oneCopy)
+		agents := startAgents(t, 12, origin, dataCentres, oneCopy)
 		So(fetchAll(agents, d), ShouldBeNil)
-		So(wholeEverywhere(agents, m), ShouldBeTrue)
-		So(copies(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
+		So(allHold(agents, m), ShouldBeTrue)
+		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
 	})
 
-	Convey("Given agents that are asked for pieces before they begin", t, func() {
+	Convey("Given agents that receive requests for chunks before they start to fetch", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
-		agents := startAgents(t, 12, origin, sites, oneCopy)
+		agents := startAgents(t, 12, origin, dataCentres, oneCopy)
 		first := make(chan error, 1)
-		go func() { first <- fetchPart(agents[:6], agents, d) }()
+		go func() { first <- fetchWithView(agents[:6], agents, d) }()
 		<-time.After(50 * time.Millisecond)
-		So(fetchPart(agents[6:], agents, d), ShouldBeNil)
+		So(fetchWithView(agents[6:], agents, d), ShouldBeNil)
 		So(<-first, ShouldBeNil)
-		So(wholeEverywhere(agents, m), ShouldBeTrue)
-		So(copies(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
+		So(allHold(agents, m), ShouldBeTrue)
+		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
 	})
 
-	Convey("Given an owner that is gone, the others still get everything", t, func() {
+	Convey("Given an owner that has stopped, the others still fetch the whole version", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
-		agents := startAgents(t, 12, origin, sites, oneCopy)
+		agents := startAgents(t, 12, origin, dataCentres, oneCopy)
 		agents[0].stop()
-		So(fetchPart(agents[1:], agents, d), ShouldBeNil)
-		So(wholeEverywhere(agents[1:], m), ShouldBeTrue)
+		So(fetchWithView(agents[1:], agents, d), ShouldBeNil)
+		So(allHold(agents[1:], m), ShouldBeTrue)
 	})
 
-	Convey("Given an origin that is down at first and then sends chunk after chunk, each is read once", t, func() {
+	Convey("Given an origin that is down at first and then sends the chunks slowly, each is read about once", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 48)
-		back := time.Now().Add(400 * time.Millisecond)
+		available := time.Now().Add(400 * time.Millisecond)
 		origin.fault = func(name string, body []byte) ([]byte, error) {
 			if strings.HasPrefix(name, manifest.ObjectName("")) {
 				return body, nil
 			}
-			if time.Now().Before(back) {
+			if time.Now().Before(available) {
 				return nil, errors.New("connection refused")
 			}
 			<-time.After(5 * time.Millisecond)
 			return body, nil
 		}
-		agents := startAgents(t, 24, origin, sites, oneCopy)
+		agents := startAgents(t, 24, origin, dataCentres, oneCopy)
 		So(fetchAll(agents, d), ShouldBeNil)
-		So(wholeEverywhere(agents, m), ShouldBeTrue)
-		So(copies(origin, m), ShouldBeLessThanOrEqualTo, 1.25)
+		So(allHold(agents, m), ShouldBeTrue)
+		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.25)
 	})
 }
--- a/version/spread/handler.go
+++ b/version/spread/handler.go
@@ -12,20 +12,20 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxWait bounds how long a peer may hold a request open.
+// maxWait bounds how long a peer's request may be kept open.
 const maxWait = 30 * time.Second
 
 // Handler serves the verified chunks and manifests of s, below ChunkPath and
-// ManifestPath, to callers that give the peer token. The answers are:
+// ManifestPath, to callers that send the peer token. The status codes are:
 //
-//	200 the bytes
-//	202 the object is on its way; ask again
-//	307 too many were served; X-Chunk-Holders names peers to ask instead
-//	404 the object is neither held nor on its way
-//	503 the object could not be brought here; ask another agent
+//	200 the body is the object
+//	202 the object is still being fetched, or no upload slot is available; retry
+//	307 no upload slot is available; X-Chunk-Holders lists other peers that hold the object
+//	404 the object is neither held nor being fetched
+//	503 the object could not be fetched; try another agent
 //
-// A request without X-Peer-Addr is the local engine's: it gets what is held,
-// outside the budget for peers.
+// A request without X-Peer-Addr comes from the local engine. The engine receives
+// only objects that are held already; the limits for peers do not apply.
 func Handler(s *Swarm, token string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !core.SameSecret(r.Header.Get(core.HeaderPeerToken), token) {
@@ -46,7 +46,7 @@
 	})
 }
 
-// parseObject reads the object that a request names.
+// parseObject returns the object that a request identifies.
 func parseObject(r *http.Request) (object, error) {
 	var o object
 	name, ok := strings.CutPrefix(r.URL.Path, ChunkPath)
@@ -68,7 +68,7 @@
 	return o, err
 }
 
-// serveEngine gives the local engine what is held.
+// serveEngine sends the object to the local engine if the object is held.
 func (s *Swarm) serveEngine(w http.ResponseWriter, o object) {
 	body, ok := s.store.Get(o.digest)
 	if !ok {
@@ -79,7 +79,8 @@
 	_, _ = w.Write(body)
 }
 
-// servePeer gives a peer the object, or says where or when to ask.
+// servePeer sends the object to a peer, or responds with other holders or a
+// status that makes the peer retry.
 func (s *Swarm) servePeer(w http.ResponseWriter, r *http.Request, o object) {
 	query := r.URL.Query()
 	wait, err := time.ParseDuration(query.Get(queryWait))
@@ -88,8 +89,8 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
-	asked := parseTier(query.Get(queryTier))
-	body, status := s.await(ctx, o, asked)
+	requestedTier := parseTier(query.Get(queryTier))
+	body, status := s.awaitObject(ctx, o, requestedTier)
 	if status != http.StatusOK {
 		w.WriteHeader(status)
 		return
@@ -99,32 +100,32 @@
 		dataCentre: r.Header.Get(headerPeerDataCentre),
 		region:     r.Header.Get(headerPeerRegion),
 	}
-	queued := query.Get(queryQueue) != ""
-	named, status := s.takeSlot(ctx, o.digest, peer, asked, queued)
+	waitForSlot := query.Get(queryQueue) != ""
+	holders, status := s.takeUploadSlot(ctx, o.digest, peer, requestedTier, waitForSlot)
 	if status != http.StatusOK {
-		w.Header().Set(headerHolders, strings.Join(named, ","))
+		w.Header().Set(headerHolders, strings.Join(holders, ","))
 		w.WriteHeader(status)
 		return
 	}
-	defer func() { <-s.slots }()
+	defer func() { <-s.uploadSlots }()
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	n, err := send(r.Context(), w, body, s.upload, s.cfg.Stall)
+	n, err := send(r.Context(), w, body, s.uploadLimiter, s.cfg.Stall)
 	s.counters.sentBytes.Inc(int64(n))
 	if err == nil {
-		s.served(o.digest, peer)
+		s.addHolder(o.digest, peer)
 	}
 }
 
-// await returns the object once it is held, bringing it when the tier says
-// so, or the status that tells the peer what to do.
-func (s *Swarm) await(ctx context.Context, o object, t tier) ([]byte, int) {
+// awaitObject returns the object and 200 once the object is held, and fetches it
+// if t requires that. Otherwise it returns the HTTP status for the peer.
+func (s *Swarm) awaitObject(ctx context.Context, o object, t tier) ([]byte, int) {
 	switch t {
 	case tierHeld:
-		return s.awaitArrival(ctx, o, s.onItsWay)
-	case tierReading:
-		return s.awaitArrival(ctx, o, s.isReading)
+		return s.awaitArrival(ctx, o, s.isFetching)
+	case tierOriginRead:
+		return s.awaitArrival(ctx, o, s.isReadingOrigin)
 	}
-	body, err := s.get(ctx, o, t)
+	body, err := s.getObject(ctx, o, t)
 	switch {
 	case err == nil:
 		return body, http.StatusOK
@@ -134,12 +135,13 @@
 	return nil, http.StatusServiceUnavailable
 }
 
-// awaitArrival waits for an object while coming says that it comes.
-func (s *Swarm) awaitArrival(ctx context.Context, o object, coming func(core.Digest) bool) ([]byte, int) {
+// awaitArrival returns a held object, or waits for the object if inProgress
+// reports true for its digest.
+func (s *Swarm) awaitArrival(ctx context.Context, o object, inProgress func(core.Digest) bool) ([]byte, int) {
 	if body, ok := s.store.Get(o.digest); ok {
 		return body, http.StatusOK
 	}
-	if !coming(o.digest) {
+	if !inProgress(o.digest) {
 		return nil, http.StatusNotFound
 	}
 	select {
@@ -153,24 +155,25 @@
 	return nil, http.StatusNotFound
 }
 
-// takeSlot takes an upload slot for a peer. Otherwise it returns the holders
-// that the peer is to ask and 307, or 202 when there is nothing to name yet.
-func (s *Swarm) takeSlot(ctx context.Context, d core.Digest, p holder, asked tier, queued bool) ([]string, int) {
-	if queued {
+// takeUploadSlot takes an upload slot for a peer and returns 200. If none is
+// available, it returns 307 and other holders of the object, or 202 if ctx ends
+// first.
+func (s *Swarm) takeUploadSlot(ctx context.Context, d core.Digest, p holder, requestedTier tier, waitForSlot bool) ([]string, int) {
+	if waitForSlot {
 		select {
-		case s.slots <- struct{}{}:
+		case s.uploadSlots <- struct{}{}:
 			return nil, http.StatusOK
 		case <-ctx.Done():
 			return nil, http.StatusAccepted
 		}
 	}
 	for {
-		admitted, named, changed := s.admitPeer(d, p, asked)
+		admitted, holders, changed := s.admitPeer(d, p, requestedTier)
 		switch {
 		case admitted:
 			return nil, http.StatusOK
-		case len(named) > 0:
-			return named, http.StatusTemporaryRedirect
+		case len(holders) > 0:
+			return holders, http.StatusTemporaryRedirect
 		}
 		select {
 		case <-changed:
--- a/version/spread/holders.go
+++ b/version/spread/holders.go
@@ -7,52 +7,54 @@
 )
 
 const (
-	// maxHolders bounds the holders remembered for one object.
+	// maxHolders bounds the number of holders recorded for one object.
 	maxHolders = 64
-	// namedHolders is how many holders a redirect names.
-	namedHolders = 3
-	// maxStaleLists is how many lists may be kept beyond the objects held.
+	// maxNamedHolders bounds the number of holders that a redirect names.
+	maxNamedHolders = 3
+	// maxStaleLists is how many holder lists may exist beyond the number of
+	// held objects before the lists of dropped objects are removed.
 	maxStaleLists = 1024
 )
 
-// holder is a peer that was given an object.
+// holder is a peer to which an object was sent.
 type holder struct {
 	addr, dataCentre, region string
 }
 
-// holderList is what an agent knows of where one object went.
+// holderList records the peers to which an agent sent one object.
 type holderList struct {
-	// admitted counts the peers that were given a slot for the object.
+	// admitted counts the peers that got an upload slot for the object.
 	admitted int
 	holders  []holder
 	// changed is closed when a holder is added.
 	changed chan struct{}
 }
 
-// admitPeer takes an upload slot for an object when one is free. An owner
-// sends an object only to a few peers while it sends anything else. A peer
-// that is not admitted is named holders to ask; when there is none, the
-// channel is closed once there may be.
-func (s *Swarm) admitPeer(d core.Digest, p holder, asked tier) (bool, []string, <-chan struct{}) {
+// admitPeer takes an upload slot for an object if one is free and reports
+// whether it did. An owner that is sending anything else admits only
+// Config.Fanout peers for one object. If the peer is not admitted, admitPeer
+// returns holders near the peer, and a channel that is closed when a holder is
+// added.
+func (s *Swarm) admitPeer(d core.Digest, p holder, requestedTier tier) (bool, []string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.holderList(d)
-	if asked == tierHeld || asked == tierReading || list.admitted < s.cfg.Fanout || len(s.slots) == 0 {
+	list := s.holderListFor(d)
+	if requestedTier == tierHeld || requestedTier == tierOriginRead || list.admitted < s.cfg.Fanout || len(s.uploadSlots) == 0 {
 		select {
-		case s.slots <- struct{}{}:
+		case s.uploadSlots <- struct{}{}:
 			list.admitted++
 			return true, nil, nil
 		default:
 		}
 	}
-	return false, list.near(p), list.changed
+	return false, list.nearbyHolders(p), list.changed
 }
 
-// served remembers that p holds an object now.
-func (s *Swarm) served(d core.Digest, p holder) {
+// addHolder records that p holds the object with digest d.
+func (s *Swarm) addHolder(d core.Digest, p holder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.holderList(d)
+	list := s.holderListFor(d)
 	for _, h := range list.holders {
 		if h.addr == p.addr {
 			return
@@ -66,23 +68,25 @@
 	list.changed = make(chan struct{})
 }
 
-// holderList returns the list for d. s.mu is held. Lists of objects that are
-// no longer held are dropped when there are too many.
-func (s *Swarm) holderList(d core.Digest) *holderList {
+// holderListFor returns the list for d, and creates it if necessary. It drops
+// the lists of objects that are no longer held when there are too many lists.
+// The caller must hold s.mu.
+func (s *Swarm) holderListFor(d core.Digest) *holderList {
 	list, ok := s.holders[d]
 	if ok {
 		return list
 	}
 	if len(s.holders) > s.store.Len()+maxStaleLists {
-		s.forget()
+		s.dropStaleLists()
 	}
 	list = &holderList{changed: make(chan struct{})}
 	s.holders[d] = list
 	return list
 }
 
-// forget drops the lists of objects that are no longer held. s.mu is held.
-func (s *Swarm) forget() {
+// dropStaleLists drops the lists of objects that are no longer held. The caller
+// must hold s.mu.
+func (s *Swarm) dropStaleLists() {
 	for d := range s.holders {
 		if _, ok := s.store.Get(d); !ok {
 			delete(s.holders, d)
@@ -90,22 +94,23 @@
 	}
 }
 
-// near returns a few holders in p's data centre or, when there is none, in its
-// region, in random order. p itself is left out.
-func (l *holderList) near(p holder) []string {
-	var same, region []string
+// nearbyHolders returns the addresses of at most maxNamedHolders holders in p's
+// data centre or, if there are none, in p's region, in random order. It leaves
+// out p itself.
+func (l *holderList) nearbyHolders(p holder) []string {
+	var nearest, inRegion []string
 	for _, h := range l.holders {
 		switch {
 		case h.addr == p.addr || h.region != p.region:
 		case h.dataCentre == p.dataCentre:
-			same = append(same, h.addr)
+			nearest = append(nearest, h.addr)
 		default:
-			region = append(region, h.addr)
+			inRegion = append(inRegion, h.addr)
 		}
 	}
-	if len(same) == 0 {
-		same = region
+	if len(nearest) == 0 {
+		nearest = inRegion
 	}
-	rand.Shuffle(len(same), func(i, j int) { same[i], same[j] = same[j], same[i] })
-	return same[:min(len(same), namedHolders)]
+	rand.Shuffle(len(nearest), func(i, j int) { nearest[i], nearest[j] = nearest[j], nearest[i] })
+	return nearest[:min(len(nearest), maxNamedHolders)]
 }
--- a/version/spread/link.go
+++ b/version/spread/link.go
@@ -9,19 +9,23 @@
 )
 
 const (
-	// pieceBytes is the most that is moved before the budget is asked again.
+	// pieceBytes is the largest number of bytes transferred between two waits
+	// for a bandwidth limit.
 	pieceBytes = 16 << 10
-	// burstTime is how much of a budget may be spent at once.
+	// burstTime sets the burst size of a limit: the bytes that the limited rate
+	// allows in this time may be sent at once.
 	burstTime = 20 * time.Millisecond
 )
 
-// Link is a token bucket for the bytes of one link. A nil Link has no limit.
-// Several transfers that share a Link share its budget in turn.
+// Link is a token bucket that limits the bandwidth of one network link. A nil
+// Link has no limit. Concurrent transfers that use the same Link share its
+// bandwidth.
 type Link struct {
 	limiter *rate.Limiter
 }
 
-// NewLink returns a Link of bytesPerSecond; 0 means no limit.
+// NewLink returns a Link with a rate of bytesPerSecond. It returns nil, which
+// means no limit, if bytesPerSecond is 0 or less.
 func NewLink(bytesPerSecond int64) *Link {
 	if bytesPerSecond <= 0 {
 		return nil
@@ -30,7 +34,7 @@
 	return &Link{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
 }
 
-// Wait takes n bytes of the budget, piece by piece.
+// Wait blocks until n bytes may be transferred, or ctx ends.
 func (l *Link) Wait(ctx context.Context, n int64) error {
 	if l == nil {
 		return ctx.Err()
@@ -45,14 +49,14 @@
 	return nil
 }
 
-// send writes body to w within the budget of link. Each piece must be taken
-// within stall; a receiver that takes none is given up.
-func send(ctx context.Context, w http.ResponseWriter, body []byte, link *Link, stall time.Duration) (int, error) {
+// send writes body to w within limiter and returns the number of bytes written.
+// It returns an error when a write of up to pieceBytes takes longer than stall.
+func send(ctx context.Context, w http.ResponseWriter, body []byte, limiter *Link, stall time.Duration) (int, error) {
 	control := http.NewResponseController(w)
 	sent := 0
 	for sent < len(body) {
 		piece := body[sent:min(len(body), sent+pieceBytes)]
-		if err := link.Wait(ctx, int64(len(piece))); err != nil {
+		if err := limiter.Wait(ctx, int64(len(piece))); err != nil {
 			return sent, err
 		}
 		if err := control.SetWriteDeadline(time.Now().Add(stall)); err != nil {
--- a/version/spread/obtain.go
+++ b/version/spread/obtain.go
@@ -14,28 +14,30 @@
 )
 
 const (
-	// corruptTries is how often one owner is asked again after bytes that do
-	// not match the digest.
-	corruptTries = 2
-	// maxAsked is how many holders are asked in one search.
-	maxAsked = 12
-	// promptly is the time in which an owner that failed has cost nothing:
-	// the next one, which is the same for all regions, is asked.
-	promptly = 200 * time.Millisecond
-	// neighbours is how many other peers are asked in one round while the
-	// origin cannot be read.
-	neighbours = 4
+	// maxCorruptRetries is how often a request to one source is repeated after
+	// a response that did not match the digest.
+	maxCorruptRetries = 2
+	// maxHoldersTried bounds the number of holders tried in one search.
+	maxHoldersTried = 12
+	// fastFailureTime is a delay that is too short to matter. If a request to
+	// an owner fails within this time, the agent tries the next owner, which is
+	// the same for all regions. If the owner does not respond for longer, the
+	// agent reads the origin.
+	fastFailureTime = 200 * time.Millisecond
+	// maxNeighbours is the number of other peers that are tried in one round
+	// while the origin cannot be read.
+	maxNeighbours = 4
 )
 
-// get returns a verified object, joining a fetch of it at this tier that is
-// already under way. The fetch goes on when ctx ends.
-func (s *Swarm) get(ctx context.Context, o object, t tier) ([]byte, error) {
+// getObject returns a verified object from the store, or fetches it. Concurrent
+// calls at one tier share one fetch, which continues after ctx ends.
+func (s *Swarm) getObject(ctx context.Context, o object, t tier) ([]byte, error) {
 	if body, ok := s.store.Get(o.digest); ok {
 		return body, nil
 	}
 	arrived := s.store.Arrival(o.digest)
-	result := s.flights.DoChan(tierNames[t]+" "+string(o.digest), func() (any, error) {
-		return s.fly(o, t)
+	result := s.fetchGroup.DoChan(tierNames[t]+" "+string(o.digest), func() (any, error) {
+		return s.fetchWithRetries(o, t)
 	})
 	select {
 	case r := <-result:
@@ -47,32 +49,34 @@
 		if body, ok := s.store.Get(o.digest); ok {
 			return body, nil
 		}
-		return nil, errors.New("chunk was dropped as it arrived")
+		return nil, errors.New("object was dropped from the store immediately after it arrived")
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// fly fetches an object at a tier, round after round.
-func (s *Swarm) fly(o object, t tier) ([]byte, error) {
+// fetchWithRetries fetches an object at a tier. Only at tierReader does it try
+// more than one round.
+func (s *Swarm) fetchWithRetries(o object, t tier) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.FlightTimeout)
 	defer cancel()
-	s.takeOff(o.digest, 1)
-	defer s.takeOff(o.digest, -1)
+	s.adjustFetching(o.digest, 1)
+	defer s.adjustFetching(o.digest, -1)
 	pause := s.cfg.RetryPause
 	for {
 		if body, ok := s.store.Get(o.digest); ok {
 			return body, nil
 		}
-		body, err := s.round(ctx, o, t)
+		body, err := s.fetchRound(ctx, o, t)
 		if err == nil || errors.Is(err, ErrFull) {
 			return body, err
 		}
-		// An owner reports its failure at once, so that others are asked.
+		// An owner reports its failure at once, so that the requesting agent
+		// can try other owners.
 		if t != tierReader {
 			return nil, err
 		}
-		s.log.Fail(eventRetry, err, eventlog.Fields{"version": o.version, "chunk": o.digest})
+		s.log.Fail(eventChunkRetry, err, eventlog.Fields{"version": o.version, "chunk": o.digest})
 		select {
 		case <-s.clock.After(pause/2 + rand.N(pause)):
 		case <-ctx.Done():
@@ -82,28 +86,30 @@
 	}
 }
 
-// takeOff counts the fetches of an object that are under way.
-func (s *Swarm) takeOff(d core.Digest, n int) {
+// adjustFetching adds delta to the number of fetches of an object in progress.
+func (s *Swarm) adjustFetching(d core.Digest, delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flying[d] += n
-	if s.flying[d] == 0 {
-		delete(s.flying, d)
+	s.fetching[d] += delta
+	if s.fetching[d] == 0 {
+		delete(s.fetching, d)
 	}
 }
 
-// onItsWay reports whether a fetch of the object is under way.
-func (s *Swarm) onItsWay(d core.Digest) bool {
+// isFetching reports whether a fetch of the object is in progress.
+func (s *Swarm) isFetching(d core.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.flying[d] > 0
+	return s.fetching[d] > 0
 }
 
-// round asks each source of an object at a tier once: the owners of the scope
-// in hash order; as an owner, the next tier; at the last tier the origin.
-func (s *Swarm) round(ctx context.Context, o object, t tier) ([]byte, error) {
+// fetchRound tries each source of an object at a tier once. It tries the owners
+// in the tier's scope in the order of the ranking. When this agent itself is next
+// in that order, it fetches the object at the next tier instead. At the last tier
+// it reads the origin.
+func (s *Swarm) fetchRound(ctx context.Context, o object, t tier) ([]byte, error) {
 	if t == tierFleet || t == tierRegion && !s.cfg.OneOriginCopy {
-		return s.fromOrigin(ctx, o)
+		return s.fetchFromOrigin(ctx, o)
 	}
 	scope := s.inDataCentre
 	switch t {
@@ -112,42 +118,42 @@
 	case tierRegion:
 		scope = func(Peer) bool { return true }
 	}
-	owners := s.candidates(o, scope)
+	owners := s.ownerCandidates(o, scope)
 	switch {
 	case t == tierReader:
-		o.owners = addrs(s.candidates(o, s.inRegion))
+		o.owners = joinAddrs(s.ownerCandidates(o, s.inRegion))
 	case len(owners) == 0:
-		owners = named(o.owners)
+		owners = parseAddrs(o.owners)
 	}
 	if len(owners) == 0 {
-		return s.get(ctx, o, t+1)
+		return s.getObject(ctx, o, t+1)
 	}
-	var last error
+	var lastErr error
 	for _, p := range owners {
 		if p.Addr == s.cfg.Self.Addr {
-			return s.get(ctx, o, t+1)
+			return s.getObject(ctx, o, t+1)
 		}
-		asked := s.clock.Now()
-		body, err := s.fromOwner(ctx, p.Addr, o, t+1)
+		start := s.clock.Now()
+		body, err := s.fetchFromOwner(ctx, p.Addr, o, t+1)
 		if err == nil {
 			return body, nil
 		}
-		last = err
+		lastErr = err
 		if t != tierRegion {
 			continue
 		}
-		s.log.Fail(eventFleetOwner, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "peer": p.Addr})
-		if s.clock.Since(asked) > promptly && !errors.Is(err, errFailing) {
-			// The origin may be gone soon: an owner that does not answer is
-			// not waited for.
-			return s.fromOrigin(ctx, o)
+		s.log.Fail(eventFleetOwnerFailed, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "peer": p.Addr})
+		if s.clock.Since(start) > fastFailureTime && !errors.Is(err, errPeerFailed) {
+			// The origin may become unavailable soon, so do not wait for
+			// further owners that may not respond.
+			return s.fetchFromOrigin(ctx, o)
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// addrs returns the addresses of peers in one line.
-func addrs(peers []Peer) string {
+// joinAddrs returns the addresses of peers, separated by commas.
+func joinAddrs(peers []Peer) string {
 	var all []string
 	for _, p := range peers {
 		all = append(all, p.Addr)
@@ -155,8 +161,9 @@
 	return strings.Join(all, ",")
 }
 
-// named returns the peers of a line that addrs made.
-func named(line string) []Peer {
+// parseAddrs returns a Peer for each address in line, which has the format of
+// joinAddrs.
+func parseAddrs(line string) []Peer {
 	var peers []Peer
 	for _, addr := range strings.FieldsFunc(line, func(r rune) bool { return r == ',' }) {
 		peers = append(peers, Peer{Addr: addr})
@@ -164,26 +171,27 @@
 	return peers
 }
 
-// fromOwner reads an object from the agent at addr, or from the holders that
-// it names, for as long as it says that the object is on its way. When none of
-// the holders answers, the agent itself is to send.
-func (s *Swarm) fromOwner(ctx context.Context, addr string, o object, t tier) ([]byte, error) {
-	corrupt, queue := 0, false
+// fetchFromOwner fetches an object from the agent at addr, or from the holders
+// that this agent names. It repeats the request while the response is that the
+// object is still being fetched. If none of the holders delivers the object, the
+// agent at addr must send it.
+func (s *Swarm) fetchFromOwner(ctx context.Context, addr string, o object, t tier) ([]byte, error) {
+	corruptAnswers, waitForSlot := 0, false
 	for {
-		q := question{object: o, tier: t, wait: s.cfg.Wait, queue: queue}
-		body, holders, err := s.fetchOnce(ctx, addr, q)
+		req := peerRequest{object: o, tier: t, wait: s.cfg.Wait, waitForSlot: waitForSlot}
+		body, holders, err := s.fetchFromPeer(ctx, addr, req)
 		switch {
 		case err == nil:
 			return body, nil
 		case errors.Is(err, errPending):
-		case errors.Is(err, ErrCorrupt) && corrupt < corruptTries:
-			corrupt++
+		case errors.Is(err, ErrCorrupt) && corruptAnswers < maxCorruptRetries:
+			corruptAnswers++
 		case errors.Is(err, errBusy):
-			body, err := s.fromHolders(ctx, holders, o)
+			body, err := s.fetchFromHolders(ctx, holders, o)
 			if err == nil {
 				return body, nil
 			}
-			queue = !errors.Is(err, errBusy)
+			waitForSlot = !errors.Is(err, errBusy)
 		default:
 			return nil, err
 		}
@@ -193,23 +201,23 @@
 	}
 }
 
-// fromHolders reads an object from a holder that sends it at once. A holder
-// that is busy names the peers that it served, so the search spreads over all
-// that hold the object. When every one asked is busy, it queues at one of
-// them. It returns errBusy when that took too long, and another error when no
-// holder can give the object.
-func (s *Swarm) fromHolders(ctx context.Context, holders []string, o object) ([]byte, error) {
-	asked := map[string]bool{s.cfg.Self.Addr: true}
+// fetchFromHolders fetches an object from a holder that sends it at once. A busy
+// holder names the peers to which it sent the object, and the search continues
+// with them. If every holder that was tried is busy, fetchFromHolders waits for
+// an upload slot of one of them. It returns errBusy if this wait takes too long,
+// and another error if no holder can send the object.
+func (s *Swarm) fetchFromHolders(ctx context.Context, holders []string, o object) ([]byte, error) {
+	tried := map[string]bool{s.cfg.Self.Addr: true}
 	var busy []string
-	for len(holders) > 0 && len(asked) <= maxAsked {
+	for len(holders) > 0 && len(tried) <= maxHoldersTried {
 		i := rand.IntN(len(holders))
 		addr := holders[i]
 		holders = append(holders[:i], holders[i+1:]...)
-		if asked[addr] || s.suspected(addr) {
+		if tried[addr] || s.isSuspected(addr) {
 			continue
 		}
-		asked[addr] = true
-		body, more, err := s.fetchOnce(ctx, addr, question{object: o, tier: tierHeld})
+		tried[addr] = true
+		body, more, err := s.fetchFromPeer(ctx, addr, peerRequest{object: o, tier: tierHeld})
 		if err == nil {
 			return body, nil
 		}
@@ -222,35 +230,36 @@
 		return nil, errMissing
 	}
 	addr := busy[rand.IntN(len(busy))]
-	body, _, err := s.fetchOnce(ctx, addr, question{object: o, tier: tierHeld, wait: s.cfg.Wait, queue: true})
+	body, _, err := s.fetchFromPeer(ctx, addr, peerRequest{object: o, tier: tierHeld, wait: s.cfg.Wait, waitForSlot: true})
 	if errors.Is(err, errPending) {
 		err = errBusy
 	}
 	return body, err
 }
 
-// fetchOnce asks one peer, checks and keeps what it gives, and remembers
-// whether it answered.
-func (s *Swarm) fetchOnce(ctx context.Context, addr string, q question) ([]byte, []string, error) {
+// fetchFromPeer requests an object from one peer, and verifies and stores it. A
+// peer that does not respond is suspected; a delivered object ends the
+// suspicion.
+func (s *Swarm) fetchFromPeer(ctx context.Context, addr string, req peerRequest) ([]byte, []string, error) {
 	start := s.clock.Now()
-	body, holders, err := s.ask(ctx, addr, q)
+	body, holders, err := s.requestObject(ctx, addr, req)
 	if err == nil {
 		s.counters.peerBytes.Inc(int64(len(body)))
-		err = s.keep(q.object, body, addr, start)
+		err = s.verifyAndStore(req.object, body, addr, start)
 	}
 	if err == nil {
-		s.trust(addr)
+		s.clearSuspicion(addr)
 		return body, nil, nil
 	}
-	if ctx.Err() == nil && !answered(err) {
-		s.suspect(addr, err)
+	if ctx.Err() == nil && !peerAnswered(err) {
+		s.markSuspect(addr, err)
 	}
 	return nil, holders, err
 }
 
-// answered reports whether a peer that gave err is there and well.
-func answered(err error) bool {
-	for _, known := range []error{errPending, errMissing, errBusy, errFailing, ErrCorrupt, ErrFull} {
+// peerAnswered reports whether err shows that the peer responded.
+func peerAnswered(err error) bool {
+	for _, known := range []error{errPending, errMissing, errBusy, errPeerFailed, ErrCorrupt, ErrFull} {
 		if errors.Is(err, known) {
 			return true
 		}
@@ -258,58 +267,59 @@
 	return false
 }
 
-// keep checks an object and puts it into the store.
-func (s *Swarm) keep(o object, body []byte, from string, start time.Time) error {
+// verifyAndStore verifies the digest of an object and puts it into the store.
+// from is the source: a peer's address or "origin".
+func (s *Swarm) verifyAndStore(o object, body []byte, from string, start time.Time) error {
 	err := s.store.Put(o.digest, body)
 	if errors.Is(err, ErrCorrupt) {
-		s.counters.corrupt.Inc(1)
-		s.log.Fail(eventCorrupt, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "from": from})
+		s.counters.corruptChunks.Inc(1)
+		s.log.Fail(eventChunkCorrupt, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "from": from})
 		return core.Step("check chunk", from, err)
 	}
 	if err != nil {
 		return err
 	}
-	s.log.Event(eventObject, eventlog.Fields{
+	s.log.Event(eventChunkFetched, eventlog.Fields{
 		"version": o.version, "chunk": o.digest, "manifest": o.manifest, "from": from,
 		"bytes": len(body), "ms": s.clock.Since(start).Milliseconds(),
 	})
 	return nil
 }
 
-// fromOrigin reads an object from the weight store, and while that cannot be
-// read, from any neighbour that holds it.
-func (s *Swarm) fromOrigin(ctx context.Context, o object) ([]byte, error) {
-	if s.originFailedLately() {
-		if body, err := s.fromReaders(ctx, o); err == nil {
+// fetchFromOrigin reads an object from the weight store. If the store cannot be
+// read, it fetches the object from any peer that holds it.
+func (s *Swarm) fetchFromOrigin(ctx context.Context, o object) ([]byte, error) {
+	if s.originFailedRecently() {
+		if body, err := s.fetchFromOtherOwners(ctx, o); err == nil {
 			return body, nil
 		}
 	}
-	var last error
-	for range corruptTries + 1 {
+	var lastErr error
+	for range maxCorruptRetries + 1 {
 		body, err := s.readOrigin(ctx, o)
 		if err == nil {
 			return body, nil
 		}
-		last = err
+		lastErr = err
 		if !errors.Is(err, ErrCorrupt) {
 			break
 		}
 	}
-	if errors.Is(last, ErrFull) || ctx.Err() != nil {
-		return nil, last
+	if errors.Is(lastErr, ErrFull) || ctx.Err() != nil {
+		return nil, lastErr
 	}
-	s.originFailed()
-	s.log.Fail(eventOrigin, last, eventlog.Fields{"version": o.version, "chunk": o.digest})
-	if body, err := s.fromNeighbours(ctx, o); err == nil {
+	s.noteOriginFailure()
+	s.log.Fail(eventOriginUnavailable, lastErr, eventlog.Fields{"version": o.version, "chunk": o.digest})
+	if body, err := s.fetchFromNeighbours(ctx, o); err == nil {
 		return body, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // readOrigin reads an object from the weight store once.
 func (s *Swarm) readOrigin(ctx context.Context, o object) ([]byte, error) {
-	s.beginReading(o.digest)
-	defer s.endReading(o.digest)
+	s.beginOriginRead(o.digest)
+	defer s.endOriginRead(o.digest)
 	start := s.clock.Now()
 	name := manifest.ChunkName(o.digest)
 	if o.manifest {
@@ -321,31 +331,32 @@
 	}
 	n := int64(len(body))
 	s.counters.originBytes.Inc(n)
-	// The budget is paid after the read, when the size is known: it delays
-	// the next read.
-	if err := s.originLink.Wait(ctx, n); err != nil {
+	// The size is known only after the read, so the bandwidth limit delays the
+	// next read.
+	if err := s.originLimiter.Wait(ctx, n); err != nil {
 		return nil, err
 	}
-	if err := s.payInbound(ctx, s.cfg.OriginRegion, n); err != nil {
+	if err := s.waitInbound(ctx, s.cfg.OriginRegion, n); err != nil {
 		return nil, err
 	}
-	return body, s.keep(o, body, "origin", start)
+	return body, s.verifyAndStore(o, body, "origin", start)
 }
 
-// fromNeighbours asks the owners in other regions and a few other peers for
-// what they hold.
-func (s *Swarm) fromNeighbours(ctx context.Context, o object) ([]byte, error) {
-	others := s.ranking(o.version).first(o.digest, 0, func(p Peer) bool {
-		return p.ID != s.cfg.Self.ID && !s.suspected(p.Addr)
+// fetchFromNeighbours fetches an object from a holder among at most
+// maxNeighbours other agents: the highest-ranked one, and others chosen at
+// random.
+func (s *Swarm) fetchFromNeighbours(ctx context.Context, o object) ([]byte, error) {
+	others := s.ranking(o.version).top(o.digest, 0, func(p Peer) bool {
+		return p.ID != s.cfg.Self.ID && !s.isSuspected(p.Addr)
 	})
-	if len(others) > neighbours {
+	if len(others) > maxNeighbours {
 		rest := others[1:]
 		rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-		others = others[:neighbours]
+		others = others[:maxNeighbours]
 	}
 	var addrs []string
 	for _, p := range others {
 		addrs = append(addrs, p.Addr)
 	}
-	return s.fromHolders(ctx, addrs, o)
+	return s.fetchFromHolders(ctx, addrs, o)
 }
--- a/version/spread/outage.go
+++ b/version/spread/outage.go
@@ -10,86 +10,89 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// originDoubt is how long after a failed read of the origin an agent asks the
-// other owners of an object before it reads the origin again. It covers the
-// reading of a copy after an outage (48 pieces of 49,152 bytes over 15 Mbit/s
-// take 1.3 s).
-const originDoubt = 3 * time.Second
+// originSuspectPeriod is how long after a failed read of the origin an agent
+// requests an object from its other owners before it reads the origin again. It
+// is longer than a read of a whole version after an outage (48 chunks of 49,152
+// bytes over 15 Mbit/s take 1.3 s).
+const originSuspectPeriod = 3 * time.Second
 
-// ownersApart is how much later a stand-in reads the origin than the owner
-// before it when both find it back; a question between data centres takes a
-// few milliseconds.
-const ownersApart = 50 * time.Millisecond
+// ownerStagger is the delay after which an agent repeats its request to the
+// owners ranked before it, in case they started to read the origin at the same
+// moment. A request between data centres takes a few milliseconds.
+const ownerStagger = 50 * time.Millisecond
 
-// An outage of the origin makes owners pass an object on to each other. When the
-// origin is back, each of them would read it: one that reads says so, and the
-// others wait for it.
+// During an outage of the origin, owners fetch an object from each other. When
+// the origin is available again, each owner would read it. To avoid that, the
+// other owners request the object from an owner that is reading it, and wait for
+// this read.
 
-// originFailed notes that the origin could not be read.
-func (s *Swarm) originFailed() {
+// noteOriginFailure records the time of a failed read of the origin.
+func (s *Swarm) noteOriginFailure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.originFailure = s.clock.Now()
+	s.lastOriginFailure = s.clock.Now()
 }
 
-// originFailedLately reports whether another owner may hold what this agent is
-// about to read.
-func (s *Swarm) originFailedLately() bool {
+// originFailedRecently reports whether a read of the origin failed within
+// originSuspectPeriod, so that another owner may hold the object already.
+func (s *Swarm) originFailedRecently() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.originFailure.IsZero() && s.clock.Since(s.originFailure) < originDoubt
+	return !s.lastOriginFailure.IsZero() && s.clock.Since(s.lastOriginFailure) < originSuspectPeriod
 }
 
-// beginReading notes that an object is being read from the origin.
-func (s *Swarm) beginReading(d core.Digest) {
+// beginOriginRead records that a read of an object from the origin has started.
+func (s *Swarm) beginOriginRead(d core.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reading[d]++
+	s.originReads[d]++
 }
 
-// endReading ends beginReading.
-func (s *Swarm) endReading(d core.Digest) {
+// endOriginRead records that a read of an object from the origin has ended.
+func (s *Swarm) endOriginRead(d core.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reading[d]--
-	if s.reading[d] == 0 {
-		delete(s.reading, d)
+	s.originReads[d]--
+	if s.originReads[d] == 0 {
+		delete(s.originReads, d)
 	}
 }
 
-// isReading reports whether an object is being read from the origin.
-func (s *Swarm) isReading(d core.Digest) bool {
+// isReadingOrigin reports whether an object is being read from the origin.
+func (s *Swarm) isReadingOrigin(d core.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reading[d] > 0
+	return s.originReads[d] > 0
 }
 
-// fromReaders asks the other owners of an object for what they hold or are
-// reading from the origin, and waits for a read that is under way. Owners that
-// see the origin come back at the same moment would all read: a later one asks
-// those before it once more after a moment.
-func (s *Swarm) fromReaders(ctx context.Context, o object) ([]byte, error) {
-	owners := s.candidates(o, func(p Peer) bool { return true })
-	before := slices.IndexFunc(owners, func(p Peer) bool { return p.ID == s.cfg.Self.ID })
+// fetchFromOtherOwners fetches an object from another owner that holds it or is
+// reading it from the origin, and waits for a read in progress. Owners that find
+// the origin available again at the same moment would all read it. To avoid
+// that, an owner requests the object once more, after ownerStagger, from the
+// owners ranked before it.
+func (s *Swarm) fetchFromOtherOwners(ctx context.Context, o object) ([]byte, error) {
+	owners := s.ownerCandidates(o, func(p Peer) bool { return true })
+	selfIndex := slices.IndexFunc(owners, func(p Peer) bool { return p.ID == s.cfg.Self.ID })
 	others := slices.DeleteFunc(slices.Clone(owners), func(p Peer) bool { return p.ID == s.cfg.Self.ID })
-	body, err := s.fromReading(ctx, o, others)
-	if err == nil || before <= 0 {
+	body, err := s.fetchFromReadingPeers(ctx, o, others)
+	if err == nil || selfIndex <= 0 {
 		return body, err
 	}
 	select {
-	case <-s.clock.After(ownersApart):
+	case <-s.clock.After(ownerStagger):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	return s.fromReading(ctx, o, others[:before])
+	return s.fetchFromReadingPeers(ctx, o, others[:selfIndex])
 }
 
-// fromReading asks peers in turn for an object that they hold or are reading.
-func (s *Swarm) fromReading(ctx context.Context, o object, peers []Peer) ([]byte, error) {
+// fetchFromReadingPeers requests an object from each of peers in turn, and
+// returns it from the first that holds it or is reading it from the origin.
+func (s *Swarm) fetchFromReadingPeers(ctx context.Context, o object, peers []Peer) ([]byte, error) {
 	for _, p := range peers {
 		for {
-			q := question{object: o, tier: tierReading, wait: s.cfg.Wait}
-			body, _, err := s.fetchOnce(ctx, p.Addr, q)
+			req := peerRequest{object: o, tier: tierOriginRead, wait: s.cfg.Wait}
+			body, _, err := s.fetchFromPeer(ctx, p.Addr, req)
 			if err == nil {
 				return body, nil
 			}
--- a/version/spread/peers.go
+++ b/version/spread/peers.go
@@ -7,11 +7,14 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// rankingAge is how long a ranking is used before the peers are read again.
-const rankingAge = time.Second
+// maxRankingAge is how long a ranking is used before it is computed again from
+// the current peers.
+const maxRankingAge = time.Second
 
+// inRegion reports whether p is in this agent's region.
 func (s *Swarm) inRegion(p Peer) bool { return p.Region == s.cfg.Self.Region }
 
+// inDataCentre reports whether p is in this agent's data centre.
 func (s *Swarm) inDataCentre(p Peer) bool {
 	return p.DataCentre == s.cfg.Self.DataCentre && p.Region == s.cfg.Self.Region
 }
@@ -19,7 +22,7 @@
 // ranking returns the ranking of the agents that need or hold a version.
 func (s *Swarm) ranking(version core.Digest) *ranking {
 	s.mu.Lock()
-	v, ok := s.versions[version]
+	v, ok := s.fetches[version]
 	s.mu.Unlock()
 	if !ok {
 		return newRanking(s.cfg.Peers(version))
@@ -27,22 +30,24 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := s.clock.Now()
-	if v.ranking == nil || now.Sub(v.at) >= rankingAge {
+	if v.ranking == nil || now.Sub(v.rankedAt) >= maxRankingAge {
 		v.ranking = newRanking(v.peers())
-		v.at = now
+		v.rankedAt = now
 	}
 	return v.ranking
 }
 
-// candidates returns the agents that may own an object in scope: the first
-// few in hash order that are not suspected.
-func (s *Swarm) candidates(o object, in func(Peer) bool) []Peer {
-	trusted := func(p Peer) bool { return in(p) && !s.suspected(p.Addr) }
-	return s.ranking(o.version).first(o.digest, s.cfg.Owners, trusted)
+// ownerCandidates returns the agents that may own an object: the first
+// Config.Owners agents in the order of the ranking that satisfy include and are
+// not suspected.
+func (s *Swarm) ownerCandidates(o object, include func(Peer) bool) []Peer {
+	trusted := func(p Peer) bool { return include(p) && !s.isSuspected(p.Addr) }
+	return s.ranking(o.version).top(o.digest, s.cfg.Owners, trusted)
 }
 
-// suspected reports whether the peer at addr is passed over for now.
-func (s *Swarm) suspected(addr string) bool {
+// isSuspected reports whether the peer at addr is currently suspected, and
+// therefore skipped.
+func (s *Swarm) isSuspected(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	until, ok := s.suspects[addr]
@@ -53,19 +58,19 @@
 	return ok
 }
 
-// suspect passes the peer at addr over for a while.
-func (s *Swarm) suspect(addr string, err error) {
+// markSuspect marks the peer at addr as suspected for Config.Suspect.
+func (s *Swarm) markSuspect(addr string, err error) {
 	s.mu.Lock()
 	_, already := s.suspects[addr]
 	s.suspects[addr] = s.clock.Now().Add(s.cfg.Suspect)
 	s.mu.Unlock()
 	if !already {
-		s.log.Fail(eventSuspect, err, eventlog.Fields{"peer": addr})
+		s.log.Fail(eventPeerSuspect, err, eventlog.Fields{"peer": addr})
 	}
 }
 
-// trust ends the suspicion of a peer that gave a whole answer.
-func (s *Swarm) trust(addr string) {
+// clearSuspicion ends the suspicion of a peer that sent a complete object.
+func (s *Swarm) clearSuspicion(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.suspects, addr)
--- a/version/spread/rank.go
+++ b/version/spread/rank.go
@@ -8,15 +8,16 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// ranking orders peers for each object by rendezvous hashing: every agent
-// that sees the same peers computes the same order, and a peer that comes or
-// goes moves only the objects that it owns.
+// ranking orders peers for each object by rendezvous hashing. Every agent with
+// the same list of peers computes the same order. When a peer joins or leaves,
+// only the objects that it owns get another owner.
 type ranking struct {
 	peers []Peer
+	// seeds holds the hash of each peer's identifier, in the order of peers.
 	seeds []uint64
 }
 
-// newRanking returns a ranking over the peers that are not leaving.
+// newRanking returns a ranking of the peers that are not leaving.
 func newRanking(peers []Peer) *ranking {
 	r := &ranking{}
 	for _, p := range peers {
@@ -29,7 +30,8 @@
 	return r
 }
 
-// score is the rendezvous weight of a peer for an object.
+// score returns the rendezvous weight of a peer for an object. seed and object
+// are the hashes of the peer's identifier and the object's digest.
 func score(seed, object uint64) uint64 {
 	x := seed ^ object
 	x ^= x >> 33
@@ -40,9 +42,9 @@
 	return x
 }
 
-// first returns up to limit peers that satisfy in, best first. limit 0 means
-// all of them.
-func (r *ranking) first(d core.Digest, limit int, in func(Peer) bool) []Peer {
+// top returns up to limit peers that satisfy include, the highest score first.
+// limit 0 means all of them.
+func (r *ranking) top(d core.Digest, limit int, include func(Peer) bool) []Peer {
 	type scored struct {
 		peer  Peer
 		score uint64
@@ -50,7 +52,7 @@
 	object := xxhash.Sum64String(string(d))
 	var all []scored
 	for i, p := range r.peers {
-		if in(p) {
+		if include(p) {
 			all = append(all, scored{p, score(r.seeds[i], object)})
 		}
 	}
@@ -65,12 +67,13 @@
 	return out
 }
 
-// owner returns the index of the best peer that satisfies in, -1 for none.
-func (r *ranking) owner(d core.Digest, in func(Peer) bool) int {
+// ownerIndex returns the index in r.peers of the peer with the highest score
+// that satisfies include, or -1 if there is none.
+func (r *ranking) ownerIndex(d core.Digest, include func(Peer) bool) int {
 	object := xxhash.Sum64String(string(d))
 	best, found := uint64(0), -1
 	for i, p := range r.peers {
-		if !in(p) {
+		if !include(p) {
 			continue
 		}
 		if s := score(r.seeds[i], object); found < 0 || s > best {
--- a/version/spread/region.go
+++ b/version/spread/region.go
@@ -8,36 +8,42 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// regionLink is an agent's part of the link between its region and the others.
-// While versions are fetched it is the share of the region's budget that
-// belongs to the chunks this agent owns, since the owners alone read over the
-// link; at other times it is an even share. Either way the shares of all agents
-// of a region add up to the budget.
-type regionLink struct {
+// regionLimiter limits the bandwidth that one agent may use on the link between
+// its region and the others. While the agent fetches versions, its share of the
+// region's budget is proportional to the number of chunks that it owns, since
+// only owners read over the link. At other times it is an even share. Either
+// way the shares of all agents of a region add up to the budget.
+type regionLimiter struct {
 	*Link
 
-	mu     sync.Mutex
-	budget int64
-	even   int64
-	owned  map[core.Digest]ownedChunks
+	mu sync.Mutex
+	// budget is the limit of all agents of the region together, and evenShare
+	// the limit of this agent while it fetches no version, in bytes per
+	// second; 0 means no limit.
+	budget    int64
+	evenShare int64
+	// owned has an entry for each version that is being fetched.
+	owned map[core.Digest]ownedChunks
 }
 
-// ownedChunks counts the chunks of a version that this agent owns.
+// ownedChunks counts the chunks of a version: those that this agent owns, and
+// all.
 type ownedChunks struct {
 	own, all int
 	// largest is the size of the largest owned chunk, in bytes.
 	largest int64
 }
 
-func newRegionLink() *regionLink {
-	return &regionLink{
+// newRegionLimiter returns a regionLimiter without a limit.
+func newRegionLimiter() *regionLimiter {
+	return &regionLimiter{
 		Link:  &Link{limiter: rate.NewLimiter(rate.Inf, pieceBytes)},
 		owned: map[core.Digest]ownedChunks{},
 	}
 }
 
-// set changes one of the values and follows it.
-func (r *regionLink) set(change func()) {
+// update calls change with r.mu held and applies the new limit.
+func (r *regionLimiter) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
@@ -47,51 +53,55 @@
 		sum.all += o.all
 		sum.largest = max(sum.largest, o.largest)
 	}
-	// One owned chunk may be read at once: the due times spread the chunks.
+	// A whole owned chunk may be read at once, since the due times spread the
+	// reads of the chunks over time.
 	r.limiter.SetBurst(int(max(pieceBytes, sum.largest)))
-	r.limiter.SetLimit(r.limit(sum))
+	r.limiter.SetLimit(r.currentLimit(sum))
 }
 
-// limit returns the budget of this agent; r.mu is held.
-func (r *regionLink) limit(sum ownedChunks) rate.Limit {
+// currentLimit returns the limit of this agent. sum holds the totals of the
+// versions that are being fetched. The caller must hold r.mu.
+func (r *regionLimiter) currentLimit(sum ownedChunks) rate.Limit {
 	switch {
 	case r.budget > 0 && sum.all > 0:
 		return rate.Limit(float64(r.budget) * float64(max(1, sum.own)) / float64(sum.all))
-	case r.even > 0:
-		return rate.Limit(r.even)
+	case r.evenShare > 0:
+		return rate.Limit(r.evenShare)
 	}
 	return rate.Inf
 }
 
-// total returns the budget of all agents of the region together.
-func (r *regionLink) total() int64 {
+// regionBudget returns the limit of all agents of the region together, in bytes
+// per second.
+func (r *regionLimiter) regionBudget() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budget
 }
 
-// SetRegionBudget sets what all agents of this region together may use of the
-// link to other regions, in bytes per second; 0 means no limit. It does nothing
-// when the settings give a budget.
+// SetRegionBudget sets the bandwidth that all agents of this region together may
+// use on the link to other regions, in bytes per second; 0 means no limit. It
+// has no effect if Config.RegionBytesPerSecond is set.
 func (s *Swarm) SetRegionBudget(bytesPerSecond int64) {
 	if s.cfg.RegionBytesPerSecond == 0 {
-		s.region.set(func() { s.region.budget = bytesPerSecond })
+		s.regionLimiter.update(func() { s.regionLimiter.budget = bytesPerSecond })
 	}
 }
 
-// SetRegionRate sets what this agent may use of the link between regions while
-// it fetches no version, in bytes per second; 0 means no limit.
+// SetRegionRate sets the bandwidth that this agent may use on the link to other
+// regions while it fetches no version, in bytes per second; 0 means no limit.
 func (s *Swarm) SetRegionRate(bytesPerSecond int64) {
-	s.region.set(func() { s.region.even = bytesPerSecond })
+	s.regionLimiter.update(func() { s.regionLimiter.evenShare = bytesPerSecond })
 }
 
-// own notes the chunks of a version that this agent owns; nil forgets it.
-func (r *regionLink) own(version core.Digest, own []dueChunk, chunks int) {
+// setOwnedChunks records the chunks of a version that this agent owns, and the
+// version's total number of chunks. If chunks is 0, it removes the version.
+func (r *regionLimiter) setOwnedChunks(version core.Digest, own []dueChunk, chunks int) {
 	o := ownedChunks{own: len(own), all: chunks}
 	for _, c := range own {
 		o.largest = max(o.largest, c.Size)
 	}
-	r.set(func() {
+	r.update(func() {
 		delete(r.owned, version)
 		if chunks > 0 {
 			r.owned[version] = o
--- a/version/spread/schedule.go
+++ b/version/spread/schedule.go
@@ -11,32 +11,33 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// schedule deals the chunks of a version to the workers of one agent. Each
-// chunk has a time from which it may be asked for: that at which the origin's
-// link can have sent it, if all chunks are sent in order. Owners that keep to
-// it share the origin's link chunk by chunk rather than all at once, and
-// readers ask only for what is there.
+// schedule hands out the chunks of a version to the workers of one agent. Each
+// chunk has a due time, before which it is not requested. This is the time at
+// which the origin's link can have sent all chunks before it, if the chunks are
+// sent in order. The due times spread the owners' reads of the origin, and make
+// other agents request a chunk only once its owner is likely to hold it.
 type schedule struct {
-	clock   clockwork.Clock
+	clock clockwork.Clock
+	// shuffle hands out the due chunks in random order.
 	shuffle bool
 
 	mu     sync.Mutex
 	chunks []dueChunk
 }
 
-// dueChunk is a chunk with the time from which it may be asked for.
+// dueChunk is a chunk with the time from which it may be requested.
 type dueChunk struct {
 	manifest.Chunk
 	due time.Time
 }
 
-// newSchedule returns a schedule of chunks in the order of their due times. With
-// shuffle the due chunks are dealt in random order.
+// newSchedule returns a schedule of chunks, which must be in the order of their
+// due times. With shuffle the due chunks are handed out in random order.
 func newSchedule(chunks []dueChunk, shuffle bool, clock clockwork.Clock) *schedule {
 	return &schedule{chunks: chunks, shuffle: shuffle, clock: clock}
 }
 
-// next returns a chunk that is due, waiting for one; false when none is left.
+// next waits until a chunk is due and returns it, or false if none is left.
 func (s *schedule) next(ctx context.Context) (manifest.Chunk, bool, error) {
 	for {
 		c, wait, ok := s.take()
@@ -51,7 +52,8 @@
 	}
 }
 
-// take removes a due chunk, or says how long there is none.
+// take removes and returns a due chunk. If no chunk is due, it returns the time
+// until the next one is due, and false if none is left.
 func (s *schedule) take() (manifest.Chunk, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,18 +77,18 @@
 	return c, 0, true
 }
 
-// deal splits the chunks of a version into those this agent owns in its region
-// and the others, each with its due time.
-func (s *Swarm) deal(r *ranking, chunks []manifest.Chunk, start time.Time) (own, others []dueChunk) {
+// splitByOwner splits the chunks of a version into the chunks that this agent
+// owns in its region and the others, each with its due time.
+func (s *Swarm) splitByOwner(r *ranking, chunks []manifest.Chunk, start time.Time) (own, others []dueChunk) {
 	perSecond := s.regionRate(r)
-	var before int64
+	var precedingBytes int64
 	for _, c := range chunks {
 		due := start
 		if perSecond > 0 {
-			due = start.Add(time.Duration(float64(before) / perSecond * float64(time.Second)))
+			due = start.Add(time.Duration(float64(precedingBytes) / perSecond * float64(time.Second)))
 		}
-		before += c.Size
-		owner := r.owner(c.Digest, s.inRegion)
+		precedingBytes += c.Size
+		owner := r.ownerIndex(c.Digest, s.inRegion)
 		if owner < 0 || r.peers[owner].ID == s.cfg.Self.ID {
 			own = append(own, dueChunk{c, due})
 		} else {
@@ -96,23 +98,25 @@
 	return own, others
 }
 
-// regionRate returns the bytes per second at which this region can be sent a
-// version: its part of the origin's link, or the budget of the link between
-// the regions when that is less. 0 means that neither is known.
+// regionRate returns the rate at which this region can receive a version, in
+// bytes per second: its share of the origin's bandwidth, or the budget of the
+// link between regions if the origin is in another region and the budget is
+// lower. 0 means that neither is limited.
 func (s *Swarm) regionRate(r *ranking) float64 {
 	regions := map[string]bool{s.cfg.Self.Region: true}
 	for _, p := range r.peers {
 		regions[p.Region] = true
 	}
 	perSecond := float64(s.cfg.OriginBytesPerSecond) / float64(len(regions))
-	budget := float64(s.region.total())
-	if s.behindRegionLink() && budget > 0 && (perSecond == 0 || budget < perSecond) {
+	budget := float64(s.regionLimiter.regionBudget())
+	if s.originInOtherRegion() && budget > 0 && (perSecond == 0 || budget < perSecond) {
 		perSecond = budget
 	}
 	return perSecond
 }
 
-// behindRegionLink reports whether the origin stands in another region.
-func (s *Swarm) behindRegionLink() bool {
+// originInOtherRegion reports whether the origin is known to be in another
+// region.
+func (s *Swarm) originInOtherRegion() bool {
 	return s.cfg.OriginRegion != "" && s.cfg.OriginRegion != s.cfg.Self.Region
 }
--- a/version/spread/spread.go
+++ b/version/spread/spread.go
@@ -1,6 +1,6 @@
-// Package spread brings the chunks of a version to the agents that need it:
-// each chunk is scattered from the origin to one owner per region and then
-// gathered by all others from whoever holds it.
+// Package spread distributes the chunks of a version to the agents that need
+// it, peer to peer. One owner per region reads each chunk from the origin, and
+// the other agents fetch the chunk from any agent that holds it.
 package spread
 
 import (
@@ -19,22 +19,24 @@
 // Peer is an agent that needs or holds a version.
 type Peer = core.Instance
 
-// Store holds verified chunks in memory, bounded by a setting.
+// Store holds verified chunks in memory, up to a configured size.
 type Store interface {
-	// Get returns a held chunk; it must not be changed.
+	// Get returns the chunk with digest d and whether it is held. The caller
+	// must not modify the bytes.
 	Get(d core.Digest) ([]byte, bool)
-	// Put checks body against d and keeps it; an error says that the digest
-	// differs or that the memory bound is reached.
+	// Put stores body under its digest d. It returns an error if body does not
+	// match d or exceeds the memory limit.
 	Put(d core.Digest, body []byte) error
-	// Retain keeps only the chunks of these manifests.
+	// Retain drops every chunk that is not in one of the manifests in keep.
 	Retain(keep []*manifest.Manifest)
-	// Bytes returns the bytes held.
+	// Bytes returns the total size of the held chunks, in bytes.
 	Bytes() int64
 }
 
-// Fetcher brings whole versions into a Store.
+// Fetcher fetches whole versions into a Store.
 type Fetcher interface {
 	// Fetch returns once every chunk of the version with manifest digest d
-	// is held and verified. peers are the agents that need or hold it.
+	// is held and verified. peers returns the agents that need or hold the
+	// version.
 	Fetch(ctx context.Context, d core.Digest, peers func() []Peer) (*manifest.Manifest, error)
 }
--- a/version/spread/store.go
+++ b/version/spread/store.go
@@ -9,28 +9,30 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// Errors of a Store.
+// Errors that Store.Put returns.
 var (
-	// ErrCorrupt says that bytes do not have the digest they were given as.
+	// ErrCorrupt is returned when the bytes of an object do not match its
+	// digest.
 	ErrCorrupt = errors.New("digest does not match the bytes")
-	// ErrFull says that the store's memory bound is reached.
+	// ErrFull is returned when an object does not fit into the store's memory
+	// limit.
 	ErrFull = errors.New("chunk memory is full")
 )
 
-// MemStore is a Store in memory. It holds manifests and chunks alike, each
-// under its own digest. It is safe for concurrent use.
+// MemStore is a Store in memory. It holds both manifests and chunks, each under
+// its digest. It is safe for concurrent use.
 type MemStore struct {
 	maxBytes int64
 
 	mu     sync.Mutex
 	bytes  int64
 	bodies map[core.Digest][]byte
-	// arrivals holds a channel for each digest that someone waits for; it is
-	// closed when the digest arrives.
+	// arrivals holds the channels that Arrival returned for objects that are
+	// not held yet. A channel is closed when its object is stored.
 	arrivals map[core.Digest]chan struct{}
 }
 
-// NewStore returns an empty MemStore that holds at most maxBytes.
+// NewStore returns an empty MemStore that holds at most maxBytes bytes.
 func NewStore(maxBytes int64) *MemStore {
 	return &MemStore{
 		maxBytes: maxBytes,
@@ -47,7 +49,8 @@
 	return body, ok
 }
 
-// Put implements Store. It returns ErrCorrupt or ErrFull.
+// Put implements Store. It returns ErrCorrupt if body does not match d, and
+// ErrFull if the memory limit would be exceeded.
 func (s *MemStore) Put(d core.Digest, body []byte) error {
 	if !d.Matches(body) {
 		return ErrCorrupt
@@ -69,7 +72,8 @@
 	return nil
 }
 
-// Arrival returns a channel that is closed once d is held.
+// Arrival returns a channel that is closed once the object with digest d is
+// held.
 func (s *MemStore) Arrival(d core.Digest) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,21 +90,21 @@
 	return arrived
 }
 
-// Retain implements Store. The manifests themselves are kept as well.
+// Retain implements Store. It also keeps the manifests themselves.
 func (s *MemStore) Retain(keep []*manifest.Manifest) {
-	wanted := map[core.Digest]bool{}
+	retained := map[core.Digest]bool{}
 	for _, m := range keep {
 		if _, d, err := m.Encode(); err == nil {
-			wanted[d] = true
+			retained[d] = true
 		}
 		for _, c := range m.Chunks() {
-			wanted[c.Digest] = true
+			retained[c.Digest] = true
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for d, body := range s.bodies {
-		if wanted[d] {
+		if retained[d] {
 			continue
 		}
 		s.bytes -= int64(len(body))
@@ -122,5 +126,5 @@
 	return len(s.bodies)
 }
 
-// MaxBytes returns the memory bound, in bytes.
+// MaxBytes returns the memory limit, in bytes.
 func (s *MemStore) MaxBytes() int64 { return s.maxBytes }
--- a/version/spread/swarm_test.go
+++ b/version/spread/swarm_test.go
@@ -23,16 +23,17 @@
 const (
 	testToken      = "peer-token"
 	testChunkBytes = 1 << 10
-	testBound      = 20 * time.Second
+	testTimeout    = 20 * time.Second
 )
 
-// fakeOrigin is a weight store in memory that counts what is drawn from it.
+// fakeOrigin is a weight store in memory that counts the reads and the bytes
+// read.
 type fakeOrigin struct {
-	mu      sync.Mutex
-	objects map[string][]byte
-	drawn   int64
-	reads   map[string]int
-	// fault, when set, may replace an answer.
+	mu        sync.Mutex
+	objects   map[string][]byte
+	bytesRead int64
+	reads     map[string]int
+	// fault, if set, may replace the result of a read.
 	fault func(name string, body []byte) ([]byte, error)
 }
 
@@ -54,7 +55,7 @@
 		}
 	}
 	o.reads[name]++
-	o.drawn += int64(len(body))
+	o.bytesRead += int64(len(body))
 	return body, nil
 }
 
@@ -65,7 +66,8 @@
 	return nil
 }
 
-// publish stores a version of n chunks and returns its digest and manifest.
+// publish stores a version of n chunks, whose content depends on seed, and
+// returns its manifest digest and manifest.
 func (o *fakeOrigin) publish(t *testing.T, seed string, n int) (core.Digest, *manifest.Manifest) {
 	t.Helper()
 	var content strings.Builder
@@ -80,16 +82,17 @@
 	return d, m
 }
 
-// fakeAgent is a Swarm behind a server on the loopback address.
+// fakeAgent is a Swarm with an HTTP server on the loopback address.
 type fakeAgent struct {
 	*Swarm
 	server *httptest.Server
 	store  *MemStore
 }
 
-// agents starts n agents, dealt in turn over the named data centres, given as
-// "region/data centre". tune may change each agent's settings.
-func startAgents(t *testing.T, n int, origin platform.Objects, sites []string, tune func(i int, c *Config)) []*fakeAgent {
+// startAgents starts n agents and distributes them round-robin over the data
+// centres, each given as "region/data centre". configure, if not nil, may change
+// the settings of each agent.
+func startAgents(t *testing.T, n int, origin platform.Objects, dataCentres []string, configure func(i int, c *Config)) []*fakeAgent {
 	t.Helper()
 	var all []*fakeAgent
 	peers := func() []Peer {
@@ -100,7 +103,7 @@
 		return list
 	}
 	for i := range n {
-		region, dc, _ := strings.Cut(sites[i%len(sites)], "/")
+		region, dc, _ := strings.Cut(dataCentres[i%len(dataCentres)], "/")
 		a := &fakeAgent{store: NewStore(1 << 30), server: httptest.NewUnstartedServer(nil)}
 		cfg := Config{
 			Self: core.Instance{
@@ -115,8 +118,8 @@
 			Peers:        func(core.Digest) []Peer { return peers() },
 			Metrics:      metrics.NewRegistry(),
 		}
-		if tune != nil {
-			tune(i, &cfg)
+		if configure != nil {
+			configure(i, &cfg)
 		}
 		a.Swarm = NewFetcher(cfg, a.store, origin, eventlog.Discard(), clockwork.NewRealClock())
 		a.server.Config.Handler = Handler(a.Swarm, testToken)
@@ -129,20 +132,20 @@
 	return all
 }
 
-// stop ends the agent and its connections.
+// stop stops the agent and closes its connections.
 func (a *fakeAgent) stop() {
 	a.Close()
 	a.server.CloseClientConnections()
 	a.server.Close()
 }
 
-// fetchAll fetches a version at every agent and returns the first error.
-func fetchAll(agents []*fakeAgent, d core.Digest) error { return fetchPart(agents, agents, d) }
+// fetchAll fetches a version on every agent and returns the first error.
+func fetchAll(agents []*fakeAgent, d core.Digest) error { return fetchWithView(agents, agents, d) }
 
-// fetchPart fetches a version at some agents, each of which sees those of view
-// as its peers, and returns the first error.
-func fetchPart(agents, view []*fakeAgent, d core.Digest) error {
-	ctx, cancel := context.WithTimeout(context.Background(), testBound)
+// fetchWithView fetches a version on agents, with the agents in view as their
+// list of peers, and returns the first error.
+func fetchWithView(agents, view []*fakeAgent, d core.Digest) error {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var peers []Peer
 	for _, a := range view {
@@ -164,8 +167,8 @@
 	return first
 }
 
-// wholeEverywhere reports whether every agent holds every chunk.
-func wholeEverywhere(agents []*fakeAgent, m *manifest.Manifest) bool {
+// allHold reports whether every agent holds every chunk of m.
+func allHold(agents []*fakeAgent, m *manifest.Manifest) bool {
 	for _, a := range agents {
 		for _, c := range m.Chunks() {
 			if body, ok := a.store.Get(c.Digest); !ok || !c.Digest.Matches(body) {
@@ -176,27 +179,28 @@
 	return true
 }
 
-// copies returns the bytes drawn in units of the version and its manifest.
-func copies(origin *fakeOrigin, m *manifest.Manifest) float64 {
+// copiesRead returns the bytes read from origin, divided by the total size of the
+// version and its manifest.
+func copiesRead(origin *fakeOrigin, m *manifest.Manifest) float64 {
 	origin.mu.Lock()
 	defer origin.mu.Unlock()
 	body, _, _ := m.Encode()
-	return float64(origin.drawn) / float64(m.Size()+int64(len(body)))
+	return float64(origin.bytesRead) / float64(m.Size()+int64(len(body)))
 }
 
-func TestFetchDrawsTheOriginOncePerRegion(t *testing.T) {
-	for _, sites := range [][]string{{"r1/a"}, {"r1/a", "r1/b"}, {"r1/a", "r1/b", "r2/c"}} {
-		Convey(fmt.Sprintf("Given twelve agents over %v", sites), t, func() {
+func TestFetchReadsTheOriginOncePerRegion(t *testing.T) {
+	for _, dataCentres := range [][]string{{"r1/a"}, {"r1/a", "r1/b"}, {"r1/a", "r1/b", "r2/c"}} {
+		Convey(fmt.Sprintf("Given twelve agents in the data centres %v", dataCentres), t, func() {
 			origin := newFakeOrigin()
 			d, m := origin.publish(t, "v1", 64)
-			agents := startAgents(t, 12, origin, sites, nil)
+			agents := startAgents(t, 12, origin, dataCentres, nil)
 			So(fetchAll(agents, d), ShouldBeNil)
-			So(wholeEverywhere(agents, m), ShouldBeTrue)
+			So(allHold(agents, m), ShouldBeTrue)
 			regions := map[string]bool{}
 			for _, a := range agents {
 				regions[a.cfg.Self.Region] = true
 			}
-			So(copies(origin, m), ShouldBeLessThanOrEqualTo, 1.05*float64(len(regions)))
+			So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.05*float64(len(regions)))
 		})
 	}
 }
