--- a/version/placement/placement.go
+++ b/version/placement/placement.go
@@ -1,7 +1,8 @@
-// Package placement decides which backend servers hold which versions. There
-// is no placer process: every agent computes the same plan from the same
-// declarations and live list, and works on its own part of it. Views that
-// differ for a moment give a few replicas more or less, never a wrong one.
+// Package placement assigns model versions to backend servers. There is no
+// central scheduler: every agent computes the same plan from the same
+// declarations and the same list of live instances, and carries out its own
+// part. While these inputs differ between agents, there may be a few replicas
+// too many or too few, but never a wrong one.
 package placement
 
 import (
@@ -13,81 +14,92 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Want is one version that a backend server is to hold.
+// Want is one version that is assigned to a backend server.
 type Want struct {
 	// Model and Version name the version.
 	Model   string
 	Version string
-	// Digest is the version's manifest digest.
+	// Digest is the digest of the version's manifest.
 	Digest core.Digest
-	// Base is the manifest digest an adapter builds on, wanted as well;
-	// empty for a full model.
+	// Base is the manifest digest of the base version that an adapter needs,
+	// which is assigned to the server as well; empty for a full model.
 	Base core.Digest
-	// Rank is the server's place in the model's order, from 0.
+	// Rank is the position of the server among the servers of the version,
+	// from 0.
 	Rank int
 }
 
-// Plan says which servers hold which versions.
+// Plan is the assignment of versions to servers.
 type Plan struct {
-	wanted  map[string][]Want
-	needers map[core.Digest][]core.Instance
+	assignments    map[string][]Want
+	assignedAgents map[core.Digest][]core.Instance
 }
 
-// Wanted returns the versions that a server is to hold, bases before the
-// adapters that need them.
-func (p *Plan) Wanted(server string) []Want { return p.wanted[server] }
+// Wanted returns the versions that are assigned to a server, base versions before
+// the adapters that need them.
+func (p *Plan) Wanted(server string) []Want { return p.assignments[server] }
 
-// Needers returns the agents of the servers that are to hold the version with
-// manifest digest d, in the order of their rank.
-func (p *Plan) Needers(d core.Digest) []core.Instance { return p.needers[d] }
+// Needers returns the agents of the servers to which the version with manifest
+// digest d is assigned, in the order of their rank.
+func (p *Plan) Needers(d core.Digest) []core.Instance { return p.assignedAgents[d] }
 
-// Compute returns the plan for a set and the live list.
+// Compute returns the plan for the declarations in set and the list of live
+// instances.
 //
-// Each model is placed on Replicas servers by rendezvous hashing over the
-// model's name, so that the next version of a model falls on the servers that
-// hold the last one. Servers are taken that are declared, run an engine, stand
-// in the model's data centres, are live, are not leaving and have a slot left.
-// A server in a data centre that is out keeps its versions, so that it is warm
-// when it returns, but is not counted as a replica.
+// Each model is placed on Replicas servers by rendezvous hashing of the model's
+// name, so that the next version of a model is placed on the servers that hold
+// the previous one. A server is eligible if it is declared, runs an engine, is in
+// one of the model's data centres, is live, is not leaving and has a free slot. A
+// server in a data centre that is out keeps its versions, so that they are
+// already loaded when the data centre returns, but it does not count as a
+// replica.
 func Compute(set *declare.Set, live []core.Instance) *Plan {
 	b := newBuilder(set, live)
-	for _, m := range b.models(false) {
-		b.candidates(m)
+	for _, m := range b.selectModels(false) {
+		b.addCandidates(m)
 	}
-	b.assign()
-	for _, m := range b.models(true) {
-		b.candidates(m)
+	b.placeByScore()
+	for _, m := range b.selectModels(true) {
+		b.addCandidates(m)
 	}
-	b.assign()
-	return b.plan()
+	b.placeByScore()
+	return b.buildPlan()
 }
 
-// builder holds what Compute works out.
+// builder holds the intermediate state of Compute.
 type builder struct {
-	set      *declare.Set
-	agents   map[string]core.Instance
-	free     map[string]int
-	pairs    []pair
+	set *declare.Set
+	// agents holds the live agents that are not leaving, by the name of their
+	// server.
+	agents map[string]core.Instance
+	// freeSlots holds the number of free slots of each server.
+	freeSlots  map[string]int
+	candidates []candidate
+	// replicas counts the servers that count as replicas of each model.
 	replicas map[string]int
-	placed   map[string][]Want
-	order    map[core.Digest][]string
+	// assigned holds the assignments of each server.
+	assigned map[string][]Want
+	// serversOf holds the names of the servers of each version, by manifest
+	// digest and in the order of rank.
+	serversOf map[core.Digest][]string
 }
 
-// pair is a model that may be placed on a server.
-type pair struct {
+// candidate is a model that may be placed on a server.
+type candidate struct {
 	model  *declare.Model
 	server *declare.BackendServer
 	score  uint64
 }
 
+// newBuilder returns a builder without candidates and assignments.
 func newBuilder(set *declare.Set, live []core.Instance) *builder {
 	b := &builder{
-		set:      set,
-		agents:   map[string]core.Instance{},
-		free:     map[string]int{},
-		replicas: map[string]int{},
-		placed:   map[string][]Want{},
-		order:    map[core.Digest][]string{},
+		set:       set,
+		agents:    map[string]core.Instance{},
+		freeSlots: map[string]int{},
+		replicas:  map[string]int{},
+		assigned:  map[string][]Want{},
+		serversOf: map[core.Digest][]string{},
 	}
 	for _, i := range live {
 		if i.Role == core.RoleAgent && !i.Leaving {
@@ -95,40 +107,42 @@
 		}
 	}
 	for name, s := range set.BackendServers {
-		b.free[name] = max(1, s.Slots)
+		b.freeSlots[name] = max(1, s.Slots)
 	}
 	return b
 }
 
-// models returns the models whose version is, or is not, an adapter.
-func (b *builder) models(adapters bool) []*declare.Model {
-	var out []*declare.Model
+// selectModels returns the models whose version is an adapter if adapters is
+// true, and all other models otherwise.
+func (b *builder) selectModels(adapters bool) []*declare.Model {
+	var selected []*declare.Model
 	for _, m := range b.set.Models {
 		v, ok := b.set.Versions[m.Version]
 		if ok && (v.Base != "") == adapters {
-			out = append(out, m)
+			selected = append(selected, m)
 		}
 	}
-	return out
+	return selected
 }
 
-// candidates adds the pairs of a model and the servers that may hold it.
-func (b *builder) candidates(m *declare.Model) {
+// addCandidates adds a candidate for each server on which a model may be placed.
+func (b *builder) addCandidates(m *declare.Model) {
 	base := b.set.Versions[m.Version].Base
 	for _, s := range b.set.BackendServers {
 		if !b.eligible(m, s) {
 			continue
 		}
-		// Half of the range is kept for servers that hold an adapter's base.
+		// The upper half of the range is reserved for servers that hold the
+		// base of an adapter.
 		score := xxhash.Sum64String(m.Name+"\x00"+s.Name) >> 1
-		if base != "" && b.holds(s.Name, base) {
+		if base != "" && b.isAssigned(s.Name, base) {
 			score |= 1 << 63
 		}
-		b.pairs = append(b.pairs, pair{m, s, score})
+		b.candidates = append(b.candidates, candidate{m, s, score})
 	}
 }
 
-// eligible reports whether a server may hold a model.
+// eligible reports whether a model may be placed on a server.
 func (b *builder) eligible(m *declare.Model, s *declare.BackendServer) bool {
 	if _, live := b.agents[s.Name]; !live || s.Service != "" || s.Leaving {
 		return false
@@ -144,9 +158,9 @@
 	return false
 }
 
-// holds reports whether a server is already to hold a version.
-func (b *builder) holds(server, version string) bool {
-	for _, w := range b.placed[server] {
+// isAssigned reports whether a version is already assigned to a server.
+func (b *builder) isAssigned(server, version string) bool {
+	for _, w := range b.assigned[server] {
 		if w.Version == version {
 			return true
 		}
@@ -154,49 +168,51 @@
 	return false
 }
 
-// assign takes the pairs in the order of their score. Going through all
-// models at once, rather than model by model, keeps a new model from moving
-// the others but where it scores higher.
-func (b *builder) assign() {
-	sort.Slice(b.pairs, func(i, j int) bool {
-		x, y := b.pairs[i], b.pairs[j]
+// placeByScore places the candidates in descending order of their score, and
+// removes them. Sorting the candidates of all models together, rather than model
+// by model, makes a new model displace another model only where the new model
+// has a higher score.
+func (b *builder) placeByScore() {
+	sort.Slice(b.candidates, func(i, j int) bool {
+		x, y := b.candidates[i], b.candidates[j]
 		if x.score != y.score {
 			return x.score > y.score
 		}
 		return x.model.Name+x.server.Name < y.model.Name+y.server.Name
 	})
-	for _, p := range b.pairs {
-		if b.replicas[p.model.Name] < p.model.Replicas {
-			b.place(p)
+	for _, c := range b.candidates {
+		if b.replicas[c.model.Name] < c.model.Replicas {
+			b.place(c)
 		}
 	}
-	b.pairs = nil
+	b.candidates = nil
 }
 
-// place puts a model, and the base that it needs, on a server.
-func (b *builder) place(p pair) {
-	v := b.set.Versions[p.model.Version]
-	wants := []Want{b.want(v)}
-	if base, ok := b.set.Versions[v.Base]; ok && !b.holds(p.server.Name, v.Base) {
-		wants = []Want{b.want(base), b.want(v)}
+// place assigns a model's version, and the base that it needs, to a server. It
+// does nothing if the server has too few free slots.
+func (b *builder) place(c candidate) {
+	v := b.set.Versions[c.model.Version]
+	assignments := []Want{b.newAssignment(v)}
+	if base, ok := b.set.Versions[v.Base]; ok && !b.isAssigned(c.server.Name, v.Base) {
+		assignments = []Want{b.newAssignment(base), b.newAssignment(v)}
 	}
-	if b.free[p.server.Name] < len(wants) {
+	if b.freeSlots[c.server.Name] < len(assignments) {
 		return
 	}
-	b.free[p.server.Name] -= len(wants)
-	for _, w := range wants {
-		w.Rank = len(b.order[w.Digest])
-		b.placed[p.server.Name] = append(b.placed[p.server.Name], w)
-		b.order[w.Digest] = append(b.order[w.Digest], p.server.Name)
+	b.freeSlots[c.server.Name] -= len(assignments)
+	for _, w := range assignments {
+		w.Rank = len(b.serversOf[w.Digest])
+		b.assigned[c.server.Name] = append(b.assigned[c.server.Name], w)
+		b.serversOf[w.Digest] = append(b.serversOf[w.Digest], c.server.Name)
 	}
-	if dc, ok := b.set.DataCentres[p.server.DataCentre]; ok && dc.Out {
+	if dc, ok := b.set.DataCentres[c.server.DataCentre]; ok && dc.Out {
 		return
 	}
-	b.replicas[p.model.Name]++
+	b.replicas[c.model.Name]++
 }
 
-// want returns the Want of a version.
-func (b *builder) want(v *declare.Version) Want {
+// newAssignment returns the Want for a version, without its rank.
+func (b *builder) newAssignment(v *declare.Version) Want {
 	w := Want{Model: v.Model, Version: v.Name, Digest: v.Manifest}
 	if base, ok := b.set.Versions[v.Base]; ok {
 		w.Base = base.Manifest
@@ -204,12 +220,12 @@
 	return w
 }
 
-// plan returns what was placed.
-func (b *builder) plan() *Plan {
-	p := &Plan{wanted: b.placed, needers: map[core.Digest][]core.Instance{}}
-	for d, servers := range b.order {
+// buildPlan returns the plan with all assignments made so far.
+func (b *builder) buildPlan() *Plan {
+	p := &Plan{assignments: b.assigned, assignedAgents: map[core.Digest][]core.Instance{}}
+	for d, servers := range b.serversOf {
 		for _, name := range servers {
-			p.needers[d] = append(p.needers[d], b.agents[name])
+			p.assignedAgents[d] = append(p.assignedAgents[d], b.agents[name])
 		}
 	}
 	return p
--- a/version/placement/placement_test.go
+++ b/version/placement/placement_test.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// fixture declares n servers over three data centres, all live.
-func fixture(n, slots int) (*declare.Set, []core.Instance) {
+// newFixture declares n servers in three data centres, all live.
+func newFixture(n, slots int) (*declare.Set, []core.Instance) {
 	set := declare.NewSet()
 	var live []core.Instance
 	for i := range n {
@@ -24,7 +24,8 @@
 	return set, live
 }
 
-// declareModel adds a model with one version.
+// declareModel declares a model with one version and returns the digest of the
+// version's manifest.
 func declareModel(set *declare.Set, model, version, base string, replicas int) core.Digest {
 	d := core.DigestOf([]byte(version))
 	set.Models[model] = &declare.Model{Name: model, Version: version, Replicas: replicas}
@@ -32,7 +33,7 @@
 	return d
 }
 
-// servers returns the names of a version's servers.
+// servers returns the names of the servers to which a version is assigned.
 func servers(p *Plan, d core.Digest) map[string]bool {
 	names := map[string]bool{}
 	for _, i := range p.Needers(d) {
@@ -42,12 +43,12 @@
 }
 
 func TestCompute(t *testing.T) {
-	Convey("Given twelve servers with one slot", t, func() {
-		set, live := fixture(12, 1)
+	Convey("Given twelve servers with one slot each", t, func() {
+		set, live := newFixture(12, 1)
 		v1 := declareModel(set, "m", "m-1", "", 5)
 		before := Compute(set, live)
 
-		Convey("a model stands on as many servers as it has replicas", func() {
+		Convey("a model is placed on as many servers as it has replicas", func() {
 			So(len(servers(before, v1)), ShouldEqual, 5)
 			for name := range servers(before, v1) {
 				So(before.Wanted(name)[0].Digest, ShouldEqual, v1)
@@ -60,25 +61,25 @@
 			}
 			So(Compute(set, reversed).Needers(v1), ShouldResemble, before.Needers(v1))
 		})
-		Convey("the next version falls on the same servers", func() {
+		Convey("the next version is placed on the same servers", func() {
 			v2 := declareModel(set, "m", "m-2", "", 5)
 			So(servers(Compute(set, live), v2), ShouldResemble, servers(before, v1))
 		})
-		Convey("a server that leaves is replaced by one other", func() {
-			gone := before.Needers(v1)[0].ID
-			set.BackendServers[gone].Leaving = true
+		Convey("a server that is leaving is replaced by one other server", func() {
+			leaving := before.Needers(v1)[0].ID
+			set.BackendServers[leaving].Leaving = true
 			after := servers(Compute(set, live), v1)
 			So(len(after), ShouldEqual, 5)
-			So(after[gone], ShouldBeFalse)
-			same := 0
+			So(after[leaving], ShouldBeFalse)
+			kept := 0
 			for name := range servers(before, v1) {
 				if after[name] {
-					same++
+					kept++
 				}
 			}
-			So(same, ShouldEqual, 4)
+			So(kept, ShouldEqual, 4)
 		})
-		Convey("servers of a data centre that is out keep the version and are not counted", func() {
+		Convey("servers of a data centre that is out keep the version and do not count as replicas", func() {
 			set.DataCentres["dc0"].Out = true
 			after := servers(Compute(set, live), v1)
 			counted := 0
@@ -92,7 +93,7 @@
 				So(after[name], ShouldBeTrue)
 			}
 		})
-		Convey("no server gets more versions than it has slots", func() {
+		Convey("no server is assigned more versions than it has slots", func() {
 			declareModel(set, "n", "n-1", "", 12)
 			plan := Compute(set, live)
 			for _, i := range live {
@@ -101,15 +102,15 @@
 		})
 	})
 	Convey("Given a base and an adapter", t, func() {
-		set, live := fixture(6, 2)
+		set, live := newFixture(6, 2)
 		base := declareModel(set, "base", "base-1", "", 3)
 		adapter := declareModel(set, "adapter", "adapter-1", "base-1", 3)
 		plan := Compute(set, live)
 
-		Convey("the adapter stands where its base does", func() {
+		Convey("the adapter is placed on the servers of its base", func() {
 			So(servers(plan, adapter), ShouldResemble, servers(plan, base))
 		})
-		Convey("with more replicas it brings the base along, base first", func() {
+		Convey("with more replicas, its additional servers are assigned the base as well, base first", func() {
 			set.Models["adapter"].Replicas = 5
 			plan = Compute(set, live)
 			So(len(servers(plan, adapter)), ShouldEqual, 5)
--- a/version/placement/regionshare.go
+++ b/version/placement/regionshare.go
@@ -5,23 +5,23 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// RegionShare returns what the agent self may use of the link between its
-// region and the others, in bytes per second; 0 means no limit. The declared
-// budget is divided evenly among the agents of the region that are to hold
-// any version, so that all of them together stay within it whatever they
-// fetch, and none has to hear of the others' transfers.
+// RegionShare returns the bandwidth that the agent self may use on the link
+// between its region and the others, in bytes per second; 0 means no limit. It
+// divides the declared budget evenly among the agents of the region to which any
+// version is assigned. All of them together stay within the budget, whatever they
+// fetch, without informing each other about their transfers.
 func RegionShare(set *declare.Set, plan *Plan, self core.Instance) int64 {
 	region := set.Regions[self.Region]
 	if region == nil || region.LinkBytesPerSecond == 0 {
 		return 0
 	}
-	sharing := map[string]bool{self.ID: true}
-	for _, needers := range plan.needers {
-		for _, in := range needers {
-			if in.Region == self.Region {
-				sharing[in.ID] = true
+	sharingAgents := map[string]bool{self.ID: true}
+	for _, agents := range plan.assignedAgents {
+		for _, agent := range agents {
+			if agent.Region == self.Region {
+				sharingAgents[agent.ID] = true
 			}
 		}
 	}
-	return max(1, region.LinkBytesPerSecond/int64(len(sharing)))
+	return max(1, region.LinkBytesPerSecond/int64(len(sharingAgents)))
 }
--- a/version/placement/regionshare_test.go
+++ b/version/placement/regionshare_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestRegionShare(t *testing.T) {
-	Convey("Given a region with a thin link and three agents in it", t, func() {
+	Convey("Given a region with a declared link bandwidth and three agents", t, func() {
 		set := declare.NewSet()
 		set.Regions["west"] = &declare.Region{Name: "west", LinkBytesPerSecond: 3000}
 		set.Models["m"] = &declare.Model{Name: "m", Version: "v", Replicas: 4}
@@ -24,10 +24,10 @@
 		live = append(live, core.Instance{ID: "e", Role: core.RoleAgent, DataCentre: "e1", Region: "east"})
 		plan := Compute(set, live)
 
-		Convey("the shares of its agents add up to the link", func() {
+		Convey("the shares of its agents add up to the link bandwidth", func() {
 			So(RegionShare(set, plan, live[0]), ShouldEqual, 1000)
 		})
-		Convey("a region without a declared link has no limit", func() {
+		Convey("a region without a declared link bandwidth has no limit", func() {
 			So(RegionShare(set, plan, live[3]), ShouldEqual, 0)
 		})
 	})
