--- a/version/freshness/freshness.go
+++ b/version/freshness/freshness.go
@@ -1,5 +1,6 @@
-// Package freshness tells whether a process may act on the configuration that
-// it holds: after its start and after each pause that must first be confirmed.
+// Package freshness decides whether a process may act on its configuration. After
+// the start of the process, and after each pause in its execution, a peer or the
+// platform must first confirm that the configuration is current.
 package freshness
 
 import (
@@ -9,89 +10,100 @@
 	"github.com/rattanway/rattanway/process/pause"
 )
 
-// confirmGrace is how long a process that was stopped waits for a peer or the
-// platform to confirm its configuration. When nobody answers in that time,
-// the process is cut off and goes on with what it holds.
-const confirmGrace = 3 * time.Second
+// confirmTimeout is how long a process waits for a peer or the platform to confirm
+// its configuration. After that time the process assumes that it is cut off
+// from them, and continues with the configuration that it has.
+const confirmTimeout = 3 * time.Second
 
-// askAgainAfter is the time between two questions to the peers, since one
-// that was paused as well cannot confirm anything at first.
-const askAgainAfter = 200 * time.Millisecond
+// requestInterval is the shortest time between two requests to the peers. Requests
+// are repeated because a peer that was paused as well cannot confirm a
+// configuration at first.
+const requestInterval = 200 * time.Millisecond
 
-// Gate says whether the configuration may be acted on: after the start of
-// the process, and after each pause, it must first be confirmed. A process that
-// has just started may hold an old version from a peer that is behind.
+// Gate decides whether the process may act on its configuration. After the start
+// of the process, and after each pause, the configuration must first be
+// confirmed: a process that has just started may have received an old version
+// from a peer that is behind. It is safe for concurrent use.
 type Gate struct {
 	detector *pause.Detector
-	// confirmed returns how long ago the configuration was confirmed.
-	confirmed func() (time.Duration, bool)
-	// ask asks the peers for their configuration.
-	ask func()
+	// confirmationAge returns how long ago the configuration was confirmed, or
+	// false if it never was.
+	confirmationAge func() (time.Duration, bool)
+	// requestConfirmation requests the peers' configuration, which confirms or
+	// replaces the configuration of this process.
+	requestConfirmation func()
 
 	mu sync.Mutex
-	// cleared is the number of pauses after which the configuration has been
-	// confirmed; -1 before the first time.
-	cleared int64
-	// noticed is the number of pauses seen, the last of them at since.
-	noticed int64
-	since   time.Time
-	asked   time.Time
+	// acceptedPauses is the number of pauses when the configuration was last
+	// accepted, after a confirmation or confirmTimeout; -1 before the first
+	// time.
+	acceptedPauses int64
+	// observedPauses is the number of pauses at the last call of Fresh, and
+	// waitingSince the time at which the start of the process or the last
+	// pause was observed.
+	observedPauses int64
+	waitingSince   time.Time
+	lastRequest    time.Time
 }
 
-// New returns a Gate that waits for its first confirmation.
-func New(detector *pause.Detector, confirmed func() (time.Duration, bool), ask func()) *Gate {
+// New returns a Gate whose configuration is not confirmed yet. confirmationAge
+// returns how long ago the configuration was confirmed, or false if it never was;
+// requestConfirmation requests a confirmation from the peers.
+func New(detector *pause.Detector, confirmationAge func() (time.Duration, bool), requestConfirmation func()) *Gate {
 	return &Gate{
-		detector: detector, confirmed: confirmed, ask: ask,
-		cleared: -1, since: time.Now(),
+		detector: detector, confirmationAge: confirmationAge, requestConfirmation: requestConfirmation,
+		acceptedPauses: -1, waitingSince: time.Now(),
 	}
 }
 
-// Vouch reports whether this process may confirm the configuration of a peer:
-// its own has been confirmed since its start and its last pause.
+// Vouch reports whether this process may confirm the configuration of a peer. It
+// may if its own configuration has been confirmed since its start and its last
+// pause.
 func (g *Gate) Vouch() bool {
-	age, ever := g.confirmed()
-	if !ever || !g.Fresh() {
+	age, ok := g.confirmationAge()
+	if !ok || !g.Fresh() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return age < time.Since(g.since)
+	return age < time.Since(g.waitingSince)
 }
 
-// Fresh reports whether the configuration may be acted on now.
+// Fresh reports whether the process may act on the configuration now. Until
+// then it requests confirmations in the background.
 func (g *Gate) Fresh() bool {
 	pauses := g.detector.Pauses()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if pauses == g.cleared {
+	if pauses == g.acceptedPauses {
 		return true
 	}
-	if pauses != g.noticed {
-		g.noticed = pauses
-		g.since = time.Now()
-		g.asked = time.Time{}
+	if pauses != g.observedPauses {
+		g.observedPauses = pauses
+		g.waitingSince = time.Now()
+		g.lastRequest = time.Time{}
 	}
-	if time.Since(g.asked) > askAgainAfter {
-		g.asked = time.Now()
-		go g.ask()
+	if time.Since(g.lastRequest) > requestInterval {
+		g.lastRequest = time.Now()
+		go g.requestConfirmation()
 	}
-	waited := time.Since(g.since)
-	age, ok := g.confirmed()
-	if waited > confirmGrace || ok && age < waited {
-		g.cleared = pauses
+	waited := time.Since(g.waitingSince)
+	age, ok := g.confirmationAge()
+	if waited > confirmTimeout || ok && age < waited {
+		g.acceptedPauses = pauses
 		return true
 	}
 	return false
 }
 
-// Wait returns once the configuration may be acted on, or done is closed.
+// Wait blocks until the process may act on the configuration, or done is closed.
 func (g *Gate) Wait(done <-chan struct{}) {
-	const look = 10 * time.Millisecond
+	const pollInterval = 10 * time.Millisecond
 	for !g.Fresh() {
 		select {
 		case <-done:
 			return
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/version/freshness/freshness_test.go
+++ b/version/freshness/freshness_test.go
@@ -14,29 +14,29 @@
 	Convey("Given a process that has just started", t, func() {
 		var age time.Duration
 		confirmed := false
-		asked := make(chan struct{}, 100)
-		f := New(pause.New(eventlog.Discard()),
+		requests := make(chan struct{}, 100)
+		gate := New(pause.New(eventlog.Discard()),
 			func() (time.Duration, bool) { return age, confirmed },
-			func() { asked <- struct{}{} })
+			func() { requests <- struct{}{} })
 
-		Convey("it asks its peers, and neither acts on its configuration nor confirms another's", func() {
-			So(f.Fresh(), ShouldBeFalse)
-			So(f.Vouch(), ShouldBeFalse)
-			<-asked
+		Convey("it requests a confirmation, may not act on its configuration, and may not confirm that of a peer", func() {
+			So(gate.Fresh(), ShouldBeFalse)
+			So(gate.Vouch(), ShouldBeFalse)
+			<-requests
 		})
-		Convey("a question asked before the start confirms nothing", func() {
+		Convey("a confirmation from before the start does not count", func() {
 			confirmed, age = true, time.Hour
-			So(f.Fresh(), ShouldBeFalse)
+			So(gate.Fresh(), ShouldBeFalse)
 		})
-		Convey("once confirmed it acts, and confirms others", func() {
+		Convey("once confirmed, it may act on its configuration and confirm that of a peer", func() {
 			confirmed = true
-			So(f.Fresh(), ShouldBeTrue)
-			So(f.Vouch(), ShouldBeTrue)
+			So(gate.Fresh(), ShouldBeTrue)
+			So(gate.Vouch(), ShouldBeTrue)
 		})
-		Convey("when nobody answers it goes on after a while, and still confirms nobody", func() {
-			f.since = f.since.Add(-2 * confirmGrace)
-			So(f.Fresh(), ShouldBeTrue)
-			So(f.Vouch(), ShouldBeFalse)
+		Convey("without a confirmation, it may act on its configuration after a timeout, but may not confirm that of a peer", func() {
+			gate.waitingSince = gate.waitingSince.Add(-2 * confirmTimeout)
+			So(gate.Fresh(), ShouldBeTrue)
+			So(gate.Vouch(), ShouldBeFalse)
 		})
 	})
 }
