--- a/version/manifest/cut.go
+++ b/version/manifest/cut.go
@@ -9,22 +9,23 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Emit receives each distinct chunk once, in order of first use. It may keep
-// body.
+// Emit is called once for each distinct chunk, in the order in which the chunks
+// first appear. It may retain body.
 type Emit func(c Chunk, body []byte) error
 
-// Cut reads every regular file of fsys, gives its chunks to emit, and returns
-// the manifest. chunkBytes is the size of a chunk in bytes; 0 means
-// DefaultChunkBytes. base is the manifest digest that an adapter refers to.
-// One chunk is held in memory at a time. A folder without files is an error.
+// Cut splits every regular file of fsys into chunks, calls emit for each distinct
+// chunk, and returns the manifest. chunkBytes is the size of a chunk in bytes; 0
+// means DefaultChunkBytes. base is the manifest digest of the base version of an
+// adapter, and empty for a full model. Cut itself holds one chunk in memory at a
+// time. It returns an error if fsys has no regular files.
 func Cut(fsys fs.FS, chunkBytes int64, base core.Digest, emit Emit) (*Manifest, error) {
 	if chunkBytes <= 0 {
 		chunkBytes = DefaultChunkBytes
 	}
-	c := cutter{chunkBytes: chunkBytes, emit: emit, seen: map[core.Digest]bool{}}
+	s := splitter{chunkBytes: chunkBytes, emit: emit, emitted: map[core.Digest]bool{}}
 	m := &Manifest{Base: base}
-	// WalkDir goes in lexical order, so the files are sorted by path within
-	// each folder and the result is the same on every machine.
+	// WalkDir visits the files in lexical order, so they are sorted by path
+	// within each folder and the result is the same on every machine.
 	err := fs.WalkDir(fsys, ".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -32,9 +33,9 @@
 		if !d.Type().IsRegular() {
 			return nil
 		}
-		file, err := c.file(fsys, path)
+		file, err := s.splitFile(fsys, path)
 		if err != nil {
-			return core.Step("cut file", path, err)
+			return core.Step("split file", path, err)
 		}
 		m.Files = append(m.Files, file)
 		return nil
@@ -43,28 +44,28 @@
 		return nil, err
 	}
 	if len(m.Files) == 0 {
-		return nil, errors.New("no regular files to cut")
+		return nil, errors.New("folder has no regular files")
 	}
 	return m, nil
 }
 
-// cutter holds what is shared between the files of one Cut.
-type cutter struct {
+// splitter is the state that one call of Cut uses for all files.
+type splitter struct {
 	chunkBytes int64
 	emit       Emit
-	seen       map[core.Digest]bool
+	emitted    map[core.Digest]bool
 }
 
-// file cuts one file.
-func (c *cutter) file(fsys fs.FS, path string) (File, error) {
-	in, err := fsys.Open(path)
+// splitFile splits one file into chunks and emits those not emitted before.
+func (s *splitter) splitFile(fsys fs.FS, path string) (File, error) {
+	source, err := fsys.Open(path)
 	if err != nil {
 		return File{}, err
 	}
-	defer func() { _ = in.Close() }()
+	defer func() { _ = source.Close() }()
 	file := File{Path: path}
 	for {
-		body, err := io.ReadAll(io.LimitReader(in, c.chunkBytes))
+		body, err := io.ReadAll(io.LimitReader(source, s.chunkBytes))
 		if err != nil {
 			return File{}, err
 		}
@@ -74,18 +75,18 @@
 		chunk := Chunk{Digest: core.DigestOf(body), Size: int64(len(body))}
 		file.Chunks = append(file.Chunks, chunk)
 		file.Size += chunk.Size
-		if c.seen[chunk.Digest] {
+		if s.emitted[chunk.Digest] {
 			continue
 		}
-		c.seen[chunk.Digest] = true
-		if err := c.emit(chunk, body); err != nil {
+		s.emitted[chunk.Digest] = true
+		if err := s.emit(chunk, body); err != nil {
 			return File{}, err
 		}
 	}
 }
 
-// Assemble writes the bytes of one file to w. get returns a chunk's bytes;
-// each is checked by digest before it is written.
+// Assemble writes the content of one file to w. get returns the bytes of a chunk,
+// which are verified by digest before they are written.
 func Assemble(w io.Writer, file File, get func(Chunk) ([]byte, error)) error {
 	for _, c := range file.Chunks {
 		body, err := get(c)
--- a/version/manifest/cut_test.go
+++ b/version/manifest/cut_test.go
@@ -31,24 +31,24 @@
 			So(m.Size(), ShouldEqual, 10)
 			So(len(m.Chunks()), ShouldEqual, 3)
 		})
-		Convey("the files are sorted and assemble to the same bytes", func() {
+		Convey("the files are sorted, and assembling the chunks restores their content", func() {
 			So(m.Files[0].Path, ShouldEqual, "a.txt")
 			var out bytes.Buffer
 			get := func(c Chunk) ([]byte, error) { return chunks[c.Digest], nil }
 			So(Assemble(&out, m.Files[1], get), ShouldBeNil)
 			So(out.String(), ShouldEqual, "aaaabbbbcc")
 		})
-		Convey("a wrong chunk is never written", func() {
+		Convey("a chunk that does not match its digest is never written", func() {
 			var out bytes.Buffer
 			get := func(Chunk) ([]byte, error) { return []byte("wrong"), nil }
 			So(Assemble(&out, m.Files[1], get), ShouldNotBeNil)
 			So(out.Len(), ShouldEqual, 0)
 		})
-		Convey("the digest depends on the content and the base alone", func() {
-			drop := func(Chunk, []byte) error { return nil }
-			again, err := Cut(fsys, 4, "", drop)
+		Convey("the digest depends only on the content and the base", func() {
+			discard := func(Chunk, []byte) error { return nil }
+			again, err := Cut(fsys, 4, "", discard)
 			So(err, ShouldBeNil)
-			adapter, err := Cut(fsys, 4, core.DigestOf(nil), drop)
+			adapter, err := Cut(fsys, 4, core.DigestOf(nil), discard)
 			So(err, ShouldBeNil)
 			_, first, _ := m.Encode()
 			_, second, _ := again.Encode()
@@ -57,7 +57,7 @@
 			So(third, ShouldNotEqual, first)
 		})
 	})
-	Convey("A failed emit and an empty folder are errors", t, func() {
+	Convey("A failed emit and an empty folder return an error", t, func() {
 		fsys := fstest.MapFS{"a": {Data: []byte("a")}}
 		_, err := Cut(fsys, 0, "", func(Chunk, []byte) error { return errors.New("full") })
 		So(err, ShouldNotBeNil)
--- a/version/manifest/manifest.go
+++ b/version/manifest/manifest.go
@@ -1,6 +1,5 @@
-// Package manifest describes one immutable version of a model's files as an
-// ordered list of chunks. The digest of the encoded manifest is the version's
-// identity.
+// Package manifest describes an immutable version of a model's files as ordered
+// lists of chunks. The digest of the encoded manifest identifies the version.
 package manifest
 
 import (
@@ -10,10 +9,11 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// DefaultChunkBytes is the size of a chunk, but for the last of a file.
+// DefaultChunkBytes is the default size of a chunk, in bytes. The last chunk of
+// a file may be smaller.
 const DefaultChunkBytes = 4 << 20
 
-// Chunk is one piece of a file.
+// Chunk identifies a contiguous part of a file by its content.
 type Chunk struct {
 	// Digest is the digest of the chunk's bytes.
 	Digest core.Digest `cbor:"1,keyasint" json:"digest"`
@@ -21,26 +21,27 @@
 	Size int64 `cbor:"2,keyasint" json:"size"`
 }
 
-// File is one file of a model, in chunks.
+// File describes one file of a model and the chunks that make up its content.
 type File struct {
-	// Path is the slash-separated path inside the model's folder.
+	// Path is the slash-separated path relative to the model's folder.
 	Path string `cbor:"1,keyasint" json:"path"`
 	// Size is the file's length in bytes.
 	Size int64 `cbor:"2,keyasint" json:"size"`
-	// Chunks are the file's chunks in order.
+	// Chunks lists the file's chunks in the order of its content.
 	Chunks []Chunk `cbor:"3,keyasint" json:"chunks"`
 }
 
 // Manifest lists the files of one version, sorted by path.
 type Manifest struct {
-	// Base is the digest of the manifest that an adapter refers to; empty
+	// Base is the manifest digest of the base version of an adapter; empty
 	// for a full model.
 	Base core.Digest `cbor:"1,keyasint,omitempty" json:"base,omitempty"`
-	// Files are the version's files, sorted by path.
+	// Files lists the version's files, sorted by path.
 	Files []File `cbor:"2,keyasint" json:"files"`
 }
 
-// Chunks returns every chunk once, in order of first use.
+// Chunks returns each distinct chunk once, in the order in which the chunks first
+// appear.
 func (m *Manifest) Chunks() []Chunk {
 	var all []Chunk
 	seen := map[core.Digest]bool{}
@@ -58,18 +59,18 @@
 
 // Size returns the sum of the sizes of the distinct chunks, in bytes.
 func (m *Manifest) Size() int64 {
-	var n int64
+	var size int64
 	for _, c := range m.Chunks() {
-		n += c.Size
+		size += c.Size
 	}
-	return n
+	return size
 }
 
-// Encode returns the canonical encoding of m and its digest.
+// Encode returns the canonical CBOR encoding of m and the digest of the encoding.
 func (m *Manifest) Encode() ([]byte, core.Digest, error) {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
-		return nil, "", errors.Wrap(err, "manifest encoder")
+		return nil, "", errors.Wrap(err, "create manifest encoder")
 	}
 	body, err := mode.Marshal(m)
 	if err != nil {
@@ -78,20 +79,21 @@
 	return body, core.DigestOf(body), nil
 }
 
-// Decode checks body against want and decodes it.
-func Decode(body []byte, want core.Digest) (*Manifest, error) {
-	if !want.Matches(body) {
-		return nil, errors.Errorf("manifest %s: digest does not match its body", want)
+// Decode decodes an encoded manifest. It returns an error if the digest of body
+// differs from expected.
+func Decode(body []byte, expected core.Digest) (*Manifest, error) {
+	if !expected.Matches(body) {
+		return nil, errors.Errorf("manifest %s: digest does not match its body", expected)
 	}
 	var m Manifest
 	if err := cbor.Unmarshal(body, &m); err != nil {
-		return nil, errors.Wrapf(err, "manifest %s", want)
+		return nil, errors.Wrapf(err, "decode manifest %s", expected)
 	}
 	return &m, nil
 }
 
-// ObjectName returns the weight store's name of the manifest with digest d.
+// ObjectName returns the name in the weight store of the manifest with digest d.
 func ObjectName(d core.Digest) string { return "manifests/" + string(d) }
 
-// ChunkName returns the weight store's name of the chunk with digest d.
+// ChunkName returns the name in the weight store of the chunk with digest d.
 func ChunkName(d core.Digest) string { return "chunks/" + string(d) }
