--- a/version/loading/events.go
+++ b/version/loading/events.go
@@ -8,21 +8,21 @@
 
 var (
 	eventWanted = eventlog.Define(340, "load-wanted", logrus.InfoLevel,
-		"A version of the weights is to be brought to the server beside this agent.")
+		"The agent received the declaration of a version that its server should hold.")
 	eventStaged = eventlog.Define(341, "load-staged", logrus.InfoLevel,
-		"Every piece of a version is staged at the server.")
+		"Every chunk of a version is staged at the server.")
 	eventOrdered = eventlog.Define(342, "load-ordered", logrus.InfoLevel,
-		"The server accepted the order to load a version whose staged pieces had just been checked.")
+		"The server accepted the order to load a version; its staged chunks were verified just before.")
 	eventLoaded = eventlog.Define(343, "load-confirmed", logrus.InfoLevel,
 		"The server reports that it holds the version.")
 	eventFailed = eventlog.Define(344, "load-failed", logrus.WarnLevel,
-		"A step of bringing weights to the server failed; it is tried again.")
-	eventRotten = eventlog.Define(345, "load-piece-rotten", logrus.WarnLevel,
-		"A staged piece no longer had its digest and was staged again.")
+		"A step of loading weights failed; the agent retries the step.")
+	eventCorrupt = eventlog.Define(345, "load-piece-rotten", logrus.WarnLevel,
+		"A staged chunk is missing or does not match its digest; the agent stages the chunk again.")
 	eventFetched = eventlog.Define(347, "load-fetched", logrus.InfoLevel,
-		"Every piece of a version is held by this agent; held says that the server has the version already.")
+		"The agent has the chunks of a version in its store; held is true if it copied the intact chunks from the server, which already holds the version.")
 	eventFetching = eventlog.Define(348, "load-fetching", logrus.InfoLevel,
-		"This agent begins to fetch a version; fields give the agents that it knows and those among which the pieces are dealt.")
-	eventServer = eventlog.Define(346, "load-server-changed", logrus.InfoLevel,
-		"The server beside this agent started anew, or reports other weights than before.")
+		"The agent starts to fetch a version; agents is the number of agents in its list, sources the number of those among which the chunks are divided.")
+	eventServerChanged = eventlog.Define(346, "load-server-changed", logrus.InfoLevel,
+		"The server beside the agent restarted or reports different weights than before.")
 )
--- a/version/loading/loader.go
+++ b/version/loading/loader.go
@@ -17,86 +17,96 @@
 )
 
 const (
-	// pollIdle and pollLoading are the times between two reports of the
-	// server; they are read on the same machine.
-	pollIdle    = 400 * time.Millisecond
-	pollLoading = 40 * time.Millisecond
-	// noticeTime is left to entry instances to hear that the server loads.
-	noticeTime = 30 * time.Millisecond
-	// settleQuiet is how long the number of agents must have stayed the same
-	// before an agent that has just started fetches, and settleMost the
-	// longest that it waits; agents of one start come within 0.3 s.
-	settleQuiet = 200 * time.Millisecond
-	settleMost  = 900 * time.Millisecond
-	// retryPause is the pause after a failed step.
+	// idlePollInterval and loadingPollInterval are the pauses between reads of
+	// the server's report; reads are cheap, as both run on the same machine.
+	idlePollInterval    = 400 * time.Millisecond
+	loadingPollInterval = 40 * time.Millisecond
+	// loadNoticeTime is the time between publishing a load and ordering it,
+	// in which entry instances learn of the load.
+	loadNoticeTime = 30 * time.Millisecond
+	// settleTime is how long the number of agents must have stayed the same
+	// before an agent that has just started fetches chunks, and maxSettleTime
+	// the longest time that such an agent waits. Agents that start together
+	// appear within 0.3 s.
+	settleTime    = 200 * time.Millisecond
+	maxSettleTime = 900 * time.Millisecond
+	// retryPause is the pause before a failed step is retried.
 	retryPause = 200 * time.Millisecond
-	// loadTimeout is how long an accepted order may take: the longest
-	// request and the load itself.
+	// loadTimeout bounds the execution of an accepted load order, which
+	// consists of the longest running request and the load itself.
 	loadTimeout = 10 * time.Second
 )
 
-// Config holds what a Loader needs.
+// Config holds the settings and dependencies of a Loader.
 type Config struct {
 	// Self is this agent's name.
 	Self string
 	// Token authenticates the agents to each other.
 	Token string
-	// Server is the model server beside the agent.
+	// Server is the backend server beside the agent.
 	Server Server
-	// Origin is the source of weights, and Pieces its view for the swarm.
+	// Origin is the remote store of the weights; Pieces lets the swarm read it.
 	Origin Origin
 	Pieces *Pieces
-	// Swarm fetches pieces.
+	// Swarm fetches chunks from other agents and the origin, and stores them.
 	Swarm *spread.Swarm
-	// Turns spread the changes of the servers.
+	// Turns schedules the load within the rolling update.
 	Turns Turns
-	// Publish is told what the server holds whenever it changes.
+	// Publish is called with the server's state whenever the state changes.
 	Publish func(State)
-	// Client asks other agents for digests.
+	// Client sends the requests for digests to other agents.
 	Client *http.Client
-	// Log takes a line for each decision.
+	// Log receives an event for each decision.
 	Log *eventlog.Logger
-	// Clock gives the time.
+	// Clock provides the time and timers.
 	Clock clockwork.Clock
 }
 
-// Loader brings wanted versions to the server. It is safe for concurrent use.
+// Loader fetches wanted versions and loads them into the server. It is safe for
+// concurrent use.
 type Loader struct {
-	cfg  Config
-	book digestBook
+	cfg    Config
+	finder digestFinder
 
-	mu       sync.Mutex
-	target   Target
+	mu     sync.Mutex
+	target Target
+	// declared maps each model to its declared versions.
 	declared map[string]*declaredVersions
-	changed  chan struct{}
-	digests  map[key][]core.Digest
-	asking   map[key]chan struct{}
-	// fetched are the versions whose pieces are all held here, preparing
-	// those that are being fetched, and staged the version of each model of
-	// which every piece was put to the server.
-	fetched   map[key]bool
-	preparing map[key]bool
-	staged    map[string]int
-	state     State
-	started   int64
-	seen      bool
-	// begun is when this agent first heard of a fleet, and grown when the
-	// number of agents last changed.
-	begun, grown time.Time
+	// wake ends the pause of Run early.
+	wake    chan struct{}
+	digests map[versionKey][]core.Digest
+	// lookups holds a channel for each running lookup of digests; the channel
+	// is closed when the lookup ends.
+	lookups map[versionKey]chan struct{}
+	// fetched holds the versions whose chunks are in the store, fetching
+	// the versions that are being fetched, and staged, for each model, the
+	// version whose chunks are all staged at the server.
+	fetched  map[versionKey]bool
+	fetching map[versionKey]bool
+	staged   map[string]int
+	state    State
+	// serverStart is the start time in the last report of the server, and
+	// hasReport is true once there was a report.
+	serverStart int64
+	hasReport   bool
+	// firstTargetAt is the time at which this agent first had a target with a
+	// wanted version, and agentsChangedAt the time at which the number of
+	// agents last changed.
+	firstTargetAt, agentsChangedAt time.Time
 }
 
-// New returns a Loader.
+// New returns a Loader without a target. Run starts its work.
 func New(cfg Config) *Loader {
 	return &Loader{
 		cfg:      cfg,
-		book:     digestBook{self: cfg.Self, token: cfg.Token, origin: cfg.Origin, client: cfg.Client},
-		declared: map[string]*declaredVersions{}, changed: make(chan struct{}, 1),
-		digests: map[key][]core.Digest{}, asking: map[key]chan struct{}{},
-		fetched: map[key]bool{}, preparing: map[key]bool{}, staged: map[string]int{},
+		finder:   digestFinder{self: cfg.Self, token: cfg.Token, origin: cfg.Origin, client: cfg.Client},
+		declared: map[string]*declaredVersions{}, wake: make(chan struct{}, 1),
+		digests: map[versionKey][]core.Digest{}, lookups: map[versionKey]chan struct{}{},
+		fetched: map[versionKey]bool{}, fetching: map[versionKey]bool{}, staged: map[string]int{},
 	}
 }
 
-// SetTarget says what the server is to hold.
+// SetTarget sets the versions that the server should hold and their sources.
 func (l *Loader) SetTarget(t Target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,56 +123,56 @@
 			})
 		}
 	}
-	if len(t.Agents) != len(l.target.Agents) || l.grown.IsZero() {
-		l.grown = l.cfg.Clock.Now()
+	if len(t.Agents) != len(l.target.Agents) || l.agentsChangedAt.IsZero() {
+		l.agentsChangedAt = l.cfg.Clock.Now()
 	}
 	l.target = t
 	select {
-	case l.changed <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run works until ctx ends.
+// Run repeatedly reads the server's report and acts on it until ctx ends.
 func (l *Loader) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		report, err := l.cfg.Server.Report(ctx)
-		pause := pollIdle
+		pause := idlePollInterval
 		if err != nil {
-			l.fail("read report", key{}, err)
+			l.logFailure("read report", versionKey{}, err)
 			l.publish(State{})
 		} else {
-			l.observe(report)
-			pause = l.work(ctx, report)
+			l.recordReport(report)
+			pause = l.reconcile(ctx, report)
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.changed:
+		case <-l.wake:
 		case <-l.cfg.Clock.After(pause):
 		}
 	}
 	return nil
 }
 
-func (l *Loader) fail(step string, k key, err error) {
+func (l *Loader) logFailure(step string, k versionKey, err error) {
 	l.cfg.Log.Fail(eventFailed, err, eventlog.Fields{"step": step, "model": k.model, "version": k.version})
 }
 
-// observe takes in a report.
-func (l *Loader) observe(r Report) {
+// recordReport logs changes since the previous report and publishes the state.
+func (l *Loader) recordReport(r Report) {
 	l.mu.Lock()
-	anew := l.seen && r.Started != l.started
-	l.seen, l.started = true, r.Started
+	restarted := l.hasReport && r.Started != l.serverStart
+	l.hasReport, l.serverStart = true, r.Started
 	loading := l.state.Loading
 	same := maps.Equal(l.state.Weights, r.Weights)
 	l.mu.Unlock()
-	if anew || !same {
-		l.cfg.Log.Event(eventServer, eventlog.Fields{"weights": r.Weights, "startedAnew": anew, "orders": r.Orders})
+	if restarted || !same {
+		l.cfg.Log.Event(eventServerChanged, eventlog.Fields{"weights": r.Weights, "startedAnew": restarted, "orders": r.Orders})
 	}
 	l.publish(State{Weights: r.Weights, Loading: loading && r.Busy})
 }
 
-// publish tells what the server holds when that changed.
+// publish stores the state and calls Config.Publish if the state has changed.
 func (l *Loader) publish(s State) {
 	l.mu.Lock()
 	same := maps.Equal(l.state.Weights, s.Weights) && l.state.Loading == s.Loading
@@ -173,17 +183,17 @@
 	}
 }
 
-// work does what is due for each model and returns the pause to the next look.
-func (l *Loader) work(ctx context.Context, r Report) time.Duration {
-	pause := pollIdle
+// reconcile takes the due steps for all models and returns the pause after them.
+func (l *Loader) reconcile(ctx context.Context, r Report) time.Duration {
+	pause := idlePollInterval
 	for model := range l.currentTarget().Wanted {
-		pause = min(pause, l.workOn(ctx, model, r))
+		pause = min(pause, l.reconcileModel(ctx, model, r))
 	}
 	return pause
 }
 
-// Declared returns every version that this agent has heard of, so that entry
-// instances that start anew learn since when.
+// Declared returns every version whose declaration this agent has received.
+// Entry instances that restart learn the declaration times from this list.
 func (l *Loader) Declared() []Wanted {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,95 +210,97 @@
 	return l.target
 }
 
-// workOn does what is due for one model.
-func (l *Loader) workOn(ctx context.Context, model string, r Report) time.Duration {
+// reconcileModel takes the due steps for a model and returns the pause after them.
+func (l *Loader) reconcileModel(ctx context.Context, model string, r Report) time.Duration {
 	held := r.Weights[model]
-	if left := l.unsettled(); left > 0 {
-		return left
+	if wait := l.settleWait(); wait > 0 {
+		return wait
 	}
 	l.mu.Lock()
-	target, pending := l.target, l.declared[model].after(held)
+	target, pending := l.target, l.declared[model].newerThan(held)
 	l.mu.Unlock()
 	if len(pending) == 0 {
-		l.prepare(ctx, target.Wanted[model], true)
-		return pollIdle
+		l.startFetch(ctx, target.Wanted[model], true)
+		return idlePollInterval
 	}
 	for _, w := range pending {
-		l.prepare(ctx, w, false)
+		l.startFetch(ctx, w, false)
 	}
 	w, ok := l.newestFetched(pending)
 	if !ok {
-		return pollIdle
+		return idlePollInterval
 	}
 	if err := l.stage(ctx, w); err != nil {
-		l.fail("stage", key{model, w.Version}, err)
+		l.logFailure("stage", versionKey{model, w.Version}, err)
 		return retryPause
 	}
 	if r.Busy {
-		return pollLoading
+		return loadingPollInterval
 	}
 	if held > 0 {
-		turn := l.cfg.Turns.Turn(pending, target.Agents, l.cfg.Self)
-		if left := turn.Sub(l.cfg.Clock.Now()); left > 0 {
-			return min(pollIdle, left)
+		loadTime := l.cfg.Turns.Turn(pending, target.Agents, l.cfg.Self)
+		if wait := loadTime.Sub(l.cfg.Clock.Now()); wait > 0 {
+			return min(idlePollInterval, wait)
 		}
 	}
-	if err := l.load(ctx, w, r); err != nil {
-		l.fail("load", key{model, w.Version}, err)
+	if err := l.loadVersion(ctx, w, r); err != nil {
+		l.logFailure("load", versionKey{model, w.Version}, err)
 		return retryPause
 	}
-	return pollLoading
+	return loadingPollInterval
 }
 
-// unsettled answers a fleet that starts all at once, as after a loss of power:
-// pieces are dealt among the agents, so an agent that has just started waits
-// until no more of them appear. It returns how long to wait.
-func (l *Loader) unsettled() time.Duration {
+// settleWait returns how long this agent should still wait before it fetches
+// chunks. When all agents start at once, for example after a power failure, an
+// agent waits until no more agents appear, because chunks are divided among the
+// agents.
+func (l *Loader) settleWait() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.Clock.Now()
-	if l.begun.IsZero() {
-		l.begun = now
+	if l.firstTargetAt.IsZero() {
+		l.firstTargetAt = now
 	}
-	if now.Sub(l.begun) >= settleMost {
+	if now.Sub(l.firstTargetAt) >= maxSettleTime {
 		return 0
 	}
-	return settleQuiet - now.Sub(l.grown)
+	return settleTime - now.Sub(l.agentsChangedAt)
 }
 
-// newestFetched returns the newest of some versions of which every piece is
-// held.
+// newestFetched returns the newest of the pending versions whose chunks are in
+// the store.
 func (l *Loader) newestFetched(pending []Wanted) (Wanted, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := len(pending) - 1; i >= 0; i-- {
-		if l.fetched[key{pending[i].Model, pending[i].Version}] {
+		if l.fetched[versionKey{pending[i].Model, pending[i].Version}] {
 			return pending[i], true
 		}
 	}
 	return Wanted{}, false
 }
 
-// prepare begins to fetch a version; one that the server holds is only read
-// back, so that other agents can have it.
-func (l *Loader) prepare(ctx context.Context, w Wanted, held bool) {
-	k := key{w.Model, w.Version}
+// startFetch starts to fetch a version into the store, unless that is done or in
+// progress. If held is true, the server holds the version, and its chunks are
+// copied from the server so that other agents can fetch them here.
+func (l *Loader) startFetch(ctx context.Context, w Wanted, held bool) {
+	k := versionKey{w.Model, w.Version}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.fetched[k] || l.preparing[k] {
+	if l.fetched[k] || l.fetching[k] {
 		return
 	}
-	l.preparing[k] = true
+	l.fetching[k] = true
 	go func() {
 		start := l.cfg.Clock.Now()
-		err := l.bring(ctx, w, held)
+		err := l.fetch(ctx, w, held)
 		l.mu.Lock()
-		delete(l.preparing, k)
+		delete(l.fetching, k)
 		l.fetched[k] = err == nil
 		l.mu.Unlock()
 		if err != nil {
 			if ctx.Err() == nil {
-				l.fail("fetch", k, err)
+				l.logFailure("fetch", k, err)
 			}
 			return
 		}
@@ -296,15 +308,15 @@
 			"model": w.Model, "version": w.Version, "held": held, "ms": l.cfg.Clock.Since(start).Milliseconds(),
 		})
 		select {
-		case l.changed <- struct{}{}:
+		case l.wake <- struct{}{}:
 		default:
 		}
 	}()
 }
 
-// digestsFor returns the digests of a wanted version; one question is made for
-// all who ask.
-func (l *Loader) digestsFor(ctx context.Context, k key) ([]core.Digest, error) {
+// digestsFor returns the digests of a declared version. Concurrent callers share
+// one lookup.
+func (l *Loader) digestsFor(ctx context.Context, k versionKey) ([]core.Digest, error) {
 	for {
 		l.mu.Lock()
 		if d, ok := l.digests[k]; ok {
@@ -312,27 +324,27 @@
 			return d, nil
 		}
 		target := l.target
-		w, wanted := l.find(k)
+		w, wanted := l.declaredVersion(k)
 		if !wanted {
 			l.mu.Unlock()
 			return nil, errors.New("version is not wanted here")
 		}
-		running, ok := l.asking[k]
+		inProgress, ok := l.lookups[k]
 		if ok {
 			l.mu.Unlock()
 			select {
-			case <-running:
+			case <-inProgress:
 				continue
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
 		}
 		done := make(chan struct{})
-		l.asking[k] = done
+		l.lookups[k] = done
 		l.mu.Unlock()
-		found, err := l.book.find(ctx, w, target)
+		found, err := l.finder.find(ctx, w, target)
 		l.mu.Lock()
-		delete(l.asking, k)
+		delete(l.lookups, k)
 		if err == nil {
 			l.digests[k] = found
 			l.cfg.Pieces.Know(target.Origin, k, found)
@@ -345,8 +357,8 @@
 	}
 }
 
-// find returns a declared version; l.mu is held.
-func (l *Loader) find(k key) (Wanted, bool) {
+// declaredVersion returns a declared version. The caller must hold l.mu.
+func (l *Loader) declaredVersion(k versionKey) (Wanted, bool) {
 	d, ok := l.declared[k.model]
 	if !ok {
 		return Wanted{}, false
@@ -359,9 +371,10 @@
 	return Wanted{}, false
 }
 
-// bring fetches a version into the store.
-func (l *Loader) bring(ctx context.Context, w Wanted, held bool) error {
-	digests, err := l.digestsFor(ctx, key{w.Model, w.Version})
+// fetch puts the manifest and the chunks of a version into the store. If held is
+// true, it copies the chunks from the server.
+func (l *Loader) fetch(ctx context.Context, w Wanted, held bool) error {
+	digests, err := l.digestsFor(ctx, versionKey{w.Model, w.Version})
 	if err != nil {
 		return err
 	}
@@ -371,12 +384,12 @@
 		return err
 	}
 	store := l.cfg.Swarm.Store()
-	store.Retain(l.retained())
+	store.Retain(l.retainedManifests())
 	if err := store.Put(digest, body); err != nil {
 		return err
 	}
 	if held {
-		return l.readBack(ctx, w, digests)
+		return l.copyStagedToStore(ctx, w, digests)
 	}
 	l.cfg.Log.Event(eventFetching, eventlog.Fields{
 		"model": w.Model, "version": w.Version, "sources": len(l.Sources()), "agents": len(l.currentTarget().Agents),
@@ -385,26 +398,28 @@
 	return err
 }
 
-// Sources returns the agents that pieces are dealt among. An agent that is asked
-// for a piece before it begins to fetch needs the same list as the others:
-// without one it would take itself for the owner and read the origin.
+// Sources returns the agents among which the chunks are divided. An agent needs
+// the same list as the others even before it starts to fetch: without the list,
+// an agent that receives a request for a chunk would consider itself the owner
+// of the chunk and read it from the origin.
 func (l *Loader) Sources() []spread.Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.target.sources()
 }
 
-// retained returns what the store keeps: of each model the newest version, and
-// those before it that are newer than the one that the server holds. An older
-// one is wanted by nobody any more.
-func (l *Loader) retained() []*manifest.Manifest {
+// retainedManifests returns the manifests of the versions that the store keeps:
+// for each model the newest version, and the older ones that are newer than the
+// version that the server holds. No agent needs the other versions any more;
+// they are marked as not fetched.
+func (l *Loader) retainedManifests() []*manifest.Manifest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var keep []*manifest.Manifest
 	for model, d := range l.declared {
 		newest := len(*d) - 1
 		for i, w := range *d {
-			k := key{model, w.Version}
+			k := versionKey{model, w.Version}
 			if i < newest && w.Version <= l.state.Weights[model] {
 				delete(l.fetched, k)
 				continue
@@ -417,29 +432,29 @@
 	return keep
 }
 
-// stage puts the pieces of a version to the server, unless it was done before.
+// stage stages the chunks of a version at the server unless it has done so before.
 func (l *Loader) stage(ctx context.Context, w Wanted) error {
 	l.mu.Lock()
-	digests, done := l.digests[key{w.Model, w.Version}], l.staged[w.Model] == w.Version
+	digests, alreadyStaged := l.digests[versionKey{w.Model, w.Version}], l.staged[w.Model] == w.Version
 	delete(l.staged, w.Model)
 	l.mu.Unlock()
 	start := l.cfg.Clock.Now()
 	for i, d := range digests {
-		if done {
+		if alreadyStaged {
 			break
 		}
-		piece, ok := l.cfg.Swarm.Store().Get(d)
+		chunk, ok := l.cfg.Swarm.Store().Get(d)
 		if !ok {
-			return l.missing(w, i)
+			return l.markNotFetched(w, i)
 		}
-		if err := l.cfg.Server.Stage(ctx, w.Model, i, piece); err != nil {
+		if err := l.cfg.Server.Stage(ctx, w.Model, i, chunk); err != nil {
 			return err
 		}
 	}
 	l.mu.Lock()
 	l.staged[w.Model] = w.Version
 	l.mu.Unlock()
-	if !done {
+	if !alreadyStaged {
 		l.cfg.Log.Event(eventStaged, eventlog.Fields{
 			"model": w.Model, "version": w.Version, "ms": l.cfg.Clock.Since(start).Milliseconds(),
 		})
@@ -447,16 +462,18 @@
 	return nil
 }
 
-// missing notes that a version must be fetched again.
-func (l *Loader) missing(w Wanted, piece int) error {
+// markNotFetched causes a version to be fetched again because a chunk is missing
+// from the store. It returns the error to report.
+func (l *Loader) markNotFetched(w Wanted, number int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.fetched, key{w.Model, w.Version})
-	return errors.Errorf("piece %d is not held", piece)
+	delete(l.fetched, versionKey{w.Model, w.Version})
+	return errors.Errorf("chunk %d is missing from the store", number)
 }
 
-// manifestOf describes the pieces of a version as one file. Every agent builds
-// the same one, so its digest names the version among them.
+// manifestOf returns a manifest that describes the chunks of a version as one
+// file. Every agent builds the same manifest, so that its digest identifies the
+// version in the swarm.
 func manifestOf(w Wanted, digests []core.Digest) *manifest.Manifest {
 	f := manifest.File{Path: w.Model}
 	for _, d := range digests {
@@ -466,15 +483,15 @@
 	return &manifest.Manifest{Files: []manifest.File{f}}
 }
 
-// readBack puts what is staged at the server into the store. Pieces that are
-// missing or rotten there are left out.
-func (l *Loader) readBack(ctx context.Context, w Wanted, digests []core.Digest) error {
+// copyStagedToStore copies the staged chunks of a version from the server into
+// the store. It skips chunks that are missing or do not match their digests.
+func (l *Loader) copyStagedToStore(ctx context.Context, w Wanted, digests []core.Digest) error {
 	for i, d := range digests {
-		piece, err := l.cfg.Server.Staged(ctx, w.Model, i)
-		if err != nil || !d.Matches(piece) {
+		chunk, err := l.cfg.Server.Staged(ctx, w.Model, i)
+		if err != nil || !d.Matches(chunk) {
 			continue
 		}
-		if err := l.cfg.Swarm.Store().Put(d, piece); err != nil {
+		if err := l.cfg.Swarm.Store().Put(d, chunk); err != nil {
 			return err
 		}
 	}
--- a/version/loading/loader_test.go
+++ b/version/loading/loader_test.go
@@ -24,214 +24,219 @@
 	chunkBytes = 512
 )
 
-// fakeServer is a model server with one place for a model's pieces. It remembers
-// what it took.
+// fakeServer is a backend server that keeps one staged chunk for each number,
+// whatever its version. It records the chunks that the last load used.
 type fakeServer struct {
-	mu     sync.Mutex
-	staged map[int][]byte
-	held   int
-	orders int64
-	born   int64
-	taken  [][]byte
-	// onStage is called before a piece is staged, and onRead before one is
-	// read back.
-	onStage func(number int, piece []byte)
+	mu      sync.Mutex
+	staged  map[int][]byte
+	held    int
+	orders  int64
+	started int64
+	loaded  [][]byte
+	// onStage is called before a chunk is staged, and onRead before a staged
+	// chunk is returned.
+	onStage func(number int, chunk []byte)
 	onRead  func(number int)
 }
 
 func (f *fakeServer) Report(context.Context) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := Report{Weights: map[string]int{}, Orders: f.orders, Started: f.born}
+	r := Report{Weights: map[string]int{}, Orders: f.orders, Started: f.started}
 	if f.held > 0 {
 		r.Weights[model] = f.held
 	}
 	return r, nil
 }
 
-func (f *fakeServer) Stage(_ context.Context, _ string, number int, piece []byte) error {
+func (f *fakeServer) Stage(_ context.Context, _ string, number int, chunk []byte) error {
 	if f.onStage != nil {
-		f.onStage(number, piece)
+		f.onStage(number, chunk)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.staged[number] = piece
+	f.staged[number] = chunk
 	return nil
 }
 
 func (f *fakeServer) Staged(_ context.Context, _ string, number int) ([]byte, error) {
 	f.mu.Lock()
-	piece, ok := f.staged[number]
+	chunk, ok := f.staged[number]
 	f.mu.Unlock()
 	if f.onRead != nil {
 		f.onRead(number)
 	}
 	if !ok {
-		return nil, errors.New("not staged")
+		return nil, errors.New("the chunk is not staged")
 	}
-	return piece, nil
+	return chunk, nil
 }
 
 func (f *fakeServer) Load(_ context.Context, _ string, version int, orders int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if orders != f.orders {
-		return errors.New("another order came first")
+		return errors.New("the number of accepted orders differs")
 	}
 	f.orders++
 	f.held = version
-	f.taken = nil
+	f.loaded = nil
 	for i := range chunks {
-		f.taken = append(f.taken, f.staged[i])
+		f.loaded = append(f.loaded, f.staged[i])
 	}
 	return nil
 }
 
-// holds reports whether the server says that it holds a version.
+// holds reports whether the server holds a version.
 func (f *fakeServer) holds(version int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.held == version
 }
 
-// whole reports whether the server took exactly the pieces of a version.
-func (f *fakeServer) whole(version int) bool {
+// holdsExactly reports whether the server holds a version and loaded exactly the
+// chunks of that version.
+func (f *fakeServer) holdsExactly(version int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.held != version || len(f.taken) != chunks {
+	if f.held != version || len(f.loaded) != chunks {
 		return false
 	}
-	for i, piece := range f.taken {
-		if string(piece) != string(pieceOf(version, i)) {
+	for i, chunk := range f.loaded {
+		if string(chunk) != string(chunkOf(version, i)) {
 			return false
 		}
 	}
 	return true
 }
 
-// fakeOrigin makes pieces up.
+// fakeOrigin generates the chunks of any version.
 type fakeOrigin struct{}
 
-func pieceOf(version, number int) []byte {
-	piece := make([]byte, chunkBytes)
-	for i := range piece {
-		piece[i] = byte(version*31 + number*7 + i)
+// chunkOf returns the content of a chunk, which differs between versions and
+// numbers.
+func chunkOf(version, number int) []byte {
+	chunk := make([]byte, chunkBytes)
+	for i := range chunk {
+		chunk[i] = byte(version*31 + number*7 + i)
 	}
-	return piece
+	return chunk
 }
 
 func (fakeOrigin) Digests(_ context.Context, _, _ string, version int) ([]core.Digest, error) {
 	all := make([]core.Digest, chunks)
 	for i := range all {
-		all[i] = core.DigestOf(pieceOf(version, i))
+		all[i] = core.DigestOf(chunkOf(version, i))
 	}
 	return all, nil
 }
 
 func (fakeOrigin) Piece(_ context.Context, _, _ string, version, number int) ([]byte, error) {
-	return pieceOf(version, number), nil
+	return chunkOf(version, number), nil
 }
 
-// rig is a Loader beside a fake server.
-type rig struct {
+// fixture is a running Loader with a fake server.
+type fixture struct {
 	loader *Loader
 	server *fakeServer
 	self   spread.Peer
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	g := &rig{
-		server: &fakeServer{staged: map[int][]byte{}, born: 1},
+	f := &fixture{
+		server: &fakeServer{staged: map[int][]byte{}, started: 1},
 		self:   spread.Peer{ID: "agent-1", Addr: "127.0.0.1:1", DataCentre: "palermo", Region: "palermo"},
 	}
 	clock := clockwork.NewRealClock()
-	pieces := NewPieces(fakeOrigin{})
+	originChunks := NewPieces(fakeOrigin{})
 	swarm := spread.NewFetcher(spread.Config{
-		Self: g.self, Token: "test-token", OneOriginCopy: true, Metrics: gometrics.NewRegistry(),
-	}, spread.NewStore(1<<20), pieces, eventlog.Discard(), clock)
-	g.loader = New(Config{
-		Self: g.self.ID, Token: "test-token", Server: g.server, Origin: fakeOrigin{}, Pieces: pieces, Swarm: swarm,
+		Self: f.self, Token: "test-token", OneOriginCopy: true, Metrics: gometrics.NewRegistry(),
+	}, spread.NewStore(1<<20), originChunks, eventlog.Discard(), clock)
+	f.loader = New(Config{
+		Self: f.self.ID, Token: "test-token", Server: f.server, Origin: fakeOrigin{}, Pieces: originChunks, Swarm: swarm,
 		Turns: Turns{}, Publish: func(State) {}, Client: http.DefaultClient, Log: eventlog.Discard(), Clock: clock,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = g.loader.Run(ctx)
+		_ = f.loader.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 		swarm.Close()
 	})
-	return g
+	return f
 }
 
-// want declares a version.
-func (g *rig) want(version int) {
-	g.loader.SetTarget(Target{
+// declare declares a version to the Loader.
+func (f *fixture) declare(version int) {
+	f.loader.SetTarget(Target{
 		Wanted: map[string]Wanted{model: {
 			Model: model, Version: version, Known: time.Now(), Chunks: chunks, ChunkBytes: chunkBytes,
 		}},
-		Origin: "origin", Agents: []spread.Peer{g.self},
+		Origin: "origin", Agents: []spread.Peer{f.self},
 	})
 }
 
-func TestServerTakesWholeVersions(t *testing.T) {
-	Convey("An empty server gets the wanted version whole", t, func() {
-		g := newRig(t)
-		g.want(1)
-		So(wait.Until(func() bool { return g.server.whole(1) }), ShouldBeTrue)
+func TestServerLoadsCompleteVersions(t *testing.T) {
+	Convey("An empty server loads all chunks of the wanted version", t, func() {
+		f := newFixture(t)
+		f.declare(1)
+		So(wait.Until(func() bool { return f.server.holdsExactly(1) }), ShouldBeTrue)
 	})
 
-	Convey("A version that is wanted while another is being staged is not mixed with it", t, func() {
-		g := newRig(t)
-		late, written := make(chan struct{}), make(chan struct{})
-		release := sync.OnceFunc(func() { close(late) })
+	Convey("A version declared while another is being staged is not mixed with it", t, func() {
+		f := newFixture(t)
+		released, lastStaged := make(chan struct{}), make(chan struct{})
+		release := sync.OnceFunc(func() { close(released) })
 		var once sync.Once
-		g.server.onStage = func(number int, piece []byte) {
+		f.server.onStage = func(number int, chunk []byte) {
 			switch {
-			case number == 2 && string(piece) == string(pieceOf(2, 2)):
-				// Version 3 is declared in the midst of staging version 2,
-				// whose other pieces come late.
-				once.Do(func() { g.want(3) })
-				<-late
-			case number == chunks-1 && string(piece) == string(pieceOf(2, number)):
-				defer close(written)
+			case number == 2 && string(chunk) == string(chunkOf(2, 2)):
+				// Version 3 is declared while version 2 is being staged, and
+				// the remaining chunks of version 2 are delayed.
+				once.Do(func() { f.declare(3) })
+				<-released
+			case number == chunks-1 && string(chunk) == string(chunkOf(2, number)):
+				defer close(lastStaged)
 			}
 		}
-		g.server.onRead = func(number int) {
+		f.server.onRead = func(number int) {
 			if number != chunks-1 {
 				return
 			}
-			// Every piece has been checked; now the others come.
+			// All staged chunks have been read back. The delayed chunks of
+			// version 2 are released: if they are still being staged, they
+			// now overwrite the chunks of version 3.
 			release()
 			select {
-			case <-written:
+			case <-lastStaged:
 				<-time.After(20 * time.Millisecond)
 			case <-time.After(300 * time.Millisecond):
 			}
 		}
-		g.want(2)
+		f.declare(2)
 		time.AfterFunc(700*time.Millisecond, release)
-		So(wait.Until(func() bool { return g.server.holds(3) }), ShouldBeTrue)
-		So(g.server.whole(3), ShouldBeTrue)
+		So(wait.Until(func() bool { return f.server.holds(3) }), ShouldBeTrue)
+		So(f.server.holdsExactly(3), ShouldBeTrue)
 	})
 
-	Convey("A staged piece that turned bad is staged again before the load", t, func() {
-		g := newRig(t)
+	Convey("A staged chunk that has become corrupt is staged again before the load", t, func() {
+		f := newFixture(t)
 		var once sync.Once
-		g.server.onStage = func(number int, _ []byte) {
+		f.server.onStage = func(number int, _ []byte) {
 			if number == chunks-1 {
 				once.Do(func() {
-					g.server.mu.Lock()
-					defer g.server.mu.Unlock()
-					g.server.staged[0] = []byte("rotten")
+					f.server.mu.Lock()
+					defer f.server.mu.Unlock()
+					f.server.staged[0] = []byte("rotten")
 				})
 			}
 		}
-		g.want(1)
-		So(wait.Until(func() bool { return g.server.whole(1) }), ShouldBeTrue)
+		f.declare(1)
+		So(wait.Until(func() bool { return f.server.holdsExactly(1) }), ShouldBeTrue)
 	})
 }
--- a/version/loading/loading.go
+++ b/version/loading/loading.go
@@ -8,67 +8,72 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// Report is what a model server says of itself.
+// Report is the state that a backend server reports.
 type Report struct {
-	// Weights are the versions of the models of which it holds every layer.
+	// Weights maps each model to the version of which the server holds every
+	// layer.
 	Weights map[string]int
-	// Busy says that an order is being carried out.
+	// Busy reports whether the server is carrying out a load order.
 	Busy bool
-	// Orders counts the orders that it accepted since its start.
+	// Orders counts the load orders that the server accepted since its start.
 	Orders int64
-	// Running and Queued are its requests.
+	// Running and Queued count the requests that the server is executing and
+	// those that wait in its queue.
 	Running, Queued int
-	// Started is the Unix time of its start in milliseconds.
+	// Started is the Unix time in milliseconds at which the server started.
 	Started int64
 }
 
-// Server is the model server beside the agent.
+// Server is the backend server beside the agent.
 type Server interface {
 	// Report reads the server's state.
 	Report(ctx context.Context) (Report, error)
-	// Stage puts a piece where the server loads it from. It is not checked
-	// there.
-	Stage(ctx context.Context, model string, number int, piece []byte) error
-	// Staged reads a staged piece back.
+	// Stage stores a chunk where the server loads it from. The server does
+	// not verify the chunk.
+	Stage(ctx context.Context, model string, number int, chunk []byte) error
+	// Staged reads a staged chunk back.
 	Staged(ctx context.Context, model string, number int) ([]byte, error)
-	// Load orders the server to load what is staged, unless it has accepted
-	// another number of orders.
+	// Load orders the server to load the staged chunks. The server refuses
+	// the order unless it has accepted exactly the given number of orders.
 	Load(ctx context.Context, model string, version int, orders int64) error
 }
 
-// Origin is the source of weights.
+// Origin is the remote store that holds the weights of every version.
 type Origin interface {
-	// Digests returns the digests of the pieces of a version.
+	// Digests returns the digests of the chunks of a version, in order.
 	Digests(ctx context.Context, addr, model string, version int) ([]core.Digest, error)
-	// Piece returns one piece of a version.
+	// Piece returns one chunk of a version.
 	Piece(ctx context.Context, addr, model string, version, number int) ([]byte, error)
 }
 
-// Wanted is a version that the server is to hold.
+// Wanted is a version of a model that the server should hold.
 type Wanted struct {
-	// Model and Version name it.
+	// Model and Version identify the version.
 	Model   string
 	Version int
-	// Known is when it was declared, as far as it is known here.
+	// Known is the earliest declaration time of the version that this agent
+	// has received.
 	Known time.Time
-	// Chunks and ChunkBytes are the number and size of its pieces.
+	// Chunks is the number of chunks, and ChunkBytes the size of each.
 	Chunks, ChunkBytes int
 }
 
-// Target is what an agent is told to bring to its server.
+// Target holds the versions that the agent's server should hold and the places
+// that their chunks can be fetched from.
 type Target struct {
-	// Wanted are the versions by model.
+	// Wanted maps each model to its wanted version.
 	Wanted map[string]Wanted
-	// Origin is the address of the source of weights.
+	// Origin is the address of the origin.
 	Origin string
-	// Agents are the agents that hold or need the weights, with this one.
+	// Agents are the agents that hold or need the weights, including this one.
 	Agents []spread.Peer
-	// Holders are the IDs of those whose servers hold the wanted versions.
+	// Holders is the set of IDs of the agents whose servers hold the wanted
+	// versions.
 	Holders map[string]bool
 }
 
-// sources returns the agents that pieces are dealt among: the holders, or all
-// while there is none.
+// sources returns the agents among which the chunks are divided: the holders,
+// or all agents if there is no holder.
 func (t Target) sources() []spread.Peer {
 	var holders []spread.Peer
 	for _, a := range t.Agents {
@@ -82,10 +87,11 @@
 	return t.Agents
 }
 
-// State is what an agent tells of its server.
+// State is the state of its server that an agent publishes to entry instances.
 type State struct {
-	// Weights are the versions that it serves.
+	// Weights maps each model to the version that the server serves.
 	Weights map[string]int
-	// Loading says that it takes no new work for now.
+	// Loading reports whether the server accepts no new requests because it
+	// is about to load or is loading.
 	Loading bool
 }
--- a/version/loading/order.go
+++ b/version/loading/order.go
@@ -8,26 +8,28 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// load checks what is staged and orders the load.
-func (l *Loader) load(ctx context.Context, w Wanted, r Report) error {
-	if err := l.order(ctx, w, r); err != nil {
+// loadVersion orders the server to load a staged version and waits until the
+// server holds it.
+func (l *Loader) loadVersion(ctx context.Context, w Wanted, r Report) error {
+	if err := l.orderLoad(ctx, w, r); err != nil {
 		return err
 	}
 	l.cfg.Log.Event(eventOrdered, eventlog.Fields{
 		"model": w.Model, "version": w.Version, "held": r.Weights[w.Model], "running": r.Running,
 		"ageMs": l.cfg.Clock.Now().Sub(w.Known).Milliseconds(),
 	})
-	return l.confirm(ctx, key{w.Model, w.Version})
+	return l.awaitLoaded(ctx, versionKey{w.Model, w.Version})
 }
 
-// order checks what is staged and gives the order.
-func (l *Loader) order(ctx context.Context, w Wanted, r Report) error {
-	if err := l.check(ctx, w); err != nil {
+// orderLoad verifies the staged chunks and orders the load. It publishes the
+// load first, so that entry instances send no more requests to the server.
+func (l *Loader) orderLoad(ctx context.Context, w Wanted, r Report) error {
+	if err := l.verifyStaged(ctx, w); err != nil {
 		return err
 	}
 	if len(r.Weights) > 0 {
 		l.publish(State{Weights: r.Weights, Loading: true})
-		l.cfg.Clock.Sleep(noticeTime)
+		l.cfg.Clock.Sleep(loadNoticeTime)
 	}
 	err := l.cfg.Server.Load(ctx, w.Model, w.Version, r.Orders)
 	if err != nil {
@@ -36,20 +38,21 @@
 	return err
 }
 
-// check reads every staged piece back and stages spoilt ones again.
-func (l *Loader) check(ctx context.Context, w Wanted) error {
+// verifyStaged reads every staged chunk back and stages each chunk again that
+// is missing or does not match its digest.
+func (l *Loader) verifyStaged(ctx context.Context, w Wanted) error {
 	l.mu.Lock()
-	digests := l.digests[key{w.Model, w.Version}]
+	digests := l.digests[versionKey{w.Model, w.Version}]
 	l.mu.Unlock()
 	for i, d := range digests {
-		piece, err := l.cfg.Server.Staged(ctx, w.Model, i)
-		if err == nil && d.Matches(piece) {
+		chunk, err := l.cfg.Server.Staged(ctx, w.Model, i)
+		if err == nil && d.Matches(chunk) {
 			continue
 		}
-		l.cfg.Log.Event(eventRotten, eventlog.Fields{"model": w.Model, "version": w.Version, "piece": i})
+		l.cfg.Log.Event(eventCorrupt, eventlog.Fields{"model": w.Model, "version": w.Version, "piece": i})
 		body, ok := l.cfg.Swarm.Store().Get(d)
 		if !ok {
-			return l.missing(w, i)
+			return l.markNotFetched(w, i)
 		}
 		if err := l.cfg.Server.Stage(ctx, w.Model, i, body); err != nil {
 			return err
@@ -58,14 +61,14 @@
 	return nil
 }
 
-// confirm waits until the server reports that it holds the version.
-func (l *Loader) confirm(ctx context.Context, k key) error {
+// awaitLoaded waits until the server reports that it holds the version.
+func (l *Loader) awaitLoaded(ctx context.Context, k versionKey) error {
 	start := l.cfg.Clock.Now()
 	for l.cfg.Clock.Since(start) < loadTimeout {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.cfg.Clock.After(pollLoading):
+		case <-l.cfg.Clock.After(loadingPollInterval):
 		}
 		r, err := l.cfg.Server.Report(ctx)
 		if err != nil {
@@ -75,13 +78,13 @@
 			l.cfg.Log.Event(eventLoaded, eventlog.Fields{
 				"model": k.model, "version": k.version, "ms": l.cfg.Clock.Since(start).Milliseconds(),
 			})
-			l.observe(r)
+			l.recordReport(r)
 			return nil
 		}
 		if !r.Busy {
-			l.observe(r)
-			return errors.New("the server does not hold the version after its order")
+			l.recordReport(r)
+			return errors.New("the server has ended the load order but does not hold the version")
 		}
 	}
-	return errors.New("the order takes too long")
+	return errors.New("the server has not ended the load order within the load timeout")
 }
--- a/version/loading/pieces.go
+++ b/version/loading/pieces.go
@@ -11,103 +11,111 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// learnTime is how long a piece of an unknown version is waited for; agents hear
-// of a version within about 100 ms of each other.
-const learnTime = 800 * time.Millisecond
+// unknownChunkWait is how long a read waits until this agent has the digests of
+// the version that the chunk belongs to. Agents receive the declaration of a
+// version within about 100 ms of each other.
+const unknownChunkWait = 800 * time.Millisecond
 
-// Pieces shows the pieces of the origin as objects that are named by their
-// digest, as a swarm reads them. It implements platform.Objects for reading.
+// Pieces gives a swarm read access to the chunks at the origin as objects that
+// are named by their digests. It implements platform.Objects, but Put always
+// fails.
 type Pieces struct {
 	origin Origin
 
-	mu    sync.Mutex
-	addr  string
-	named map[string]piece
-	// turn is held while a piece is read.
-	turn chan struct{}
-	// learned is closed when pieces are added.
-	learned chan struct{}
+	mu         sync.Mutex
+	originAddr string
+	// locations maps the name of an object to its place at the origin.
+	locations map[string]chunkLocation
+	// readSlot is full while a chunk is being read.
+	readSlot chan struct{}
+	// added is closed and replaced when chunks are added.
+	added chan struct{}
 }
 
-// piece is where the origin has an object.
-type piece struct {
-	key
+// chunkLocation identifies a chunk at the origin by its version and its number
+// within the version.
+type chunkLocation struct {
+	versionKey
 	number int
 }
 
-// NewPieces returns an empty view of the origin.
+// NewPieces returns a Pieces without chunks.
 func NewPieces(origin Origin) *Pieces {
-	return &Pieces{origin: origin, named: map[string]piece{}, turn: make(chan struct{}, 1), learned: make(chan struct{})}
+	return &Pieces{origin: origin, locations: map[string]chunkLocation{}, readSlot: make(chan struct{}, 1), added: make(chan struct{})}
 }
 
-// Know adds the pieces of a version.
-func (p *Pieces) Know(addr string, k key, digests []core.Digest) {
+// Know adds the chunks of a version and sets the address of the origin.
+func (p *Pieces) Know(addr string, k versionKey, digests []core.Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.addr = addr
+	p.originAddr = addr
 	for i, d := range digests {
-		p.named[manifest.ChunkName(d)] = piece{k, i}
+		p.locations[manifest.ChunkName(d)] = chunkLocation{k, i}
 	}
-	close(p.learned)
-	p.learned = make(chan struct{})
+	close(p.added)
+	p.added = make(chan struct{})
 }
 
-// find returns where the origin has an object. An agent may be asked for a
-// piece of a version of which it is only about to hear, so find waits a while.
-func (p *Pieces) find(ctx context.Context, name string) (addr string, at piece, ok bool) {
-	timer := time.NewTimer(learnTime)
+// locate returns the address of the origin and the location of an object there.
+// Another agent may request a chunk of a version before this agent has received
+// the declaration of the version, so locate waits up to unknownChunkWait.
+func (p *Pieces) locate(ctx context.Context, name string) (addr string, location chunkLocation, ok bool) {
+	timer := time.NewTimer(unknownChunkWait)
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
-		addr, learned := p.addr, p.learned
-		at, ok = p.named[name]
+		addr, added := p.originAddr, p.added
+		location, ok = p.locations[name]
 		p.mu.Unlock()
 		if ok {
-			return addr, at, true
+			return addr, location, true
 		}
 		select {
-		case <-learned:
+		case <-added:
 		case <-timer.C:
-			return "", at, false
+			return "", location, false
 		case <-ctx.Done():
-			return "", at, false
+			return "", location, false
 		}
 	}
 }
 
-// Get implements platform.Objects; a piece is always read whole.
+// Get implements platform.Objects. It ignores offset and length and returns the
+// whole chunk.
 func (p *Pieces) Get(ctx context.Context, name string, _, _ int64) ([]byte, error) {
-	addr, at, ok := p.find(ctx, name)
+	addr, location, ok := p.locate(ctx, name)
 	if !ok || addr == "" {
-		return nil, core.Step("find piece", strings.TrimPrefix(name, "chunks/"), platform.ErrNotFound)
+		return nil, core.Step("find chunk", strings.TrimPrefix(name, "chunks/"), platform.ErrNotFound)
 	}
-	return p.read(ctx, addr, at)
+	return p.read(ctx, addr, location)
 }
 
-// originTries is how often a piece is asked for before others are to try: the
-// origin drops connections beyond its limit.
-const originTries = 3
+// originAttempts is how often a read of a chunk is attempted before Get fails
+// and other agents may try; the origin drops connections beyond its limit.
+const originAttempts = 3
 
-// read reads one piece. An agent reads one at a time: all agents together must
-// stay below the connections that the origin takes, and its link is the limit
-// anyway.
-func (p *Pieces) read(ctx context.Context, addr string, at piece) ([]byte, error) {
+// read reads one chunk from the origin. Each agent reads one chunk at a time,
+// so that all agents together stay below the connection limit of the origin.
+// Parallel reads would not be faster, because the link of the origin is the
+// bottleneck.
+func (p *Pieces) read(ctx context.Context, addr string, location chunkLocation) ([]byte, error) {
 	select {
-	case p.turn <- struct{}{}:
-		defer func() { <-p.turn }()
+	case p.readSlot <- struct{}{}:
+		defer func() { <-p.readSlot }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	var last error
-	for range originTries {
-		body, err := p.origin.Piece(ctx, addr, at.model, at.version, at.number)
+	var lastErr error
+	for range originAttempts {
+		body, err := p.origin.Piece(ctx, addr, location.model, location.version, location.number)
 		if err == nil || ctx.Err() != nil {
 			return body, err
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// Put implements platform.Objects; the origin is only read.
+// Put implements platform.Objects. It always returns platform.ErrUnavailable,
+// because the origin is read-only.
 func (p *Pieces) Put(context.Context, string, []byte) error { return platform.ErrUnavailable }
--- a/version/loading/turn.go
+++ b/version/loading/turn.go
@@ -10,53 +10,55 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// Turns answer a new version under full load: a server takes nothing new from
-// its order until its running requests have ended and the weights are in
-// place, so the servers change over one after the other within the time that
-// the version has.
+// Turns schedules the rolling update of the servers to a new version. From its
+// load order until its running requests have ended and the weights are loaded,
+// a server accepts no new requests. The loads are therefore spread over the time
+// in which the previous version may still be served, also under full load.
 type Turns struct {
-	// First is the age of a version at which the first server changes over,
-	// and Last that of the last one.
+	// First is the age of a version at which the first server loads it, and
+	// Last the age at which the last server does.
 	First, Last time.Duration
 }
 
-// leastWindow is the shortest time in which the servers may change over to a
-// newer version in place of the one whose turn it is; in less, too many of them
-// would load at once.
-const leastWindow = 1500 * time.Millisecond
+// minUpdateWindow is the shortest time over which the loads may be spread when
+// the update waits for a newer version; in less time too many servers would load
+// at once.
+const minUpdateWindow = 1500 * time.Millisecond
 
-// Turn returns when the server of agent self is to change over from the version
-// that it holds. declared are the versions that are newer, oldest first. Usually
-// that is its turn for the oldest of them. When a newer one comes soon enough
-// to be loaded in its place, the turns wait for that. The order of the agents is
-// the same everywhere and differs from version to version.
+// Turn returns the time at which the server of agent self should load. declared
+// are the versions newer than the one that the server holds, oldest first. The
+// loads lie between the ages First and Last of the oldest of these versions. If
+// the newest version reaches the age First at least minUpdateWindow before the
+// last load, the loads start only then, so that the servers can load the newest
+// version instead. The order of the agents is the same on every agent and
+// differs between versions.
 func (t Turns) Turn(declared []Wanted, agents []spread.Peer, self string) time.Time {
 	oldest, newest := declared[0], declared[len(declared)-1]
 	first, last := oldest.Known.Add(t.First), oldest.Known.Add(t.Last)
-	if later := newest.Known.Add(t.First); later.After(first) && last.Sub(later) >= leastWindow {
-		first = later
+	if newestFirst := newest.Known.Add(t.First); newestFirst.After(first) && last.Sub(newestFirst) >= minUpdateWindow {
+		first = newestFirst
 	}
-	before := 0
-	own := rank(oldest, self)
+	position := 0
+	selfHash := orderHash(oldest, self)
 	for _, a := range agents {
-		if a.ID != self && rank(oldest, a.ID) < own {
-			before++
+		if a.ID != self && orderHash(oldest, a.ID) < selfHash {
+			position++
 		}
 	}
-	step := last.Sub(first) / time.Duration(max(1, len(agents)-1))
-	return first.Add(time.Duration(before) * step)
+	interval := last.Sub(first) / time.Duration(max(1, len(agents)-1))
+	return first.Add(time.Duration(position) * interval)
 }
 
-// rank orders agents for a version.
-func rank(w Wanted, agent string) uint64 {
+// orderHash returns the sort key of an agent in the order for a version.
+func orderHash(w Wanted, agent string) uint64 {
 	return xxhash.Sum64String(w.Model + "/" + strconv.Itoa(w.Version) + "/" + agent)
 }
 
-// declaredVersions remembers the versions of one model, oldest first.
+// declaredVersions holds the declared versions of one model, oldest first.
 type declaredVersions []Wanted
 
-// add notes a version with the earliest time it was heard of. It reports
-// whether the version was not known.
+// add adds a version, or moves the declaration time of a version already present
+// to the earlier time. It reports whether the version is new.
 func (d *declaredVersions) add(w Wanted) bool {
 	i, found := slices.BinarySearchFunc(*d, w.Version, func(o Wanted, v int) int { return o.Version - v })
 	if !found {
@@ -69,9 +71,9 @@
 	return false
 }
 
-// after returns the versions that are newer than a held one. While none is held
-// only the newest counts.
-func (d declaredVersions) after(held int) []Wanted {
+// newerThan returns the versions that are newer than held. If held is 0, which
+// means that the server holds no version, it returns only the newest version.
+func (d declaredVersions) newerThan(held int) []Wanted {
 	if held == 0 && len(d) > 0 {
 		return slices.Clone(d[len(d)-1:])
 	}
