--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan works out what a change of the declarations will cause: which
-// backend servers load and unload which versions, how many chunks have to
-// move, and where work moves to.
+// Package plan predicts the effects of a change to the declarations: which
+// backend servers load and unload which versions, how many chunks they fetch,
+// and which capacity is lost or gained.
 package plan
 
 import (
@@ -16,20 +16,23 @@
 	"github.com/rattanway/rattanway/version/placement"
 )
 
-// mebibyte is for amounts in effects.
+// mebibyte is the number of bytes in a MiB.
 const mebibyte = 1 << 20
 
-// Input is what a plan is made from.
+// Input holds the change and the data from which its effects are computed.
 type Input struct {
-	// Old and New are the sets before and after the change.
+	// Old and New are the sets of declarations before and after the change.
 	Old, New *declare.Set
 	// Live are the instances that take part in placement.
 	Live []core.Instance
-	// Weights holds the manifests; nil leaves the amounts out.
+	// Weights is the object store that holds the manifests. If it is nil, the
+	// amounts to fetch are reported as unknown.
 	Weights platform.Objects
 }
 
-// planner works out the effects of one change.
+// planner computes the effects of one change. before and after are the
+// placements of the old and the new set, manifests caches the manifests by
+// digest, and lines collects the effects.
 type planner struct {
 	Input
 	before, after *placement.Plan
@@ -37,8 +40,8 @@
 	lines         []string
 }
 
-// Effects returns what the change will cause, one line each. Amounts whose
-// manifest cannot be read are said to be unknown.
+// Effects returns the effects of the change, one line for each. If a manifest
+// cannot be read, the amount to fetch is reported as unknown.
 func Effects(ctx context.Context, in Input) []string {
 	p := &planner{
 		Input:     in,
@@ -46,21 +49,21 @@
 		after:     placement.Compute(in.New, in.Live),
 		manifests: map[core.Digest]*manifest.Manifest{},
 	}
-	p.loads(ctx)
-	p.unloads()
-	p.dataCentres()
-	p.servers()
-	p.refusals()
-	p.capacity()
+	p.addLoads(ctx)
+	p.addUnloads()
+	p.addDataCentres()
+	p.addServers()
+	p.addRefusals()
+	p.addCapacity()
 	return p.lines
 }
 
-// say adds a line.
-func (p *planner) say(format string, args ...any) {
+// addLine formats a line and adds it to the effects.
+func (p *planner) addLine(format string, args ...any) {
 	p.lines = append(p.lines, fmt.Sprintf(format, args...))
 }
 
-// serverNames returns the servers of both sets in order.
+// serverNames returns the sorted names of the backend servers in either set.
 func (p *planner) serverNames() []string {
 	seen := map[string]bool{}
 	for name := range p.Old.BackendServers {
@@ -69,20 +72,20 @@
 	for name := range p.New.BackendServers {
 		seen[name] = true
 	}
-	return sorted(seen)
+	return sortedKeys(seen)
 }
 
-// difference returns, by version, the servers that want it in one plan and not
-// in the other.
+// difference returns, for each version, the servers to which the plan in assigns
+// the version and the plan notIn does not.
 func (p *planner) difference(in, notIn *placement.Plan) map[placement.Want][]string {
 	servers := map[placement.Want][]string{}
 	for _, name := range p.serverNames() {
-		has := map[core.Digest]bool{}
+		excluded := map[core.Digest]bool{}
 		for _, w := range notIn.Wanted(name) {
-			has[w.Digest] = true
+			excluded[w.Digest] = true
 		}
 		for _, w := range in.Wanted(name) {
-			if has[w.Digest] {
+			if excluded[w.Digest] {
 				continue
 			}
 			w.Rank = 0
@@ -92,43 +95,45 @@
 	return servers
 }
 
-// loads tells which servers load which versions.
-func (p *planner) loads(ctx context.Context) {
+// addLoads adds a line for each version that servers load.
+func (p *planner) addLoads(ctx context.Context) {
 	servers := p.difference(p.after, p.before)
-	for _, w := range sortedWants(servers) {
+	for _, w := range sortedVersions(servers) {
 		names := servers[w]
-		p.say("load %s of Model %s on %d servers (%s): %s", w.Version, w.Model, len(names), strings.Join(names, ", "), p.amount(ctx, w, names))
-		p.switches(w, names)
+		p.addLine("load %s of Model %s on %d servers (%s): %s", w.Version, w.Model, len(names), strings.Join(names, ", "), p.fetchAmount(ctx, w, names))
+		p.addSwitch(w, names)
 	}
 }
 
-// switches tells how many servers go from one version of a model to another.
-func (p *planner) switches(w placement.Want, names []string) {
+// addSwitch adds a line if the change replaces the version of the model of w.
+// names are the servers that load w; the line counts those that already hold
+// another version of the model.
+func (p *planner) addSwitch(w placement.Want, names []string) {
 	old := p.Old.Models[w.Model]
 	if old == nil || old.Version == w.Version {
 		return
 	}
 	held := 0
 	for _, name := range names {
-		for _, had := range p.before.Wanted(name) {
-			if had.Model == w.Model {
+		for _, oldVersion := range p.before.Wanted(name) {
+			if oldVersion.Model == w.Model {
 				held++
 			}
 		}
 	}
-	p.say("switch Model %s from %s to %s: %d of these servers answer from the old version until the new one stands", w.Model, old.Version, w.Version, held)
+	p.addLine("switch Model %s from %s to %s: %d of these servers answer from the old version until the new one stands", w.Model, old.Version, w.Version, held)
 }
 
-// amount tells how many chunks and bytes the servers have to fetch, without
-// the chunks that the versions they hold share with the new one.
-func (p *planner) amount(ctx context.Context, w placement.Want, names []string) string {
+// fetchAmount describes how many chunks and bytes the servers have to fetch for w.
+// It does not count the chunks that a server already holds for other versions.
+func (p *planner) fetchAmount(ctx context.Context, w placement.Want, names []string) string {
 	m := p.manifest(ctx, w.Digest)
 	if m == nil {
 		return "amount unknown, the manifest cannot be read"
 	}
 	chunks, size := 0, int64(0)
 	for _, name := range names {
-		held := p.held(ctx, name)
+		held := p.heldChunks(ctx, name)
 		for _, c := range m.Chunks() {
 			if !held[c.Digest] {
 				chunks++
@@ -140,9 +145,9 @@
 		chunks, float64(size)/mebibyte, len(m.Chunks()), float64(m.Size())/mebibyte)
 }
 
-// held returns the chunks of the versions that a server holds before the
+// heldChunks returns the chunks of the versions that a server holds before the
 // change.
-func (p *planner) held(ctx context.Context, server string) map[core.Digest]bool {
+func (p *planner) heldChunks(ctx context.Context, server string) map[core.Digest]bool {
 	held := map[core.Digest]bool{}
 	for _, w := range p.before.Wanted(server) {
 		m := p.manifest(ctx, w.Digest)
@@ -156,7 +161,8 @@
 	return held
 }
 
-// manifest reads a manifest once; nil when it cannot be read.
+// manifest returns the manifest with the digest d, or nil if it cannot be read.
+// It reads each manifest only once.
 func (p *planner) manifest(ctx context.Context, d core.Digest) *manifest.Manifest {
 	if m, ok := p.manifests[d]; ok {
 		return m
@@ -177,35 +183,36 @@
 	return m
 }
 
-// unloads tells which servers need a version no more.
-func (p *planner) unloads() {
+// addUnloads adds a line for each version that servers no longer need.
+func (p *planner) addUnloads() {
 	servers := p.difference(p.before, p.after)
-	for _, w := range sortedWants(servers) {
+	for _, w := range sortedVersions(servers) {
 		names := servers[w]
-		p.say("unload %s of Model %s from %d servers (%s)", w.Version, w.Model, len(names), strings.Join(names, ", "))
+		p.addLine("unload %s of Model %s from %d servers (%s)", w.Version, w.Model, len(names), strings.Join(names, ", "))
 	}
 }
 
-// dataCentres tells what moves with data centres that go out or return.
-func (p *planner) dataCentres() {
-	for _, name := range sorted(p.New.DataCentres) {
+// addDataCentres adds a line for each data centre that is taken out of service or
+// put back.
+func (p *planner) addDataCentres() {
+	for _, name := range sortedKeys(p.New.DataCentres) {
 		old := p.Old.DataCentres[name]
 		out := p.New.DataCentres[name].Out
 		if old == nil || old.Out == out {
 			continue
 		}
-		servers, limit := p.inDataCentre(name)
+		servers, limit := p.dataCentreCapacity(name)
 		if out {
-			p.say("DataCentre %s goes out: its %d servers get no new work, their share of %d calls at once moves to the others; calls in flight end", name, servers, limit)
+			p.addLine("DataCentre %s goes out: its %d servers get no new work, their share of %d calls at once moves to the others; calls in flight end", name, servers, limit)
 			continue
 		}
-		p.say("DataCentre %s returns: its %d servers take work again, up to %d calls at once", name, servers, limit)
+		p.addLine("DataCentre %s returns: its %d servers take work again, up to %d calls at once", name, servers, limit)
 	}
 }
 
-// inDataCentre returns the number of servers in a data centre and the sum of
-// their limits.
-func (p *planner) inDataCentre(name string) (servers, limit int) {
+// dataCentreCapacity returns the number of servers in a data centre and the sum
+// of their limits.
+func (p *planner) dataCentreCapacity(name string) (servers, limit int) {
 	for _, b := range p.New.BackendServers {
 		if b.DataCentre == name {
 			servers++
@@ -215,84 +222,86 @@
 	return servers, limit
 }
 
-// servers tells which servers leave, return or go.
-func (p *planner) servers() {
+// addServers adds a line for each server that is added, removed, starts to leave
+// or no longer leaves.
+func (p *planner) addServers() {
 	for _, name := range p.serverNames() {
-		old, now := p.Old.BackendServers[name], p.New.BackendServers[name]
+		old, updated := p.Old.BackendServers[name], p.New.BackendServers[name]
 		switch {
-		case now == nil:
-			p.say("BackendServer %s is removed: it gets no new work; calls in flight end", name)
+		case updated == nil:
+			p.addLine("BackendServer %s is removed: it gets no new work; calls in flight end", name)
 		case old == nil:
-			p.say("BackendServer %s is new: it takes work once its agent is registered, up to %d calls at once, %d while cold", name, now.Limit, now.ColdLimit)
-		case now.Leaving && !old.Leaving:
-			p.say("BackendServer %s leaves: its share of %d calls at once moves to the others; calls in flight end", name, now.Limit)
-		case old.Leaving && !now.Leaving:
-			p.say("BackendServer %s stays: it takes work again, up to %d calls at once", name, now.Limit)
+			p.addLine("BackendServer %s is new: it takes work once its agent is registered, up to %d calls at once, %d while cold", name, updated.Limit, updated.ColdLimit)
+		case updated.Leaving && !old.Leaving:
+			p.addLine("BackendServer %s leaves: its share of %d calls at once moves to the others; calls in flight end", name, updated.Limit)
+		case old.Leaving && !updated.Leaving:
+			p.addLine("BackendServer %s stays: it takes work again, up to %d calls at once", name, updated.Limit)
 		}
 	}
 }
 
-// refusals tells whose calls will be refused.
-func (p *planner) refusals() {
-	for _, name := range sorted(p.Old.Models) {
+// addRefusals adds a line for each model, service and client account whose calls
+// will be refused.
+func (p *planner) addRefusals() {
+	for _, name := range sortedKeys(p.Old.Models) {
 		if p.New.Models[name] == nil {
-			p.say("calls for Model %s will be refused", name)
+			p.addLine("calls for Model %s will be refused", name)
 		}
 	}
-	for _, name := range sorted(p.Old.Services) {
+	for _, name := range sortedKeys(p.Old.Services) {
 		if p.New.Services[name] == nil {
-			p.say("calls of Service %s will be refused", name)
+			p.addLine("calls of Service %s will be refused", name)
 		}
 	}
-	for _, name := range sorted(p.Old.ClientAccounts) {
-		now := p.New.ClientAccounts[name]
+	for _, name := range sortedKeys(p.Old.ClientAccounts) {
+		updated := p.New.ClientAccounts[name]
 		switch {
-		case now == nil:
-			p.say("calls of ClientAccount %s will be refused", name)
-		case now.KeyHash != p.Old.ClientAccounts[name].KeyHash:
-			p.say("calls of ClientAccount %s with its old key will be refused", name)
+		case updated == nil:
+			p.addLine("calls of ClientAccount %s will be refused", name)
+		case updated.KeyHash != p.Old.ClientAccounts[name].KeyHash:
+			p.addLine("calls of ClientAccount %s with its old key will be refused", name)
 		}
 	}
 }
 
-// capacity tells how many calls the servers bear before and after.
-func (p *planner) capacity() {
-	before, after := bears(p.Old), bears(p.New)
+// addCapacity adds a line if the total capacity of the servers in service changes.
+func (p *planner) addCapacity() {
+	before, after := totalLimit(p.Old), totalLimit(p.New)
 	if before != after {
-		p.say("calls that the servers in service bear at once: %d -> %d", before, after)
+		p.addLine("calls that the servers in service bear at once: %d -> %d", before, after)
 	}
 }
 
-// bears returns the sum of the limits of the servers that take work.
-func bears(s *declare.Set) int {
-	n := 0
+// totalLimit returns the sum of the limits of the servers that accept calls.
+func totalLimit(s *declare.Set) int {
+	total := 0
 	for _, b := range s.BackendServers {
 		dc := s.DataCentres[b.DataCentre]
 		if !b.Leaving && dc != nil && !dc.Out {
-			n += b.Limit
+			total += b.Limit
 		}
 	}
-	return n
+	return total
 }
 
-// sortedWants returns the keys of m by model and version.
-func sortedWants(m map[placement.Want][]string) []placement.Want {
-	wants := make([]placement.Want, 0, len(m))
+// sortedVersions returns the keys of m, sorted by model and version.
+func sortedVersions(m map[placement.Want][]string) []placement.Want {
+	versions := make([]placement.Want, 0, len(m))
 	for w := range m {
-		wants = append(wants, w)
+		versions = append(versions, w)
 	}
-	sort.Slice(wants, func(i, j int) bool {
-		a, b := wants[i], wants[j]
+	sort.Slice(versions, func(i, j int) bool {
+		a, b := versions[i], versions[j]
 		if a.Model != b.Model {
 			return a.Model < b.Model
 		}
 		return a.Version < b.Version
 	})
-	return wants
+	return versions
 }
 
-// sorted returns the keys of m in order.
-func sorted[T any](m map[string]T) []string {
+// sortedKeys returns the keys of m in order.
+func sortedKeys[T any](m map[string]T) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
--- a/version/plan/plan_test.go
+++ b/version/plan/plan_test.go
@@ -13,11 +13,11 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// store is an object store in memory.
-type store map[string][]byte
+// memoryStore is an object store in memory.
+type memoryStore map[string][]byte
 
 // Get implements platform.Objects.
-func (s store) Get(_ context.Context, name string, _, _ int64) ([]byte, error) {
+func (s memoryStore) Get(_ context.Context, name string, _, _ int64) ([]byte, error) {
 	body, ok := s[name]
 	if !ok {
 		return nil, platform.ErrNotFound
@@ -26,13 +26,14 @@
 }
 
 // Put implements platform.Objects.
-func (s store) Put(_ context.Context, name string, body []byte) error {
+func (s memoryStore) Put(_ context.Context, name string, body []byte) error {
 	s[name] = body
 	return nil
 }
 
-// publish stores a manifest with a chunk of 1 MiB for each name.
-func (s store) publish(names ...string) core.Digest {
+// publish stores a manifest with one chunk of 1 MiB for each name and returns the
+// digest of the manifest.
+func (s memoryStore) publish(names ...string) core.Digest {
 	var chunks []manifest.Chunk
 	for _, name := range names {
 		chunks = append(chunks, manifest.Chunk{Digest: core.DigestOf([]byte(name)), Size: mebibyte})
@@ -44,8 +45,9 @@
 	return digest
 }
 
-// scene returns a set with two servers that hold a model, and their agents.
-func scene(digest core.Digest) (*declare.Set, []core.Instance) {
+// modelOnTwoServers returns a set in which two servers hold a model, and the
+// instances of their agents.
+func modelOnTwoServers(digest core.Digest) (*declare.Set, []core.Instance) {
 	set := declare.NewSet()
 	set.Regions["west"] = &declare.Region{Name: "west"}
 	set.Models["herbs"] = &declare.Model{Name: "herbs", Version: "herbs-1", Replicas: 2}
@@ -63,16 +65,16 @@
 
 func TestEffects(t *testing.T) {
 	Convey("Given a model on two servers", t, func() {
-		weights := store{}
+		weights := memoryStore{}
 		first := weights.publish("a", "b", "c")
-		old, live := scene(first)
+		old, live := modelOnTwoServers(first)
 		in := Input{Old: old, New: old.Clone(), Live: live, Weights: weights}
 		ctx := context.Background()
 
 		Convey("no change has no effect", func() {
 			So(Effects(ctx, in), ShouldBeEmpty)
 		})
-		Convey("a new version tells the chunks that move and the servers that switch", func() {
+		Convey("a new version lists the chunks to fetch and the servers that switch", func() {
 			second := weights.publish("a", "b", "d")
 			in.New.Models["herbs"] = &declare.Model{Name: "herbs", Version: "herbs-2", Replicas: 2}
 			in.New.Versions["herbs-2"] = &declare.Version{Name: "herbs-2", Model: "herbs", Manifest: second}
@@ -82,18 +84,18 @@
 				"unload herbs-1 of Model herbs from 2 servers (gpu-1, gpu-2)",
 			})
 		})
-		Convey("a version whose manifest is missing is told", func() {
+		Convey("the amount is unknown for a version whose manifest is missing", func() {
 			in.New.Models["herbs"] = &declare.Model{Name: "herbs", Version: "herbs-2", Replicas: 2}
 			in.New.Versions["herbs-2"] = &declare.Version{Name: "herbs-2", Model: "herbs", Manifest: core.DigestOf([]byte("none"))}
 			So(Effects(ctx, in)[0], ShouldEndWith, "amount unknown, the manifest cannot be read")
 		})
-		Convey("a data centre that goes out tells the work that moves", func() {
+		Convey("taking a data centre out lists the capacity that is lost", func() {
 			So(in.New.SetDataCentreOut("palermo", true), ShouldBeNil)
 			lines := Effects(ctx, in)
 			So(lines, ShouldContain, "DataCentre palermo goes out: its 1 servers get no new work, their share of 8 calls at once moves to the others; calls in flight end")
 			So(lines, ShouldContain, "calls that the servers in service bear at once: 16 -> 8")
 		})
-		Convey("a server that leaves and an account that goes are told", func() {
+		Convey("a server that leaves and an account that is removed are listed", func() {
 			So(in.New.SetBackendServerLeaving("gpu-2", true), ShouldBeNil)
 			delete(in.New.ClientAccounts, "grower")
 			lines := Effects(ctx, in)
