--- a/version/declare/collection.go
+++ b/version/declare/collection.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// Kind names a kind of object, as the kind field of a document does.
+// Kind is a kind of object, as written in the kind field of a document.
 type Kind string
 
 // The kinds of objects.
@@ -16,7 +16,7 @@
 	KindService       Kind = "Service"
 )
 
-// Ref names one object.
+// Ref identifies one object.
 type Ref struct {
 	// Kind is the object's kind.
 	Kind Kind `json:"kind"`
@@ -27,23 +27,25 @@
 // String returns the kind and the name.
 func (r Ref) String() string { return string(r.Kind) + " " + r.Name }
 
-// collection gives access to the objects of one kind in a set, so that
-// parsing, comparing and encoding stand once for all kinds.
+// collection gives access to the objects of one kind in a set, so that parsing,
+// comparing and encoding are written once for all kinds.
 type collection struct {
 	kind Kind
 	// names returns the sorted names of the objects in a set.
 	names func(*Set) []string
-	// get returns the object as a pointer to its struct, or nil.
+	// get returns a pointer to the struct of the named object, or nil if the
+	// set has no such object.
 	get func(*Set, string) any
 	// put adds or replaces an object.
 	put func(*Set, string, any)
-	// remove takes an object away.
+	// remove deletes an object from a set.
 	remove func(*Set, string)
-	// make returns a pointer to a new zero object.
-	make func() any
+	// newObject returns a pointer to a new zero object.
+	newObject func() any
 }
 
-// collectionOf returns the collection whose objects field points to.
+// collectionOf returns the collection of a kind. field returns a pointer to the
+// map in a set that holds the objects of the kind.
 func collectionOf[T any](kind Kind, field func(*Set) *map[string]*T) collection {
 	return collection{
 		kind: kind,
@@ -57,18 +59,19 @@
 			return nil
 		},
 		put: func(s *Set, name string, object any) {
-			m := field(s)
-			if *m == nil {
-				*m = map[string]*T{}
+			objects := field(s)
+			if *objects == nil {
+				*objects = map[string]*T{}
 			}
-			(*m)[name] = object.(*T)
+			(*objects)[name] = object.(*T)
 		},
-		remove: func(s *Set, name string) { delete(*field(s), name) },
-		make:   func() any { return new(T) },
+		remove:    func(s *Set, name string) { delete(*field(s), name) },
+		newObject: func() any { return new(T) },
 	}
 }
 
-// collections lists every kind in the order in which documents are written.
+// collections lists the collections of all kinds, in the order in which Documents
+// writes them.
 var collections = []collection{
 	collectionOf(KindRegion, func(s *Set) *map[string]*Region { return &s.Regions }),
 	collectionOf(KindDataCentre, func(s *Set) *map[string]*DataCentre { return &s.DataCentres }),
@@ -99,7 +102,7 @@
 	return names
 }
 
-// Clone returns a set with maps of its own that shares the objects.
+// Clone returns a set with new maps that shares the objects with s.
 func (s *Set) Clone() *Set {
 	copied := NewSet()
 	for _, c := range collections {
@@ -112,9 +115,9 @@
 
 // Len returns the number of objects in the set.
 func (s *Set) Len() int {
-	n := 0
+	count := 0
 	for _, c := range collections {
-		n += len(c.names(s))
+		count += len(c.names(s))
 	}
-	return n
+	return count
 }
--- a/version/declare/delta.go
+++ b/version/declare/delta.go
@@ -6,8 +6,9 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// delta is what turns one set into another. Its maps are left out when empty,
-// so that a small change is a small message.
+// delta is the difference between two sets: the objects that are added or
+// replaced, and the names of the removed objects by kind. Empty maps are left out,
+// so that a small change has a small encoding.
 type delta struct {
 	Put    deltaSet          `cbor:"1,keyasint"`
 	Remove map[Kind][]string `cbor:"2,keyasint,omitempty"`
@@ -24,7 +25,8 @@
 	Services       map[string]*Service       `cbor:"7,keyasint,omitempty"`
 }
 
-// EncodeDelta returns the encoded difference from old to new.
+// EncodeDelta returns the encoded difference that ApplyDelta needs to turn old
+// into new.
 func EncodeDelta(old, new *Set) ([]byte, error) {
 	put := NewSet()
 	remove := map[Kind][]string{}
@@ -43,8 +45,9 @@
 	return body, nil
 }
 
-// ApplyDelta returns the set that the encoded difference makes of old. The
-// result must have the digest want; old is not changed.
+// ApplyDelta applies an encoded difference to old and returns the resulting set,
+// without changing old. It returns ErrDigest if the result does not have the
+// digest want.
 func ApplyDelta(old *Set, body []byte, want core.Digest) (*Set, error) {
 	if len(body) > MaxEncodedBytes {
 		return nil, errors.Errorf("apply difference: %d bytes, more than %d", len(body), MaxEncodedBytes)
@@ -54,7 +57,7 @@
 		return nil, errors.Wrap(err, "apply difference")
 	}
 	put := Set(d.Put)
-	if err := checkNames(&put); err != nil {
+	if err := checkMapKeys(&put); err != nil {
 		return nil, err
 	}
 	set := old.Clone()
--- a/version/declare/diff.go
+++ b/version/declare/diff.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Action says what a change does to an object.
+// Action is the effect of a change on an object.
 type Action string
 
 // The actions of a change.
@@ -16,23 +16,24 @@
 	ActionChange Action = "change"
 )
 
-// FieldChange is one field that differs.
+// FieldChange is a field of an object whose value differs between two sets.
 type FieldChange struct {
 	// Field is the field's name in the document.
 	Field string `json:"field"`
-	// Old and New are the values as text; empty for a field that is not set.
+	// Old is the old value as text; an empty string or list gives "".
 	Old string `json:"old"`
-	// New is the new value.
+	// New is the new value as text; an empty string or list gives "".
 	New string `json:"new"`
 }
 
-// Change is one object that differs between two sets.
+// Change is the difference of one object between two sets.
 type Change struct {
-	// Action says whether the object is added, removed or changed.
+	// Action reports whether the object is added, removed or changed.
 	Action Action `json:"action"`
-	// Ref names the object.
+	// Ref identifies the object.
 	Ref
-	// Fields lists the fields that differ, of a changed object only.
+	// Fields lists the fields that differ; it is empty if the object is added
+	// or removed.
 	Fields []FieldChange `json:"fields,omitempty"`
 }
 
@@ -40,7 +41,7 @@
 func (c Change) String() string {
 	parts := make([]string, len(c.Fields))
 	for i, f := range c.Fields {
-		parts[i] = fmt.Sprintf("%s %s -> %s", f.Field, orNone(f.Old), orNone(f.New))
+		parts[i] = fmt.Sprintf("%s %s -> %s", f.Field, textOrDash(f.Old), textOrDash(f.New))
 	}
 	line := fmt.Sprintf("%s %s", c.Action, c.Ref)
 	if len(parts) == 0 {
@@ -49,15 +50,17 @@
 	return line + ": " + strings.Join(parts, ", ")
 }
 
-// orNone returns s, or a dash for nothing.
-func orNone(s string) string {
+// textOrDash returns s, or a dash if s is empty.
+func textOrDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// Diff returns what turns old into new, in order of kind and name.
+// Diff returns the changes that turn old into new. They are ordered by kind.
+// Within a kind, removed objects come before the others, and both groups are
+// ordered by name.
 func Diff(old, new *Set) []Change {
 	var changes []Change
 	for _, c := range collections {
@@ -88,25 +91,26 @@
 	return changes
 }
 
-// diffFields compares two pointers to structs of one type.
+// diffFields returns the fields that differ between two objects, which are
+// pointers to structs of the same type.
 func diffFields(old, new any) []FieldChange {
 	if old == new {
 		return nil
 	}
-	a, b := reflect.ValueOf(old).Elem(), reflect.ValueOf(new).Elem()
+	oldStruct, newStruct := reflect.ValueOf(old).Elem(), reflect.ValueOf(new).Elem()
 	var fields []FieldChange
-	for i := range a.NumField() {
-		x, y := fieldText(a.Field(i)), fieldText(b.Field(i))
-		if x == y {
+	for i := range oldStruct.NumField() {
+		oldText, newText := fieldText(oldStruct.Field(i)), fieldText(newStruct.Field(i))
+		if oldText == newText {
 			continue
 		}
-		name, _, _ := strings.Cut(a.Type().Field(i).Tag.Get("yaml"), ",")
-		fields = append(fields, FieldChange{Field: name, Old: x, New: y})
+		name, _, _ := strings.Cut(oldStruct.Type().Field(i).Tag.Get("yaml"), ",")
+		fields = append(fields, FieldChange{Field: name, Old: oldText, New: newText})
 	}
 	return fields
 }
 
-// fieldText returns a value as text; the zero value of a list or text is "".
+// fieldText returns the value of a field as text; an empty list or string gives "".
 func fieldText(v reflect.Value) string {
 	if v.Kind() == reflect.Slice {
 		items := make([]string, v.Len())
@@ -118,7 +122,7 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// nameOf returns the name field of an object; empty for a nil pointer.
+// nameOf returns the name of an object, or "" if the object is a nil pointer.
 func nameOf(object any) string {
 	v := reflect.ValueOf(object)
 	if v.IsNil() {
--- a/version/declare/edit.go
+++ b/version/declare/edit.go
@@ -2,11 +2,11 @@
 
 import "github.com/go-faster/errors"
 
-// ErrNoObject says that the set has no object of that name.
+// ErrNoObject is returned when the set has no object of the given name.
 var ErrNoObject = errors.New("no such object")
 
-// SetDataCentreOut takes a data centre out of service or back in. The object
-// is replaced, so that sets that share it do not change.
+// SetDataCentreOut takes a data centre out of service or puts it back. It
+// replaces the object, so that other sets that share the object do not change.
 func (s *Set) SetDataCentreOut(name string, out bool) error {
 	old, ok := s.DataCentres[name]
 	if !ok {
@@ -18,8 +18,8 @@
 	return nil
 }
 
-// SetBackendServerLeaving asks a backend server to leave or to stay. The
-// object is replaced, so that sets that share it do not change.
+// SetBackendServerLeaving marks a backend server as leaving or removes the mark.
+// It replaces the object, so that other sets that share the object do not change.
 func (s *Set) SetBackendServerLeaving(name string, leaving bool) error {
 	old, ok := s.BackendServers[name]
 	if !ok {
--- a/version/declare/encode.go
+++ b/version/declare/encode.go
@@ -11,10 +11,11 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// MaxEncodedBytes is the largest encoding that is decoded.
+// MaxEncodedBytes is the size of the largest encoding that Decode and ApplyDelta
+// accept.
 const MaxEncodedBytes = 8 << 20
 
-// ErrDigest says that content does not have the digest it should have.
+// ErrDigest is returned when content does not have the expected digest.
 var ErrDigest = errors.New("digest does not match")
 
 var (
@@ -22,7 +23,8 @@
 	decMode = newDecMode()
 )
 
-// newEncMode returns the canonical encoding: equal sets give equal bytes.
+// newEncMode returns the options of the canonical encoding, in which equal sets
+// give equal bytes.
 func newEncMode() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -31,7 +33,8 @@
 	return mode
 }
 
-// newDecMode bounds what a malicious encoding may cost.
+// newDecMode returns decoding options that bound the time and memory that a
+// malicious encoding can take.
 func newDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -56,7 +59,8 @@
 	return body, core.DigestOf(body), nil
 }
 
-// Decode checks body against the digest want and decodes it.
+// Decode verifies that body has the digest want and decodes it. It returns
+// ErrDigest if the digest differs.
 func Decode(body []byte, want core.Digest) (*Set, error) {
 	if len(body) > MaxEncodedBytes {
 		return nil, errors.Errorf("decode declarations: %d bytes, more than %d", len(body), MaxEncodedBytes)
@@ -68,14 +72,15 @@
 	if err := decMode.Unmarshal(body, s); err != nil {
 		return nil, errors.Wrap(err, "decode declarations")
 	}
-	if err := checkNames(s); err != nil {
+	if err := checkMapKeys(s); err != nil {
 		return nil, err
 	}
 	return s.Clone(), nil
 }
 
-// checkNames refuses an encoding whose objects stand under wrong names.
-func checkNames(s *Set) error {
+// checkMapKeys returns an error if the key of an object in a map of the set is
+// empty or differs from the name of the object.
+func checkMapKeys(s *Set) error {
 	for _, c := range collections {
 		for _, name := range c.names(s) {
 			if name == "" || nameOf(c.get(s, name)) != name {
@@ -86,8 +91,8 @@
 	return nil
 }
 
-// Documents returns the set as YAML, one document for each object in order of
-// kind and name. Equal sets give equal bytes, and Parse reads them back.
+// Documents encodes the set as YAML, with one document for each object, ordered
+// by kind and name. Equal sets give equal bytes, and Parse returns the same set.
 func Documents(s *Set) ([]byte, error) {
 	var out bytes.Buffer
 	for _, c := range collections {
--- a/version/declare/fields.go
+++ b/version/declare/fields.go
@@ -9,33 +9,34 @@
 	"gopkg.in/yaml.v3"
 )
 
-// objectDecoder reads the fields of one object strictly and notes every
-// problem.
+// objectDecoder decodes the fields of one object and collects every problem.
+// Unknown and repeated fields are problems.
 type objectDecoder struct {
-	file     string
-	ref      Ref
+	file string
+	ref  Ref
+	// lines maps each field to its line.
 	lines    map[string]int
 	problems []Problem
 }
 
-// fail adds a problem with a field of the object.
-func (d *objectDecoder) fail(line int, field, why string) {
+// addProblem adds a problem with a field of the object.
+func (d *objectDecoder) addProblem(line int, field, message string) {
 	d.problems = append(d.problems, Problem{
 		File:  d.file,
 		Line:  line,
 		Kind:  d.ref.Kind,
 		Name:  shorten(d.ref.Name),
 		Field: field,
-		Why:   why,
+		Why:   message,
 	})
 }
 
-// decodeMapping reads a mapping into the struct that target points to. prefix
-// comes before the names of fields in problems. The field kind is allowed at
-// the top only.
+// decodeMapping decodes a mapping into the struct that target points to. prefix
+// is put before the names of fields in problems. top is true for the document
+// itself, the only mapping that may have the field kind.
 func (d *objectDecoder) decodeMapping(node *yaml.Node, target any, prefix string, top bool) {
 	if node.Kind != yaml.MappingNode {
-		d.fail(node.Line, strings.TrimSuffix(prefix, "."), "want fields, got "+describe(node))
+		d.addProblem(node.Line, strings.TrimSuffix(prefix, "."), "want fields, got "+describeNode(node))
 		return
 	}
 	value := reflect.ValueOf(target).Elem()
@@ -44,7 +45,7 @@
 		key, content := node.Content[i], node.Content[i+1]
 		name := prefix + shorten(key.Value)
 		if seen[key.Value] {
-			d.fail(key.Line, name, "given twice")
+			d.addProblem(key.Line, name, "given twice")
 			continue
 		}
 		seen[key.Value] = true
@@ -54,14 +55,14 @@
 		d.lines[name] = key.Line
 		field, ok := fieldByTag(value, key.Value)
 		if !ok {
-			d.fail(key.Line, name, "unknown field")
+			d.addProblem(key.Line, name, "unknown field")
 			continue
 		}
 		d.decodeValue(content, field, name)
 	}
 }
 
-// decodeValue reads one value into field.
+// decodeValue decodes one value into field.
 func (d *objectDecoder) decodeValue(node *yaml.Node, field reflect.Value, name string) {
 	switch field.Kind() {
 	case reflect.Slice:
@@ -73,10 +74,10 @@
 	}
 }
 
-// decodeList reads a sequence into the slice field.
+// decodeList decodes a sequence into the slice field.
 func (d *objectDecoder) decodeList(node *yaml.Node, field reflect.Value, name string) {
 	if node.Kind != yaml.SequenceNode {
-		d.fail(node.Line, name, "want a list, got "+describe(node))
+		d.addProblem(node.Line, name, "want a list, got "+describeNode(node))
 		return
 	}
 	list := reflect.MakeSlice(field.Type(), len(node.Content), len(node.Content))
@@ -90,16 +91,16 @@
 	}
 }
 
-// decodeScalar reads a text, number or truth value.
+// decodeScalar decodes a string, integer or boolean into field.
 func (d *objectDecoder) decodeScalar(node *yaml.Node, field reflect.Value, name string) {
-	want, tag := wanted(field.Kind())
+	want, tag := expectedType(field.Kind())
 	if node.Kind != yaml.ScalarNode {
-		d.fail(node.Line, name, "want "+want+", got "+describe(node))
+		d.addProblem(node.Line, name, "want "+want+", got "+describeNode(node))
 		return
 	}
 	got := node.ShortTag()
 	if got != tag && (tag != "!!str" || got == "!!null" || got == "!!binary") {
-		d.fail(node.Line, name, fmt.Sprintf("want %s, got %s", want, describe(node)))
+		d.addProblem(node.Line, name, fmt.Sprintf("want %s, got %s", want, describeNode(node)))
 		return
 	}
 	if tag == "!!str" {
@@ -107,12 +108,13 @@
 		return
 	}
 	if err := node.Decode(field.Addr().Interface()); err != nil {
-		d.fail(node.Line, name, fmt.Sprintf("want %s, got %s", want, describe(node)))
+		d.addProblem(node.Line, name, fmt.Sprintf("want %s, got %s", want, describeNode(node)))
 	}
 }
 
-// wanted returns the words for a kind of value and its YAML tag.
-func wanted(kind reflect.Kind) (words, tag string) {
+// expectedType returns the description of a kind of value for problems, and its YAML
+// tag.
+func expectedType(kind reflect.Kind) (description, tag string) {
 	switch kind {
 	case reflect.Bool:
 		return "true or false", "!!bool"
@@ -123,8 +125,8 @@
 	}
 }
 
-// describe returns the words for what a node holds.
-func describe(node *yaml.Node) string {
+// describeNode returns a description of the value of a node for problems.
+func describeNode(node *yaml.Node) string {
 	switch node.Kind {
 	case yaml.MappingNode:
 		return "fields"
@@ -135,7 +137,7 @@
 	}
 }
 
-// fieldByTag returns the field of a struct with the given name in YAML.
+// fieldByTag returns the field of a struct whose YAML tag has the given name.
 func fieldByTag(value reflect.Value, name string) (reflect.Value, bool) {
 	for i := range value.NumField() {
 		tag, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("yaml"), ",")
--- a/version/declare/fuzz_test.go
+++ b/version/declare/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// hostile are texts that once broke parsers of this kind.
-var hostile = []string{
+// hostileInputs are inputs of kinds that have broken YAML parsers before.
+var hostileInputs = []string{
 	"",
 	"kind: Region\nname: r\n",
 	"kind: Model\nname: m\nreplicas: 1e99\nversion: !!binary aGk=\n",
@@ -28,11 +28,12 @@
 	"\xff\xfe\x00k",
 }
 
-// FuzzCheck demands that no text breaks the parser, that what it refuses is
-// told in bounded words, and that what it accepts reads back as the same.
+// FuzzCheck checks that no text crashes Check, that the number and length of the
+// problems are bounded, and that a set without problems is the same set after
+// encoding and decoding.
 func FuzzCheck(f *testing.F) {
-	f.Add(valid)
-	for _, text := range hostile {
+	f.Add(validYAML)
+	for _, text := range hostileInputs {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
@@ -51,8 +52,8 @@
 	})
 }
 
-// checkRoundTrip demands that a set reads back from its documents and its
-// encoding as the same set.
+// checkRoundTrip fails the test if a set differs after a round trip through its
+// canonical encoding and its YAML documents.
 func checkRoundTrip(t *testing.T, set *Set) {
 	t.Helper()
 	body, digest, err := Encode(set)
@@ -69,24 +70,25 @@
 	}
 	again, problems := Check([]File{{Name: "again.yaml", Body: documents}})
 	if len(problems) > 0 {
-		t.Fatalf("%s\n%s", lines(problems), documents)
+		t.Fatalf("%s\n%s", problemText(problems), documents)
 	}
 	second, _, err := Encode(again.Set)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(body, second) {
-		t.Fatalf("reads back as another set:\n%s", documents)
+		t.Fatalf("the set differs after the round trip:\n%s", documents)
 	}
 }
 
-// noDigest is the digest of no set.
-var noDigest = core.DigestOf([]byte("no set"))
+// unusedDigest is a digest that no set has.
+var unusedDigest = core.DigestOf([]byte("no set"))
 
-// FuzzDecode demands that no encoding breaks the decoders.
+// FuzzDecode checks that no input crashes Decode or ApplyDelta, and that
+// ApplyDelta refuses a result with another digest than expected.
 func FuzzDecode(f *testing.F) {
-	parsed, _ := Parse(files(valid))
-	whole, _, err := Encode(parsed.Set)
+	parsed, _ := Parse(oneFile(validYAML))
+	full, _, err := Encode(parsed.Set)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -94,7 +96,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
+	f.Add(full)
 	f.Add(delta)
 	f.Add([]byte("\xa1\x67regions\xa1\x61r\xf6"))
 	f.Add([]byte("\xa1\x01\xa1\x01\xa1\x60\xf6"))
@@ -105,8 +107,8 @@
 			Validate(set)
 			Diff(NewSet(), set)
 		}
-		if _, err := ApplyDelta(parsed.Set, body, noDigest); err == nil {
-			t.Fatal("a difference was accepted whose result has another digest")
+		if _, err := ApplyDelta(parsed.Set, body, unusedDigest); err == nil {
+			t.Fatal("ApplyDelta accepted a result with another digest than expected")
 		}
 	})
 }
--- a/version/declare/kinds.go
+++ b/version/declare/kinds.go
@@ -1,37 +1,39 @@
-// Package declare defines the objects that operators declare, parses them
-// from YAML, and checks a set of them as a whole.
+// Package declare defines the objects that operators declare, parses them from
+// YAML, and validates, compares and encodes whole sets of objects.
 package declare
 
 import "github.com/rattanway/rattanway/core"
 
-// Region is a group of data centres that share a thin link to other regions.
+// Region is a group of data centres that share a link of low bandwidth to other
+// regions.
 type Region struct {
 	// Name identifies the region.
 	Name string `yaml:"name" json:"name"`
-	// LinkBytesPerSecond is what weights may use of the link between this
-	// region and the others; 0 means no limit.
+	// LinkBytesPerSecond is the bandwidth that transfers of weights may use of
+	// the link between this region and the others; 0 means no limit.
 	LinkBytesPerSecond int64 `yaml:"linkBytesPerSecond,omitempty" json:"linkBytesPerSecond,omitempty"`
 }
 
-// DataCentre is one site.
+// DataCentre is one data centre.
 type DataCentre struct {
 	// Name identifies the data centre.
 	Name string `yaml:"name" json:"name"`
-	// Region refers to a Region.
+	// Region is the name of the Region that the data centre belongs to.
 	Region string `yaml:"region" json:"region"`
-	// Out is true while operators have taken the data centre out of service.
+	// Out is true while the data centre is taken out of service.
 	Out bool `yaml:"out,omitempty" json:"out,omitempty"`
 }
 
-// Model is a name that callers ask for.
+// Model is a model that clients can request by name.
 type Model struct {
-	// Name is the model's name in callers' requests.
+	// Name is the model's name in the requests of clients.
 	Name string `yaml:"name" json:"name"`
-	// Version refers to the Version that is to be served.
+	// Version is the name of the Version to serve.
 	Version string `yaml:"version" json:"version"`
-	// Replicas is the number of backend servers that are to hold it.
+	// Replicas is the number of backend servers that should hold the model.
 	Replicas int `yaml:"replicas" json:"replicas"`
-	// DataCentres limits where the replicas may stand; empty means anywhere.
+	// DataCentres lists the data centres in which replicas may be placed; empty
+	// means all data centres.
 	DataCentres []string `yaml:"dataCentres,omitempty" json:"dataCentres,omitempty"`
 }
 
@@ -39,69 +41,75 @@
 type Version struct {
 	// Name identifies the version.
 	Name string `yaml:"name" json:"name"`
-	// Model refers to the Model that the version belongs to.
+	// Model is the name of the Model that the version belongs to.
 	Model string `yaml:"model" json:"model"`
-	// Manifest is the digest that `rattanway publish` printed.
+	// Manifest is the digest of the manifest, as printed by `rattanway publish`.
 	Manifest core.Digest `yaml:"manifest" json:"manifest"`
-	// Base refers to the Version that an adapter builds on; empty for none.
+	// Base is the name of the Version that the version is an adapter for; empty
+	// if it is not an adapter.
 	Base string `yaml:"base,omitempty" json:"base,omitempty"`
 }
 
-// BackendServer is one engine or plain service with an agent beside it.
+// BackendServer is a server that runs a model engine or a plain service, with an
+// agent beside it.
 type BackendServer struct {
-	// Name identifies the server; its agent's instance has the same id.
+	// Name identifies the server; the instance of its agent has the same ID.
 	Name string `yaml:"name" json:"name"`
-	// DataCentre refers to the DataCentre the server stands in.
+	// DataCentre is the name of the DataCentre in which the server runs.
 	DataCentre string `yaml:"dataCentre" json:"dataCentre"`
-	// Service refers to the Service that the server runs; empty for a model
-	// engine.
+	// Service is the name of the Service that the server runs; empty for a
+	// model engine.
 	Service string `yaml:"service,omitempty" json:"service,omitempty"`
-	// Limit is the most calls the server bears at once when warm.
+	// Limit is the maximum number of concurrent calls once the server is warm.
 	Limit int `yaml:"limit" json:"limit"`
-	// ColdLimit is the most calls it bears at once just after a start.
+	// ColdLimit is the maximum number of concurrent calls just after a start.
 	ColdLimit int `yaml:"coldLimit" json:"coldLimit"`
-	// Slots is the number of versions an engine can hold at once; 0 means 1.
+	// Slots is the number of versions that an engine can hold at the same time;
+	// 0 means 1.
 	Slots int `yaml:"slots,omitempty" json:"slots,omitempty"`
-	// Fencing says that the engine refuses orders with old fencing numbers.
+	// Fencing reports whether the engine refuses orders with outdated fencing
+	// numbers.
 	Fencing bool `yaml:"fencing,omitempty" json:"fencing,omitempty"`
-	// Leaving is true once operators have asked the server to leave.
+	// Leaving is true while the server should be drained.
 	Leaving bool `yaml:"leaving,omitempty" json:"leaving,omitempty"`
 }
 
-// ClientAccount is a caller of the system.
+// ClientAccount is an account with which a client calls the system.
 type ClientAccount struct {
 	// Name identifies the client account.
 	Name string `yaml:"name" json:"name"`
 	// KeyHash is the digest of the account's secret key.
 	KeyHash core.Digest `yaml:"keyHash" json:"keyHash"`
-	// Share is the account's weight when capacity is short; 0 means 1.
+	// Share is the account's relative weight when capacity is divided under
+	// overload; 0 means 1.
 	Share int `yaml:"share,omitempty" json:"share,omitempty"`
-	// MaxInFlight is the most calls the account may have running through
-	// one entry instance; 0 means no limit.
+	// MaxInFlight is the maximum number of concurrent calls of the account
+	// through one entry instance; 0 means no limit.
 	MaxInFlight int `yaml:"maxInFlight,omitempty" json:"maxInFlight,omitempty"`
-	// MaxPriority is the highest priority the account may ask for, 0 to 9.
+	// MaxPriority is the highest priority that the account may request, 0 to 9.
 	MaxPriority int `yaml:"maxPriority,omitempty" json:"maxPriority,omitempty"`
 }
 
-// Route is one kind of call of a Service.
+// Route is a method and a path of a Service that clients may call.
 type Route struct {
 	// Method is the HTTP method.
 	Method string `yaml:"method" json:"method"`
-	// Path is the exact path below /services/NAME, or a prefix ending in "/".
+	// Path is the exact path below /services/NAME or, if it ends in "/", a
+	// prefix of the path.
 	Path string `yaml:"path" json:"path"`
-	// Repeatable says that running the call twice does no harm.
+	// Repeatable reports whether the call is idempotent and may be retried.
 	Repeatable bool `yaml:"repeatable,omitempty" json:"repeatable,omitempty"`
 }
 
-// Service is a plain service that the system routes to.
+// Service is a plain service to which the system routes calls.
 type Service struct {
-	// Name is the service's name in callers' paths, /services/NAME/...
+	// Name is the service's name in the request path, /services/NAME/...
 	Name string `yaml:"name" json:"name"`
-	// Routes lists the calls that may be made.
+	// Routes lists the routes that clients may call.
 	Routes []Route `yaml:"routes" json:"routes"`
 }
 
-// Set is a whole set of declarations, by kind and name.
+// Set is a complete set of declarations: the objects of each kind by name.
 type Set struct {
 	Regions        map[string]*Region        `json:"regions"`
 	DataCentres    map[string]*DataCentre    `json:"dataCentres"`
@@ -112,7 +120,7 @@
 	Services       map[string]*Service       `json:"services"`
 }
 
-// NewSet returns an empty set with every map made.
+// NewSet returns an empty set in which no map is nil.
 func NewSet() *Set {
 	return &Set{
 		Regions:        map[string]*Region{},
@@ -125,13 +133,13 @@
 	}
 }
 
-// Snapshot is a set that has been accepted as one numbered version.
+// Snapshot is a set that was accepted as a numbered version of the configuration.
 type Snapshot struct {
-	// Number counts accepted versions from 1; 0 is the empty configuration
-	// of a process that has heard of none.
+	// Number is the number of the version, counted from 1. 0 denotes the empty
+	// configuration of a process that has not received any version.
 	Number uint64 `json:"number"`
 	// Digest is the digest of the encoded set.
 	Digest core.Digest `json:"digest"`
-	// Set is the content. It is never changed after it has been published.
+	// Set is the content. It must not be changed after publication.
 	Set *Set `json:"set"`
 }
--- a/version/declare/parse.go
+++ b/version/declare/parse.go
@@ -16,30 +16,30 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Bounds on what is parsed.
+// Limits on the input of Parse and on its output.
 const (
-	// MaxFileBytes is the largest file.
+	// MaxFileBytes is the maximum size of a file.
 	MaxFileBytes = 1 << 20
-	// MaxTotalBytes is the largest sum of the files.
+	// MaxTotalBytes is the maximum size of all files together.
 	MaxTotalBytes = 8 << 20
-	// MaxFiles is the most files of a folder.
+	// MaxFiles is the maximum number of files that ReadFolder reads.
 	MaxFiles = 2000
-	// MaxObjects is the most objects of a set.
+	// MaxObjects is the maximum number of objects in a set.
 	MaxObjects = 20000
-	// MaxProblems is the most problems that are reported at once.
+	// MaxProblems is the maximum number of problems that are reported at once.
 	MaxProblems = 200
 )
 
 // File is one file of declarations.
 type File struct {
-	// Name is the file's path, for problems.
+	// Name is the file's path, which problems are reported with.
 	Name string `json:"name"`
 	// Body is the YAML text.
 	Body []byte `json:"body"`
 }
 
-// ReadFolder reads every .yaml and .yml file below dir, in order of path.
-// Names are relative to dir.
+// ReadFolder reads every .yaml and .yml file below dir and returns the files
+// ordered by path. The names of the files are relative to dir.
 func ReadFolder(dir string) ([]File, error) {
 	var files []File
 	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
@@ -66,13 +66,14 @@
 	return files, nil
 }
 
-// isYAML reports whether path is a file of declarations.
+// isYAML reports whether path has the extension of a YAML file.
 func isYAML(path string) bool {
 	ext := filepath.Ext(path)
 	return ext == ".yaml" || ext == ".yml"
 }
 
-// readFile reads one file, and one byte more than is allowed of a long one.
+// readFile reads one file. It reads at most one byte more than MaxFileBytes, which
+// is enough for Parse to detect a file that is too large.
 func readFile(dir, path string) (File, error) {
 	name, err := filepath.Rel(dir, path)
 	if err != nil {
@@ -87,23 +88,25 @@
 	return File{Name: filepath.ToSlash(name), Body: body}, err
 }
 
-// Parsed is what was read from files.
+// Parsed is the result of parsing files.
 type Parsed struct {
 	// Set holds the objects.
 	Set *Set
-	// Positions tells where they stand.
+	// Positions holds the positions of the objects in the files.
 	Positions Positions
 }
 
-// parser collects objects and problems.
+// parser collects the objects and problems of all files. file is the path of the
+// file that is being parsed.
 type parser struct {
 	parsed   Parsed
 	problems []Problem
 	file     string
 }
 
-// Parse reads the documents of files. It returns every problem of syntax,
-// type and name at once; references are left to Validate.
+// Parse parses the documents of files. It returns all problems of syntax, type
+// and name together, up to MaxProblems; Validate checks the references between
+// objects.
 func Parse(files []File) (Parsed, []Problem) {
 	p := &parser{parsed: Parsed{Set: NewSet(), Positions: Positions{}}}
 	total := 0
@@ -111,7 +114,7 @@
 		total += len(f.Body)
 		if total > MaxTotalBytes {
 			p.file = f.Name
-			p.fail(1, fmt.Sprintf("the files together are larger than %d bytes", MaxTotalBytes))
+			p.addProblem(1, fmt.Sprintf("the files together are larger than %d bytes", MaxTotalBytes))
 			break
 		}
 		p.parseFile(f)
@@ -123,7 +126,7 @@
 	return p.parsed, p.problems
 }
 
-// Check parses files and validates the set as a whole.
+// Check parses files and, if that finds no problem, validates the set.
 func Check(files []File) (Parsed, []Problem) {
 	parsed, problems := Parse(files)
 	if len(problems) > 0 {
@@ -132,16 +135,16 @@
 	return parsed, parsed.Positions.Locate(Validate(parsed.Set))
 }
 
-// fail adds a problem that belongs to no object.
-func (p *parser) fail(line int, why string) {
-	p.problems = append(p.problems, Problem{File: p.file, Line: line, Why: why})
+// addProblem adds a problem of the current file that belongs to no object.
+func (p *parser) addProblem(line int, message string) {
+	p.problems = append(p.problems, Problem{File: p.file, Line: line, Why: message})
 }
 
-// parseFile reads the documents of one file up to its first syntax error.
+// parseFile parses the documents of one file up to the first syntax error.
 func (p *parser) parseFile(f File) {
 	p.file = f.Name
 	if len(f.Body) > MaxFileBytes {
-		p.fail(1, fmt.Sprintf("the file is larger than %d bytes", MaxFileBytes))
+		p.addProblem(1, fmt.Sprintf("the file is larger than %d bytes", MaxFileBytes))
 		return
 	}
 	decoder := yaml.NewDecoder(bytes.NewReader(f.Body))
@@ -152,14 +155,15 @@
 			return
 		}
 		if err != nil {
-			p.fail(yamlLine(err), err.Error())
+			p.addProblem(yamlLine(err), err.Error())
 			return
 		}
 		p.parseDocument(&doc)
 	}
 }
 
-// decode reads the next document. The library panics on some malformed input.
+// decode decodes the next document. It turns panics into errors, because the YAML
+// library panics on some malformed input.
 func decode(d *yaml.Decoder, doc *yaml.Node) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -171,7 +175,8 @@
 
 var yamlLinePattern = regexp.MustCompile(`line (\d+)`)
 
-// yamlLine returns the line that an error of the library names, or 1.
+// yamlLine returns the line number in an error of the YAML library, or 1 if the
+// error contains none.
 func yamlLine(err error) int {
 	match := yamlLinePattern.FindStringSubmatch(err.Error())
 	if match == nil {
@@ -184,7 +189,7 @@
 	return line
 }
 
-// parseDocument reads one document into the set.
+// parseDocument parses one document and adds its object to the set.
 func (p *parser) parseDocument(doc *yaml.Node) {
 	if len(doc.Content) == 0 {
 		return
@@ -193,36 +198,37 @@
 	if node.Kind == yaml.ScalarNode && node.ShortTag() == "!!null" {
 		return
 	}
-	if alias := firstAlias(node); alias != nil {
-		p.fail(alias.Line, "anchors and aliases are not allowed")
+	if found := firstAnchorOrAlias(node); found != nil {
+		p.addProblem(found.Line, "anchors and aliases are not allowed")
 		return
 	}
 	if node.Kind != yaml.MappingNode {
-		p.fail(node.Line, "want a document with the fields of one object")
+		p.addProblem(node.Line, "want a document with the fields of one object")
 		return
 	}
-	kind, name := scalar(node, "kind"), scalar(node, "name")
+	kind, name := scalarField(node, "kind"), scalarField(node, "name")
 	c, ok := collectionFor(Kind(kind))
 	if !ok {
-		p.fail(node.Line, fmt.Sprintf("kind %q: want one of %s", shorten(kind), kindList()))
+		p.addProblem(node.Line, fmt.Sprintf("kind %q: want one of %s", shorten(kind), kindList()))
 		return
 	}
 	p.parseObject(node, c, name)
 }
 
-// parseObject reads the fields of one object and adds it to the set.
+// parseObject parses the fields of one object and adds the object to the set if it
+// has no problem.
 func (p *parser) parseObject(node *yaml.Node, c collection, name string) {
 	d := &objectDecoder{file: p.file, ref: Ref{Kind: c.kind, Name: name}, lines: map[string]int{}}
-	object := c.make()
+	object := c.newObject()
 	d.decodeMapping(node, object, "", true)
-	if why := badName(name); why != "" {
-		d.fail(fieldLine(node, "name"), "name", why)
+	if message := nameProblem(name); message != "" {
+		d.addProblem(fieldLine(node, "name"), "name", message)
 	}
 	if first, ok := p.parsed.Positions[d.ref]; ok {
-		d.fail(node.Line, "name", fmt.Sprintf("declared twice, first in %s:%d", first.File, first.Line))
+		d.addProblem(node.Line, "name", fmt.Sprintf("declared twice, first in %s:%d", first.File, first.Line))
 	}
 	if len(p.parsed.Positions) >= MaxObjects {
-		d.fail(node.Line, "", fmt.Sprintf("more than %d objects", MaxObjects))
+		d.addProblem(node.Line, "", fmt.Sprintf("more than %d objects", MaxObjects))
 	}
 	p.problems = append(p.problems, d.problems...)
 	if len(d.problems) > 0 {
@@ -232,21 +238,23 @@
 	c.put(p.parsed.Set, name, object)
 }
 
-// firstAlias returns the first anchor or alias below node.
-func firstAlias(node *yaml.Node) *yaml.Node {
+// firstAnchorOrAlias returns the first node in the tree of node that is an alias
+// or has an anchor, or nil if there is none.
+func firstAnchorOrAlias(node *yaml.Node) *yaml.Node {
 	if node.Kind == yaml.AliasNode || node.Anchor != "" {
 		return node
 	}
 	for _, child := range node.Content {
-		if found := firstAlias(child); found != nil {
+		if found := firstAnchorOrAlias(child); found != nil {
 			return found
 		}
 	}
 	return nil
 }
 
-// scalar returns the value of a scalar field of a mapping.
-func scalar(node *yaml.Node, field string) string {
+// scalarField returns the value of a scalar field of a mapping, or "" if the
+// mapping has no such field.
+func scalarField(node *yaml.Node, field string) string {
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		if node.Content[i].Value == field && node.Content[i+1].Kind == yaml.ScalarNode {
 			return node.Content[i+1].Value
@@ -255,7 +263,8 @@
 	return ""
 }
 
-// fieldLine returns the line of a field of a mapping, or the mapping's own.
+// fieldLine returns the line of a field of a mapping, or the line of the mapping
+// if the mapping has no such field.
 func fieldLine(node *yaml.Node, field string) int {
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		if node.Content[i].Value == field {
@@ -265,7 +274,7 @@
 	return node.Line
 }
 
-// kindList returns the kinds for a message.
+// kindList returns the names of all kinds, separated by commas.
 func kindList() string {
 	names := make([]string, len(collections))
 	for i, c := range collections {
@@ -276,8 +285,8 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// badName says what is wrong with a name; empty for a good one.
-func badName(name string) string {
+// nameProblem returns a message if a name is not valid, or "" if it is valid.
+func nameProblem(name string) string {
 	if name == "" {
 		return "missing"
 	}
--- a/version/declare/parse_test.go
+++ b/version/declare/parse_test.go
@@ -17,8 +17,8 @@
 	digestB = core.DigestOf([]byte("b"))
 )
 
-// valid is a small set of declarations without a problem.
-var valid = fmt.Sprintf(`kind: Region
+// validYAML is the YAML of a small set of declarations without problems.
+var validYAML = fmt.Sprintf(`kind: Region
 name: west
 linkBytesPerSecond: 3000000
 ---
@@ -74,18 +74,18 @@
     repeatable: true
 `, digestA, digestB)
 
-// files returns one file with text.
-func files(text string) []File { return []File{{Name: "all.yaml", Body: []byte(text)}} }
+// oneFile returns a list of one file that contains text.
+func oneFile(text string) []File { return []File{{Name: "all.yaml", Body: []byte(text)}} }
 
-// validSet parses the valid declarations.
+// validSet returns the set that validYAML declares.
 func validSet() *Set {
-	parsed, problems := Check(files(valid))
+	parsed, problems := Check(oneFile(validYAML))
 	So(problems, ShouldBeEmpty)
 	return parsed.Set
 }
 
-// lines returns the problems as text.
-func lines(problems []Problem) string {
+// problemText returns the problems as text, one line for each.
+func problemText(problems []Problem) string {
 	var b strings.Builder
 	for _, p := range problems {
 		b.WriteString(p.String() + "\n")
@@ -95,27 +95,27 @@
 
 func TestParse(t *testing.T) {
 	Convey("Given declarations", t, func() {
-		Convey("a valid set has no problem", func() {
+		Convey("a valid set has no problems", func() {
 			So(validSet().Len(), ShouldEqual, 10)
 		})
-		Convey("its documents read back as the same set", func() {
+		Convey("parsing the documents of a set gives the same set", func() {
 			set := validSet()
 			body, err := Documents(set)
 			So(err, ShouldBeNil)
-			parsed, problems := Check(files(string(body)))
+			parsed, problems := Check(oneFile(string(body)))
 			So(problems, ShouldBeEmpty)
 			So(Diff(set, parsed.Set), ShouldBeEmpty)
 			again, err := Documents(parsed.Set)
 			So(err, ShouldBeNil)
 			So(bytes.Equal(body, again), ShouldBeTrue)
 		})
-		Convey("every problem of syntax and type is told at once, with its line", func() {
+		Convey("all problems of syntax and type are reported at once, each with its line", func() {
 			_, problems := Parse([]File{
 				{Name: "a.yaml", Body: []byte("kind: Model\nname: m\nreplicas: two\ncolour: red\ndataCentres: x\n---\nkind: Modell\nname: m\n")},
 				{Name: "b.yaml", Body: []byte("kind: Region\nname: -bad\n---\nkind: Region\nname: r\nname: s\n---\n- 1\n")},
 				{Name: "c.yaml", Body: []byte("kind: Region\nname: [\n")},
 			})
-			So(lines(problems), ShouldEqual, strings.Join([]string{
+			So(problemText(problems), ShouldEqual, strings.Join([]string{
 				`a.yaml:3: Model "m": replicas: want a whole number, got "two"`,
 				`a.yaml:4: Model "m": colour: unknown field`,
 				`a.yaml:5: Model "m": dataCentres: want a list, got "x"`,
@@ -127,30 +127,30 @@
 				``,
 			}, "\n"))
 		})
-		Convey("an object declared twice names both places", func() {
+		Convey("the problem of an object declared twice contains both positions", func() {
 			_, problems := Parse([]File{
 				{Name: "a.yaml", Body: []byte("kind: Region\nname: r\n")},
 				{Name: "b.yaml", Body: []byte("\nkind: Region\nname: r\n")},
 			})
-			So(lines(problems), ShouldEqual, "b.yaml:2: Region \"r\": name: declared twice, first in a.yaml:1\n")
+			So(problemText(problems), ShouldEqual, "b.yaml:2: Region \"r\": name: declared twice, first in a.yaml:1\n")
 		})
-		Convey("anchors, and so YAML bombs, are refused", func() {
+		Convey("anchors are refused, and with them YAML bombs", func() {
 			bomb := "a: &a [x,x]\nb: &b [*a,*a]\nc: &c [*b,*b]\nkind: Region\n"
-			_, problems := Parse(files(bomb))
-			So(lines(problems), ShouldEqual, "all.yaml:1: anchors and aliases are not allowed\n")
+			_, problems := Parse(oneFile(bomb))
+			So(problemText(problems), ShouldEqual, "all.yaml:1: anchors and aliases are not allowed\n")
 		})
-		Convey("a name of a megabyte is refused in a short line", func() {
+		Convey("the problem of a name of one megabyte is a short line", func() {
 			text := "kind: Region\nname: " + strings.Repeat("x", 1000000) + "\n"
-			_, problems := Parse(files(text))
+			_, problems := Parse(oneFile(text))
 			So(len(problems), ShouldEqual, 1)
 			So(len(problems[0].String()), ShouldBeLessThan, 400)
 		})
-		Convey("a file above the bound is refused", func() {
-			_, problems := Parse(files(strings.Repeat("#", MaxFileBytes+1)))
-			So(lines(problems), ShouldContainSubstring, "larger than 1048576 bytes")
+		Convey("a file that is too large is refused", func() {
+			_, problems := Parse(oneFile(strings.Repeat("#", MaxFileBytes+1)))
+			So(problemText(problems), ShouldContainSubstring, "larger than 1048576 bytes")
 		})
-		Convey("the problems that are told are bounded", func() {
-			_, problems := Parse(files(strings.Repeat("kind: x\n---\n", 1000)))
+		Convey("the number of reported problems is bounded", func() {
+			_, problems := Parse(oneFile(strings.Repeat("kind: x\n---\n", 1000)))
 			So(len(problems), ShouldEqual, MaxProblems)
 		})
 	})
@@ -166,7 +166,7 @@
 		_, want, err := Encode(changed)
 		So(err, ShouldBeNil)
 
-		Convey("their changes are told by field", func() {
+		Convey("their changes are reported by field", func() {
 			var text []string
 			for _, c := range Diff(old, changed) {
 				text = append(text, c.String())
@@ -177,7 +177,7 @@
 				"remove BackendServer lots-1",
 			})
 		})
-		Convey("the difference makes one of the other", func() {
+		Convey("applying the difference to the old set gives the new set", func() {
 			body, err := EncodeDelta(old, changed)
 			So(err, ShouldBeNil)
 			got, err := ApplyDelta(old, body, want)
@@ -193,7 +193,7 @@
 			_, err = ApplyDelta(other, body, want)
 			So(err, ShouldWrap, ErrDigest)
 		})
-		Convey("any changed byte of an encoding is refused", func() {
+		Convey("an encoding with a changed byte is refused", func() {
 			body, digest, err := Encode(old)
 			So(err, ShouldBeNil)
 			body[len(body)/2] ^= 1
@@ -216,7 +216,7 @@
 		So(err, ShouldBeNil)
 		whole, _, err := Encode(changed)
 		So(err, ShouldBeNil)
-		Convey("a change of one server costs less than a kilobyte", func() {
+		Convey("the encoded change of one server is smaller than a kilobyte", func() {
 			t.Logf("difference %d bytes, whole %d bytes", len(delta), len(whole))
 			So(len(delta), ShouldBeLessThan, 1024)
 		})
--- a/version/declare/problem.go
+++ b/version/declare/problem.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong with a set of declarations.
+// Problem is one error in a set of declarations.
 type Problem struct {
-	// File is the file's path; empty when the set did not come from files.
+	// File is the file's path; empty if the set was not read from files.
 	File string `json:"file,omitempty"`
-	// Line counts from 1; 0 when unknown.
+	// Line is the line number, counted from 1; 0 if unknown.
 	Line int `json:"line,omitempty"`
-	// Kind and Name name the object; empty when it could not be read.
+	// Kind is the object's kind; empty if it could not be read.
 	Kind Kind `json:"kind,omitempty"`
-	// Name is the object's name.
+	// Name is the object's name; empty if it could not be read.
 	Name string `json:"name,omitempty"`
 	// Field is the field's name in the document.
 	Field string `json:"field,omitempty"`
-	// Why says what is wrong and what is wanted.
+	// Why is the message: the fault and the expected value.
 	Why string `json:"why"`
 }
 
@@ -38,13 +38,14 @@
 	return b.String()
 }
 
-// InvalidError says that a set was refused as a whole.
+// InvalidError is returned when a set of declarations is refused because it has
+// problems.
 type InvalidError struct {
-	// Problems are all that were found.
+	// Problems lists the problems found.
 	Problems []Problem
 }
 
-// Error implements error with one problem a line.
+// Error implements error. The text has one line for each problem.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Problems)+1)
 	lines = append(lines, fmt.Sprintf("declarations refused, %d problems", len(e.Problems)))
@@ -54,20 +55,21 @@
 	return strings.Join(lines, "\n")
 }
 
-// Position is where an object stands in the files.
+// Position is the position of an object in the files.
 type Position struct {
 	// File is the file's path.
 	File string
 	// Line is the line of the document's first field.
 	Line int
-	// Fields holds the line of each field.
+	// Fields maps each field to its line.
 	Fields map[string]int
 }
 
-// Positions tells where the objects of a set stand.
+// Positions maps the objects of a set to their positions in the files.
 type Positions map[Ref]Position
 
-// Locate fills in the file and line of each problem.
+// Locate returns a copy of problems, with their files and lines filled in and
+// sorted by file and line.
 func (p Positions) Locate(problems []Problem) []Problem {
 	located := make([]Problem, len(problems))
 	for i, problem := range problems {
@@ -77,15 +79,15 @@
 	return located
 }
 
-// locate fills in the file and line of one problem.
+// locate returns problem with its file and line filled in, if they are known.
 func (p Positions) locate(problem Problem) Problem {
-	at, ok := p[Ref{Kind: problem.Kind, Name: problem.Name}]
+	position, ok := p[Ref{Kind: problem.Kind, Name: problem.Name}]
 	if !ok || problem.File != "" {
 		return problem
 	}
-	problem.File = at.File
-	problem.Line = at.Line
-	if line, ok := at.Fields[problem.Field]; ok {
+	problem.File = position.File
+	problem.Line = position.Line
+	if line, ok := position.Fields[problem.Field]; ok {
 		problem.Line = line
 	}
 	return problem
@@ -111,11 +113,12 @@
 	})
 }
 
-// shorten cuts a text that a stranger chose to a length fit for a line.
+// shorten truncates a text from untrusted input, so that it fits into one line of
+// a message.
 func shorten(s string) string {
-	const most = 80
-	if len(s) <= most {
+	const maxBytes = 80
+	if len(s) <= maxBytes {
 		return s
 	}
-	return fmt.Sprintf("%s... (%d bytes)", strings.ToValidUTF8(s[:most], ""), len(s))
+	return fmt.Sprintf("%s... (%d bytes)", strings.ToValidUTF8(s[:maxBytes], ""), len(s))
 }
--- a/version/declare/validate.go
+++ b/version/declare/validate.go
@@ -10,32 +10,34 @@
 // maxPriority is the highest priority of a call.
 const maxPriority = 9
 
-// validator collects the problems of one set.
+// validator checks one set and collects its problems.
 type validator struct {
 	set      *Set
 	problems []Problem
 }
 
-// Validate checks a set as a whole and returns every problem.
+// Validate checks a complete set, including the references between objects, and
+// returns its problems, up to MaxProblems.
 func Validate(s *Set) []Problem {
 	v := &validator{set: s}
-	v.names()
-	v.regions()
-	v.dataCentres()
-	v.models()
-	v.versions()
-	v.backendServers()
-	v.clientAccounts()
-	v.services()
-	v.capacity()
+	v.checkNames()
+	v.checkRegions()
+	v.checkDataCentres()
+	v.checkModels()
+	v.checkVersions()
+	v.checkBackendServers()
+	v.checkClientAccounts()
+	v.checkServices()
+	v.checkCapacity()
 	if len(v.problems) > MaxProblems {
 		return v.problems[:MaxProblems]
 	}
 	return v.problems
 }
 
-// ValidateChange checks what a single set cannot show: that the step from old
-// to new removes nothing that is still in use. It includes Validate(new).
+// ValidateChange returns the problems of Validate(new), and a problem for each
+// version of a model in old that new removes while it keeps the model: servers
+// use the previous version until they have loaded the next.
 func ValidateChange(old, new *Set) []Problem {
 	problems := Validate(new)
 	for _, name := range sortedNames(old.Models) {
@@ -53,118 +55,120 @@
 	return problems
 }
 
-// fail adds a problem with a field of an object.
-func (v *validator) fail(kind Kind, name, field, why string, args ...any) {
-	v.problems = append(v.problems, Problem{Kind: kind, Name: name, Field: field, Why: fmt.Sprintf(why, args...)})
+// addProblem adds a problem with a field of an object.
+func (v *validator) addProblem(kind Kind, name, field, format string, args ...any) {
+	v.problems = append(v.problems, Problem{Kind: kind, Name: name, Field: field, Why: fmt.Sprintf(format, args...)})
 }
 
-// refer demands that a field's value names an object of kind target.
-func (v *validator) refer(kind Kind, name, field string, target Kind, to string) bool {
-	if to == "" {
-		v.fail(kind, name, field, "missing; want the name of a %s", target)
+// checkReference adds a problem if the value of a field is not the name of an
+// object of the kind target. It reports whether the reference is valid.
+func (v *validator) checkReference(kind Kind, name, field string, target Kind, targetName string) bool {
+	if targetName == "" {
+		v.addProblem(kind, name, field, "missing; want the name of a %s", target)
 		return false
 	}
 	c, _ := collectionFor(target)
-	if c.get(v.set, to) != nil {
+	if c.get(v.set, targetName) != nil {
 		return true
 	}
-	v.fail(kind, name, field, "there is no %s %q", target, shorten(to))
+	v.addProblem(kind, name, field, "there is no %s %q", target, shorten(targetName))
 	return false
 }
 
-// atLeast demands a smallest value.
-func (v *validator) atLeast(kind Kind, name, field string, got, least int64) {
-	if got < least {
-		v.fail(kind, name, field, "want %d or more, got %d", least, got)
+// checkMinimum adds a problem if the value of a field is less than minimum.
+func (v *validator) checkMinimum(kind Kind, name, field string, got, minimum int64) {
+	if got < minimum {
+		v.addProblem(kind, name, field, "want %d or more, got %d", minimum, got)
 	}
 }
 
-// digest demands a well-formed digest.
-func (v *validator) digest(kind Kind, name, field string, d core.Digest) {
+// checkDigest adds a problem if the value of a field is not a well-formed digest.
+func (v *validator) checkDigest(kind Kind, name, field string, d core.Digest) {
 	if _, err := core.ParseDigest(string(d)); err != nil {
-		v.fail(kind, name, field, "%s", shorten(err.Error()))
+		v.addProblem(kind, name, field, "%s", shorten(err.Error()))
 	}
 }
 
-// names checks the name of each object.
-func (v *validator) names() {
+// checkNames checks the name of each object.
+func (v *validator) checkNames() {
 	for _, c := range collections {
 		for _, name := range c.names(v.set) {
-			if why := badName(name); why != "" {
-				v.fail(c.kind, shorten(name), "name", "%s", why)
+			if message := nameProblem(name); message != "" {
+				v.addProblem(c.kind, shorten(name), "name", "%s", message)
 			}
 		}
 	}
 }
 
-// regions checks the regions.
-func (v *validator) regions() {
+// checkRegions checks the regions.
+func (v *validator) checkRegions() {
 	for _, name := range sortedNames(v.set.Regions) {
-		v.atLeast(KindRegion, name, "linkBytesPerSecond", v.set.Regions[name].LinkBytesPerSecond, 0)
+		v.checkMinimum(KindRegion, name, "linkBytesPerSecond", v.set.Regions[name].LinkBytesPerSecond, 0)
 	}
 }
 
-// dataCentres checks the data centres.
-func (v *validator) dataCentres() {
+// checkDataCentres checks the data centres.
+func (v *validator) checkDataCentres() {
 	for _, name := range sortedNames(v.set.DataCentres) {
-		v.refer(KindDataCentre, name, "region", KindRegion, v.set.DataCentres[name].Region)
+		v.checkReference(KindDataCentre, name, "region", KindRegion, v.set.DataCentres[name].Region)
 	}
 }
 
-// models checks the models.
-func (v *validator) models() {
+// checkModels checks the models.
+func (v *validator) checkModels() {
 	for _, name := range sortedNames(v.set.Models) {
 		m := v.set.Models[name]
-		if v.refer(KindModel, name, "version", KindVersion, m.Version) {
-			v.ownVersion(m)
+		if v.checkReference(KindModel, name, "version", KindVersion, m.Version) {
+			v.checkOwnVersion(m)
 		}
-		v.atLeast(KindModel, name, "replicas", int64(m.Replicas), 1)
-		v.modelDataCentres(m)
+		v.checkMinimum(KindModel, name, "replicas", int64(m.Replicas), 1)
+		v.checkModelDataCentres(m)
 	}
 }
 
-// ownVersion demands that a model's version belongs to it.
-func (v *validator) ownVersion(m *Model) {
+// checkOwnVersion adds a problem if the version of a model belongs to another
+// model.
+func (v *validator) checkOwnVersion(m *Model) {
 	version := v.set.Versions[m.Version]
 	if version.Model != m.Name {
-		v.fail(KindModel, m.Name, "version", "Version %q belongs to Model %q", m.Version, shorten(version.Model))
+		v.addProblem(KindModel, m.Name, "version", "Version %q belongs to Model %q", m.Version, shorten(version.Model))
 	}
 }
 
-// modelDataCentres demands that a model can stand in a data centre that is in
-// service.
-func (v *validator) modelDataCentres(m *Model) {
+// checkModelDataCentres checks the list of data centres of a model, and that at
+// least one data centre that may hold the model is in service.
+func (v *validator) checkModelDataCentres(m *Model) {
 	seen := map[string]bool{}
 	for i, name := range m.DataCentres {
 		if seen[name] {
-			v.fail(KindModel, m.Name, "dataCentres", "%q stands twice", shorten(name))
+			v.addProblem(KindModel, m.Name, "dataCentres", "%q stands twice", shorten(name))
 		}
 		seen[name] = true
-		v.refer(KindModel, m.Name, fmt.Sprintf("dataCentres[%d]", i), KindDataCentre, name)
+		v.checkReference(KindModel, m.Name, fmt.Sprintf("dataCentres[%d]", i), KindDataCentre, name)
 	}
-	in, out := v.serving(m)
-	if len(in) == 0 && len(out) > 0 {
-		v.fail(KindModel, m.Name, "dataCentres", "every data centre that may hold the model is out: %s", strings.Join(out, ", "))
+	inService, outOfService := v.allowedDataCentres(m)
+	if len(inService) == 0 && len(outOfService) > 0 {
+		v.addProblem(KindModel, m.Name, "dataCentres", "every data centre that may hold the model is out: %s", strings.Join(outOfService, ", "))
 	}
 }
 
-// serving returns the data centres in which a model may stand, those in
-// service and those out.
-func (v *validator) serving(m *Model) (in, out []string) {
+// allowedDataCentres returns the data centres that may hold a model: those in
+// service and those taken out of service.
+func (v *validator) allowedDataCentres(m *Model) (inService, outOfService []string) {
 	for _, name := range sortedNames(v.set.DataCentres) {
 		if !m.MayStandIn(name) {
 			continue
 		}
 		if v.set.DataCentres[name].Out {
-			out = append(out, name)
+			outOfService = append(outOfService, name)
 			continue
 		}
-		in = append(in, name)
+		inService = append(inService, name)
 	}
-	return in, out
+	return inService, outOfService
 }
 
-// MayStandIn reports whether the model's replicas may stand in the data
+// MayStandIn reports whether replicas of the model may be placed in the data
 // centre.
 func (m *Model) MayStandIn(dataCentre string) bool {
 	if len(m.DataCentres) == 0 {
@@ -178,115 +182,116 @@
 	return false
 }
 
-// versions checks the versions.
-func (v *validator) versions() {
+// checkVersions checks the versions.
+func (v *validator) checkVersions() {
 	for _, name := range sortedNames(v.set.Versions) {
 		version := v.set.Versions[name]
-		v.refer(KindVersion, name, "model", KindModel, version.Model)
-		v.digest(KindVersion, name, "manifest", version.Manifest)
-		if version.Base != "" && v.refer(KindVersion, name, "base", KindVersion, version.Base) {
-			v.baseCycle(version)
+		v.checkReference(KindVersion, name, "model", KindModel, version.Model)
+		v.checkDigest(KindVersion, name, "manifest", version.Manifest)
+		if version.Base != "" && v.checkReference(KindVersion, name, "base", KindVersion, version.Base) {
+			v.checkBaseCycle(version)
 		}
 	}
 }
 
-// baseCycle refuses a version that builds on itself.
-func (v *validator) baseCycle(start *Version) {
+// checkBaseCycle adds a problem if following the bases of a version leads back to
+// the version.
+func (v *validator) checkBaseCycle(start *Version) {
 	path := []string{start.Name}
 	seen := map[string]bool{start.Name: true}
-	at := start
-	for at.Base != "" {
-		path = append(path, at.Base)
-		if at.Base == start.Name {
-			v.fail(KindVersion, start.Name, "base", "circular: %s", strings.Join(path, " -> "))
+	current := start
+	for current.Base != "" {
+		path = append(path, current.Base)
+		if current.Base == start.Name {
+			v.addProblem(KindVersion, start.Name, "base", "circular: %s", strings.Join(path, " -> "))
 			return
 		}
-		next := v.set.Versions[at.Base]
+		next := v.set.Versions[current.Base]
 		if next == nil || seen[next.Name] {
 			return
 		}
 		seen[next.Name] = true
-		at = next
+		current = next
 	}
 }
 
-// backendServers checks the backend servers.
-func (v *validator) backendServers() {
+// checkBackendServers checks the backend servers.
+func (v *validator) checkBackendServers() {
 	for _, name := range sortedNames(v.set.BackendServers) {
 		b := v.set.BackendServers[name]
-		v.refer(KindBackendServer, name, "dataCentre", KindDataCentre, b.DataCentre)
+		v.checkReference(KindBackendServer, name, "dataCentre", KindDataCentre, b.DataCentre)
 		if b.Service != "" {
-			v.refer(KindBackendServer, name, "service", KindService, b.Service)
+			v.checkReference(KindBackendServer, name, "service", KindService, b.Service)
 		}
-		v.atLeast(KindBackendServer, name, "limit", int64(b.Limit), 1)
-		v.atLeast(KindBackendServer, name, "coldLimit", int64(b.ColdLimit), 1)
-		v.atLeast(KindBackendServer, name, "slots", int64(b.Slots), 0)
+		v.checkMinimum(KindBackendServer, name, "limit", int64(b.Limit), 1)
+		v.checkMinimum(KindBackendServer, name, "coldLimit", int64(b.ColdLimit), 1)
+		v.checkMinimum(KindBackendServer, name, "slots", int64(b.Slots), 0)
 		if b.ColdLimit > b.Limit {
-			v.fail(KindBackendServer, name, "coldLimit", "%d is more than the limit of %d that the server bears when warm", b.ColdLimit, b.Limit)
+			v.addProblem(KindBackendServer, name, "coldLimit", "%d is more than the limit of %d that the server bears when warm", b.ColdLimit, b.Limit)
 		}
 	}
 }
 
-// clientAccounts checks the client accounts.
-func (v *validator) clientAccounts() {
-	keys := map[core.Digest]string{}
+// checkClientAccounts checks the client accounts.
+func (v *validator) checkClientAccounts() {
+	accountByKey := map[core.Digest]string{}
 	for _, name := range sortedNames(v.set.ClientAccounts) {
 		a := v.set.ClientAccounts[name]
-		v.digest(KindClientAccount, name, "keyHash", a.KeyHash)
-		if other, ok := keys[a.KeyHash]; ok {
-			v.fail(KindClientAccount, name, "keyHash", "the same key as ClientAccount %q", other)
+		v.checkDigest(KindClientAccount, name, "keyHash", a.KeyHash)
+		if other, ok := accountByKey[a.KeyHash]; ok {
+			v.addProblem(KindClientAccount, name, "keyHash", "the same key as ClientAccount %q", other)
 		}
-		keys[a.KeyHash] = name
-		v.atLeast(KindClientAccount, name, "share", int64(a.Share), 0)
-		v.atLeast(KindClientAccount, name, "maxInFlight", int64(a.MaxInFlight), 0)
-		v.atLeast(KindClientAccount, name, "maxPriority", int64(a.MaxPriority), 0)
+		accountByKey[a.KeyHash] = name
+		v.checkMinimum(KindClientAccount, name, "share", int64(a.Share), 0)
+		v.checkMinimum(KindClientAccount, name, "maxInFlight", int64(a.MaxInFlight), 0)
+		v.checkMinimum(KindClientAccount, name, "maxPriority", int64(a.MaxPriority), 0)
 		if a.MaxPriority > maxPriority {
-			v.fail(KindClientAccount, name, "maxPriority", "want %d or less, got %d", maxPriority, a.MaxPriority)
+			v.addProblem(KindClientAccount, name, "maxPriority", "want %d or less, got %d", maxPriority, a.MaxPriority)
 		}
 	}
 }
 
-// services checks the plain services.
-func (v *validator) services() {
+// checkServices checks the plain services.
+func (v *validator) checkServices() {
 	for _, name := range sortedNames(v.set.Services) {
 		s := v.set.Services[name]
 		if len(s.Routes) == 0 {
-			v.fail(KindService, name, "routes", "missing; want one route or more")
+			v.addProblem(KindService, name, "routes", "missing; want one route or more")
 		}
 		seen := map[string]bool{}
 		for i, r := range s.Routes {
 			field := fmt.Sprintf("routes[%d]", i)
-			v.route(name, field, r)
+			v.checkRoute(name, field, r)
 			id := r.Method + " " + r.Path
 			if seen[id] {
-				v.fail(KindService, name, field, "%s stands twice", shorten(id))
+				v.addProblem(KindService, name, field, "%s stands twice", shorten(id))
 			}
 			seen[id] = true
 		}
 	}
 }
 
-// methods are the HTTP methods of routes.
+// methods are the HTTP methods that a route may have.
 var methods = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true, "OPTIONS": true}
 
-// route checks one route of a service.
-func (v *validator) route(service, field string, r Route) {
+// checkRoute checks one route of a service.
+func (v *validator) checkRoute(service, field string, r Route) {
 	if !methods[r.Method] {
-		v.fail(KindService, service, field+".method", "want an HTTP method in capitals, got %q", shorten(r.Method))
+		v.addProblem(KindService, service, field+".method", "want an HTTP method in capitals, got %q", shorten(r.Method))
 	}
 	if !strings.HasPrefix(r.Path, "/") {
-		v.fail(KindService, service, field+".path", "want a path that starts with a slash, got %q", shorten(r.Path))
+		v.addProblem(KindService, service, field+".path", "want a path that starts with a slash, got %q", shorten(r.Path))
 	}
 }
 
-// capacity checks that the servers can hold what the models ask for, and that
-// no account may ask for more than the servers bear. Servers that are leaving
-// or whose data centre is out are counted, so that a drain is never refused
-// for the sake of what it takes away for a while.
-func (v *validator) capacity() {
-	replicas, slots, bears := 0, 0, 0
+// checkCapacity checks that the servers can hold all replicas of the models, and
+// that no account may have more concurrent calls than the servers can run.
+// Servers that are leaving or whose data centre is out count as available, so that
+// a drain is never refused because it reduces the capacity temporarily.
+func (v *validator) checkCapacity() {
+	replicas, slots, totalLimit := 0, 0, 0
 	for _, b := range v.set.BackendServers {
-		bears += b.Limit
+		totalLimit += b.Limit
 		if b.Service == "" {
 			slots += max(b.Slots, 1)
 		}
@@ -294,28 +299,28 @@
 	for _, name := range sortedNames(v.set.Models) {
 		m := v.set.Models[name]
 		replicas += m.Replicas
-		if n := v.engines(m); m.Replicas > n {
-			v.fail(KindModel, name, "replicas", "%d replicas, but %d model engines in its data centres", m.Replicas, n)
+		if engines := v.countEngines(m); m.Replicas > engines {
+			v.addProblem(KindModel, name, "replicas", "%d replicas, but %d model engines in its data centres", m.Replicas, engines)
 			continue
 		}
 		if replicas > slots {
-			v.fail(KindModel, name, "replicas", "%d replicas with those of the models before it, but %d slots in all", replicas, slots)
+			v.addProblem(KindModel, name, "replicas", "%d replicas with those of the models before it, but %d slots in all", replicas, slots)
 		}
 	}
 	for _, name := range sortedNames(v.set.ClientAccounts) {
-		if n := v.set.ClientAccounts[name].MaxInFlight; bears > 0 && n > bears {
-			v.fail(KindClientAccount, name, "maxInFlight", "%d is more than the %d calls that all backend servers bear together", n, bears)
+		if maxInFlight := v.set.ClientAccounts[name].MaxInFlight; totalLimit > 0 && maxInFlight > totalLimit {
+			v.addProblem(KindClientAccount, name, "maxInFlight", "%d is more than the %d calls that all backend servers bear together", maxInFlight, totalLimit)
 		}
 	}
 }
 
-// engines counts the model engines in the data centres of a model.
-func (v *validator) engines(m *Model) int {
-	n := 0
+// countEngines counts the model engines in the data centres that may hold a model.
+func (v *validator) countEngines(m *Model) int {
+	count := 0
 	for _, b := range v.set.BackendServers {
 		if b.Service == "" && m.MayStandIn(b.DataCentre) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/version/declare/validate_test.go
+++ b/version/declare/validate_test.go
@@ -7,12 +7,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// edit is one replacement in the valid declarations.
+// edit is a text replacement in the valid declarations.
 type edit struct{ from, to string }
 
-// edited returns the valid declarations with replacements.
-func edited(edits ...edit) string {
-	text := valid
+// validWith returns the valid declarations after applying edits.
+func validWith(edits ...edit) string {
+	text := validYAML
 	for _, e := range edits {
 		So(text, ShouldContainSubstring, e.from)
 		text = strings.Replace(text, e.from, e.to, 1)
@@ -20,8 +20,8 @@
 	return text
 }
 
-// adapter returns a document of a version that builds on base.
-func adapter(name, base string) string {
+// adapterDocument returns the document of a version whose base is the given version.
+func adapterDocument(name, base string) string {
 	return "---\nkind: Version\nname: " + name + "\nmodel: herbs\nmanifest: " + string(digestA) + "\nbase: " + base + "\n"
 }
 
@@ -42,7 +42,7 @@
 			},
 		},
 		{
-			name:  "a model whose version is missing, and a version whose model is",
+			name:  "a model whose version is missing, and a version whose model is missing",
 			edits: []edit{{"version: herbs-1", "version: herbs-9"}, {"model: herbs", "model: spices"}},
 			want: []string{
 				`all.yaml:15: Model "herbs": version: there is no Version "herbs-9"`,
@@ -57,7 +57,7 @@
 		},
 		{
 			name:  "circular bases",
-			extra: adapter("a", "b") + adapter("b", "c") + adapter("c", "a") + adapter("d", "c"),
+			extra: adapterDocument("a", "b") + adapterDocument("b", "c") + adapterDocument("c", "a") + adapterDocument("d", "c"),
 			want: []string{
 				`Version "a": base: circular: a -> b -> c -> a`,
 				`Version "b": base: circular: b -> c -> a -> b`,
@@ -75,12 +75,12 @@
 			want:  []string{`all.yaml:16: Model "herbs": replicas: 2 replicas, but 1 model engines in its data centres`},
 		},
 		{
-			name:  "the models together over capacity",
+			name:  "replicas of all models together over capacity",
 			extra: "---\nkind: Model\nname: spices\nversion: spices-1\nreplicas: 1\n---\nkind: Version\nname: spices-1\nmodel: spices\nmanifest: " + string(digestB) + "\n",
 			want:  []string{`all.yaml:59: Model "spices": replicas: 3 replicas with those of the models before it, but 2 slots in all`},
 		},
 		{
-			name:  "the last data centre of a model taken out",
+			name:  "the only data centre of a model taken out",
 			edits: []edit{{"replicas: 2", "replicas: 1\ndataCentres: [palermo]"}, {"region: west\n---\nkind: DataCentre\nname: trapani", "region: west\nout: true\n---\nkind: DataCentre\nname: trapani"}},
 			want:  []string{`all.yaml:18: Model "herbs": dataCentres: every data centre that may hold the model is out: palermo`},
 		},
@@ -98,7 +98,7 @@
 			},
 		},
 		{
-			name:  "limits that the servers do not bear",
+			name:  "limits above the limits of the servers",
 			edits: []edit{{"coldLimit: 2", "coldLimit: 9"}, {"maxInFlight: 10", "maxInFlight: 25"}, {"limit: 8\ncoldLimit: 8", "limit: 8\ncoldLimit: 0"}},
 			want: []string{
 				`all.yaml:27: BackendServer "gpu-1": coldLimit: 9 is more than the limit of 8 that the server bears when warm`,
@@ -120,7 +120,7 @@
 			},
 		},
 		{
-			name:  "digests that are none",
+			name:  "malformed digests",
 			edits: []edit{{"manifest: sha256:", "manifest: md5:"}, {"keyHash: " + string(digestB), "keyHash: sha256:00"}},
 			want:  []string{`all.yaml:21: Version "herbs-1": manifest: digest`, `all.yaml:44: ClientAccount "grower": keyHash: digest`},
 		},
@@ -130,7 +130,7 @@
 			want:  []string{`ClientAccount "hire": keyHash: the same key as ClientAccount "grower"`},
 		},
 		{
-			name:  "routes that are none",
+			name:  "malformed, missing and duplicate routes",
 			edits: []edit{{"method: POST\n    path: /register", "method: post\n    path: register"}},
 			extra: "---\nkind: Service\nname: idle\nroutes: []\n---\nkind: Service\nname: twice\nroutes: [{method: GET, path: /x}, {method: GET, path: /x}]\n",
 			want: []string{
@@ -142,8 +142,8 @@
 		},
 	} {
 		Convey("Given "+c.name, t, func() {
-			_, problems := Check(files(edited(c.edits...) + c.extra))
-			got := lines(problems)
+			_, problems := Check(oneFile(validWith(c.edits...) + c.extra))
+			got := problemText(problems)
 			for _, want := range c.want {
 				So(got, ShouldContainSubstring, want)
 			}
@@ -153,21 +153,21 @@
 }
 
 func TestValidateChange(t *testing.T) {
-	Convey("Given a set in force", t, func() {
+	Convey("Given a current set", t, func() {
 		old := validSet()
 
-		Convey("a version that a model still answers from may not go with the switch", func() {
-			parsed, problems := Check(files(strings.ReplaceAll(valid, "herbs-1", "herbs-2")))
+		Convey("a change that switches a model and removes its previous version is refused", func() {
+			parsed, problems := Check(oneFile(strings.ReplaceAll(validYAML, "herbs-1", "herbs-2")))
 			So(problems, ShouldBeEmpty)
-			got := lines(ValidateChange(old, parsed.Set))
+			got := problemText(ValidateChange(old, parsed.Set))
 			So(got, ShouldContainSubstring, `Version "herbs-1": name: removed while Model "herbs" still answers from it`)
 		})
-		Convey("a switch that keeps it may", func() {
-			parsed, problems := Check(files(edited(edit{"version: herbs-1", "version: herbs-2"}) + strings.Replace(adapter("herbs-2", "x"), "base: x\n", "", 1)))
+		Convey("a switch that keeps the previous version is accepted", func() {
+			parsed, problems := Check(oneFile(validWith(edit{"version: herbs-1", "version: herbs-2"}) + strings.Replace(adapterDocument("herbs-2", "x"), "base: x\n", "", 1)))
 			So(problems, ShouldBeEmpty)
 			So(ValidateChange(old, parsed.Set), ShouldBeEmpty)
 		})
-		Convey("a model may go with its version", func() {
+		Convey("removing a model with its version is accepted", func() {
 			set := old.Clone()
 			delete(set.Models, "herbs")
 			delete(set.Versions, "herbs-1")
