--- a/version/confstore/confstore_test.go
+++ b/version/confstore/confstore_test.go
@@ -21,7 +21,7 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// newPlatform serves the stand-in and returns HTTP adapters to it.
+// newPlatform starts a stand-in platform and returns HTTP adapters for it.
 func newPlatform(t *testing.T) *platform.Platform {
 	t.Helper()
 	web := httptest.NewServer(standin.New(standin.Config{}, clockwork.NewRealClock()))
@@ -33,13 +33,13 @@
 	})
 }
 
-// newPublisher returns a publisher on p.
+// newPublisher returns a Publisher that uses p.
 func newPublisher(p *platform.Platform) *Publisher {
 	return NewPublisher(p.Table, p.Objects, clockwork.NewRealClock())
 }
 
-// regions returns a set with these regions.
-func regions(names ...string) *declare.Set {
+// setWithRegions returns a set that declares the named regions.
+func setWithRegions(names ...string) *declare.Set {
 	set := declare.NewSet()
 	for _, name := range names {
 		set.Regions[name] = &declare.Region{Name: name}
@@ -47,47 +47,49 @@
 	return set
 }
 
-// change returns a change to a set with these regions.
-func change(base uint64, id string, names ...string) Change {
-	return Change{Base: base, Author: "ann", Reason: "test", ChangeID: id, Set: regions(names...)}
+// changeToRegions returns a change whose set declares the named regions.
+func changeToRegions(base uint64, id string, names ...string) Change {
+	return Change{Base: base, Author: "ann", Reason: "test", ChangeID: id, Set: setWithRegions(names...)}
 }
 
-// version returns a snapshot of a set with these regions.
-func version(number uint64, names ...string) *declare.Snapshot {
-	set := regions(names...)
+// snapshotWithRegions returns a snapshot whose set declares the named regions.
+func snapshotWithRegions(number uint64, names ...string) *declare.Snapshot {
+	set := setWithRegions(names...)
 	_, digest, err := declare.Encode(set)
 	So(err, ShouldBeNil)
 	return &declare.Snapshot{Number: number, Digest: digest, Set: set}
 }
 
-// faultyTable injects errors into commits.
+// faultyTable makes commits fail with an unknown outcome.
 type faultyTable struct {
 	platform.Table
 	mu sync.Mutex
-	// lose is how many commits take effect without an answer.
-	lose int
-	// drop is how many commits have no effect and no answer.
-	drop int
+	// loseResponses is the number of commits that take effect although they
+	// fail.
+	loseResponses int
+	// dropCommits is the number of commits that have no effect. They come
+	// before those counted by loseResponses.
+	dropCommits int
 }
 
 // Commit implements platform.Table.
 func (f *faultyTable) Commit(ctx context.Context, writes []platform.Write) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.drop > 0 {
-		f.drop--
+	if f.dropCommits > 0 {
+		f.dropCommits--
 		return core.Step("commit", "fake", platform.ErrUnknownOutcome)
 	}
 	err := f.Table.Commit(ctx, writes)
-	if f.lose > 0 {
-		f.lose--
+	if f.loseResponses > 0 {
+		f.loseResponses--
 		return core.Step("commit", "fake", platform.ErrUnknownOutcome)
 	}
 	return err
 }
 
-// historyRows returns the number of history rows.
-func historyRows(p *platform.Platform) int {
+// countHistoryRows returns the number of history rows.
+func countHistoryRows(p *platform.Platform) int {
 	rows, err := p.Table.List(context.Background(), historyPrefix, "", 1000)
 	So(err, ShouldBeNil)
 	return len(rows)
@@ -98,12 +100,12 @@
 		p := newPlatform(t)
 		pub := newPublisher(p)
 		ctx := context.Background()
-		first, err := pub.Apply(ctx, change(0, "c1", "a"))
+		first, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 		So(err, ShouldBeNil)
 		So(first.Number, ShouldEqual, 1)
 
-		Convey("the next change on the right base is the next version", func() {
-			second, err := pub.Apply(ctx, change(1, "c2", "a", "b"))
+		Convey("a change on the newest version creates the next version", func() {
+			second, err := pub.Apply(ctx, changeToRegions(1, "c2", "a", "b"))
 			So(err, ShouldBeNil)
 			So(second.Number, ShouldEqual, 2)
 			entries, err := pub.History(ctx, 10)
@@ -112,8 +114,8 @@
 			So(entries[0].ChangeID, ShouldEqual, "c2")
 			So(entries[0].Changes, ShouldEqual, 1)
 		})
-		Convey("a change on an old base names the winner and what differs", func() {
-			_, err := pub.Apply(ctx, change(0, "c2", "z"))
+		Convey("a change on an older version fails with the winning version and the differences", func() {
+			_, err := pub.Apply(ctx, changeToRegions(0, "c2", "z"))
 			var conflict *ConflictError
 			So(errors.As(err, &conflict), ShouldBeTrue)
 			So(conflict.Winner.Author, ShouldEqual, "ann")
@@ -123,55 +125,55 @@
 				{Action: declare.ActionAdd, Ref: declare.Ref{Kind: declare.KindRegion, Name: "a"}},
 			})
 		})
-		Convey("the same change again is the same version", func() {
-			_, err := pub.Apply(ctx, change(1, "c2", "a", "b"))
+		Convey("the same change applied again returns the same version", func() {
+			_, err := pub.Apply(ctx, changeToRegions(1, "c2", "a", "b"))
 			So(err, ShouldBeNil)
-			again, err := newPublisher(p).Apply(ctx, change(0, "c1", "a"))
+			again, err := newPublisher(p).Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
 			So(again.Number, ShouldEqual, 1)
-			So(historyRows(p), ShouldEqual, 2)
+			So(countHistoryRows(p), ShouldEqual, 2)
 		})
-		Convey("a change id of any characters is one id", func() {
+		Convey("a change id may contain any characters", func() {
 			for base, id := range []string{"..", "a/b c?&=%2F", "é\n"} {
-				odd := change(uint64(base+1), id, "a", fmt.Sprint("r", base))
-				first, err := pub.Apply(ctx, odd)
+				c := changeToRegions(uint64(base+1), id, "a", fmt.Sprint("r", base))
+				first, err := pub.Apply(ctx, c)
 				So(err, ShouldBeNil)
-				again, err := newPublisher(p).Apply(ctx, odd)
+				again, err := newPublisher(p).Apply(ctx, c)
 				So(err, ShouldBeNil)
 				So(again.Number, ShouldEqual, first.Number)
 			}
-			So(historyRows(p), ShouldEqual, 4)
+			So(countHistoryRows(p), ShouldEqual, 4)
 		})
-		Convey("another change under the same id is refused", func() {
-			_, err := pub.Apply(ctx, change(1, "c1", "q"))
+		Convey("another change with the same change id is refused", func() {
+			_, err := pub.Apply(ctx, changeToRegions(1, "c1", "q"))
 			So(err, ShouldWrap, ErrChangeID)
 		})
-		Convey("an equal set makes no version", func() {
-			_, err := pub.Apply(ctx, change(1, "c2", "a"))
+		Convey("an equal set creates no version", func() {
+			_, err := pub.Apply(ctx, changeToRegions(1, "c2", "a"))
 			So(err, ShouldWrap, ErrUnchanged)
-			So(historyRows(p), ShouldEqual, 1)
+			So(countHistoryRows(p), ShouldEqual, 1)
 		})
-		Convey("a set that is not valid changes nothing", func() {
-			bad := change(1, "c2")
+		Convey("an invalid set changes nothing", func() {
+			bad := changeToRegions(1, "c2")
 			bad.Set.DataCentres["d"] = &declare.DataCentre{Name: "d", Region: "none"}
 			_, err := pub.Apply(ctx, bad)
 			var invalid *declare.InvalidError
 			So(errors.As(err, &invalid), ShouldBeTrue)
-			So(historyRows(p), ShouldEqual, 1)
+			So(countHistoryRows(p), ShouldEqual, 1)
 		})
-		Convey("a change that cannot be traced is refused", func() {
-			bad := change(1, "c2", "a", "b")
+		Convey("a change without a reason is refused", func() {
+			bad := changeToRegions(1, "c2", "a", "b")
 			bad.Reason = ""
 			_, err := pub.Apply(ctx, bad)
 			So(err, ShouldWrap, ErrChange)
 		})
-		Convey("a replayed version is the same bytes each time, and reverts to a new version", func() {
-			_, err := pub.Apply(ctx, change(1, "c2", "b"))
+		Convey("a version has the same documents at each replay, and reverting to it creates a new version", func() {
+			_, err := pub.Apply(ctx, changeToRegions(1, "c2", "b"))
 			So(err, ShouldBeNil)
 			before, _, err := pub.Replay(ctx, 1)
 			So(err, ShouldBeNil)
 			So(string(before), ShouldEqual, "---\nkind: Region\nname: a\n")
-			third, err := pub.Revert(ctx, 1, change(2, "c3"))
+			third, err := pub.Revert(ctx, 1, changeToRegions(2, "c3"))
 			So(err, ShouldBeNil)
 			So(third.Number, ShouldEqual, 3)
 			So(third.Digest, ShouldEqual, first.Digest)
@@ -183,53 +185,53 @@
 }
 
 func TestLostAnswers(t *testing.T) {
-	Convey("Given a table that loses answers", t, func() {
+	Convey("Given a table whose responses are lost", t, func() {
 		p := newPlatform(t)
 		table := &faultyTable{Table: p.Table}
 		pub := NewPublisher(table, p.Objects, clockwork.NewRealClock())
 		ctx := context.Background()
 
-		Convey("a change whose answer was lost after the write is found again", func() {
-			table.lose = 1
-			s, err := pub.Apply(ctx, change(0, "c1", "a"))
+		Convey("a change whose response was lost after the commit is found again", func() {
+			table.loseResponses = 1
+			s, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
 			So(s.Number, ShouldEqual, 1)
-			So(historyRows(p), ShouldEqual, 1)
+			So(countHistoryRows(p), ShouldEqual, 1)
 		})
-		Convey("a change whose write was lost is written again", func() {
-			table.drop = 2
-			s, err := pub.Apply(ctx, change(0, "c1", "a"))
+		Convey("a change whose commit was lost is committed again", func() {
+			table.dropCommits = 2
+			s, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
 			So(s.Number, ShouldEqual, 1)
-			So(historyRows(p), ShouldEqual, 1)
+			So(countHistoryRows(p), ShouldEqual, 1)
 		})
-		Convey("a change that stays unknown says so, and leaves one row when it is repeated", func() {
-			table.drop = maxAttempts
-			_, err := pub.Apply(ctx, change(0, "c1", "a"))
+		Convey("a change fails if its outcome stays unknown, and creates one row when it is repeated", func() {
+			table.dropCommits = maxAttempts
+			_, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldWrap, platform.ErrUnknownOutcome)
-			table.lose = 1
-			_, err = pub.Apply(ctx, change(0, "c1", "a"))
+			table.loseResponses = 1
+			_, err = pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
-			_, err = newPublisher(p).Apply(ctx, change(0, "c1", "a"))
+			_, err = newPublisher(p).Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
-			So(historyRows(p), ShouldEqual, 1)
+			So(countHistoryRows(p), ShouldEqual, 1)
 		})
 	})
 }
 
 func TestRaces(t *testing.T) {
 	for _, operators := range []int{2, 10} {
-		Convey(fmt.Sprintf("Given %d operators who race on one base", operators), t, func() {
+		Convey(fmt.Sprintf("Given %d operators who apply changes to the same version at once", operators), t, func() {
 			p := newPlatform(t)
 			ctx := context.Background()
 			const rounds = 10
 			for round := range uint64(rounds) {
-				errs := race(ctx, p, operators, round)
-				won := 0
+				errs := applyAtOnce(ctx, p, operators, round)
+				accepted := 0
 				for _, err := range errs {
 					var conflict *ConflictError
 					if err == nil {
-						won++
+						accepted++
 						continue
 					}
 					So(errors.As(err, &conflict), ShouldBeTrue)
@@ -237,15 +239,16 @@
 					So(conflict.Winner.Author, ShouldNotBeEmpty)
 					So(conflict.Changes, ShouldNotBeEmpty)
 				}
-				So(won, ShouldEqual, 1)
+				So(accepted, ShouldEqual, 1)
 			}
-			So(historyRows(p), ShouldEqual, rounds)
+			So(countHistoryRows(p), ShouldEqual, rounds)
 		})
 	}
 }
 
-// race lets operators apply different changes on one base at once.
-func race(ctx context.Context, p *platform.Platform, operators int, base uint64) []error {
+// applyAtOnce lets operators apply different changes to the same version at once,
+// and returns their errors.
+func applyAtOnce(ctx context.Context, p *platform.Platform, operators int, base uint64) []error {
 	errs := make([]error, operators)
 	var wg sync.WaitGroup
 	for n := range operators {
@@ -253,7 +256,7 @@
 		go func() {
 			defer wg.Done()
 			id := fmt.Sprintf("round-%d-operator-%d", base, n)
-			_, errs[n] = newPublisher(p).Apply(ctx, change(base, id, id))
+			_, errs[n] = newPublisher(p).Apply(ctx, changeToRegions(base, id, id))
 		}()
 	}
 	wg.Wait()
@@ -268,30 +271,30 @@
 		holder := NewHolder()
 		f := NewFollower(FollowerConfig{}, p.Table, p.Objects, holder, eventlog.Discard(), clockwork.NewRealClock())
 
-		Convey("it brings the first version as a whole and the next by difference", func() {
-			_, err := pub.Apply(ctx, change(0, "c1", "a"))
+		Convey("it reads the first version as a full snapshot and the next ones by deltas", func() {
+			_, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
 			So(f.poll(ctx), ShouldBeNil)
 			So(holder.Current().Number, ShouldEqual, 1)
 			p.Objects = nil
-			_, err = pub.Apply(ctx, change(1, "c2", "a", "b"))
+			_, err = pub.Apply(ctx, changeToRegions(1, "c2", "a", "b"))
 			So(err, ShouldBeNil)
-			_, err = pub.Apply(ctx, change(2, "c3", "b"))
+			_, err = pub.Apply(ctx, changeToRegions(2, "c3", "b"))
 			So(err, ShouldBeNil)
 			f.objects = nil
 			So(f.poll(ctx), ShouldBeNil)
 			So(holder.Current().Number, ShouldEqual, 3)
-			So(declare.Diff(holder.Current().Set, regions("b")), ShouldBeEmpty)
+			So(declare.Diff(holder.Current().Set, setWithRegions("b")), ShouldBeEmpty)
 		})
-		Convey("it confirms the version while nothing changes", func() {
+		Convey("it confirms the current version when nothing has changed", func() {
 			So(holder.ConfirmedWithin(time.Minute), ShouldBeFalse)
 			So(f.poll(ctx), ShouldBeNil)
 			So(holder.ConfirmedWithin(time.Minute), ShouldBeTrue)
 		})
-		Convey("it never goes back to an older head", func() {
-			_, err := pub.Apply(ctx, change(0, "c1", "a"))
+		Convey("it ignores a head older than the current version", func() {
+			_, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
-			holder.Offer(&declare.Snapshot{Number: 9, Set: regions("x")})
+			holder.Offer(&declare.Snapshot{Number: 9, Set: setWithRegions("x")})
 			So(f.poll(ctx), ShouldBeNil)
 			So(holder.Current().Number, ShouldEqual, 9)
 		})
@@ -299,12 +302,12 @@
 }
 
 func TestPeers(t *testing.T) {
-	Convey("Given a holder and a peer", t, func() {
+	Convey("Given a holder and a peer with an older version", t, func() {
 		ctx := context.Background()
 		pub := newPublisher(newPlatform(t))
 		holder, peer := NewHolder(), NewHolder()
 		for n := range uint64(3) {
-			s, err := pub.Apply(ctx, change(n, fmt.Sprint(n), "a", fmt.Sprint("r", n)))
+			s, err := pub.Apply(ctx, changeToRegions(n, fmt.Sprint(n), "a", fmt.Sprint("r", n)))
 			So(err, ShouldBeNil)
 			holder.Offer(s)
 			if n == 0 {
@@ -312,14 +315,14 @@
 			}
 		}
 
-		Convey("a peer a few versions behind gets the difference", func() {
+		Convey("a peer a few versions behind gets a delta", func() {
 			e, err := EncodeFor(holder, 1)
 			So(err, ShouldBeNil)
 			So(e.Base, ShouldEqual, 1)
 			So(OfferEncoded(peer, e), ShouldBeNil)
 			So(peer.Current().Digest, ShouldEqual, holder.Current().Digest)
 		})
-		Convey("a new peer gets the whole", func() {
+		Convey("a new peer gets the full configuration", func() {
 			e, err := EncodeFor(holder, 0)
 			So(err, ShouldBeNil)
 			So(e.Base, ShouldEqual, 0)
@@ -327,7 +330,7 @@
 			So(OfferEncoded(fresh, e), ShouldBeNil)
 			So(fresh.Current().Number, ShouldEqual, 3)
 		})
-		Convey("a difference from another base asks for the whole", func() {
+		Convey("a delta with another base is refused", func() {
 			e, err := EncodeFor(holder, 2)
 			So(err, ShouldBeNil)
 			So(OfferEncoded(peer, e), ShouldWrap, ErrBase)
@@ -341,7 +344,7 @@
 			So(OfferEncoded(peer, e), ShouldNotBeNil)
 			So(peer.Current().Number, ShouldEqual, 1)
 		})
-		Convey("a peer that has it is told so", func() {
+		Convey("a peer that has the current version gets nothing", func() {
 			_, err := EncodeFor(holder, 3)
 			So(err, ShouldWrap, ErrNothingNewer)
 		})
@@ -349,23 +352,23 @@
 }
 
 func TestOffersNeverGoBack(t *testing.T) {
-	Convey("Given a holder with version 3 in force", t, func() {
+	Convey("Given a holder whose current version is 3", t, func() {
 		holder := NewHolder()
-		holder.Offer(version(3, "c"))
+		holder.Offer(snapshotWithRegions(3, "c"))
 		changed := holder.Changed()
 
-		Convey("older versions and the same number again are not taken", func() {
-			So(holder.Offer(version(2, "b")), ShouldBeFalse)
-			So(holder.Offer(version(3, "other")), ShouldBeFalse)
+		Convey("an older version, or another one with the same number, is not accepted", func() {
+			So(holder.Offer(snapshotWithRegions(2, "b")), ShouldBeFalse)
+			So(holder.Offer(snapshotWithRegions(3, "other")), ShouldBeFalse)
 			older := NewHolder()
-			older.Offer(version(2, "b"))
+			older.Offer(snapshotWithRegions(2, "b"))
 			e, err := EncodeFor(older, 0)
 			So(err, ShouldBeNil)
 			So(OfferEncoded(holder, e), ShouldBeNil)
-			So(holder.Current().Digest, ShouldEqual, version(3, "c").Digest)
+			So(holder.Current().Digest, ShouldEqual, snapshotWithRegions(3, "c").Digest)
 			select {
 			case <-changed:
-				So("a change was announced", ShouldBeEmpty)
+				So("changed was closed", ShouldBeEmpty)
 			default:
 			}
 		})
@@ -376,17 +379,17 @@
 	Convey("Given a confirmed holder", t, func() {
 		clock := clockwork.NewFakeClock()
 		h := NewHolderAt(clock)
-		h.Offer(&declare.Snapshot{Number: 4, Set: regions("a")})
+		h.Offer(&declare.Snapshot{Number: 4, Set: setWithRegions("a")})
 		h.Confirm(clock.Now())
 		So(h.ConfirmedWithin(time.Second), ShouldBeTrue)
-		asked := clock.Now()
+		requestedAt := clock.Now()
 		clock.Advance(time.Minute)
 
-		Convey("time that passes takes the confirmation away", func() {
+		Convey("the confirmation expires", func() {
 			So(h.ConfirmedWithin(time.Second), ShouldBeFalse)
 		})
-		Convey("an answer to a question from before counts for that time", func() {
-			h.Confirm(asked)
+		Convey("the response to an earlier request confirms the version as of that request", func() {
+			h.Confirm(requestedAt)
 			So(h.ConfirmedWithin(time.Second), ShouldBeFalse)
 		})
 		Convey("a peer with a newer version confirms nothing", func() {
--- a/version/confstore/encoded.go
+++ b/version/confstore/encoded.go
@@ -7,52 +7,57 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Errors of an exchange of configuration between peers.
+// Errors of the exchange of configurations between peers.
 var (
-	// ErrNothingNewer says that the peer holds the version in force already.
-	ErrNothingNewer = errors.New("nothing newer")
-	// ErrBase says that a difference starts from a version that is not in
-	// force here: the whole has to be asked for.
-	ErrBase = errors.New("difference from a version that is not in force here")
+	// ErrNothingNewer is returned when the peer already has the current
+	// version.
+	ErrNothingNewer = errors.New("peer already has the current version")
+	// ErrBase is returned when the base of a delta is not the current version
+	// here; the full configuration must be requested instead.
+	ErrBase = errors.New("base of the delta is not the current version")
 )
 
-// Encoded is a configuration on its way to a peer: whole, or as the
-// difference from Base.
+// Encoded is an encoded configuration to be sent to a peer: either the full
+// configuration, or a delta from the version Base.
 type Encoded struct {
-	// Number is the version's number.
+	// Number is the version number of the configuration.
 	Number uint64
-	// Digest is the digest of the whole encoded set.
+	// Digest is the digest of the full encoded configuration, also for a
+	// delta.
 	Digest core.Digest
-	// Base is the number that Body is a difference from; 0 when whole.
+	// Base is the number of the version to which Body is a delta; 0 when Body
+	// is the full configuration.
 	Base uint64
-	// Body is the encoded set or difference.
+	// Body is the encoded configuration or delta.
 	Body []byte
 }
 
-// EncodeFor returns the version in force for a peer that holds version have:
-// the difference when have is one of the newest, else the whole. Encodings
-// are kept until the next version, so that many peers cost one encoding.
-func EncodeFor(h *Holder, have uint64) (Encoded, error) {
-	current, base := h.pair(have)
-	if current.Number <= have {
+// EncodeFor returns the current version encoded for a peer that has peerVersion:
+// a delta when h still keeps peerVersion, otherwise the full configuration. It
+// returns ErrNothingNewer when peerVersion is not older than the current version.
+// Encodings are cached until the next version, so that the same encoding is not
+// computed again for each peer.
+func EncodeFor(h *Holder, peerVersion uint64) (Encoded, error) {
+	current, base := h.currentAndBase(peerVersion)
+	if current.Number <= peerVersion {
 		return Encoded{}, ErrNothingNewer
 	}
-	from := uint64(0)
+	baseNumber := uint64(0)
 	if base != nil {
-		from = base.Number
+		baseNumber = base.Number
 	}
-	if e, ok := h.cached(current.Number, from); ok {
+	if e, ok := h.cachedEncoding(current.Number, baseNumber); ok {
 		return e, nil
 	}
 	e, err := encode(current, base)
 	if err != nil {
 		return Encoded{}, err
 	}
-	h.cache(e)
+	h.cacheEncoding(e)
 	return e, nil
 }
 
-// encode encodes current, as a difference when base is not nil.
+// encode encodes current: as a delta from base, or in full when base is nil.
 func encode(current, base *declare.Snapshot) (Encoded, error) {
 	e := Encoded{Number: current.Number, Digest: current.Digest}
 	if base != nil {
@@ -68,44 +73,46 @@
 	return e, err
 }
 
-// pair returns the version in force and the older snapshot with number have,
-// or nil when it is not kept.
-func (h *Holder) pair(have uint64) (current, base *declare.Snapshot) {
+// currentAndBase returns the current snapshot and the older snapshot with number
+// baseNumber; base is nil when h does not keep that version.
+func (h *Holder) currentAndBase(baseNumber uint64) (current, base *declare.Snapshot) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	for _, s := range h.recent {
-		if s.Number == have && have > 0 {
+		if s.Number == baseNumber && baseNumber > 0 {
 			base = s
 		}
 	}
 	return h.current, base
 }
 
-// cached returns the encoding of version number as a difference from base.
-func (h *Holder) cached(number, base uint64) (Encoded, bool) {
+// cachedEncoding returns the cached encoding of version number as a delta from
+// version base, or in full when base is 0. It reports whether there is one.
+func (h *Holder) cachedEncoding(number, base uint64) (Encoded, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	e, ok := h.encoded[base]
+	e, ok := h.encodings[base]
 	return e, ok && e.Number == number
 }
 
-// cache keeps an encoding while its version is in force.
-func (h *Holder) cache(e Encoded) {
+// cacheEncoding caches e if its version is still the current one.
+func (h *Holder) cacheEncoding(e Encoded) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if e.Number == h.current.Number {
-		h.encoded[e.Base] = e
+		h.encodings[e.Base] = e
 	}
 }
 
-// OfferEncoded checks a configuration from a peer and puts it in force when
-// it is newer. ErrBase asks the caller to pull the whole.
+// OfferEncoded checks a configuration from a peer and makes it the current version
+// of h when it is newer. It returns ErrBase when the caller must request the full
+// configuration.
 func OfferEncoded(h *Holder, e Encoded) error {
 	current := h.Current()
 	if e.Number <= current.Number {
 		return nil
 	}
-	set, err := decodeOnto(current, e)
+	set, err := decodeAgainst(current, e)
 	if err != nil {
 		return errors.Wrapf(err, "version %d", e.Number)
 	}
@@ -113,13 +120,13 @@
 	return nil
 }
 
-// decodeOnto decodes e, whose base must be current when it has one.
-func decodeOnto(current *declare.Snapshot, e Encoded) (*declare.Set, error) {
+// decodeAgainst decodes e. If e is a delta, its base must be current.
+func decodeAgainst(current *declare.Snapshot, e Encoded) (*declare.Set, error) {
 	if e.Base == 0 {
 		return declare.Decode(e.Body, e.Digest)
 	}
 	if e.Base != current.Number {
-		return nil, errors.Wrapf(ErrBase, "base %d, in force %d", e.Base, current.Number)
+		return nil, errors.Wrapf(ErrBase, "base %d, current %d", e.Base, current.Number)
 	}
 	return declare.ApplyDelta(current.Set, e.Body, e.Digest)
 }
--- a/version/confstore/errors.go
+++ b/version/confstore/errors.go
@@ -9,30 +9,34 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Errors of the publisher.
+// Errors of a Publisher.
 var (
-	// ErrChangeID says that the change id was used for another change.
+	// ErrChangeID is returned when the change id was already used for another
+	// change.
 	ErrChangeID = errors.New("change id was used for another change")
-	// ErrNoVersion says that there is no such version, or that the history
-	// no longer holds it.
+	// ErrNoVersion is returned when a version does not exist, or when the
+	// history no longer keeps it.
 	ErrNoVersion = errors.New("no such version in the history")
-	// ErrUnchanged says that the set is equal to the one in force, so that
-	// no version was made.
+	// ErrUnchanged is returned when the set equals the newest version, so that
+	// no new version is created.
 	ErrUnchanged = errors.New("nothing differs from the version in force")
-	// ErrChange says that author, reason or change id is missing or too
-	// long.
+	// ErrChange is returned when the author, reason or change id of a change is
+	// missing, too long or not UTF-8.
 	ErrChange = errors.New("bad change")
 )
 
-// ConflictError says that another change was accepted on the same base first.
+// ConflictError is returned when another change was accepted first on the same
+// base.
 type ConflictError struct {
-	// Base is the version that the refused change was made for.
+	// Base is the version to which the refused change was to be applied.
 	Base uint64
-	// Winner is the version that took its place.
+	// Winner is the version that another change created on Base. If its record
+	// cannot be read, Winner is the newest version.
 	Winner Entry
 	// InForce is the newest version.
 	InForce uint64
-	// Changes are what differs between the base and the newest version.
+	// Changes are the differences between Base and the newest version; nil
+	// when one of the two cannot be read.
 	Changes []declare.Change
 }
 
--- a/version/confstore/follower.go
+++ b/version/confstore/follower.go
@@ -17,40 +17,41 @@
 )
 
 const (
-	// defaultPollInterval is the time between two reads of the head.
+	// defaultPollInterval is the time between two reads of the head row.
 	defaultPollInterval = time.Second
-	// jitter spreads the reads of many instances, as a share of the interval.
-	jitter = 0.1
-	// maxSteps is how many versions are followed by differences; beyond it
-	// the whole snapshot is read.
-	maxSteps = 16
+	// pollJitter is the maximum random change of the poll interval, as a share
+	// of it. It spreads the reads of many instances over time.
+	pollJitter = 0.1
+	// maxDeltas is the maximum number of deltas read to catch up; a process
+	// further behind reads the full snapshot.
+	maxDeltas = 16
 )
 
 var (
 	eventFetched = eventlog.Define(201, "configuration-fetched", logrus.InfoLevel,
-		"A newer configuration was read from the platform and is in force in this process.")
+		"A newer configuration was read from the platform and took effect in this process.")
 	eventFetchFailed = eventlog.Define(202, "configuration-fetch-failed", logrus.ErrorLevel,
-		"The platform announces a newer configuration that could not be read or failed its check; the old one stays in force.")
+		"The platform has a newer configuration that could not be read or failed its check; the current one stays in effect.")
 	eventPlatformLost = eventlog.Define(203, "configuration-platform-lost", logrus.WarnLevel,
-		"The platform's table does not answer; this process goes on with the configuration in force and with what its peers send.")
+		"The platform's table does not respond; the process continues with the current configuration and with newer ones from its peers.")
 	eventPlatformBack = eventlog.Define(204, "configuration-platform-back", logrus.InfoLevel,
-		"The platform's table answers again.")
+		"The platform's table responds again.")
 	eventPlatformBehind = eventlog.Define(205, "configuration-platform-behind", logrus.ErrorLevel,
-		"The platform's newest configuration is older than, or differs from, the one in force here with the same number; this process does not go back.")
+		"The platform's newest configuration is older than the current one of this process, or has the same number and another digest; the process keeps its current one.")
 )
 
-// FollowerConfig says how to follow the platform.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
-	// PollInterval is the time between two reads of the head. Default 1 s.
+	// PollInterval is the time between two reads of the head row. Default 1 s.
 	PollInterval time.Duration
 }
 
-// applyDefaults fills in what is not set.
+// applyDefaults sets the fields that are zero to their defaults.
 func (c *FollowerConfig) applyDefaults() {
 	core.SetDefault(&c.PollInterval, defaultPollInterval)
 }
 
-// Follower brings each newer version from the platform into a Holder.
+// Follower polls the platform for newer versions and offers them to a Holder.
 type Follower struct {
 	config  FollowerConfig
 	table   platform.Table
@@ -59,47 +60,50 @@
 	log     *eventlog.Logger
 	clock   clockwork.Clock
 
-	// revision is the head row's revision that was handled last.
+	// revision is the revision of the head row that was last processed.
 	revision uint64
-	lost     bool
+	// platformLost reports whether the last poll failed because the platform
+	// was unavailable or refused the call.
+	platformLost bool
 }
 
-// NewFollower returns a Follower; Run makes it work.
+// NewFollower returns a Follower that does nothing until Run is called.
 func NewFollower(config FollowerConfig, table platform.Table, objects platform.Objects, holder *Holder, log *eventlog.Logger, clock clockwork.Clock) *Follower {
 	config.applyDefaults()
 	return &Follower{config: config, table: table, objects: objects, holder: holder, log: log, clock: clock}
 }
 
-// Run polls the head until ctx ends. It returns nil then.
+// Run polls the platform until ctx ends. It always returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	for {
-		begin := f.clock.Now()
-		f.note(f.poll(ctx))
-		wait := f.wait(elapsed(begin, f.clock.Now()))
+		start := f.clock.Now()
+		f.logAvailability(f.poll(ctx))
+		delay := f.pollDelay(elapsed(start, f.clock.Now()))
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.clock.After(wait):
+		case <-f.clock.After(delay):
 		}
 	}
 }
 
-// wait returns the time until the next poll. A poll that took far longer than
-// it may shows that this process was paused: the next one follows at once.
-func (f *Follower) wait(took time.Duration) time.Duration {
-	if took > 4*f.config.PollInterval {
+// pollDelay returns the time until the next poll, given the duration of the last
+// one. A poll that took more than four intervals indicates that this process was
+// paused; the next poll then follows immediately.
+func (f *Follower) pollDelay(lastPoll time.Duration) time.Duration {
+	if lastPoll > 4*f.config.PollInterval {
 		return 0
 	}
-	spread := 1 + jitter*(2*rand.Float64()-1)
-	return time.Duration(float64(f.config.PollInterval) * spread)
+	factor := 1 + pollJitter*(2*rand.Float64()-1)
+	return time.Duration(float64(f.config.PollInterval) * factor)
 }
 
-// poll reads the head once and brings a newer version into force.
+// poll reads the head row once and offers a newer version to the Holder.
 func (f *Follower) poll(ctx context.Context) error {
-	asked := f.clock.Now()
+	requestedAt := f.clock.Now()
 	row, err := f.table.Get(ctx, headKey, f.revision)
 	if errors.Is(err, platform.ErrNotModified) || errors.Is(err, platform.ErrNotFound) {
-		f.holder.Confirm(asked)
+		f.holder.Confirm(requestedAt)
 		return nil
 	}
 	if err != nil {
@@ -109,16 +113,18 @@
 	if err != nil {
 		return err
 	}
-	if err := f.follow(ctx, head.Entry); err != nil {
+	if err := f.updateTo(ctx, head.Entry); err != nil {
 		return err
 	}
 	f.revision = row.Revision
-	f.holder.Confirm(asked)
+	f.holder.Confirm(requestedAt)
 	return nil
 }
 
-// follow brings the version of head into force unless it is in force.
-func (f *Follower) follow(ctx context.Context, head Entry) error {
+// updateTo offers the version of head to the Holder if it is newer than the current
+// one. It logs an event if head is older, or differs from the current version with
+// the same number.
+func (f *Follower) updateTo(ctx context.Context, head Entry) error {
 	current := f.holder.Current()
 	if head.Number < current.Number || head.Number == current.Number && head.Digest != current.Digest {
 		f.log.Event(eventPlatformBehind, eventlog.Fields{"number": head.Number, "in_force": current.Number})
@@ -145,11 +151,12 @@
 	return nil
 }
 
-// fetch reads the version of head by differences when current is near, else
-// as a whole. how says which.
+// fetch reads the version of head: by deltas if current is at most maxDeltas
+// versions older, otherwise, or if that fails, as a full snapshot. how is
+// "difference" or "whole" accordingly, for the log.
 func (f *Follower) fetch(ctx context.Context, current *declare.Snapshot, head Entry) (s *declare.Snapshot, how string, err error) {
-	if current.Number > 0 && head.Number-current.Number <= maxSteps {
-		if s, err := f.fetchSteps(ctx, current, head); err == nil {
+	if current.Number > 0 && head.Number-current.Number <= maxDeltas {
+		if s, err := f.fetchDeltas(ctx, current, head); err == nil {
 			return s, "difference", nil
 		}
 	}
@@ -157,10 +164,11 @@
 	return s, "whole", err
 }
 
-// fetchSteps follows the differences in the history rows after current.
-func (f *Follower) fetchSteps(ctx context.Context, current *declare.Snapshot, head Entry) (*declare.Snapshot, error) {
-	steps := int(head.Number - current.Number)
-	rows, err := f.table.List(ctx, historyPrefix, historyKey(current.Number), steps)
+// fetchDeltas applies the deltas of the history rows after current, up to the
+// version of head.
+func (f *Follower) fetchDeltas(ctx context.Context, current *declare.Snapshot, head Entry) (*declare.Snapshot, error) {
+	count := int(head.Number - current.Number)
+	rows, err := f.table.List(ctx, historyPrefix, historyKey(current.Number), count)
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +177,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if current, err = step(current, rec); err != nil {
+		if current, err = applyRecord(current, rec); err != nil {
 			return nil, err
 		}
 	}
@@ -179,26 +187,28 @@
 	return current, nil
 }
 
-// step applies the difference of rec to the version before it.
-func step(before *declare.Snapshot, rec record) (*declare.Snapshot, error) {
-	if rec.Number != before.Number+1 || rec.Parent != before.Digest {
-		return nil, fmt.Errorf("%w: version %d does not follow version %d", ErrIntegrity, rec.Number, before.Number)
+// applyRecord applies the delta of rec to previous, which must be the version
+// before it.
+func applyRecord(previous *declare.Snapshot, rec record) (*declare.Snapshot, error) {
+	if rec.Number != previous.Number+1 || rec.Parent != previous.Digest {
+		return nil, fmt.Errorf("%w: version %d does not follow version %d", ErrIntegrity, rec.Number, previous.Number)
 	}
-	set, err := declare.ApplyDelta(before.Set, rec.Delta, rec.Digest)
+	set, err := declare.ApplyDelta(previous.Set, rec.Delta, rec.Digest)
 	if err != nil {
 		return nil, err
 	}
 	return &declare.Snapshot{Number: rec.Number, Digest: rec.Digest, Set: set}, nil
 }
 
-// note logs when the platform is lost and when it is back.
-func (f *Follower) note(err error) {
+// logAvailability logs when the platform becomes unavailable and when it is
+// available again. err is the result of a poll.
+func (f *Follower) logAvailability(err error) {
 	lost := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrRefused)
-	if lost && !f.lost {
+	if lost && !f.platformLost {
 		f.log.Fail(eventPlatformLost, err, eventlog.Fields{"in_force": f.holder.Current().Number})
 	}
-	if err == nil && f.lost {
+	if err == nil && f.platformLost {
 		f.log.Event(eventPlatformBack, eventlog.Fields{"in_force": f.holder.Current().Number})
 	}
-	f.lost = lost
+	f.platformLost = lost
 }
--- a/version/confstore/history.go
+++ b/version/confstore/history.go
@@ -10,26 +10,27 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// historyPage is the number of history rows read at once.
-const historyPage = 100
+// historyPageRows is the maximum number of history rows read in one call.
+const historyPageRows = 100
 
-// prunesPerApply bounds how many old versions one change removes.
-const prunesPerApply = 4
+// maxPrunedPerChange is the maximum number of old versions removed after one change.
+const maxPrunedPerChange = 4
 
-// Deleter is implemented by object stores that can remove objects.
+// Deleter is implemented by object stores that can delete objects.
 type Deleter interface {
-	// Delete removes an object; one that does not exist is no error.
+	// Delete deletes an object. It returns nil if the object does not exist.
 	Delete(ctx context.Context, name string) error
 }
 
-// Head returns the newest accepted version; Number 0 when there is none.
+// Head returns the newest accepted version; its Number is 0 when there is none.
 func (p *Publisher) Head(ctx context.Context) (Entry, error) {
-	head, _, err := p.head(ctx)
+	head, _, err := p.readHead(ctx)
 	return head, err
 }
 
-// head reads the head row and its revision.
-func (p *Publisher) head(ctx context.Context) (Entry, uint64, error) {
+// readHead reads the head row and returns its entry and revision; both are zero
+// when there is no version yet.
+func (p *Publisher) readHead(ctx context.Context) (Entry, uint64, error) {
 	row, err := p.table.Get(ctx, headKey, 0)
 	if errors.Is(err, platform.ErrNotFound) {
 		return Entry{}, 0, nil
@@ -41,8 +42,9 @@
 	return rec.Entry, row.Revision, err
 }
 
-// find returns the version that a change id became, or platform.ErrNotFound.
-func (p *Publisher) find(ctx context.Context, changeID string) (Entry, error) {
+// findChange returns the version that was created with a change id, or
+// platform.ErrNotFound when there is none.
+func (p *Publisher) findChange(ctx context.Context, changeID string) (Entry, error) {
 	key := changeKey(changeID)
 	row, err := p.table.Get(ctx, key, 0)
 	if err != nil {
@@ -52,8 +54,9 @@
 	return rec.Entry, err
 }
 
-// record reads the history row of one version.
-func (p *Publisher) record(ctx context.Context, number uint64) (record, error) {
+// readRecord reads the history row of one version. It returns ErrNoVersion when
+// there is none.
+func (p *Publisher) readRecord(ctx context.Context, number uint64) (record, error) {
 	key := historyKey(number)
 	row, err := p.table.Get(ctx, key, 0)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -69,16 +72,16 @@
 	return rec, err
 }
 
-// History returns up to limit versions, the newest first. Each row's digest,
-// the order of the numbers and the parent digests are checked.
+// History returns up to limit versions, newest first. It returns ErrIntegrity when
+// a row is damaged, or when the numbers or parent digests are not consecutive.
 func (p *Publisher) History(ctx context.Context, limit int) ([]Entry, error) {
 	head, err := p.Head(ctx)
 	if err != nil || head.Number == 0 {
 		return nil, err
 	}
 	after := uint64(0)
-	if n := uint64(limit); head.Number > n {
-		after = head.Number - n
+	if count := uint64(limit); head.Number > count {
+		after = head.Number - count
 	}
 	entries, err := p.entriesAfter(ctx, after)
 	if err != nil {
@@ -93,12 +96,12 @@
 	return entries, nil
 }
 
-// entriesAfter reads the versions above number, the oldest first.
+// entriesAfter returns the entries of all versions after number, oldest first.
 func (p *Publisher) entriesAfter(ctx context.Context, number uint64) ([]Entry, error) {
 	var entries []Entry
 	after := historyKey(number)
 	for {
-		rows, err := p.table.List(ctx, historyPrefix, after, historyPage)
+		rows, err := p.table.List(ctx, historyPrefix, after, historyPageRows)
 		if err != nil {
 			return nil, err
 		}
@@ -110,41 +113,44 @@
 			entries = append(entries, rec.Entry)
 			after = row.Key
 		}
-		if len(rows) < historyPage {
+		if len(rows) < historyPageRows {
 			return entries, nil
 		}
 	}
 }
 
-// checkChain demands that each version follows the one before it.
+// checkChain returns ErrIntegrity unless each entry is the successor of the entry
+// before it, by version number and parent digest.
 func checkChain(entries []Entry) error {
 	for i := 1; i < len(entries); i++ {
-		before, at := entries[i-1], entries[i]
-		if at.Number != before.Number+1 || at.Parent != before.Digest {
-			return fmt.Errorf("%w: version %d does not follow version %d", ErrIntegrity, at.Number, before.Number)
+		previous, entry := entries[i-1], entries[i]
+		if entry.Number != previous.Number+1 || entry.Parent != previous.Digest {
+			return fmt.Errorf("%w: version %d does not follow version %d", ErrIntegrity, entry.Number, previous.Number)
 		}
 	}
 	return nil
 }
 
-// Load returns a version of the history. Version 0 is the empty set.
+// Load returns a version from the history. Version 0 is the empty set.
 func (p *Publisher) Load(ctx context.Context, number uint64) (*declare.Snapshot, error) {
 	if number == 0 {
-		return p.load(ctx, Entry{})
+		return p.loadEntry(ctx, Entry{})
 	}
-	rec, err := p.record(ctx, number)
+	rec, err := p.readRecord(ctx, number)
 	if err != nil {
 		return nil, err
 	}
-	return p.load(ctx, rec.Entry)
+	return p.loadEntry(ctx, rec.Entry)
 }
 
-// load reads the snapshot of an entry and checks its digest.
-func (p *Publisher) load(ctx context.Context, e Entry) (*declare.Snapshot, error) {
+// loadEntry reads the snapshot of an entry and checks its digest.
+func (p *Publisher) loadEntry(ctx context.Context, e Entry) (*declare.Snapshot, error) {
 	return loadSnapshot(ctx, p.objects, e)
 }
 
-// loadSnapshot reads the snapshot of an entry and checks its digest.
+// loadSnapshot reads the snapshot of an entry from objects and checks its digest.
+// It returns ErrNoVersion when the object does not exist, and ErrIntegrity when it
+// is damaged.
 func loadSnapshot(ctx context.Context, objects platform.Objects, e Entry) (*declare.Snapshot, error) {
 	if e.Number == 0 {
 		return &declare.Snapshot{Set: declare.NewSet()}, nil
@@ -164,14 +170,14 @@
 	return &declare.Snapshot{Number: e.Number, Digest: e.Digest, Set: set}, nil
 }
 
-// Replay returns the documents of a version and its entry. Each call gives
-// the same bytes.
+// Replay returns the declarations of a version as documents, and its entry. The
+// documents of a version are always the same bytes.
 func (p *Publisher) Replay(ctx context.Context, number uint64) ([]byte, Entry, error) {
-	rec, err := p.record(ctx, number)
+	rec, err := p.readRecord(ctx, number)
 	if err != nil {
 		return nil, Entry{}, err
 	}
-	snapshot, err := p.load(ctx, rec.Entry)
+	snapshot, err := p.loadEntry(ctx, rec.Entry)
 	if err != nil {
 		return nil, Entry{}, err
 	}
@@ -179,8 +185,8 @@
 	return body, rec.Entry, err
 }
 
-// Revert makes the content of an old version the next version. c.Set is not
-// used.
+// Revert creates the next version with the content of version number. c.Set is
+// ignored.
 func (p *Publisher) Revert(ctx context.Context, number uint64, c Change) (*declare.Snapshot, error) {
 	old, err := p.Load(ctx, number)
 	if err != nil {
@@ -190,57 +196,61 @@
 	return p.Apply(ctx, c)
 }
 
-// maxEdits bounds how often Edit starts again after a conflict.
-const maxEdits = 5
+// maxEditAttempts is the maximum number of attempts of one Edit.
+const maxEditAttempts = 5
 
-// Edit changes the newest version by one step that does not depend on the
-// rest of the set, and so may be made again when another change comes first.
-// c.Base and c.Set are not used. ErrUnchanged says that the step was done
-// already.
+// Edit creates the next version by calling edit on a copy of the newest version.
+// After a conflict it starts again with the version that is then the newest, so
+// edit must not depend on the rest of the set. c.Base and c.Set are ignored. Edit
+// returns ErrUnchanged when edit changes nothing.
 func (p *Publisher) Edit(ctx context.Context, c Change, edit func(*declare.Set) error) (*declare.Snapshot, error) {
-	for n := 1; ; n++ {
+	for attempts := 1; ; attempts++ {
 		snapshot, err := p.editOnce(ctx, c, edit)
 		var conflict *ConflictError
-		if !errors.As(err, &conflict) || n == maxEdits {
+		if !errors.As(err, &conflict) || attempts == maxEditAttempts {
 			return snapshot, err
 		}
 	}
 }
 
-// editOnce makes one attempt at an edit.
+// editOnce makes one attempt at an edit. If the change id already has a version,
+// editOnce returns that version, provided that edit changes nothing in it;
+// otherwise it returns ErrChangeID.
 func (p *Publisher) editOnce(ctx context.Context, c Change, edit func(*declare.Set) error) (*declare.Snapshot, error) {
-	from, err := p.find(ctx, c.ChangeID)
-	done := err == nil
+	base, err := p.findChange(ctx, c.ChangeID)
+	alreadyApplied := err == nil
 	if errors.Is(err, platform.ErrNotFound) {
-		from, err = p.Head(ctx)
+		base, err = p.Head(ctx)
 	}
 	if err != nil {
 		return nil, err
 	}
-	snapshot, err := p.load(ctx, from)
+	snapshot, err := p.loadEntry(ctx, base)
 	if err != nil {
 		return nil, err
 	}
-	c.Base = from.Number
+	c.Base = base.Number
 	c.Set = snapshot.Set.Clone()
 	if err := edit(c.Set); err != nil {
 		return nil, err
 	}
-	if !done {
+	if !alreadyApplied {
 		return p.Apply(ctx, c)
 	}
 	if len(declare.Diff(snapshot.Set, c.Set)) > 0 {
-		return nil, errors.Wrapf(ErrChangeID, "change id %q became version %d", c.ChangeID, from.Number)
+		return nil, errors.Wrapf(ErrChangeID, "change id %q became version %d", c.ChangeID, base.Number)
 	}
 	return snapshot, nil
 }
 
-// prune removes the versions beyond the limit, as far as the platform lets it.
+// prune removes the oldest versions while there are more than HistoryLimit, at most
+// maxPrunedPerChange of them. It stops at the first error; the next change tries
+// again.
 func (p *Publisher) prune(ctx context.Context, newest uint64) {
 	if newest <= p.HistoryLimit {
 		return
 	}
-	rows, err := p.table.List(ctx, historyPrefix, "", prunesPerApply)
+	rows, err := p.table.List(ctx, historyPrefix, "", maxPrunedPerChange)
 	if err != nil {
 		return
 	}
@@ -251,10 +261,11 @@
 	}
 }
 
-// pruneRow removes one version unless it is newer than last.
-func (p *Publisher) pruneRow(ctx context.Context, row platform.Row, last uint64) bool {
+// pruneRow removes the version of a history row unless it is newer than
+// newestPruned. It reports whether the version was removed.
+func (p *Publisher) pruneRow(ctx context.Context, row platform.Row, newestPruned uint64) bool {
 	number, err := parseHistoryKey(row.Key)
-	if err != nil || number > last {
+	if err != nil || number > newestPruned {
 		return false
 	}
 	writes := []platform.Write{{Key: row.Key, Delete: true}}
--- a/version/confstore/holder.go
+++ b/version/confstore/holder.go
@@ -1,5 +1,6 @@
-// Package confstore publishes configuration through the platform, keeps its
-// history, and holds the newest version in force in a process.
+// Package confstore publishes versions of the configuration through the
+// platform's table and object store, and keeps their history. In each process a
+// Follower reads new versions, and a Holder has the current one.
 package confstore
 
 import (
@@ -14,52 +15,57 @@
 )
 
 var eventInForce = eventlog.Define(206, "configuration-in-force", logrus.InfoLevel,
-	"A newer configuration came into force in this process; fields give its number and the one before.")
+	"A newer configuration took effect in this process; the fields give its number and the number of the version before it.")
 
-// recentSnapshots is how many older snapshots a Holder keeps, so that peers
-// that are a few versions behind get a difference instead of the whole.
+// recentSnapshots is the number of older snapshots that a Holder keeps, so that
+// peers a few versions behind get a delta instead of the full configuration.
 const recentSnapshots = 8
 
-// Holder holds the configuration in force in this process. Its version number
-// never falls. It is safe for concurrent use.
+// Holder has the current configuration of this process. Its version number never
+// decreases. It is safe for concurrent use.
 type Holder struct {
 	clock clockwork.Clock
 	log   *eventlog.Logger
 
-	mu        sync.RWMutex
-	current   *declare.Snapshot
-	recent    []*declare.Snapshot
-	encoded   map[uint64]Encoded
-	confirmed time.Time
-	changed   chan struct{}
+	mu      sync.RWMutex
+	current *declare.Snapshot
+	// recent are the snapshots before current, oldest first.
+	recent []*declare.Snapshot
+	// encodings are the cached encodings of current by the number of their
+	// base; 0 for the full configuration.
+	encodings map[uint64]Encoded
+	// confirmedAt is the time as of which current was last known to be the
+	// newest version.
+	confirmedAt time.Time
+	changed     chan struct{}
 }
 
-// NewHolder returns a Holder with the empty configuration, version 0.
+// NewHolder returns a Holder with the empty configuration, which is version 0.
 func NewHolder() *Holder { return NewHolderAt(clockwork.NewRealClock()) }
 
-// NewHolderAt returns a Holder that reads the time from clock.
+// NewHolderAt is like NewHolder, but the Holder reads the time from clock.
 func NewHolderAt(clock clockwork.Clock) *Holder {
 	return &Holder{
-		clock:   clock,
-		log:     eventlog.Discard(),
-		current: &declare.Snapshot{Set: declare.NewSet()},
-		encoded: map[uint64]Encoded{},
-		changed: make(chan struct{}),
+		clock:     clock,
+		log:       eventlog.Discard(),
+		current:   &declare.Snapshot{Set: declare.NewSet()},
+		encodings: map[uint64]Encoded{},
+		changed:   make(chan struct{}),
 	}
 }
 
-// LogTo makes the Holder write an event for each version that comes into
-// force. It is called before first use.
+// LogTo makes the Holder log an event for each new current version. It must be
+// called before the first use.
 func (h *Holder) LogTo(log *eventlog.Logger) { h.log = log }
 
-// Current returns the snapshot in force. It must not be changed.
+// Current returns the current snapshot, which must not be changed.
 func (h *Holder) Current() *declare.Snapshot {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.current
 }
 
-// Offer puts s in force when it is newer than the current snapshot, and
+// Offer makes s the current snapshot if it is newer than the present one, and
 // reports whether it did.
 func (h *Holder) Offer(s *declare.Snapshot) bool {
 	h.mu.Lock()
@@ -77,59 +83,60 @@
 		h.recent = h.recent[1:]
 	}
 	h.current = s
-	h.encoded = map[uint64]Encoded{}
+	h.encodings = map[uint64]Encoded{}
 	close(h.changed)
 	h.changed = make(chan struct{})
 	return true
 }
 
-// Changed returns a channel that is closed when the next snapshot comes into
-// force.
+// Changed returns a channel that is closed when the current snapshot changes.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.changed
 }
 
-// Confirm notes that the platform or a peer, asked at the time asked, knew of
-// no newer version. The time of the question counts, not that of the answer:
-// an answer may have waited in a buffer while this process was paused.
-func (h *Holder) Confirm(asked time.Time) {
+// Confirm records that the platform or a peer, in response to a request sent at
+// requestedAt, had no newer version. The time of the request is used because the
+// response may have waited in a buffer while this process was paused.
+func (h *Holder) Confirm(requestedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if asked.After(h.confirmed) {
-		h.confirmed = asked
+	if requestedAt.After(h.confirmedAt) {
+		h.confirmedAt = requestedAt
 	}
 }
 
-// Heard notes that a peer, asked at the time asked, holds version number as
-// its newest. It confirms the version in force unless number is newer.
-func (h *Holder) Heard(number uint64, asked time.Time) {
+// Heard records that the newest version of a peer was number, in response to a
+// request sent at requestedAt. It confirms the current version unless number is
+// newer.
+func (h *Holder) Heard(number uint64, requestedAt time.Time) {
 	if number <= h.Current().Number {
-		h.Confirm(asked)
+		h.Confirm(requestedAt)
 	}
 }
 
-// Age returns the time since the version in force was last confirmed, and
-// false when it never was.
+// Age returns the time since the last confirmation of the current version, and
+// false if there has been none.
 func (h *Holder) Age() (time.Duration, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	if h.confirmed.IsZero() {
+	if h.confirmedAt.IsZero() {
 		return 0, false
 	}
-	return elapsed(h.confirmed, h.clock.Now()), true
+	return elapsed(h.confirmedAt, h.clock.Now()), true
 }
 
-// ConfirmedWithin reports whether the version in force was confirmed no
-// longer than d ago. Time in which the process was stopped counts.
+// ConfirmedWithin reports whether the last confirmation of the current version was
+// at most d ago, including time in which the process was paused.
 func (h *Holder) ConfirmedWithin(d time.Duration) bool {
 	age, ok := h.Age()
 	return ok && age <= d
 }
 
-// elapsed returns the longer of the monotonic and the wall-clock time between
-// two moments: a suspended machine stops the monotonic clock.
+// elapsed returns the time between two moments by the monotonic clock or by the
+// wall clock, whichever is longer: the monotonic clock stops while the machine is
+// suspended.
 func elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
--- a/version/confstore/poll_test.go
+++ b/version/confstore/poll_test.go
@@ -19,10 +19,10 @@
 	standin "github.com/rattanway/rattanway/standin/platform"
 )
 
-// nodeBytesPerSecond is what control traffic of one node may take.
-const nodeBytesPerSecond = 3 << 10
+// maxControlBytesPerSecond is the limit on the control traffic of one instance.
+const maxControlBytesPerSecond = 3 << 10
 
-// countingListener counts the bytes of its connections.
+// countingListener counts the bytes read and written on its connections.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -34,7 +34,7 @@
 	return &countingConn{Conn: conn, bytes: &l.bytes}, err
 }
 
-// countingConn is a connection of a countingListener.
+// countingConn is a connection accepted by a countingListener.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -69,19 +69,19 @@
 			Metrics: metrics.NewRegistry(),
 		})
 		ctx := context.Background()
-		applyMany(newPublisher(p), 3)
+		applyVersions(newPublisher(p), 3)
 		f := NewFollower(FollowerConfig{}, p.Table, p.Objects, NewHolder(), eventlog.Discard(), clockwork.NewRealClock())
 		So(f.poll(ctx), ShouldBeNil)
 
-		Convey("a poll without news stays far below what a node may take in a second", func() {
+		Convey("a poll that finds no newer version transfers far less than the limit for one second", func() {
 			const polls = 100
 			before := listener.bytes.Load()
 			for range polls {
 				So(f.poll(ctx), ShouldBeNil)
 			}
-			each := (listener.bytes.Load() - before) / polls
-			t.Logf("%d bytes of TCP payload for each poll", each)
-			So(each, ShouldBeLessThan, nodeBytesPerSecond/4)
+			bytesPerPoll := (listener.bytes.Load() - before) / polls
+			t.Logf("%d bytes of TCP payload for each poll", bytesPerPoll)
+			So(bytesPerPoll, ShouldBeLessThan, maxControlBytesPerSecond/4)
 		})
 	})
 }
--- a/version/confstore/publisher.go
+++ b/version/confstore/publisher.go
@@ -15,37 +15,38 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// DefaultHistoryLimit is the number of versions that the history keeps.
+// DefaultHistoryLimit is the default number of versions that the history keeps.
 const DefaultHistoryLimit = 1000
 
-// Waits between attempts whose outcome is unknown.
+// Limits on the retries of one Apply.
 const (
-	firstRetryWait = 50 * time.Millisecond
-	maxRetryWait   = time.Second
-	// maxAttempts bounds the attempts of one Apply.
+	firstRetryDelay = 50 * time.Millisecond
+	maxRetryDelay   = time.Second
+	// maxAttempts is the maximum number of attempts, the first included.
 	maxAttempts = 6
 )
 
-// Change is what an operator asks for.
+// Change is an operator's request for a new version.
 type Change struct {
-	// Base is the number of the version that the change was made for.
+	// Base is the number of the version to which the change is to be applied.
 	Base uint64
-	// Author says who makes the change.
+	// Author is the operator who makes the change.
 	Author string
-	// Reason says why.
+	// Reason is the operator's reason for the change.
 	Reason string
-	// ChangeID identifies the change: applying it again, here or through
-	// another instance, has no further effect.
+	// ChangeID identifies the change. Applying a change again with the same id,
+	// here or through another instance, has no further effect.
 	ChangeID string
-	// Set is the whole set that is to come into force.
+	// Set is the complete content of the new version.
 	Set *declare.Set
 }
 
-// check refuses a change that could not be traced later.
-func (c Change) check() error {
+// validate returns ErrChange when the author, reason or change id is missing, too
+// long or not UTF-8: the history must show who made each change and why.
+func (c Change) validate() error {
 	for _, f := range []struct {
 		name, value string
-		most        int
+		maxBytes    int
 	}{
 		{"author", c.Author, maxAuthorBytes},
 		{"reason", c.Reason, maxReasonBytes},
@@ -54,8 +55,8 @@
 		if f.value == "" {
 			return fmt.Errorf("%w: %s is missing", ErrChange, f.name)
 		}
-		if len(f.value) > f.most {
-			return fmt.Errorf("%w: %s has %d bytes, more than %d", ErrChange, f.name, len(f.value), f.most)
+		if len(f.value) > f.maxBytes {
+			return fmt.Errorf("%w: %s has %d bytes, more than %d", ErrChange, f.name, len(f.value), f.maxBytes)
 		}
 		if !utf8.ValidString(f.value) {
 			return fmt.Errorf("%w: %s is not UTF-8", ErrChange, f.name)
@@ -64,11 +65,12 @@
 	return nil
 }
 
-// Publisher accepts changes and writes them to the platform. Any number of
-// publishers may work on one platform at once. It is safe for concurrent use.
+// Publisher applies changes and writes the new versions to the platform. Any number
+// of Publishers may use one platform at the same time. A Publisher is safe for
+// concurrent use.
 type Publisher struct {
-	// HistoryLimit is the number of versions to keep; it may be lowered
-	// before first use.
+	// HistoryLimit is the number of versions that the history keeps. It may be
+	// lowered before the first use.
 	HistoryLimit uint64
 
 	table   platform.Table
@@ -81,60 +83,62 @@
 	return &Publisher{HistoryLimit: DefaultHistoryLimit, table: table, objects: objects, clock: clock}
 }
 
-// Apply checks a change and makes it the next version. Its errors are
-// *declare.InvalidError, *ConflictError, ErrUnchanged, ErrChangeID, ErrChange
-// and those of package platform: after platform.ErrUnknownOutcome the caller
-// may repeat the same change with the same change id.
+// Apply checks a change and creates the next version from it. Its errors are
+// *declare.InvalidError, *ConflictError, ErrUnchanged, ErrChangeID, ErrChange,
+// ErrNoVersion, ErrIntegrity and those of package platform. After
+// platform.ErrUnknownOutcome the caller may repeat the change with the same change
+// id.
 func (p *Publisher) Apply(ctx context.Context, c Change) (*declare.Snapshot, error) {
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	a, err := p.newAttempt(c)
+	e, err := p.encodeChange(c)
 	if err != nil {
 		return nil, err
 	}
-	wait := backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(firstRetryWait),
-		backoff.WithMaxInterval(maxRetryWait),
+	delays := backoff.NewExponentialBackOff(
+		backoff.WithInitialInterval(firstRetryDelay),
+		backoff.WithMaxInterval(maxRetryDelay),
 	)
-	unknown := false
-	for n := 1; ; n++ {
-		snapshot, err := a.try(ctx)
+	outcomeUnknown := false
+	for attempts := 1; ; attempts++ {
+		snapshot, err := e.applyOnce(ctx)
 		if err == nil {
 			p.prune(ctx, snapshot.Number)
 			return snapshot, nil
 		}
-		unknown = unknown || errors.Is(err, platform.ErrUnknownOutcome)
-		if !retryable(err, unknown) || n == maxAttempts {
-			a.discard(ctx, err)
-			return nil, finalError(err, unknown)
+		outcomeUnknown = outcomeUnknown || errors.Is(err, platform.ErrUnknownOutcome)
+		if !retryable(err, outcomeUnknown) || attempts == maxAttempts {
+			e.discardSnapshot(ctx, err)
+			return nil, finalError(err, outcomeUnknown)
 		}
-		if !p.sleep(ctx, wait.NextBackOff()) {
-			return nil, finalError(err, unknown)
+		if !p.sleep(ctx, delays.NextBackOff()) {
+			return nil, finalError(err, outcomeUnknown)
 		}
 	}
 }
 
-// retryable reports whether another attempt may find out more. Once an
-// outcome is unknown, an unavailable platform is asked again.
-func retryable(err error, unknown bool) bool {
+// retryable reports whether Apply makes another attempt after err. An unavailable
+// platform is retried only when the outcome of an earlier attempt is unknown.
+func retryable(err error, outcomeUnknown bool) bool {
 	if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrUnknownOutcome) {
 		return true
 	}
-	return unknown && errors.Is(err, platform.ErrUnavailable)
+	return outcomeUnknown && errors.Is(err, platform.ErrUnavailable)
 }
 
-// finalError returns the error to give up with. An attempt whose outcome is
-// unknown stays unknown while the platform cannot tell.
-func finalError(err error, unknown bool) error {
-	undecided := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrConflict)
-	if unknown && undecided {
+// finalError returns the error of an Apply whose last attempt failed with err. It is
+// platform.ErrUnknownOutcome when the outcome of an earlier attempt is unknown and
+// err does not show whether that attempt took effect.
+func finalError(err error, outcomeUnknown bool) error {
+	unsettled := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrConflict)
+	if outcomeUnknown && unsettled {
 		return fmt.Errorf("%w: %v", platform.ErrUnknownOutcome, err)
 	}
 	return err
 }
 
-// sleep waits for d and reports false when ctx ended first.
+// sleep waits for d. It returns false if ctx ends first.
 func (p *Publisher) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -144,32 +148,33 @@
 	}
 }
 
-// attempt is a change with its encoding.
-type attempt struct {
-	p      *Publisher
-	change Change
-	body   []byte
-	digest core.Digest
-	// stored names the snapshot that was put, if any.
-	stored string
+// encodedChange is a change that is being applied, with the encoding of its set.
+type encodedChange struct {
+	publisher *Publisher
+	change    Change
+	body      []byte
+	digest    core.Digest
+	// storedName is the object name of the stored snapshot; empty until it is
+	// stored.
+	storedName string
 }
 
-// newAttempt encodes the change.
-func (p *Publisher) newAttempt(c Change) (*attempt, error) {
+// encodeChange encodes a change.
+func (p *Publisher) encodeChange(c Change) (*encodedChange, error) {
 	body, digest, err := declare.Encode(c.Set)
 	if err != nil {
 		return nil, err
 	}
-	// The snapshot must not share objects with the caller's set.
+	// Decode a copy: the snapshot must not share objects with the caller's set.
 	c.Set, err = declare.Decode(body, digest)
 	if err != nil {
 		return nil, invalidError(c.Set, err)
 	}
-	return &attempt{p: p, change: c, body: body, digest: digest}, nil
+	return &encodedChange{publisher: p, change: c, body: body, digest: digest}, nil
 }
 
-// invalidError returns the problems of a set that could not be encoded, or
-// err when there are none.
+// invalidError returns the problems of set as a *declare.InvalidError, or err when
+// set has none.
 func invalidError(set *declare.Set, err error) error {
 	if problems := declare.Validate(set); len(problems) > 0 {
 		return &declare.InvalidError{Problems: problems}
@@ -177,109 +182,116 @@
 	return err
 }
 
-// try makes one attempt: nothing is written when the change is done already,
-// comes too late or is not valid.
-func (a *attempt) try(ctx context.Context) (*declare.Snapshot, error) {
-	done, err := a.done(ctx)
-	if err != nil || done != nil {
-		return done, err
-	}
-	head, revision, err := a.p.head(ctx)
+// applyOnce makes one attempt to apply the change. It writes nothing when the change
+// was already applied, when its base is not the newest version, or when the change
+// is invalid.
+func (e *encodedChange) applyOnce(ctx context.Context) (*declare.Snapshot, error) {
+	applied, err := e.findApplied(ctx)
+	if err != nil || applied != nil {
+		return applied, err
+	}
+	head, revision, err := e.publisher.readHead(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if head.Number != a.change.Base {
-		return nil, a.conflict(ctx, head)
+	if head.Number != e.change.Base {
+		return nil, e.conflictError(ctx, head)
 	}
-	before, err := a.p.load(ctx, head)
+	previous, err := e.publisher.loadEntry(ctx, head)
 	if err != nil {
 		return nil, err
 	}
-	if problems := declare.ValidateChange(before.Set, a.change.Set); len(problems) > 0 {
+	if problems := declare.ValidateChange(previous.Set, e.change.Set); len(problems) > 0 {
 		return nil, &declare.InvalidError{Problems: problems}
 	}
-	if a.digest == before.Digest {
+	if e.digest == previous.Digest {
 		return nil, ErrUnchanged
 	}
-	return a.write(ctx, before, revision)
+	return e.commit(ctx, previous, revision)
 }
 
-// done returns the version that this change became, or nil.
-func (a *attempt) done(ctx context.Context) (*declare.Snapshot, error) {
-	entry, err := a.p.find(ctx, a.change.ChangeID)
+// findApplied returns the version that was created with this change's id, or nil
+// when there is none. It returns ErrChangeID when that version has another set.
+func (e *encodedChange) findApplied(ctx context.Context) (*declare.Snapshot, error) {
+	entry, err := e.publisher.findChange(ctx, e.change.ChangeID)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	if entry.Digest != a.digest {
-		return nil, errors.Wrapf(ErrChangeID, "change id %q became version %d", a.change.ChangeID, entry.Number)
+	if entry.Digest != e.digest {
+		return nil, errors.Wrapf(ErrChangeID, "change id %q became version %d", e.change.ChangeID, entry.Number)
 	}
-	return a.snapshot(entry.Number), nil
+	return e.asVersion(entry.Number), nil
 }
 
-// conflict returns the error for a change that comes too late. A change that
-// was accepted between two reads is not in conflict with itself.
-func (a *attempt) conflict(ctx context.Context, head Entry) error {
-	if done, err := a.done(ctx); err != nil || done != nil {
+// conflictError returns the error for a change whose base is not head. If this same
+// change was accepted since it was last looked up, or if that cannot be determined,
+// the error is platform.ErrConflict, so that the next attempt looks it up again.
+func (e *encodedChange) conflictError(ctx context.Context, head Entry) error {
+	if applied, err := e.findApplied(ctx); err != nil || applied != nil {
 		return errors.Wrap(platform.ErrConflict, "the change was accepted meanwhile")
 	}
-	conflict := &ConflictError{Base: a.change.Base, Winner: head, InForce: head.Number}
-	if winner, err := a.p.record(ctx, a.change.Base+1); err == nil {
+	conflict := &ConflictError{Base: e.change.Base, Winner: head, InForce: head.Number}
+	if winner, err := e.publisher.readRecord(ctx, e.change.Base+1); err == nil {
 		conflict.Winner = winner.Entry
 	}
-	base, err := a.p.Load(ctx, a.change.Base)
+	base, err := e.publisher.Load(ctx, e.change.Base)
 	if err != nil {
 		return conflict
 	}
-	if now, err := a.p.load(ctx, head); err == nil {
-		conflict.Changes = declare.Diff(base.Set, now.Set)
+	if newest, err := e.publisher.loadEntry(ctx, head); err == nil {
+		conflict.Changes = declare.Diff(base.Set, newest.Set)
 	}
 	return conflict
 }
 
-// write stores the snapshot and moves the head in one commit.
-func (a *attempt) write(ctx context.Context, before *declare.Snapshot, revision uint64) (*declare.Snapshot, error) {
-	number := before.Number + 1
-	rec, err := a.record(before)
+// commit stores the snapshot, and then writes the head row, the history row and the
+// row of the change id in one transaction. The transaction fails if the head row no
+// longer has the given revision.
+func (e *encodedChange) commit(ctx context.Context, previous *declare.Snapshot, revision uint64) (*declare.Snapshot, error) {
+	number := previous.Number + 1
+	rec, err := e.newRecord(previous)
 	if err != nil {
 		return nil, err
 	}
-	name := snapshotName(number, a.digest)
-	if err := a.p.objects.Put(ctx, name, a.body); err != nil {
+	name := snapshotName(number, e.digest)
+	if err := e.publisher.objects.Put(ctx, name, e.body); err != nil {
 		return nil, objectError(err)
 	}
-	a.stored = name
-	writes, err := headWrites(rec, revision)
+	e.storedName = name
+	writes, err := versionWrites(rec, revision)
 	if err != nil {
 		return nil, err
 	}
-	if err := a.p.table.Commit(ctx, writes); err != nil {
+	if err := e.publisher.table.Commit(ctx, writes); err != nil {
 		return nil, err
 	}
-	return a.snapshot(number), nil
+	return e.asVersion(number), nil
 }
 
-// discard removes the snapshot of a change that lost a race. The number it was
-// stored under is taken, so that no repetition can bring it into force. The
-// winner's own snapshot has the same name when the sets are equal; it stays.
-func (a *attempt) discard(ctx context.Context, err error) {
+// discardSnapshot deletes the stored snapshot of a change that failed with a
+// *ConflictError. Another change has the snapshot's version number, so that no
+// later attempt can use it. If that other change has an equal set, both use the
+// same object, which must stay.
+func (e *encodedChange) discardSnapshot(ctx context.Context, err error) {
 	var conflict *ConflictError
-	if a.stored == "" || !errors.As(err, &conflict) {
+	if e.storedName == "" || !errors.As(err, &conflict) {
 		return
 	}
 	winner := conflict.Winner
-	if winner.Number != a.change.Base+1 || winner.Digest == a.digest {
+	if winner.Number != e.change.Base+1 || winner.Digest == e.digest {
 		return
 	}
-	if d, ok := a.p.objects.(Deleter); ok {
-		_ = d.Delete(ctx, a.stored)
+	if d, ok := e.publisher.objects.(Deleter); ok {
+		_ = d.Delete(ctx, e.storedName)
 	}
 }
 
-// objectError returns the error of an object that could not be put: nothing
-// is in force through it, so that its outcome need not be known.
+// objectError returns the error for a snapshot that could not be stored. A snapshot
+// has no effect until the commit after it, so that an unknown outcome is reported as
+// an unavailable platform.
 func objectError(err error) error {
 	if errors.Is(err, platform.ErrUnknownOutcome) {
 		return fmt.Errorf("%w: %v", platform.ErrUnavailable, err)
@@ -287,9 +299,9 @@
 	return err
 }
 
-// record returns the history record of the change.
-func (a *attempt) record(before *declare.Snapshot) (record, error) {
-	delta, err := declare.EncodeDelta(before.Set, a.change.Set)
+// newRecord returns the history record of the change as the successor of previous.
+func (e *encodedChange) newRecord(previous *declare.Snapshot) (record, error) {
+	delta, err := declare.EncodeDelta(previous.Set, e.change.Set)
 	if err != nil {
 		return record{}, err
 	}
@@ -298,22 +310,23 @@
 	}
 	return record{
 		Entry: Entry{
-			Number:   before.Number + 1,
-			Digest:   a.digest,
-			Parent:   before.Digest,
-			Author:   a.change.Author,
-			Reason:   a.change.Reason,
-			ChangeID: a.change.ChangeID,
-			Time:     a.p.clock.Now().UTC(),
-			Changes:  len(declare.Diff(before.Set, a.change.Set)),
+			Number:   previous.Number + 1,
+			Digest:   e.digest,
+			Parent:   previous.Digest,
+			Author:   e.change.Author,
+			Reason:   e.change.Reason,
+			ChangeID: e.change.ChangeID,
+			Time:     e.publisher.clock.Now().UTC(),
+			Changes:  len(declare.Diff(previous.Set, e.change.Set)),
 		},
 		Delta: delta,
 	}, nil
 }
 
-// headWrites returns the commit that accepts a record: the head must still
-// have its revision, and neither the version nor the change id may exist.
-func headWrites(rec record, revision uint64) ([]platform.Write, error) {
+// versionWrites returns the writes of the transaction that makes rec the newest
+// version. Their conditions are that the head row still has the given revision, and
+// that neither the version nor the change id exists.
+func versionWrites(rec record, revision uint64) ([]platform.Write, error) {
 	history, err := encodeRecord(rec)
 	if err != nil {
 		return nil, err
@@ -330,7 +343,7 @@
 	}, nil
 }
 
-// snapshot returns the change as version number.
-func (a *attempt) snapshot(number uint64) *declare.Snapshot {
-	return &declare.Snapshot{Number: number, Digest: a.digest, Set: a.change.Set}
+// asVersion returns the content of the change as version number.
+func (e *encodedChange) asVersion(number uint64) *declare.Snapshot {
+	return &declare.Snapshot{Number: number, Digest: e.digest, Set: e.change.Set}
 }
--- a/version/confstore/records.go
+++ b/version/confstore/records.go
@@ -13,61 +13,65 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Keys of the table and names of the object store.
+// Keys of rows and names of objects on the platform.
 const (
-	headKey       = "config/head"
+	// headKey is the key of the head row, which describes the newest version.
+	headKey = "config/head"
+	// historyPrefix begins the key of a history row; each version has one.
 	historyPrefix = "config/history/"
+	// changesPrefix begins the key of a row that maps a change id to a version.
 	changesPrefix = "config/changes/"
-	snapshots     = "config/snapshots/"
+	// snapshotsPrefix begins the name of the object with a version's content.
+	snapshotsPrefix = "config/snapshots/"
 )
 
-// Bounds on what an operator gives with a change, in bytes.
+// Maximum sizes in bytes.
 const (
 	maxAuthorBytes   = 128
 	maxReasonBytes   = 1024
 	maxChangeIDBytes = 128
-	// maxDeltaBytes is the largest difference that is kept in a history
-	// row; readers load the whole snapshot otherwise.
+	// maxDeltaBytes is the maximum size of a delta stored in a history row;
+	// without a delta, readers load the full snapshot.
 	maxDeltaBytes = 32 << 10
 )
 
-// ErrIntegrity says that a record of the platform does not hold together: it
-// was damaged, or changed by other means.
+// ErrIntegrity is returned when a stored record or snapshot is not consistent with
+// its digest or with the other records: it was damaged, or not written by this
+// package.
 var ErrIntegrity = errors.New("record is damaged")
 
-// Entry is one accepted version in the history.
+// Entry describes one accepted version in the history.
 type Entry struct {
-	// Number is the version's number, from 1.
+	// Number is the version number, from 1.
 	Number uint64 `json:"number"`
 	// Digest is the digest of the encoded set.
 	Digest core.Digest `json:"digest"`
-	// Parent is the digest of the version before; empty for the first.
+	// Parent is the digest of the previous version; empty for version 1.
 	Parent core.Digest `json:"parent,omitempty"`
-	// Author, Reason and ChangeID are what the operator gave.
+	// Author is the operator who made the change.
 	Author string `json:"author"`
-	// Reason says why the change was made.
+	// Reason is the operator's reason for the change.
 	Reason string `json:"reason"`
-	// ChangeID identifies the change over repeated attempts.
+	// ChangeID identifies the change in repeated attempts to apply it.
 	ChangeID string `json:"changeId"`
-	// Time is when it was accepted, in UTC.
+	// Time is when the version was accepted, in UTC.
 	Time time.Time `json:"time"`
-	// Changes is the number of objects that differ from the version before.
+	// Changes is the number of objects that differ from the previous version.
 	Changes int `json:"changes"`
 }
 
-// record is an Entry as it is stored, with the difference and a digest over
-// the rest.
+// record is the stored form of an Entry, with a delta and a checksum.
 type record struct {
 	Entry
-	// Delta is the encoded difference from the version before; empty when it
-	// is too large for a row.
+	// Delta is the encoded delta from the previous version; empty when it is
+	// larger than maxDeltaBytes, and in the rows that only refer to a version.
 	Delta []byte `json:"delta,omitempty"`
 	// Sum is the digest of the record's encoding without Sum.
 	Sum core.Digest `json:"sum"`
 }
 
-// digest returns the digest over everything in r but its Sum.
-func (r record) digest() (core.Digest, error) {
+// computeSum returns the digest of r without its Sum.
+func (r record) computeSum() (core.Digest, error) {
 	r.Sum = ""
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -76,9 +80,9 @@
 	return core.DigestOf(body), nil
 }
 
-// encodeRecord returns the stored form of r.
+// encodeRecord returns r as JSON with its Sum set.
 func encodeRecord(r record) ([]byte, error) {
-	sum, err := r.digest()
+	sum, err := r.computeSum()
 	if err != nil {
 		return nil, err
 	}
@@ -90,13 +94,14 @@
 	return body, nil
 }
 
-// decodeRecord decodes a stored record and checks its digest.
+// decodeRecord decodes the record in the row key and checks its Sum. It returns
+// ErrIntegrity when the record is damaged.
 func decodeRecord(key string, body []byte) (record, error) {
 	var r record
 	if err := json.Unmarshal(body, &r); err != nil {
 		return record{}, fmt.Errorf("%w: row %s: %v", ErrIntegrity, key, err)
 	}
-	sum, err := r.digest()
+	sum, err := r.computeSum()
 	if err != nil {
 		return record{}, err
 	}
@@ -106,21 +111,22 @@
 	return r, nil
 }
 
-// historyKey returns the key of a version's history row.
+// historyKey returns the key of the history row of a version.
 func historyKey(number uint64) string { return fmt.Sprintf("%s%016d", historyPrefix, number) }
 
-// parseHistoryKey returns the number in the key of a history row.
+// parseHistoryKey returns the version number in the key of a history row.
 func parseHistoryKey(key string) (uint64, error) {
 	return strconv.ParseUint(strings.TrimPrefix(key, historyPrefix), 10, 64)
 }
 
-// changeKey returns the key of the row that says which version a change id
-// became. The id is escaped, since operators may choose any characters, and
-// the key's last part is never a dot or two.
+// changeKey returns the key of the row that maps a change id to its version. The id
+// is escaped because operators may choose any characters; the prefix "id-" keeps
+// the last part of the key from being "." or "..".
 func changeKey(id string) string { return changesPrefix + "id-" + url.QueryEscape(id) }
 
-// snapshotName returns the object name of a version's encoded set. The number
-// keeps equal sets apart, so that an old version can be removed alone.
+// snapshotName returns the object name of a version's encoded set. With the version
+// number in it, versions with equal sets have separate objects, and an old version
+// can be deleted without the others.
 func snapshotName(number uint64, d core.Digest) string {
-	return fmt.Sprintf("%s%016d-%s", snapshots, number, d)
+	return fmt.Sprintf("%s%016d-%s", snapshotsPrefix, number, d)
 }
