--- a/connection/fleet/doc.go
+++ b/connection/fleet/doc.go
@@ -1,4 +1,5 @@
-// Package fleet connects the agents beside model servers with entry instances:
-// an agent tells what its server holds, and an entry instance which weights are
-// wanted and which agents there are.
+// Package fleet implements the connections between entry instances and the
+// agents beside backend servers. An agent reports which model versions its
+// server holds. An entry instance sends the versions to load, the address of
+// their origin and the list of agents.
 package fleet
--- a/connection/fleet/fleet_test.go
+++ b/connection/fleet/fleet_test.go
@@ -22,8 +22,9 @@
 	token = "test-token"
 )
 
-// entry is an entry instance's side, with what it was told of servers.
-type entry struct {
+// testEntry is an entry instance's end of the connections. It stores the states
+// that agents report, by the address of their backend server.
+type testEntry struct {
 	holder *catalog.Holder
 	server *httptest.Server
 
@@ -31,9 +32,9 @@
 	states map[string]frame.AgentState
 }
 
-func newEntry(t *testing.T) *entry {
+func newTestEntry(t *testing.T) *testEntry {
 	t.Helper()
-	e := &entry{holder: catalog.NewHolder(eventlog.Discard()), states: map[string]frame.AgentState{}}
+	e := &testEntry{holder: catalog.NewHolder(eventlog.Discard()), states: map[string]frame.AgentState{}}
 	hub := NewHub(HubConfig{
 		Holder: e.holder, Log: eventlog.Discard(), Clock: clockwork.NewRealClock(),
 		Entries: func() []string { return nil },
@@ -58,8 +59,8 @@
 	return e
 }
 
-// declare puts a configuration or a version of the weights into force.
-func (e *entry) declare(version int, c *catalog.Config) {
+// declare puts c in force or, when c is nil, a version of the weights.
+func (e *testEntry) declare(version int, c *catalog.Config) {
 	change := catalog.Change{Config: c}
 	if c == nil {
 		change = catalog.Change{Weights: &catalog.Weights{Model: "herbs", Version: version}}
@@ -67,15 +68,16 @@
 	e.holder.Apply([]catalog.Change{change}, false, false, time.Now())
 }
 
-func (e *entry) state(server string) (frame.AgentState, bool) {
+func (e *testEntry) state(server string) (frame.AgentState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.states[server]
 	return s, ok
 }
 
-// peer is an agent's side, with what it was told of the fleet.
-type peer struct {
+// testAgent is an agent's end of the connections. It stores the last fleet
+// message.
+type testAgent struct {
 	*Links
 	stop func()
 
@@ -83,9 +85,9 @@
 	fleet *frame.Fleet
 }
 
-func newPeer(t *testing.T, name string, e *entry) *peer {
+func newTestAgent(t *testing.T, name string, e *testEntry) *testAgent {
 	t.Helper()
-	p := &peer{}
+	p := &testAgent{}
 	p.Links = NewLinks(LinksConfig{
 		Hello: frame.AgentHello{Self: core.Instance{ID: name, Role: core.RoleAgent, Addr: name}, Server: "server-" + name},
 		Token: token, Entries: []string{e.server.Listener.Addr().String()}, Log: eventlog.Discard(),
@@ -113,32 +115,32 @@
 	return p
 }
 
-// told reports whether the newest fleet meets a condition.
-func (p *peer) told(met func(frame.Fleet) bool) bool {
+// fleetMeets reports whether the last fleet message meets a condition.
+func (p *testAgent) fleetMeets(condition func(frame.Fleet) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fleet != nil && met(*p.fleet)
+	return p.fleet != nil && condition(*p.fleet)
 }
 
 func TestFleet(t *testing.T) {
-	Convey("Agents hear of each other, of new weights and of the origin", t, func() {
-		e := newEntry(t)
-		a := newPeer(t, "a", e)
-		newPeer(t, "b", e)
+	Convey("Agents receive the list of agents, the origin and new versions of the weights", t, func() {
+		e := newTestEntry(t)
+		a := newTestAgent(t, "a", e)
+		newTestAgent(t, "b", e)
 		So(wait.Until(func() bool {
-			return a.told(func(f frame.Fleet) bool {
+			return a.fleetMeets(func(f frame.Fleet) bool {
 				return len(f.Agents) == 2 && f.Origin == "10.0.0.1:80" && len(f.Weights) == 1 && f.Weights[0].Version == 1
 			})
 		}), ShouldBeTrue)
 		e.declare(2, nil)
 		So(wait.Until(func() bool {
-			return a.told(func(f frame.Fleet) bool { return f.Weights[0].Version == 2 && f.Weights[0].AgeMs < 10_000 })
+			return a.fleetMeets(func(f frame.Fleet) bool { return f.Weights[0].Version == 2 && f.Weights[0].AgeMs < 10_000 })
 		}), ShouldBeTrue)
 	})
 
-	Convey("An entry instance hears at once what a server holds, and when its agent is gone", t, func() {
-		e := newEntry(t)
-		a := newPeer(t, "a", e)
+	Convey("An entry instance receives the state of a backend server, and notices that its agent disconnected", t, func() {
+		e := newTestEntry(t)
+		a := newTestAgent(t, "a", e)
 		a.Publish(frame.AgentState{Weights: map[string]int{"herbs": 2}, Loading: true})
 		So(wait.Until(func() bool {
 			s, ok := e.state("server-a")
@@ -151,10 +153,10 @@
 		}), ShouldBeTrue)
 	})
 
-	Convey("An entry instance learns from an agent since when a version is known", t, func() {
-		e := newEntry(t)
+	Convey("An entry instance takes the age of a declared version from an agent that knows it for longer", t, func() {
+		e := newTestEntry(t)
 		e.declare(1, nil)
-		newPeer(t, "a", e)
+		newTestAgent(t, "a", e)
 		So(wait.Until(func() bool {
 			return time.Since(e.holder.Current().Weights["herbs"].Known) > 50*time.Second
 		}), ShouldBeTrue)
@@ -166,31 +168,31 @@
 		connected := map[string]string{
 			"e1": "palermo", "e2": "palermo", "e3": "palermo", "e4": "catania", "e5": "catania", "e6": "trapani",
 		}
-		Convey("an agent takes the list from two of its own", func() {
-			chosen := chooseLists("a1", "palermo", connected)
+		Convey("two of the agent's own data centre send the list", func() {
+			chosen := chooseListSenders("a1", "palermo", connected)
 			So(chosen, ShouldHaveLength, 2)
 			for addr := range chosen {
 				So(connected[addr], ShouldEqual, "palermo")
 			}
 		})
-		Convey("one of its own is enough", func() {
-			So(chooseLists("a1", "trapani", connected), ShouldResemble, map[string]bool{"e6": true})
+		Convey("if only one of its own data centre is connected, that one alone sends the list", func() {
+			So(chooseListSenders("a1", "trapani", connected), ShouldResemble, map[string]bool{"e6": true})
 		})
-		Convey("others stand in where it is connected to none there", func() {
+		Convey("if none of its own data centre is connected, two others send the list", func() {
 			delete(connected, "e6")
-			So(chooseLists("a1", "trapani", connected), ShouldHaveLength, 2)
+			So(chooseListSenders("a1", "trapani", connected), ShouldHaveLength, 2)
 		})
-		Convey("agents choose differently", func() {
-			firsts := map[string]bool{}
+		Convey("different agents choose different entry instances", func() {
+			chosen := map[string]bool{}
 			for _, agent := range []string{"a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8"} {
-				for addr := range chooseLists(agent, "palermo", connected) {
-					firsts[addr] = true
+				for addr := range chooseListSenders(agent, "palermo", connected) {
+					chosen[addr] = true
 				}
 			}
-			So(firsts, ShouldHaveLength, 3)
+			So(chosen, ShouldHaveLength, 3)
 		})
-		Convey("without a connection there is no list", func() {
-			So(chooseLists("a1", "palermo", nil), ShouldBeEmpty)
+		Convey("without a connection none is chosen", func() {
+			So(chooseListSenders("a1", "palermo", nil), ShouldBeEmpty)
 		})
 	})
 }
--- a/connection/fleet/hub.go
+++ b/connection/fleet/hub.go
@@ -14,106 +14,117 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// Path is where an entry instance takes the connections of agents.
+// Path is the HTTP path at which an entry instance accepts connections from
+// agents.
 const Path = "/internal/fleet"
 
 const (
-	// gatherFor lets changes that come together be sent in one message.
-	gatherFor = 50 * time.Millisecond
-	// heartbeat is the time between two messages on a quiet connection, and
-	// silentAfter how long the other side waits for one.
-	heartbeat   = 500 * time.Millisecond
-	silentAfter = 2500 * time.Millisecond
+	// batchDelay is the wait after a change, so that changes shortly after it
+	// go out in the same message.
+	batchDelay = 50 * time.Millisecond
+	// heartbeatInterval is the time between two messages on an idle
+	// connection. The receiver closes the connection when no message arrives
+	// within receiveTimeout.
+	heartbeatInterval = 500 * time.Millisecond
+	receiveTimeout    = 2500 * time.Millisecond
 )
 
-// HubConfig holds what a Hub needs.
+// HubConfig holds the settings and dependencies of a Hub.
 type HubConfig struct {
-	// DataCentre is the entry instance's.
+	// DataCentre is the data centre of the entry instance.
 	DataCentre string
-	// Holder gives the declared weights.
+	// Holder holds the declared weights.
 	Holder *catalog.Holder
-	// Agent is told what an agent says of the server at an address; nil when
-	// the agent is gone.
+	// Agent is called with the address of a backend server and each state that
+	// its agent reports, and with a nil state when the agent has disconnected.
 	Agent func(server string, state *frame.AgentState)
 	// Entries returns the addresses of the known entry instances.
 	Entries func() []string
-	// Log takes a line for each change.
+	// Log receives an event for each change.
 	Log *eventlog.Logger
-	// Clock gives the time.
+	// Clock is the time source.
 	Clock clockwork.Clock
 }
 
-// Hub is the entry instance's side. It is safe for concurrent use.
+// Hub is the entry instance's end of the connections with agents. It is safe
+// for concurrent use.
 type Hub struct {
-	cfg     HubConfig
-	mu      sync.Mutex
-	agents  map[string]*agent
+	cfg HubConfig
+	mu  sync.Mutex
+	// agents holds the connected agents by the address of their backend server.
+	agents map[string]*agentConn
+	// changed is closed and replaced when an agent connects or disconnects.
 	changed chan struct{}
 }
 
-// agent is a connected agent.
-type agent struct {
+// agentConn is the connection of one agent.
+type agentConn struct {
 	hello frame.AgentHello
 	state frame.AgentState
 	conn  *frame.Conn
-	// asked receives when the agent begins or ceases to want the list.
-	asked chan struct{}
+	// listToggled receives a value when the agent starts or stops requesting
+	// the list of agents.
+	listToggled chan struct{}
 }
 
-// NewHub returns a Hub.
+// NewHub returns a Hub that has no connections yet.
 func NewHub(cfg HubConfig) *Hub {
-	return &Hub{cfg: cfg, agents: map[string]*agent{}, changed: make(chan struct{})}
+	return &Hub{cfg: cfg, agents: map[string]*agentConn{}, changed: make(chan struct{})}
 }
 
-// ServeHTTP takes the connection of an agent; the caller has checked its token.
+// ServeHTTP accepts the connection of an agent and returns when it has ended.
+// The caller has checked the peer token.
 func (h *Hub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	a := &agent{conn: conn, asked: make(chan struct{}, 1)}
-	if err := conn.Expect(frame.KindAgentHello, &a.hello, h.due()); err != nil {
+	a := &agentConn{conn: conn, listToggled: make(chan struct{}, 1)}
+	if err := conn.Expect(frame.KindAgentHello, &a.hello, h.receiveDeadline()); err != nil {
 		h.cfg.Log.Fail(eventAgentGone, err, eventlog.Fields{"peer": conn.Peer()})
 		return
 	}
 	conn.SetPeer(a.hello.Self.ID)
 	now := h.cfg.Clock.Now()
 	for _, w := range a.hello.Declared {
-		known := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
-		h.cfg.Holder.Learn(catalog.Weights{Model: w.Model, Version: w.Version, Known: known}, now)
+		declaredAt := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
+		h.cfg.Holder.Learn(catalog.Weights{Model: w.Model, Version: w.Version, Known: declaredAt}, now)
 	}
-	h.join(a)
+	h.addAgent(a)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go h.tell(ctx, a)
-	err = h.listen(a)
-	h.leave(a, err)
+	go h.sendUpdates(ctx, a)
+	err = h.receiveStates(a)
+	h.removeAgent(a, err)
 }
 
-func (h *Hub) due() time.Time { return h.cfg.Clock.Now().Add(silentAfter) }
+// receiveDeadline returns the time by which the next message must arrive.
+func (h *Hub) receiveDeadline() time.Time { return h.cfg.Clock.Now().Add(receiveTimeout) }
 
-// join adds an agent; one that was connected before is replaced.
-func (h *Hub) join(a *agent) {
+// addAgent adds a connection. An older connection for the same backend server is
+// closed and replaced.
+func (h *Hub) addAgent(a *agentConn) {
 	h.mu.Lock()
 	if old := h.agents[a.hello.Server]; old != nil {
 		_ = old.conn.Close()
 	}
 	h.agents[a.hello.Server] = a
-	h.signal()
+	h.notifyChange()
 	h.mu.Unlock()
 	h.cfg.Log.Event(eventAgent, eventlog.Fields{
 		"agent": a.hello.Self.ID, "addr": a.hello.Self.Addr, "server": a.hello.Server,
 	})
 }
 
-// leave forgets an agent unless it connected anew.
-func (h *Hub) leave(a *agent, err error) {
+// removeAgent removes a connection that ended with err, unless a newer one has
+// replaced it.
+func (h *Hub) removeAgent(a *agentConn, err error) {
 	h.mu.Lock()
 	current := h.agents[a.hello.Server] == a
 	if current {
 		delete(h.agents, a.hello.Server)
-		h.signal()
+		h.notifyChange()
 	}
 	h.mu.Unlock()
 	if current {
@@ -122,16 +133,18 @@
 	}
 }
 
-// signal wakes the senders; h.mu is held.
-func (h *Hub) signal() {
+// notifyChange wakes the goroutines that wait for a change of the agents. h.mu
+// must be held.
+func (h *Hub) notifyChange() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// listen reads an agent's reports until the connection ends.
-func (h *Hub) listen(a *agent) error {
+// receiveStates reads the states that an agent reports until the connection
+// ends.
+func (h *Hub) receiveStates(a *agentConn) error {
 	for {
-		f, err := a.conn.Receive(h.due())
+		f, err := a.conn.Receive(h.receiveDeadline())
 		if err != nil {
 			return err
 		}
@@ -142,17 +155,18 @@
 		if err := f.Decode(&s); err != nil {
 			return err
 		}
-		h.report(a, s)
+		h.applyState(a, s)
 	}
 }
 
-// report takes in what an agent says.
-func (h *Hub) report(a *agent, s frame.AgentState) {
+// applyState stores a reported state. Unless a newer connection has replaced this
+// one, it also passes the state on and logs a change.
+func (h *Hub) applyState(a *agentConn, s frame.AgentState) {
 	h.mu.Lock()
 	same := a.state.Loading == s.Loading && maps.Equal(a.state.Weights, s.Weights)
 	if a.state.List != s.List {
 		select {
-		case a.asked <- struct{}{}:
+		case a.listToggled <- struct{}{}:
 		default:
 		}
 	}
@@ -170,17 +184,18 @@
 	}
 }
 
-// tell sends the fleet whenever it changes, and a heartbeat otherwise.
-func (h *Hub) tell(ctx context.Context, a *agent) {
-	var sent *catalog.Snapshot
+// sendUpdates sends a fleet message after each change and heartbeats in between,
+// until ctx ends or sending fails.
+func (h *Hub) sendUpdates(ctx context.Context, a *agentConn) {
+	var lastSent *catalog.Snapshot
 	for {
-		joined := h.joined()
-		declared := h.cfg.Holder.Changed()
+		agentsChanged := h.agentsChanged()
+		catalogChanged := h.cfg.Holder.Changed()
 		snapshot := h.cfg.Holder.Current()
 		var err error
-		if sent == nil || !sameWants(sent, snapshot) {
-			err = a.conn.Send(frame.KindFleet, h.fleet(snapshot, a))
-			sent = snapshot
+		if lastSent == nil || !sameWeightsAndOrigin(lastSent, snapshot) {
+			err = a.conn.Send(frame.KindFleet, h.fleetMessage(snapshot, a))
+			lastSent = snapshot
 		} else {
 			err = a.conn.Send(frame.KindNotice, struct{}{})
 		}
@@ -188,76 +203,79 @@
 			_ = a.conn.Close()
 			return
 		}
-		if !h.awaitChange(ctx, a, joined, declared, &sent) {
+		if !h.waitForUpdate(ctx, a, agentsChanged, catalogChanged, &lastSent) {
 			return
 		}
 	}
 }
 
-// awaitChange waits until there is something to send: a change, of which those
-// that follow at once are gathered, or a heartbeat. It forgets what was sent when
-// the agent asked, or when agents came or went and it wants the list, and
-// returns false when ctx ends.
-func (h *Hub) awaitChange(ctx context.Context, a *agent, joined, declared <-chan struct{}, sent **catalog.Snapshot) bool {
-	beat := h.cfg.Clock.After(heartbeat)
+// waitForUpdate waits until a message is due, because of a change or for a
+// heartbeat. After a change it also waits for batchDelay. It sets *lastSent to
+// nil, so that the fleet message is sent again, when the agent starts or stops
+// requesting the list of agents, and when that list changed and the agent
+// requests it. It returns false when ctx ends.
+func (h *Hub) waitForUpdate(ctx context.Context, a *agentConn, agentsChanged, catalogChanged <-chan struct{}, lastSent **catalog.Snapshot) bool {
+	heartbeat := h.cfg.Clock.After(heartbeatInterval)
 	for {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-beat:
+		case <-heartbeat:
 			return true
-		case <-a.asked:
-			*sent = nil
+		case <-a.listToggled:
+			*lastSent = nil
 			return true
-		case <-joined:
-			if !h.wantsList(a) {
-				joined = h.joined()
+		case <-agentsChanged:
+			if !h.listRequested(a) {
+				agentsChanged = h.agentsChanged()
 				continue
 			}
-			*sent = nil
-		case <-declared:
-			if sameWants(*sent, h.cfg.Holder.Current()) {
-				// Servers changed, which agents need not know.
-				declared = h.cfg.Holder.Changed()
+			*lastSent = nil
+		case <-catalogChanged:
+			if sameWeightsAndOrigin(*lastSent, h.cfg.Holder.Current()) {
+				// Only backend servers changed, which fleet messages leave out.
+				catalogChanged = h.cfg.Holder.Changed()
 				continue
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-h.cfg.Clock.After(gatherFor):
+		case <-h.cfg.Clock.After(batchDelay):
 			return true
 		}
 	}
 }
 
-// joined returns a channel that is closed when agents come or go.
-func (h *Hub) joined() <-chan struct{} {
+// agentsChanged returns a channel that is closed when an agent connects or
+// disconnects.
+func (h *Hub) agentsChanged() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changed
 }
 
-// wantsList reports whether an agent asked for the list of agents.
-func (h *Hub) wantsList(a *agent) bool {
+// listRequested reports whether an agent requests the list of agents.
+func (h *Hub) listRequested(a *agentConn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return a.state.List
 }
 
-// sameWants reports whether two snapshots ask the same of agents.
-func sameWants(a, b *catalog.Snapshot) bool {
+// sameWeightsAndOrigin reports whether two snapshots declare the same versions
+// and origin. Snapshots without a configuration equal only each other.
+func sameWeightsAndOrigin(a, b *catalog.Snapshot) bool {
 	if a.Config == nil || b.Config == nil {
 		return a.Config == b.Config
 	}
-	return sameVersions(a, b) && sameOrigin(a.Origin(), b.Origin())
+	return sameWeights(a, b) && sameOrigin(a.Origin(), b.Origin())
 }
 
 func sameOrigin(a, b *catalog.Origin) bool {
 	return a == b || a != nil && b != nil && *a == *b
 }
 
-func sameVersions(a, b *catalog.Snapshot) bool {
+func sameWeights(a, b *catalog.Snapshot) bool {
 	if len(a.Weights) != len(b.Weights) {
 		return false
 	}
@@ -269,20 +287,21 @@
 	return true
 }
 
-// fleet describes what an agent is to do.
-func (h *Hub) fleet(s *catalog.Snapshot, to *agent) frame.Fleet {
+// fleetMessage builds the message for an agent: the wanted versions, their
+// origin, the entry instances and, on request, the list of agents.
+func (h *Hub) fleetMessage(s *catalog.Snapshot, recipient *agentConn) frame.Fleet {
 	f := frame.Fleet{Entries: h.cfg.Entries(), DataCentre: h.cfg.DataCentre}
 	now := h.cfg.Clock.Now()
-	newest := map[string]int{}
+	wantedVersions := map[string]int{}
 	if s.Config != nil {
 		for _, service := range s.Config.Services {
 			if service.Engine == nil {
 				continue
 			}
 			for _, model := range service.Engine.Models {
-				w := wanted(s, model, now)
+				w := wantedWeights(s, model, now)
 				w.Service, w.Chunks, w.ChunkBytes = service.Name, service.Engine.Chunks, service.Engine.ChunkBytes
-				newest[model] = w.Version
+				wantedVersions[model] = w.Version
 				f.Weights = append(f.Weights, w)
 			}
 		}
@@ -292,19 +311,20 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !to.state.List {
+	if !recipient.state.List {
 		return f
 	}
 	for _, a := range h.agents {
 		f.Agents = append(f.Agents, frame.FleetAgent{
-			Instance: a.hello.Self, Server: a.hello.Server, Holds: holds(a.state, newest),
+			Instance: a.hello.Self, Server: a.hello.Server, Holds: holdsWanted(a.state, wantedVersions),
 		})
 	}
 	return f
 }
 
-// wanted returns the declared version of a model; the first when none is.
-func wanted(s *catalog.Snapshot, model string, now time.Time) frame.WantedWeights {
+// wantedWeights returns the declared version of a model, or version 1 when none
+// is declared.
+func wantedWeights(s *catalog.Snapshot, model string, now time.Time) frame.WantedWeights {
 	w := frame.WantedWeights{Model: model, Version: 1}
 	if declared, ok := s.Weights[model]; ok {
 		w.Version = declared.Version
@@ -313,10 +333,11 @@
 	return w
 }
 
-// holds reports whether a server serves a newest version.
-func holds(s frame.AgentState, newest map[string]int) bool {
+// holdsWanted reports whether a backend server holds the wanted version of at
+// least one model.
+func holdsWanted(s frame.AgentState, wantedVersions map[string]int) bool {
 	for model, version := range s.Weights {
-		if version == newest[model] {
+		if version == wantedVersions[model] {
 			return true
 		}
 	}
--- a/connection/fleet/links.go
+++ b/connection/fleet/links.go
@@ -14,142 +14,154 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// redial are the pauses before an entry instance is dialled again: after a
-// loss of power every moment without weights counts, and a refused connection
-// costs little.
-var redial = dial.Pauses{
+// redialPauses are the pauses before an entry instance is dialled again. They are
+// short: after a power failure a longer pause would leave the backend server
+// without weights for longer, and a refused connection costs little.
+var redialPauses = dial.Pauses{
 	Least: 80 * time.Millisecond, Most: 300 * time.Millisecond, Steady: 1500 * time.Millisecond,
 }
 
-// LinksConfig holds what Links need.
+// LinksConfig holds the settings and dependencies of Links.
 type LinksConfig struct {
-	// Hello introduces the agent; what it has heard of is added.
+	// Hello is the first message on each connection, without the declared
+	// versions.
 	Hello frame.AgentHello
-	// Declared returns the versions that the agent has heard of.
+	// Declared returns the declared versions that the agent knows, for Hello.
 	Declared func() []frame.WantedWeights
-	// Token authenticates our processes to each other.
+	// Token is the peer token sent to entry instances.
 	Token string
-	// Entries are the addresses to begin with.
+	// Entries are the addresses of the entry instances to dial first. More are
+	// taken from their messages.
 	Entries []string
-	// Fleet is told what an entry instance says; nil when it is gone.
+	// Fleet is called with the address of an entry instance and each message
+	// from it, and with a nil message when the connection to it has ended.
 	Fleet func(entry string, f *frame.Fleet)
-	// Log takes a line for each change.
+	// Log receives an event for each change.
 	Log *eventlog.Logger
-	// Clock gives the time.
+	// Clock is the time source.
 	Clock clockwork.Clock
 }
 
-// Links are the agent's connections to entry instances. They are safe for
+// Links holds an agent's connections to entry instances. It is safe for
 // concurrent use.
 type Links struct {
-	cfg     LinksConfig
-	mu      sync.Mutex
-	state   frame.AgentState
+	cfg   LinksConfig
+	mu    sync.Mutex
+	state frame.AgentState
+	// changed is closed and replaced when state or listSenders changes.
 	changed chan struct{}
-	known   map[string]bool
-	found   chan string
-	// connected are the entry instances that answer, with their data centres,
-	// and lists those of them that send the list of agents.
-	connected map[string]string
-	lists     map[string]bool
+	// known holds the addresses of all entry instances that are dialled, and
+	// discovered those that Run has yet to start dialling.
+	known      map[string]bool
+	discovered chan string
+	// connected maps the addresses of the connected entry instances to their
+	// data centres. listSenders holds the addresses of those that send the
+	// list of agents.
+	connected   map[string]string
+	listSenders map[string]bool
 }
 
-// NewLinks returns Links that connect once they run.
+// NewLinks returns Links without connections; Run opens them.
 func NewLinks(cfg LinksConfig) *Links {
 	return &Links{
-		cfg: cfg, changed: make(chan struct{}), known: map[string]bool{}, found: make(chan string, 64),
+		cfg: cfg, changed: make(chan struct{}), known: map[string]bool{}, discovered: make(chan string, 64),
 		connected: map[string]string{},
 	}
 }
 
-// Publish tells all entry instances what the server holds.
+// Publish sends the state of the backend server to all entry instances.
 func (l *Links) Publish(s frame.AgentState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state = s
-	l.signal()
+	l.notifyChange()
 }
 
-// signal wakes the senders; l.mu is held.
-func (l *Links) signal() {
+// notifyChange wakes the goroutines that send states. l.mu must be held.
+func (l *Links) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// answers notes that an entry instance of a data centre answers.
-func (l *Links) answers(addr, dataCentre string) {
+// markConnected records that an entry instance is connected, and its data
+// centre.
+func (l *Links) markConnected(addr, dataCentre string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if old, ok := l.connected[addr]; !ok || old != dataCentre {
 		l.connected[addr] = dataCentre
-		l.choose()
+		l.updateListSenders()
 	}
 }
 
-// gone notes that an entry instance does not answer any more.
-func (l *Links) gone(addr string) {
+// markDisconnected records that the connection to an entry instance has ended.
+func (l *Links) markDisconnected(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.connected, addr)
-	l.choose()
+	l.updateListSenders()
 }
 
-// choose chooses who sends the list of agents; l.mu is held.
-func (l *Links) choose() {
+// updateListSenders chooses again which entry instances send the list of agents.
+// l.mu must be held.
+func (l *Links) updateListSenders() {
 	self := l.cfg.Hello.Self
-	lists := chooseLists(self.ID, self.DataCentre, l.connected)
-	if !maps.Equal(lists, l.lists) {
-		l.lists = lists
-		l.signal()
+	listSenders := chooseListSenders(self.ID, self.DataCentre, l.connected)
+	if !maps.Equal(listSenders, l.listSenders) {
+		l.listSenders = listSenders
+		l.notifyChange()
 	}
 }
 
-// Run keeps the connections until ctx ends.
+// Run dials the entry instances, again after each loss, until ctx ends.
 func (l *Links) Run(ctx context.Context) error {
-	var all sync.WaitGroup
-	defer all.Wait()
+	var connections sync.WaitGroup
+	defer connections.Wait()
 	for _, addr := range l.cfg.Entries {
-		l.learn(addr)
+		l.addEntry(addr)
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case addr := <-l.found:
-			all.Go(func() { l.keep(ctx, addr) })
+		case addr := <-l.discovered:
+			connections.Go(func() { l.maintainConnection(ctx, addr) })
 		}
 	}
 }
 
-// learn begins to dial an entry instance that was not known.
-func (l *Links) learn(addr string) {
+// addEntry queues an entry instance for dialling unless it is known. While the
+// queue is full, the address is dropped.
+func (l *Links) addEntry(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.known[addr] {
 		return
 	}
 	select {
-	case l.found <- addr:
+	case l.discovered <- addr:
 		l.known[addr] = true
 	default:
 	}
 }
 
-// keep connects to an entry instance again and again.
-func (l *Links) keep(ctx context.Context, addr string) {
+// maintainConnection keeps a connection to an entry instance open, dialling
+// again after each loss, until ctx ends.
+func (l *Links) maintainConnection(ctx context.Context, addr string) {
 	session := func(ctx context.Context, timeout time.Duration) error {
-		err := l.session(ctx, addr, timeout)
-		l.gone(addr)
+		err := l.runSession(ctx, addr, timeout)
+		l.markDisconnected(addr)
 		l.cfg.Fleet(addr, nil)
 		return err
 	}
-	dial.Keep(ctx, l.cfg.Clock, redial, session, func(err error) {
+	dial.Keep(ctx, l.cfg.Clock, redialPauses, session, func(err error) {
 		l.cfg.Log.Fail(eventEntryGone, err, eventlog.Fields{"entry": addr})
 	})
 }
 
-// session is one connection to an entry instance, opened within timeout.
-func (l *Links) session(ctx context.Context, addr string, timeout time.Duration) error {
+// runSession opens one connection to an entry instance within timeout, exchanges
+// messages on it and returns when it has ended.
+func (l *Links) runSession(ctx context.Context, addr string, timeout time.Duration) error {
 	conn, err := frame.Dial(addr, Path, l.cfg.Token, timeout)
 	if err != nil {
 		return err
@@ -165,9 +177,9 @@
 	l.cfg.Log.Event(eventEntry, eventlog.Fields{"entry": addr})
 	ended := make(chan struct{})
 	defer close(ended)
-	go l.tell(conn, addr, ended)
+	go l.sendStates(conn, addr, ended)
 	for {
-		f, err := conn.Receive(l.cfg.Clock.Now().Add(silentAfter))
+		f, err := conn.Receive(l.cfg.Clock.Now().Add(receiveTimeout))
 		if err != nil {
 			return err
 		}
@@ -178,20 +190,21 @@
 		if err := f.Decode(&fleet); err != nil {
 			return err
 		}
-		for _, other := range fleet.Entries {
-			l.learn(other)
+		for _, entry := range fleet.Entries {
+			l.addEntry(entry)
 		}
-		l.answers(addr, fleet.DataCentre)
+		l.markConnected(addr, fleet.DataCentre)
 		l.cfg.Fleet(addr, &fleet)
 	}
 }
 
-// tell sends the state whenever it changes, and as a heartbeat.
-func (l *Links) tell(conn *frame.Conn, addr string, ended <-chan struct{}) {
+// sendStates sends the state after each change and as a heartbeat, until the
+// session ends or sending fails.
+func (l *Links) sendStates(conn *frame.Conn, addr string, ended <-chan struct{}) {
 	for {
 		l.mu.Lock()
 		state, changed := l.state, l.changed
-		state.List = l.lists[addr]
+		state.List = l.listSenders[addr]
 		l.mu.Unlock()
 		if err := conn.Send(frame.KindAgentState, state); err != nil {
 			_ = conn.Close()
@@ -201,10 +214,10 @@
 		case <-ended:
 			return
 		case <-changed:
-		case <-l.cfg.Clock.After(heartbeat):
+		case <-l.cfg.Clock.After(heartbeatInterval):
 		}
 	}
 }
 
-// Self returns the instance that introduces the agent.
+// Self returns the agent's own instance.
 func (l *Links) Self() core.Instance { return l.cfg.Hello.Self }
--- a/connection/fleet/lists.go
+++ b/connection/fleet/lists.go
@@ -6,17 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// listsFrom is how many entry instances send an agent the list of agents: one
-// may be lost without a gap. The list is the largest message here, about 100
-// bytes for each agent, and every change of the fleet sends it again.
-const listsFrom = 2
+// listSenderCount is the number of entry instances that send an agent the list of
+// agents. With two, the list stays up to date when one of them is lost. More
+// would cost bandwidth: the list is the largest message of this package, about
+// 100 bytes for each agent, and is sent again whenever an agent connects or
+// disconnects.
+const listSenderCount = 2
 
-// chooseLists answers a large fleet whose agents come and go: of the connected
-// entry instances, given with their data centres, an agent takes the list from
-// a few of its own data centre, so that no list crosses the links between
-// them. Only where it is connected to none there does it take others. Agents
-// choose differently, so that the load spreads.
-func chooseLists(agent, dataCentre string, connected map[string]string) map[string]bool {
+// chooseListSenders returns the addresses of the entry instances from which an
+// agent requests the list of agents. connected maps the addresses of the
+// connected entry instances to their data centres.
+//
+// It chooses up to listSenderCount entry instances of the agent's own data
+// centre, so that the list does not cross the links between data centres, and
+// others only if none of its own data centre is connected. A hash of agent and
+// address decides among them, which spreads the agents over the entry instances.
+func chooseListSenders(agent, dataCentre string, connected map[string]string) map[string]bool {
 	var addrs []string
 	for addr := range connected {
 		addrs = append(addrs, addr)
@@ -24,15 +29,15 @@
 	rank := func(addr string) uint64 { return xxhash.Sum64String(agent + " " + addr) }
 	sort.Slice(addrs, func(i, j int) bool {
 		a, b := addrs[i], addrs[j]
-		if near := connected[a] == dataCentre; near != (connected[b] == dataCentre) {
-			return near
+		if local := connected[a] == dataCentre; local != (connected[b] == dataCentre) {
+			return local
 		}
 		return rank(a) < rank(b)
 	})
 	chosen := map[string]bool{}
 	for _, addr := range addrs {
-		far := connected[addr] != dataCentre
-		if len(chosen) == listsFrom || far && len(chosen) > 0 && connected[addrs[0]] == dataCentre {
+		remote := connected[addr] != dataCentre
+		if len(chosen) == listSenderCount || remote && len(chosen) > 0 && connected[addrs[0]] == dataCentre {
 			break
 		}
 		chosen[addr] = true
