--- a/connection/homes/budget_test.go
+++ b/connection/homes/budget_test.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// nodeBudget is what a node may spend on control, in bytes per second.
+	// nodeBudget is the bandwidth that a node may use for control messages, in
+	// bytes per second.
 	nodeBudget = 3 << 10
-	// heartbeatShare is the part of it that heartbeats may take.
+	// heartbeatShare is the share of nodeBudget that heartbeats may use.
 	heartbeatShare = 0.6
-	// frameOverhead is the header of a masked WebSocket frame, and those of a
-	// TCP segment and its acknowledgement, in bytes.
+	// frameOverhead is the size of the headers for one report, in bytes: of a
+	// masked WebSocket frame, a TCP segment and its acknowledgement.
 	frameOverhead = 6 + 2*52
 )
 
-// membersOfTarget returns a list of the target's size with that many agents.
-func membersOfTarget(agents int) []core.Instance {
-	list := entries(55, "w1", "w2", "w3", "e1", "e2", "e3")
+// instancesAtTargetSize returns a list with the target number of entry instances,
+// 330, and the given number of agents.
+func instancesAtTargetSize(agents int) []core.Instance {
+	list := entryInstances(55, "w1", "w2", "w3", "e1", "e2", "e3")
 	for i := range agents {
 		list = append(list, core.Instance{ID: fmt.Sprintf("server-%d", i), Role: core.RoleAgent, DataCentre: "w1", Region: "w"})
 	}
@@ -33,9 +35,9 @@
 
 func TestHeartbeatBudget(t *testing.T) {
 	last := frame.Report{State: frame.StateReady, Limit: 1000, Config: 1 << 20, HeartbeatMillis: 10_000}
-	now := last
-	now.InFlight, now.Queued = 1000, 1000
-	raw, err := frame.Encode(frame.KindReport, withoutRepeats(now, last))
+	current := last
+	current.InFlight, current.Queued = 1000, 1000
+	raw, err := frame.Encode(frame.KindReport, withoutUnchanged(current, last))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,18 +45,18 @@
 	self := core.Instance{ID: "gpu-1", DataCentre: "w1", Region: "w"}
 
 	for _, agents := range []int{600, 1300} {
-		Convey(fmt.Sprintf("With %d agents, heartbeats stay inside their share of a node's budget", agents), t, func() {
-			list := membersOfTarget(agents)
+		Convey(fmt.Sprintf("With %d agents, heartbeats stay within their share of a node's bandwidth", agents), t, func() {
+			list := instancesAtTargetSize(agents)
 			homes := len(Select(self, list, DefaultMaxLocal, DefaultPerRemote, defaultMinHomes))
-			perSecond := 1 / Heartbeat(registry.DefaultHeartbeat, list, homes).Seconds()
-			atAgent := float64(homes) * perSecond * reportBytes
-			atEntry := float64(agents*homes) / 330 * perSecond * reportBytes
-			So(atAgent, ShouldBeLessThan, heartbeatShare*nodeBudget)
-			So(atEntry, ShouldBeLessThan, heartbeatShare*nodeBudget)
+			reportsPerSecond := 1 / Heartbeat(registry.DefaultHeartbeat, list, homes).Seconds()
+			agentBytesPerSecond := float64(homes) * reportsPerSecond * reportBytes
+			entryBytesPerSecond := float64(agents*homes) / 330 * reportsPerSecond * reportBytes
+			So(agentBytesPerSecond, ShouldBeLessThan, heartbeatShare*nodeBudget)
+			So(entryBytesPerSecond, ShouldBeLessThan, heartbeatShare*nodeBudget)
 		})
 	}
-	Convey("With few agents the heartbeat is as set", t, func() {
-		list := append(entries(1, "w1", "w2", "w3", "e1"), membersOfTarget(19)[330:]...)
+	Convey("With few agents the heartbeat is as configured", t, func() {
+		list := append(entryInstances(1, "w1", "w2", "w3", "e1"), instancesAtTargetSize(19)[330:]...)
 		So(Heartbeat(5*time.Second, list, 4), ShouldEqual, 5*time.Second)
 		So(Heartbeat(100*time.Millisecond, list, 4), ShouldEqual, 100*time.Millisecond)
 		So(Heartbeat(5*time.Second, nil, 0), ShouldEqual, 5*time.Second)
--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -1,6 +1,6 @@
-// Package homes keeps, at an agent, a registration with each of its home
-// entry instances. One goroutine per home dials, sends reports and follows
-// the configuration.
+// Package homes registers an agent with a set of entry instances, called its
+// homes, and keeps these registrations. One goroutine per home dials, sends
+// reports and synchronises the configuration.
 package homes
 
 import (
@@ -20,47 +20,53 @@
 
 // Defaults of Config.
 const (
-	// DefaultMaxLocal and DefaultPerRemote cap the homes.
+	// DefaultMaxLocal is the largest number of homes in the agent's own data
+	// centre, and DefaultPerRemote the number in each other one.
 	DefaultMaxLocal  = 64
 	DefaultPerRemote = 2
 	defaultMinHomes  = 4
-	// FullRateAgents is the number of agents that an entry instance hears at
-	// the heartbeat as it is set. With more, agents lengthen it in proportion.
+	// FullRateAgents is the largest number of agents per entry instance at
+	// which agents report at the configured heartbeat. With more, they lengthen
+	// the heartbeat in proportion.
 	FullRateAgents = 60
-	// dialTimeout bounds the dialling of a home and its Welcome.
+	// dialTimeout bounds the dialling of a home, and then the wait for its
+	// Welcome frame.
 	dialTimeout = 2 * time.Second
-	// announceDelay is how long an entry instance is given to learn of a new
-	// configuration by itself before an agent tells it.
+	// announceDelay is the wait before an agent announces a newer configuration
+	// to an entry instance, which usually gets it elsewhere in this time.
 	announceDelay = 2 * time.Second
-	// checkInterval is the time between two looks at what is to be reported.
+	// checkInterval is the time between two checks of the agent's report for
+	// changes.
 	checkInterval = 100 * time.Millisecond
 )
 
 var (
-	eventHomeUp = eventlog.Define(110, "home-registered", logrus.InfoLevel,
+	eventHomeRegistered = eventlog.Define(110, "home-registered", logrus.InfoLevel,
 		"This agent registered with a home entry instance.")
-	eventHomeDown = eventlog.Define(111, "home-lost", logrus.WarnLevel,
-		"A registration with a home entry instance failed or ended; it is dialled again.")
+	eventHomeLost = eventlog.Define(111, "home-lost", logrus.WarnLevel,
+		"A registration with a home entry instance failed or ended; the agent dials the entry instance again.")
 )
 
 // Config holds the settings of Homes.
 type Config struct {
-	// Self is this agent.
+	// Self is the instance of this agent.
 	Self core.Instance
 	// Incarnation is different each time the agent starts.
 	Incarnation string
-	// Service names the plain service beside the agent; empty for an engine.
+	// Service names the plain service beside the agent. It is empty beside an
+	// inference engine.
 	Service string
 	// PeerToken authenticates this process to entry instances.
 	PeerToken string
 	// Heartbeat is the longest time between two reports while there are few
-	// agents; see Heartbeat. Default 5 s.
+	// agents; the function Heartbeat lengthens it for many. Default 5 s.
 	Heartbeat time.Duration
-	// MaxLocal caps the homes in the own data centre. Default 64.
+	// MaxLocal is the largest number of homes in the agent's own data centre.
+	// Default 64.
 	MaxLocal int
 	// PerRemote is the number of homes in each other data centre. Default 2.
 	PerRemote int
-	// MinHomes is the least number of homes overall. Default 4.
+	// MinHomes is the smallest total number of homes. Default 4.
 	MinHomes int
 }
 
@@ -72,64 +78,69 @@
 	return c
 }
 
-// Members is the list of known instances.
+// Members provides the list of known instances.
 type Members interface {
-	// All returns the newest known list.
+	// All returns the newest list.
 	All() []core.Instance
 	// Changed returns a channel closed when the list changes.
 	Changed() <-chan struct{}
 }
 
-// Homes keeps the registrations of one agent.
+// Homes keeps the registrations of one agent with its homes.
 type Homes struct {
 	cfg     Config
 	members Members
 	hub     *confsync.Hub
 	log     *eventlog.Logger
 
-	// observed is the report that all registrations send.
-	observed *observed
-	// heartbeat is the longest time between two reports, in nanoseconds.
+	// reportWatcher detects changes of the agent's report for all
+	// registrations.
+	reportWatcher *reportWatcher
+	// heartbeat is the longest time between two reports now, in nanoseconds.
 	heartbeat atomic.Int64
 
-	mu   sync.Mutex
-	live map[string]bool
-	kept map[address]*keeping
+	mu sync.Mutex
+	// registered holds the IDs of the entry instances that have accepted the
+	// agent's registration.
+	registered map[string]bool
+	// registrations holds the registrations that are open or being opened.
+	registrations map[endpoint]*registration
 }
 
-// New returns Homes. report gives the agent's report, with Loaded always
-// filled in; whether it is sent is decided here.
+// New returns Homes without registrations; Run opens them. report returns the
+// agent's current report and always fills in Loaded, which is removed before
+// sending when it has not changed.
 func New(cfg Config, members Members, hub *confsync.Hub, report func() frame.Report, log *eventlog.Logger) *Homes {
 	cfg = cfg.applyDefaults()
 	h := &Homes{
-		cfg:      cfg,
-		members:  members,
-		hub:      hub,
-		log:      log,
-		observed: newObserved(report),
-		live:     map[string]bool{},
-		kept:     map[address]*keeping{},
+		cfg:           cfg,
+		members:       members,
+		hub:           hub,
+		log:           log,
+		reportWatcher: newReportWatcher(report),
+		registered:    map[string]bool{},
+		registrations: map[endpoint]*registration{},
 	}
 	h.heartbeat.Store(int64(cfg.Heartbeat))
 	return h
 }
 
-// Registered returns the number of homes that know this agent now.
+// Registered returns the number of homes with which the agent is registered now.
 func (h *Homes) Registered() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.live)
+	return len(h.registered)
 }
 
 // Run keeps the registrations until ctx ends.
 func (h *Homes) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { h.observed.run(ctx) })
+	wg.Go(func() { h.reportWatcher.run(ctx) })
 	for {
 		changed := h.members.Changed()
-		for _, k := range h.reconcile(ctx) {
-			wg.Go(func() { h.keep(k) })
+		for _, r := range h.reconcile(ctx) {
+			wg.Go(func() { h.maintainRegistration(r) })
 		}
 		select {
 		case <-changed:
@@ -139,8 +150,9 @@
 	}
 }
 
-// register runs one registration until it ends.
-func (h *Homes) register(ctx context.Context, home core.Instance) error {
+// runRegistration dials a home, registers with it and serves the registration
+// until it ends.
+func (h *Homes) runRegistration(ctx context.Context, home core.Instance) error {
 	conn, err := frame.Dial(home.Addr, registry.Path, h.cfg.PeerToken, dialTimeout)
 	if err != nil {
 		return err
@@ -150,14 +162,14 @@
 	defer stop()
 	defer func() { _ = conn.Close() }()
 
-	first, changed := h.observed.refresh()
-	first.Changed = true
-	first.HeartbeatMillis = time.Duration(h.heartbeat.Load()).Milliseconds()
+	firstReport, changed := h.reportWatcher.refresh()
+	firstReport.Changed = true
+	firstReport.HeartbeatMillis = time.Duration(h.heartbeat.Load()).Milliseconds()
 	hello := frame.Hello{
 		Instance:    h.cfg.Self,
 		Incarnation: h.cfg.Incarnation,
 		Service:     h.cfg.Service,
-		Report:      first,
+		Report:      firstReport,
 	}
 	if err := conn.Send(frame.KindHello, hello); err != nil {
 		return err
@@ -166,8 +178,8 @@
 	if err := conn.Expect(frame.KindWelcome, &welcome, time.Now().Add(dialTimeout)); err != nil {
 		return err
 	}
-	h.up(home)
-	defer h.down(home)
+	h.markRegistered(home)
+	defer h.markUnregistered(home)
 
 	session := confsync.NewSession(h.hub, conn, welcome.Config)
 	defer session.Close()
@@ -177,28 +189,31 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		h.reportAll(ctx, conn, first, changed)
+		h.sendReports(ctx, conn, firstReport, changed)
 		_ = conn.Close()
 	}()
 	go func() { _ = session.Announce(ctx, announceDelay) }()
-	return receive(conn, session)
+	return receiveFrames(conn, session)
 }
 
-func (h *Homes) up(home core.Instance) {
+// markRegistered records that a home has accepted the registration.
+func (h *Homes) markRegistered(home core.Instance) {
 	h.mu.Lock()
-	h.live[home.ID] = true
+	h.registered[home.ID] = true
 	h.mu.Unlock()
-	h.log.Event(eventHomeUp, eventlog.Fields{"entry": home.ID, "addr": home.Addr})
+	h.log.Event(eventHomeRegistered, eventlog.Fields{"entry": home.ID, "addr": home.Addr})
 }
 
-func (h *Homes) down(home core.Instance) {
+// markUnregistered records that the registration with a home has ended.
+func (h *Homes) markUnregistered(home core.Instance) {
 	h.mu.Lock()
-	delete(h.live, home.ID)
+	delete(h.registered, home.ID)
 	h.mu.Unlock()
 }
 
-// receive handles the entry's frames until the connection ends.
-func receive(conn *frame.Conn, session *confsync.Session) error {
+// receiveFrames handles the frames from an entry instance until the connection
+// ends.
+func receiveFrames(conn *frame.Conn, session *confsync.Session) error {
 	for {
 		f, err := conn.Receive(time.Time{})
 		if err != nil {
@@ -214,67 +229,69 @@
 	}
 }
 
-// reportAll sends a report at each heartbeat, and at once when something that
+// sendReports sends a report at each heartbeat, and at once when a value that
 // routing depends on has changed, until ctx ends or sending fails. last is the
-// report that the home knows and changed the channel that came with it.
-func (h *Homes) reportAll(ctx context.Context, conn *frame.Conn, last frame.Report, changed <-chan struct{}) {
+// report in the Hello frame, and changed the channel that refresh returned with
+// it.
+func (h *Homes) sendReports(ctx context.Context, conn *frame.Conn, last frame.Report, changed <-chan struct{}) {
 	heartbeat := time.NewTimer(time.Duration(last.HeartbeatMillis) * time.Millisecond)
 	defer heartbeat.Stop()
 	for {
-		due := false
+		heartbeatDue := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
 		case <-heartbeat.C:
-			due = true
+			heartbeatDue = true
 		}
-		var now frame.Report
-		now, changed = h.observed.refresh()
-		if !due && !mustSend(now, last) {
+		var current frame.Report
+		current, changed = h.reportWatcher.refresh()
+		if !heartbeatDue && !mustSendEarly(current, last) {
 			continue
 		}
 		interval := time.Duration(h.heartbeat.Load())
-		now.HeartbeatMillis = interval.Milliseconds()
-		if err := conn.Send(frame.KindReport, withoutRepeats(now, last)); err != nil {
+		current.HeartbeatMillis = interval.Milliseconds()
+		if err := conn.Send(frame.KindReport, withoutUnchanged(current, last)); err != nil {
 			return
 		}
-		last = now
+		last = current
 		heartbeat.Reset(interval)
 	}
 }
 
-// withoutRepeats leaves out the loaded versions and the heartbeat when last
-// told them.
-func withoutRepeats(now, last frame.Report) frame.Report {
-	if now.HeartbeatMillis == last.HeartbeatMillis {
-		now.HeartbeatMillis = 0
+// withoutUnchanged removes the loaded versions and the heartbeat from a report if
+// they are the same as in the last one.
+func withoutUnchanged(current, last frame.Report) frame.Report {
+	if current.HeartbeatMillis == last.HeartbeatMillis {
+		current.HeartbeatMillis = 0
 	}
-	now.Changed = !sameLoaded(now.Loaded, last.Loaded)
-	if !now.Changed {
-		now.Loaded = nil
+	current.Changed = !sameLoaded(current.Loaded, last.Loaded)
+	if !current.Changed {
+		current.Loaded = nil
 	}
-	return now
+	return current
 }
 
-// mustSend reports whether a report must be sent before the next heartbeat.
-func mustSend(now, last frame.Report) bool {
-	return differs(now, last) || !sameLoaded(now.Loaded, last.Loaded)
+// mustSendEarly reports whether a report must be sent before the next heartbeat.
+func mustSendEarly(current, last frame.Report) bool {
+	return routingInputsChanged(current, last) || !sameLoaded(current.Loaded, last.Loaded)
 }
 
-// limitStep is the relative change of the limit that is reported at once.
-const limitStep = 4
+// limitChangeDivisor sets which change of the limit is reported at once: one of
+// more than 1/limitChangeDivisor of the last reported limit.
+const limitChangeDivisor = 4
 
-// differs reports whether a number that routing depends on has changed.
-// Numbers of calls ride on answers and on the heartbeat.
-func differs(now, last frame.Report) bool {
-	grown := now.Limit - last.Limit
-	if grown < 0 {
-		grown = -grown
+// routingInputsChanged reports whether a value that routing depends on has
+// changed. It ignores the numbers of calls, which responses and heartbeats carry.
+func routingInputsChanged(current, last frame.Report) bool {
+	limitChange := current.Limit - last.Limit
+	if limitChange < 0 {
+		limitChange = -limitChange
 	}
-	return now.State != last.State ||
-		now.Config != last.Config ||
-		grown*limitStep > last.Limit
+	return current.State != last.State ||
+		current.Config != last.Config ||
+		limitChange*limitChangeDivisor > last.Limit
 }
 
 func sameLoaded(a, b []frame.Loaded) bool {
--- a/connection/homes/homes_test.go
+++ b/connection/homes/homes_test.go
@@ -18,10 +18,10 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-func entries(perDC int, dcs ...string) []core.Instance {
+func entryInstances(perDataCentre int, dataCentres ...string) []core.Instance {
 	var list []core.Instance
-	for _, dc := range dcs {
-		for i := range perDC {
+	for _, dc := range dataCentres {
+		for i := range perDataCentre {
 			list = append(list, core.Instance{
 				ID: fmt.Sprintf("entry-%s-%d", dc, i), Role: core.RoleEntry, DataCentre: dc, Region: dc[:1],
 			})
@@ -32,15 +32,15 @@
 
 func TestSelect(t *testing.T) {
 	self := core.Instance{ID: "gpu-1", DataCentre: "w1", Region: "w"}
-	Convey("With few entry instances all are homes", t, func() {
-		So(Select(self, entries(1, "w1", "w2", "e1", "e2"), 64, 2, 4), ShouldHaveLength, 4)
+	Convey("With few entry instances, all of them are homes", t, func() {
+		So(Select(self, entryInstances(1, "w1", "w2", "e1", "e2"), 64, 2, 4), ShouldHaveLength, 4)
 	})
-	Convey("At the target's size the homes are mostly local", t, func() {
-		chosen := Select(self, entries(55, "w1", "w2", "w3", "e1", "e2", "e3"), 64, 2, 4)
+	Convey("At the target size, most homes are in the agent's own data centre", t, func() {
+		chosen := Select(self, entryInstances(55, "w1", "w2", "w3", "e1", "e2", "e3"), 64, 2, 4)
 		So(chosen, ShouldHaveLength, 55+2*5)
 	})
-	Convey("Missing homes are made up from the nearest", t, func() {
-		chosen := Select(self, entries(5, "w2", "e1"), 64, 1, 4)
+	Convey("If the homes are fewer than the minimum, the nearest entry instances are added", t, func() {
+		chosen := Select(self, entryInstances(5, "w2", "e1"), 64, 1, 4)
 		So(chosen, ShouldHaveLength, 4)
 		near := 0
 		for _, e := range chosen {
@@ -50,15 +50,15 @@
 		}
 		So(near, ShouldEqual, 3)
 	})
-	Convey("Leaving entry instances and agents are passed over", t, func() {
-		list := entries(2, "w1")
+	Convey("Leaving entry instances and agents are not chosen", t, func() {
+		list := entryInstances(2, "w1")
 		list[0].Leaving = true
 		list = append(list, core.Instance{ID: "gpu-2", Role: core.RoleAgent, DataCentre: "w1"})
 		So(Select(self, list, 64, 2, 4), ShouldHaveLength, 1)
 	})
 }
 
-// fakeMembers is a list that a test replaces.
+// fakeMembers is a list of instances that a test can replace.
 type fakeMembers struct {
 	mu      sync.Mutex
 	list    []core.Instance
@@ -85,14 +85,14 @@
 	return m.changed
 }
 
-// fakeSource is a configuration that is only a number.
+// fakeSource is a configuration source that holds only a version number.
 type fakeSource struct {
 	mu      sync.Mutex
 	number  uint64
 	changed chan struct{}
 }
 
-func newSource(n uint64) *fakeSource { return &fakeSource{number: n, changed: make(chan struct{})} }
+func newFakeSource(n uint64) *fakeSource { return &fakeSource{number: n, changed: make(chan struct{})} }
 
 func (s *fakeSource) Number() uint64 {
 	s.mu.Lock()
@@ -123,7 +123,7 @@
 
 func (s *fakeSource) Heard(uint64, time.Time) {}
 
-func eventually(check func() bool) bool {
+func waitUntil(check func() bool) bool {
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
 		if check() {
@@ -137,7 +137,7 @@
 func TestRegistration(t *testing.T) {
 	Convey("Given an entry instance with configuration 5 and an agent with none", t, func() {
 		reg := registry.New()
-		entrySource, agentSource := newSource(5), newSource(0)
+		entrySource, agentSource := newFakeSource(5), newFakeSource(0)
 		listener := registry.NewListener(registry.ListenerConfig{
 			Self: core.Instance{ID: "entry-1", Role: core.RoleEntry}, Heartbeat: 100 * time.Millisecond,
 		}, reg, confsync.NewHub(entrySource, eventlog.Discard()), entrySource, nil, eventlog.Discard())
@@ -147,7 +147,7 @@
 
 		var mu sync.Mutex
 		report := frame.Report{State: frame.StateReady, Limit: 4}
-		current := func() frame.Report {
+		buildReport := func() frame.Report {
 			mu.Lock()
 			defer mu.Unlock()
 			report.Config = agentSource.Number()
@@ -160,7 +160,7 @@
 			Self:        core.Instance{ID: "gpu-1", Role: core.RoleAgent},
 			Incarnation: "i1",
 			Heartbeat:   100 * time.Millisecond,
-		}, members, confsync.NewHub(agentSource, eventlog.Discard()), current, eventlog.Discard())
+		}, members, confsync.NewHub(agentSource, eventlog.Discard()), buildReport, eventlog.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -168,47 +168,47 @@
 			close(done)
 		}()
 
-		Convey("the agent is registered, configured and removed at its end", func() {
-			So(eventually(func() bool { _, ok := reg.Get("gpu-1"); return ok }), ShouldBeTrue)
-			So(eventually(func() bool { return agentSource.Number() == 5 }), ShouldBeTrue)
+		Convey("the agent registers, both sides take the newer configuration, and the agent is removed when it stops", func() {
+			So(waitUntil(func() bool { _, ok := reg.Get("gpu-1"); return ok }), ShouldBeTrue)
+			So(waitUntil(func() bool { return agentSource.Number() == 5 }), ShouldBeTrue)
 
 			mu.Lock()
 			report.Loaded = []frame.Loaded{{Model: "herbs", Digest: "d1"}}
 			mu.Unlock()
-			So(eventually(func() bool {
+			So(waitUntil(func() bool {
 				srv, _ := reg.Get("gpu-1")
 				return srv.Holds("herbs", "d1") && srv.Report.Config == 5
 			}), ShouldBeTrue)
 
 			So(entrySource.Offer(frame.Config{Number: 6}), ShouldBeNil)
-			So(eventually(func() bool { return agentSource.Number() == 6 }), ShouldBeTrue)
+			So(waitUntil(func() bool { return agentSource.Number() == 6 }), ShouldBeTrue)
 
 			So(agentSource.Offer(frame.Config{Number: 9}), ShouldBeNil)
-			So(eventually(func() bool { return entrySource.Number() == 9 }), ShouldBeTrue)
+			So(waitUntil(func() bool { return entrySource.Number() == 9 }), ShouldBeTrue)
 
 			cancel()
 			<-done
-			So(eventually(func() bool { _, ok := reg.Get("gpu-1"); return !ok }), ShouldBeTrue)
+			So(waitUntil(func() bool { _, ok := reg.Get("gpu-1"); return !ok }), ShouldBeTrue)
 		})
-		Convey("the registration outlives a list that lacks the entry instance or calls it leaving", func() {
-			So(eventually(func() bool { _, ok := reg.Get("gpu-1"); return ok }), ShouldBeTrue)
+		Convey("the registration stays while the list lacks the entry instance or marks it as leaving", func() {
+			So(waitUntil(func() bool { _, ok := reg.Get("gpu-1"); return ok }), ShouldBeTrue)
 			before, _ := reg.Get("gpu-1")
 
 			leaving := members.All()[0]
 			leaving.Leaving = true
 			for _, list := range [][]core.Instance{nil, {leaving}} {
 				members.set(list)
-				heard := time.Now()
-				So(eventually(func() bool { srv, _ := reg.Get("gpu-1"); return srv.Heard.After(heard) }), ShouldBeTrue)
-				now, _ := reg.Get("gpu-1")
-				So(now.Registration, ShouldEqual, before.Registration)
+				changedAt := time.Now()
+				So(waitUntil(func() bool { srv, _ := reg.Get("gpu-1"); return srv.Heard.After(changedAt) }), ShouldBeTrue)
+				after, _ := reg.Get("gpu-1")
+				So(after.Registration, ShouldEqual, before.Registration)
 			}
 
 			listener.Close()
-			So(eventually(func() bool { return h.Registered() == 0 && len(reg.All()) == 0 }), ShouldBeTrue)
+			So(waitUntil(func() bool { return h.Registered() == 0 && len(reg.All()) == 0 }), ShouldBeTrue)
 			leaving.Leaving = false
 			members.set([]core.Instance{leaving})
-			So(eventually(func() bool { _, ok := reg.Get("gpu-1"); return ok }), ShouldBeTrue)
+			So(waitUntil(func() bool { _, ok := reg.Get("gpu-1"); return ok }), ShouldBeTrue)
 		})
 		Reset(func() {
 			cancel()
--- a/connection/homes/keep.go
+++ b/connection/homes/keep.go
@@ -17,96 +17,101 @@
 	maxBackoff = 3 * time.Second
 )
 
-// address is one process of an entry instance.
-type address struct{ id, addr string }
+// endpoint identifies one process of an entry instance by instance ID and network
+// address.
+type endpoint struct{ id, addr string }
 
-func addressOf(in core.Instance) address { return address{id: in.ID, addr: in.Addr} }
+func endpointOf(in core.Instance) endpoint { return endpoint{id: in.ID, addr: in.Addr} }
 
-// keeping is a registration that is kept up. wanted and ended are guarded by
-// Homes.mu.
-type keeping struct {
+// registration is a registration with one home. Homes.mu guards wanted and ended.
+type registration struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	home   core.Instance
-	// wanted says that the registration is dialled again when it ends.
+	// wanted is true if the home is dialled again when the registration ends.
 	wanted bool
-	ended  bool
+	// ended is true once the registration has ended and the home is not dialled
+	// again.
+	ended bool
 }
 
-// reconcile compares the registrations with the list, ends those that are not
-// to be kept, and returns new ones to keep.
+// reconcile compares the registrations with the list of instances. It ends those
+// that are no longer needed and returns new ones, which the caller starts.
 //
-// A registration that stands is evidence of its own: while the list lacks the
-// entry instance, or calls it leaving, the registration stays until the entry
-// instance itself ends it, for the balancer may still send calls there. It
-// ends here only when other homes are chosen in its place.
-func (h *Homes) reconcile(ctx context.Context) []*keeping {
+// An accepted registration proves that the entry instance is running. While the
+// list lacks the entry instance or marks it as leaving, the registration stays
+// until the entry instance ends it, because the load balancer may still send
+// calls there. reconcile ends an accepted registration only if the list contains
+// the entry instance as not leaving and Select no longer chooses it.
+func (h *Homes) reconcile(ctx context.Context) []*registration {
 	members := h.members.All()
 	chosen := Select(h.cfg.Self, members, h.cfg.MaxLocal, h.cfg.PerRemote, h.cfg.MinHomes)
 	h.heartbeat.Store(int64(Heartbeat(h.cfg.Heartbeat, members, len(chosen))))
-	staying := map[address]bool{}
+	active := map[endpoint]bool{}
 	for _, in := range members {
-		staying[addressOf(in)] = !in.Leaving
+		active[endpointOf(in)] = !in.Leaving
 	}
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, k := range h.kept {
-		k.wanted = false
+	for _, r := range h.registrations {
+		r.wanted = false
 	}
-	var started []*keeping
+	var started []*registration
 	for _, home := range chosen {
-		a := addressOf(home)
-		if k := h.kept[a]; k != nil && !k.ended {
-			k.wanted = true
+		key := endpointOf(home)
+		if r := h.registrations[key]; r != nil && !r.ended {
+			r.wanted = true
 			continue
 		}
-		k := &keeping{home: home, wanted: true}
-		k.ctx, k.cancel = context.WithCancel(ctx)
-		h.kept[a] = k
-		started = append(started, k)
+		r := &registration{home: home, wanted: true}
+		r.ctx, r.cancel = context.WithCancel(ctx)
+		h.registrations[key] = r
+		started = append(started, r)
 	}
-	for a, k := range h.kept {
-		replaced := staying[a] || !h.live[a.id]
-		if k.wanted || !replaced && !k.ended {
+	for key, r := range h.registrations {
+		mayEnd := active[key] || !h.registered[key.id]
+		if r.wanted || !mayEnd && !r.ended {
 			continue
 		}
-		k.cancel()
-		delete(h.kept, a)
+		r.cancel()
+		delete(h.registrations, key)
 	}
 	return started
 }
 
-// keep registers with one home again and again until it is not wanted.
-func (h *Homes) keep(k *keeping) {
-	defer k.cancel()
-	wait := backoff.NewExponentialBackOff(
+// maintainRegistration registers with one home, again after each loss, until the
+// registration is no longer wanted.
+func (h *Homes) maintainRegistration(r *registration) {
+	defer r.cancel()
+	delay := backoff.NewExponentialBackOff(
 		backoff.WithInitialInterval(firstBackoff),
 		backoff.WithMaxInterval(maxBackoff),
 		backoff.WithMaxElapsedTime(0),
 	)
 	for {
 		started := time.Now()
-		err := h.register(k.ctx, k.home)
-		if k.ctx.Err() != nil || h.over(k) {
+		err := h.runRegistration(r.ctx, r.home)
+		if r.ctx.Err() != nil || h.endIfUnwanted(r) {
 			return
 		}
-		h.log.Fail(eventHomeDown, err, eventlog.Fields{"entry": k.home.ID, "addr": k.home.Addr})
+		h.log.Fail(eventHomeLost, err, eventlog.Fields{"entry": r.home.ID, "addr": r.home.Addr})
 		if time.Since(started) > maxBackoff {
-			wait.Reset()
+			delay.Reset()
 		}
 		select {
-		case <-time.After(wait.NextBackOff()):
-		case <-k.ctx.Done():
+		case <-time.After(delay.NextBackOff()):
+		case <-r.ctx.Done():
 			return
 		}
 	}
 }
 
-// over reports whether a registration that ended is not to be dialled again.
-func (h *Homes) over(k *keeping) bool {
+// endIfUnwanted marks a registration as ended unless it is still wanted, and
+// reports whether it did.
+func (h *Homes) endIfUnwanted(r *registration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	k.ended = !k.wanted
-	return k.ended
+	r.ended = !r.wanted
+	return r.ended
 }
--- a/connection/homes/observed.go
+++ b/connection/homes/observed.go
@@ -8,37 +8,38 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// observed tells every registration when the agent's report has changed, so
-// that an agent with many homes looks at it once.
-type observed struct {
+// reportWatcher checks the agent's report for changes and notifies all
+// registrations, so that an agent with many homes checks it only once.
+type reportWatcher struct {
+	// build returns the current report.
 	build func() frame.Report
 
 	mu sync.Mutex
-	// told is the report for which changed was closed last.
-	told    frame.Report
-	changed chan struct{}
+	// lastNotified is the report for which changed was closed last.
+	lastNotified frame.Report
+	changed      chan struct{}
 }
 
-func newObserved(build func() frame.Report) *observed {
-	return &observed{build: build, changed: make(chan struct{})}
+func newReportWatcher(build func() frame.Report) *reportWatcher {
+	return &reportWatcher{build: build, changed: make(chan struct{})}
 }
 
-// refresh returns the report of now, and a channel closed when a later one
-// must be sent before the next heartbeat.
-func (o *observed) refresh() (frame.Report, <-chan struct{}) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	now := o.build()
-	if mustSend(now, o.told) {
-		o.told = now
-		close(o.changed)
-		o.changed = make(chan struct{})
+// refresh returns the current report, and a channel that is closed when a later
+// one must be sent before the next heartbeat.
+func (w *reportWatcher) refresh() (frame.Report, <-chan struct{}) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	current := w.build()
+	if mustSendEarly(current, w.lastNotified) {
+		w.lastNotified = current
+		close(w.changed)
+		w.changed = make(chan struct{})
 	}
-	return now, o.changed
+	return current, w.changed
 }
 
-// run looks at what is to be reported until ctx ends.
-func (o *observed) run(ctx context.Context) {
+// run checks the report every checkInterval until ctx ends.
+func (w *reportWatcher) run(ctx context.Context) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
@@ -47,6 +48,6 @@
 			return
 		case <-ticker.C:
 		}
-		o.refresh()
+		w.refresh()
 	}
 }
--- a/connection/homes/select.go
+++ b/connection/homes/select.go
@@ -10,21 +10,21 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Select returns the entry instances that the agent self should register
-// with: those of its own data centre up to maxLocal, and perRemote in each
-// other data centre. When that gives fewer than minHomes, more are added,
-// same region first. The choice is by rendezvous hashing, so that it is
-// stable and spreads the agents evenly.
+// Select returns the entry instances with which the agent self should register:
+// up to maxLocal in its own data centre, and up to perRemote in each other one.
+// If these are fewer than minHomes, more are added, those of the same region
+// first. Rendezvous hashing keeps the choice stable and spreads the agents evenly
+// over the entry instances. Leaving entry instances are not chosen.
 func Select(self core.Instance, entries []core.Instance, maxLocal, perRemote, minHomes int) []core.Instance {
-	byDC := map[string][]core.Instance{}
+	byDataCentre := map[string][]core.Instance{}
 	for _, e := range entries {
 		if e.Role != core.RoleEntry || e.Leaving {
 			continue
 		}
-		byDC[e.DataCentre] = append(byDC[e.DataCentre], e)
+		byDataCentre[e.DataCentre] = append(byDataCentre[e.DataCentre], e)
 	}
-	var chosen, spare []core.Instance
-	for dc, list := range byDC {
+	var chosen, remaining []core.Instance
+	for dc, list := range byDataCentre {
 		ranked := rank(self.ID, list)
 		n := perRemote
 		if dc == self.DataCentre {
@@ -32,19 +32,20 @@
 		}
 		n = min(n, len(ranked))
 		chosen = append(chosen, ranked[:n]...)
-		spare = append(spare, ranked[n:]...)
+		remaining = append(remaining, ranked[n:]...)
 	}
 	if missing := minHomes - len(chosen); missing > 0 {
-		sortNearest(self, spare)
-		chosen = append(chosen, spare[:min(missing, len(spare))]...)
+		sortByDistance(self, remaining)
+		chosen = append(chosen, remaining[:min(missing, len(remaining))]...)
 	}
 	return chosen
 }
 
-// Heartbeat returns the longest time between two reports of an agent with this
-// many homes: least, or longer when each entry instance hears more than
-// FullRateAgents of the agents in the list, so that it gets no more reports.
-func Heartbeat(least time.Duration, list []core.Instance, homes int) time.Duration {
+// Heartbeat returns the longest time between two reports of an agent that has the
+// given number of homes. It is base while at most FullRateAgents of the agents in
+// the list register with each entry instance. Above that it grows in proportion,
+// so that the rate of reports at an entry instance does not.
+func Heartbeat(base time.Duration, list []core.Instance, homes int) time.Duration {
 	entries, agents := 0, 0
 	for _, in := range list {
 		switch in.Role {
@@ -55,13 +56,14 @@
 		}
 	}
 	if entries == 0 {
-		return least
+		return base
 	}
-	heard := float64(agents*homes) / float64(entries)
-	return time.Duration(float64(least) * max(1, heard/FullRateAgents))
+	agentsPerEntry := float64(agents*homes) / float64(entries)
+	return time.Duration(float64(base) * max(1, agentsPerEntry/FullRateAgents))
 }
 
-// rank orders list by rendezvous hashing for key.
+// rank returns list in the order of rendezvous hashing for key, the preferred
+// instance first.
 func rank(key string, list []core.Instance) []core.Instance {
 	byID := map[string]core.Instance{}
 	ids := make([]string, 0, len(list))
@@ -80,6 +82,7 @@
 	return ranked
 }
 
+// remove returns ids without id.
 func remove(ids []string, id string) []string {
 	kept := ids[:0:0]
 	for _, other := range ids {
@@ -90,9 +93,10 @@
 	return kept
 }
 
-// sortNearest orders spare: own data centre, own region, then the others, and
-// by the agent's rendezvous order inside each.
-func sortNearest(self core.Instance, spare []core.Instance) {
+// sortByDistance sorts remaining: instances of the agent's own data centre first,
+// then of its own region, then the others. A hash of agent and instance orders
+// those at the same distance.
+func sortByDistance(self core.Instance, remaining []core.Instance) {
 	distance := func(in core.Instance) int {
 		switch {
 		case in.DataCentre == self.DataCentre:
@@ -103,11 +107,11 @@
 			return 2
 		}
 	}
-	sort.Slice(spare, func(i, j int) bool {
-		di, dj := distance(spare[i]), distance(spare[j])
+	sort.Slice(remaining, func(i, j int) bool {
+		di, dj := distance(remaining[i]), distance(remaining[j])
 		if di != dj {
 			return di < dj
 		}
-		return xxhash.Sum64String(self.ID+spare[i].ID) < xxhash.Sum64String(self.ID+spare[j].ID)
+		return xxhash.Sum64String(self.ID+remaining[i].ID) < xxhash.Sum64String(self.ID+remaining[j].ID)
 	})
 }
