--- a/connection/exchange/doc.go
+++ b/connection/exchange/doc.go
@@ -1,5 +1,6 @@
-// Package exchange connects entry instances with each other. Each tells all
-// others what it runs at the servers, so that together they fill every server
-// and overload none, and hands on the tables of the platform's store to those
-// that the store does not answer.
+// Package exchange implements the connections between entry instances. Each
+// entry instance sends to all others the number of requests that it runs at each
+// backend server, so that together they use every server fully and overload none.
+// It also sends the tables of the platform's store to entry instances that get no
+// answer from the store.
 package exchange
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -16,78 +16,89 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// Path is where an entry instance takes the connections of others.
+// Path is the HTTP path at which an entry instance accepts connections from
+// other entry instances.
 const Path = "/internal/exchange"
 
 const (
-	// tick is the time between two messages while counts change: in it a
-	// server of 12 requests a second gets about half a request.
-	tick = 50 * time.Millisecond
-	// heartbeat is the time between two messages on a quiet connection, and
-	// silentAfter how long the other side waits for one.
-	heartbeat   = 500 * time.Millisecond
-	silentAfter = 2 * time.Second
+	// sendInterval is the time between two messages while counts change. In this
+	// time, a backend server that takes 12 requests per second gets about half a
+	// request.
+	sendInterval = 50 * time.Millisecond
+	// heartbeatInterval is the time between two messages on an idle
+	// connection. The receiver closes the connection when no message arrives
+	// within receiveTimeout.
+	heartbeatInterval = 500 * time.Millisecond
+	receiveTimeout    = 2 * time.Second
 )
 
-// redial are the pauses before a peer is dialled again.
-var redial = dial.Pauses{Least: 100 * time.Millisecond, Most: time.Second, Steady: time.Second}
+// redialPauses are the pauses before a peer is dialled again.
+var redialPauses = dial.Pauses{Least: 100 * time.Millisecond, Most: time.Second, Steady: time.Second}
 
 var (
-	eventPeer = eventlog.Define(150, "exchange-peer", logrus.InfoLevel,
-		"This entry instance is connected to another one.")
-	eventPeerGone = eventlog.Define(151, "exchange-peer-gone", logrus.InfoLevel,
-		"The connection to another entry instance failed or ended; it is dialled again.")
-	eventWant = eventlog.Define(152, "exchange-want", logrus.InfoLevel,
-		"Another entry instance knows a newer table than the store has brought here; it is asked for it.")
+	eventPeerConnected = eventlog.Define(150, "exchange-peer", logrus.InfoLevel,
+		"This entry instance connected to another one.")
+	eventPeerDisconnected = eventlog.Define(151, "exchange-peer-gone", logrus.InfoLevel,
+		"The connection to or from another entry instance failed or ended; the side that opened it dials again.")
+	eventTablesRequested = eventlog.Define(152, "exchange-want", logrus.InfoLevel,
+		"Another entry instance has a newer version of a table than this one got from the store; this one requests the table from it.")
 )
 
-// Loads is what is told of this instance's load and learned of the others'.
+// Loads provides the request counts of this entry instance and takes in those of
+// its peers.
 type Loads interface {
-	// Running returns the number of requests running at each server.
+	// Running returns the number of requests that this entry instance runs at
+	// each backend server, by server ID.
 	Running() map[string]int
-	// PeerBegan and PeerLoads take in what another instance tells.
+	// PeerBegan discards the counts of a peer that has connected again.
 	PeerBegan(peer string)
+	// PeerLoads updates the counts of a peer. running holds only the counts that
+	// have changed, by server ID.
 	PeerLoads(peer string, running map[string]int)
 }
 
-// Config holds what an Exchange needs.
+// Config holds the settings and dependencies of an Exchange.
 type Config struct {
 	// Self is this entry instance.
 	Self core.Instance
-	// Token authenticates our processes to each other.
+	// Token is the peer token sent to other entry instances.
 	Token string
-	// Holder gives and takes the ages of declared weights.
+	// Holder holds the declared weights, whose ages are exchanged.
 	Holder *catalog.Holder
-	// Declared and Servers follow the tables.
+	// Declared and Servers follow the table of declarations and the table of
+	// backend servers in the store.
 	Declared, Servers *catalog.Follower
-	// Loads is what is exchanged.
+	// Loads provides and receives the request counts.
 	Loads Loads
-	// Log takes a line for each change.
+	// Log receives an event for each change.
 	Log *eventlog.Logger
-	// Clock gives the time.
+	// Clock is the time source.
 	Clock clockwork.Clock
 }
 
 // Exchange holds the connections to the other entry instances. It is safe for
 // concurrent use.
 type Exchange struct {
-	cfg   Config
-	mu    sync.Mutex
-	known map[string]bool
-	found chan string
-	// asked is when each table was last asked for.
-	asked map[catalog.Table]time.Time
+	cfg Config
+	mu  sync.Mutex
+	// known holds the addresses of all known entry instances including this one,
+	// and discovered those that Run has yet to start dialling.
+	known      map[string]bool
+	discovered chan string
+	// lastRequested is the time at which each table was last requested.
+	lastRequested map[catalog.Table]time.Time
 }
 
-// New returns an Exchange that dials once it runs.
+// New returns an Exchange without connections; Run opens them.
 func New(cfg Config) *Exchange {
 	return &Exchange{
-		cfg: cfg, known: map[string]bool{cfg.Self.Addr: true}, found: make(chan string, 256),
-		asked: map[catalog.Table]time.Time{},
+		cfg: cfg, known: map[string]bool{cfg.Self.Addr: true}, discovered: make(chan string, 256),
+		lastRequested: map[catalog.Table]time.Time{},
 	}
 }
 
-// Learn begins to dial the entry instance at addr, unless it is known.
+// Learn queues the entry instance at addr for dialling unless it is known. While
+// the queue is full, addr is dropped.
 func (x *Exchange) Learn(addr string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -95,44 +106,46 @@
 		return
 	}
 	select {
-	case x.found <- addr:
+	case x.discovered <- addr:
 		x.known[addr] = true
 	default:
 	}
 }
 
-// Known returns the addresses of all known entry instances.
+// Known returns the addresses of all known entry instances, including this one.
 func (x *Exchange) Known() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	all := make([]string, 0, len(x.known))
+	addrs := make([]string, 0, len(x.known))
 	for addr := range x.known {
-		all = append(all, addr)
+		addrs = append(addrs, addr)
 	}
-	return all
+	return addrs
 }
 
-// Run dials the others until ctx ends.
+// Run dials the other entry instances, again after each loss, until ctx ends.
 func (x *Exchange) Run(ctx context.Context) error {
-	var all sync.WaitGroup
-	defer all.Wait()
+	var connections sync.WaitGroup
+	defer connections.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case addr := <-x.found:
-			all.Go(func() {
-				tell := func(ctx context.Context, timeout time.Duration) error { return x.tell(ctx, addr, timeout) }
-				dial.Keep(ctx, x.cfg.Clock, redial, tell, func(err error) {
-					x.cfg.Log.Fail(eventPeerGone, err, eventlog.Fields{"peer": addr})
+		case addr := <-x.discovered:
+			connections.Go(func() {
+				session := func(ctx context.Context, timeout time.Duration) error { return x.sendLoads(ctx, addr, timeout) }
+				dial.Keep(ctx, x.cfg.Clock, redialPauses, session, func(err error) {
+					x.cfg.Log.Fail(eventPeerDisconnected, err, eventlog.Fields{"peer": addr})
 				})
 			})
 		}
 	}
 }
 
-// tell is one connection on which this instance tells another what it runs.
-func (x *Exchange) tell(ctx context.Context, addr string, timeout time.Duration) error {
+// sendLoads opens a connection to a peer within timeout and sends the request
+// counts on it until it ends. On the same connection it serves the table requests
+// of the peer.
+func (x *Exchange) sendLoads(ctx context.Context, addr string, timeout time.Duration) error {
 	conn, err := frame.Dial(addr, Path, x.cfg.Token, timeout)
 	if err != nil {
 		return err
@@ -143,27 +156,27 @@
 	if err := conn.Send(frame.KindEntryHello, frame.EntryHello{Self: x.cfg.Self}); err != nil {
 		return err
 	}
-	x.cfg.Log.Event(eventPeer, eventlog.Fields{"peer": addr})
+	x.cfg.Log.Event(eventPeerConnected, eventlog.Fields{"peer": addr})
 	failed := make(chan error, 1)
-	go func() { failed <- x.serveWants(conn) }()
-	told := map[string]int{}
-	var last time.Time
+	go func() { failed <- x.serveTableRequests(conn) }()
+	sent := map[string]int{}
+	var lastHeartbeat time.Time
 	for {
 		l := frame.Loads{
 			Declared: x.cfg.Declared.Changed(), Servers: x.cfg.Servers.Changed(),
-			Running: changes(told, x.cfg.Loads.Running()),
+			Running: changedCounts(sent, x.cfg.Loads.Running()),
 		}
 		now := x.cfg.Clock.Now()
-		beat := now.Sub(last) >= heartbeat
-		if beat {
-			l.Weights = x.ages(now)
+		heartbeatDue := now.Sub(lastHeartbeat) >= heartbeatInterval
+		if heartbeatDue {
+			l.Weights = x.recentWeights(now)
 		}
-		if len(l.Running) > 0 || beat {
+		if len(l.Running) > 0 || heartbeatDue {
 			if err := conn.Send(frame.KindLoads, l); err != nil {
 				return err
 			}
-			if beat {
-				last = now
+			if heartbeatDue {
+				lastHeartbeat = now
 			}
 		}
 		select {
@@ -171,62 +184,67 @@
 			return nil
 		case err := <-failed:
 			return err
-		case <-x.cfg.Clock.After(tick):
+		case <-x.cfg.Clock.After(sendInterval):
 		}
 	}
 }
 
-// agesWithin is for how long after their declaration the ages of weights are
-// told: an instance that was frozen or cut off learns of them too late.
-const agesWithin = 20 * time.Second
+// sendAgesFor is how long after its declaration the age of a version of the
+// weights is sent to peers. A peer that was paused or disconnected receives the
+// declaration late, and could not know the age otherwise.
+const sendAgesFor = 20 * time.Second
 
-// ages returns the declared weights that became known lately.
-func (x *Exchange) ages(now time.Time) []frame.WantedWeights {
-	var all []frame.WantedWeights
-	for _, w := range x.cfg.Holder.Current().Declared(now, agesWithin) {
-		all = append(all, frame.WantedWeights{
+// recentWeights returns the weights declared within the last sendAgesFor, with
+// their ages.
+func (x *Exchange) recentWeights(now time.Time) []frame.WantedWeights {
+	var recent []frame.WantedWeights
+	for _, w := range x.cfg.Holder.Current().Declared(now, sendAgesFor) {
+		recent = append(recent, frame.WantedWeights{
 			Model: w.Model, Version: w.Version, AgeMs: now.Sub(w.Known).Milliseconds(),
 		})
 	}
-	return all
+	return recent
 }
 
-// learn takes in the ages that another instance tells.
-func (x *Exchange) learn(told []frame.WantedWeights) {
+// applyAges takes over the ages of declared weights from a peer.
+func (x *Exchange) applyAges(weights []frame.WantedWeights) {
 	now := x.cfg.Clock.Now()
-	for _, w := range told {
-		known := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
-		x.cfg.Holder.Learn(catalog.Weights{Model: w.Model, Version: w.Version, Known: known}, now)
+	for _, w := range weights {
+		declaredAt := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
+		x.cfg.Holder.Learn(catalog.Weights{Model: w.Model, Version: w.Version, Known: declaredAt}, now)
 	}
 }
 
-// changes returns the counts that differ from those told, and notes them.
-func changes(told, now map[string]int) map[string]int {
-	out := map[string]int{}
-	for id, n := range now {
-		if told[id] != n {
-			out[id], told[id] = n, n
+// changedCounts returns the counts in current that differ from those in sent, and
+// 0 for servers that have a count in sent but are missing in current. It updates
+// sent to match current.
+func changedCounts(sent, current map[string]int) map[string]int {
+	changed := map[string]int{}
+	for id, n := range current {
+		if sent[id] != n {
+			changed[id], sent[id] = n, n
 		}
 	}
-	for id, n := range told {
-		if _, ok := now[id]; !ok {
+	for id, n := range sent {
+		if _, ok := current[id]; !ok {
 			if n != 0 {
-				out[id] = 0
+				changed[id] = 0
 			}
-			delete(told, id)
+			delete(sent, id)
 		}
 	}
-	return out
+	return changed
 }
 
-// serveWants sends the tables that the other side asks for.
-func (x *Exchange) serveWants(conn *frame.Conn) error {
+// serveTableRequests sends the tables that the peer requests, until the connection
+// ends.
+func (x *Exchange) serveTableRequests(conn *frame.Conn) error {
 	for {
-		var want frame.Want
-		if err := conn.Expect(frame.KindWant, &want, time.Time{}); err != nil {
+		var request frame.Want
+		if err := conn.Expect(frame.KindWant, &request, time.Time{}); err != nil {
 			return err
 		}
-		for _, t := range want.Tables {
+		for _, t := range request.Tables {
 			s := frame.TableState{Table: t, State: x.follower(t).State()}
 			if err := conn.Send(frame.KindTable, s); err != nil {
 				return err
@@ -235,6 +253,7 @@
 	}
 }
 
+// follower returns the follower of a table.
 func (x *Exchange) follower(t catalog.Table) *catalog.Follower {
 	if t == catalog.TableServers {
 		return x.cfg.Servers
@@ -242,8 +261,8 @@
 	return x.cfg.Declared
 }
 
-// ServeHTTP takes the connection of another instance; the caller has checked
-// its token.
+// ServeHTTP accepts the connection of a peer and returns when it has ended. The
+// caller has checked the peer token.
 func (x *Exchange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
@@ -251,24 +270,25 @@
 	}
 	defer func() { _ = conn.Close() }()
 	var hello frame.EntryHello
-	if err := conn.Expect(frame.KindEntryHello, &hello, x.due()); err != nil {
-		x.cfg.Log.Fail(eventPeerGone, err, eventlog.Fields{"peer": conn.Peer()})
+	if err := conn.Expect(frame.KindEntryHello, &hello, x.receiveDeadline()); err != nil {
+		x.cfg.Log.Fail(eventPeerDisconnected, err, eventlog.Fields{"peer": conn.Peer()})
 		return
 	}
 	conn.SetPeer(hello.Self.ID)
 	x.Learn(hello.Self.Addr)
 	x.cfg.Loads.PeerBegan(hello.Self.ID)
-	err = x.listen(conn, hello.Self.ID)
-	x.cfg.Log.Fail(eventPeerGone, err, eventlog.Fields{"peer": hello.Self.ID, "from": "accepted"})
+	err = x.receiveFrames(conn, hello.Self.ID)
+	x.cfg.Log.Fail(eventPeerDisconnected, err, eventlog.Fields{"peer": hello.Self.ID, "from": "accepted"})
 }
 
-func (x *Exchange) due() time.Time { return x.cfg.Clock.Now().Add(silentAfter) }
+// receiveDeadline returns the time by which the next message must arrive.
+func (x *Exchange) receiveDeadline() time.Time { return x.cfg.Clock.Now().Add(receiveTimeout) }
 
-// listen takes in what another instance tells.
-func (x *Exchange) listen(conn *frame.Conn, peer string) error {
-	behind := map[catalog.Table]*lag{catalog.TableDeclared: {}, catalog.TableServers: {}}
+// receiveFrames handles the messages of a peer until the connection ends.
+func (x *Exchange) receiveFrames(conn *frame.Conn, peer string) error {
+	lags := map[catalog.Table]*lag{catalog.TableDeclared: {}, catalog.TableServers: {}}
 	for {
-		f, err := conn.Receive(x.due())
+		f, err := conn.Receive(x.receiveDeadline())
 		if err != nil {
 			return err
 		}
@@ -279,8 +299,8 @@
 				return err
 			}
 			x.cfg.Loads.PeerLoads(peer, l.Running)
-			x.learn(l.Weights)
-			if err := x.ask(conn, peer, l, behind); err != nil {
+			x.applyAges(l.Weights)
+			if err := x.requestTables(conn, peer, l, lags); err != nil {
 				return err
 			}
 		case frame.KindTable:
@@ -293,20 +313,21 @@
 	}
 }
 
-// ask asks for the tables of which the store does not bring what the peer knows.
-func (x *Exchange) ask(conn *frame.Conn, peer string, l frame.Loads, behind map[catalog.Table]*lag) error {
-	var want frame.Want
+// requestTables requests those tables of which the peer has a revision that is
+// overdue here.
+func (x *Exchange) requestTables(conn *frame.Conn, peer string, l frame.Loads, lags map[catalog.Table]*lag) error {
+	var request frame.Want
 	now := x.cfg.Clock.Now()
-	for t, theirs := range map[catalog.Table]uint64{
+	for t, peerRevision := range map[catalog.Table]uint64{
 		catalog.TableDeclared: l.Declared, catalog.TableServers: l.Servers,
 	} {
-		if behind[t].missing(x.follower(t).Changed(), theirs, now) && x.mayAsk(t, now) {
-			want.Tables = append(want.Tables, t)
+		if lags[t].overdue(x.follower(t).Changed(), peerRevision, now) && x.allowRequest(t, now) {
+			request.Tables = append(request.Tables, t)
 		}
 	}
-	if len(want.Tables) == 0 {
+	if len(request.Tables) == 0 {
 		return nil
 	}
-	x.cfg.Log.Event(eventWant, eventlog.Fields{"peer": peer, "tables": len(want.Tables)})
-	return conn.Send(frame.KindWant, want)
+	x.cfg.Log.Event(eventTablesRequested, eventlog.Fields{"peer": peer, "tables": len(request.Tables)})
+	return conn.Send(frame.KindWant, request)
 }
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -23,75 +23,75 @@
 	token = "test-token"
 )
 
-// deadStore is a store that does not answer; rows are decoded as
-// configurations.
-type deadStore struct{}
+// unavailableStore is a store whose calls fail. It decodes rows of the table of
+// declarations as configurations.
+type unavailableStore struct{}
 
-func (deadStore) List(context.Context, catalog.Table) ([]catalog.Row, uint64, error) {
+func (unavailableStore) List(context.Context, catalog.Table) ([]catalog.Row, uint64, error) {
 	return nil, 0, errors.New("down")
 }
 
-func (deadStore) Feed(context.Context, catalog.Table, uint64, time.Duration) ([]catalog.Row, uint64, error) {
+func (unavailableStore) Feed(context.Context, catalog.Table, uint64, time.Duration) ([]catalog.Row, uint64, error) {
 	return nil, 0, errors.New("down")
 }
 
-func (deadStore) Decode(t catalog.Table, r catalog.Row, _ time.Time) (catalog.Change, error) {
+func (unavailableStore) Decode(t catalog.Table, r catalog.Row, _ time.Time) (catalog.Change, error) {
 	if t == catalog.TableServers {
 		return catalog.Change{Server: &catalog.Server{ID: r.Key}}, nil
 	}
 	return catalog.Change{Config: &catalog.Config{Version: int64(r.Revision)}}, nil
 }
 
-// loads remembers what the other instance told.
-type loads struct {
-	mu      sync.Mutex
-	running map[string]int
-	told    map[string]int
+// fakeLoads stores the counts that the other instance sends.
+type fakeLoads struct {
+	mu       sync.Mutex
+	running  map[string]int
+	received map[string]int
 }
 
-func (l *loads) Running() map[string]int {
+func (l *fakeLoads) Running() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.running
 }
 
-func (l *loads) set(running map[string]int) {
+func (l *fakeLoads) set(running map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.running = running
 }
 
-func (l *loads) PeerBegan(string) { l.PeerLoads("", nil) }
+func (l *fakeLoads) PeerBegan(string) { l.PeerLoads("", nil) }
 
-func (l *loads) PeerLoads(_ string, running map[string]int) {
+func (l *fakeLoads) PeerLoads(_ string, running map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, n := range running {
-		l.told[id] = n
+		l.received[id] = n
 	}
 }
 
-func (l *loads) heard(id string) int {
+func (l *fakeLoads) receivedCount(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.told[id]
+	return l.received[id]
 }
 
-// instance is an entry instance's part in the exchange.
-type instance struct {
+// testInstance is an entry instance with what the exchange needs.
+type testInstance struct {
 	*Exchange
 	holder            *catalog.Holder
 	declared, servers *catalog.Follower
-	loads             *loads
+	loads             *fakeLoads
 }
 
-// newInstance starts an instance that knows no other.
-func newInstance(t *testing.T, name string) *instance {
+// newTestInstance starts an instance that knows no other one.
+func newTestInstance(t *testing.T, name string) *testInstance {
 	t.Helper()
 	clock, log := clockwork.NewRealClock(), eventlog.Discard()
-	i := &instance{holder: catalog.NewHolder(log), loads: &loads{told: map[string]int{}}}
-	i.declared = catalog.NewFollower(catalog.TableDeclared, deadStore{}, i.holder, log, clock)
-	i.servers = catalog.NewFollower(catalog.TableServers, deadStore{}, i.holder, log, clock)
+	i := &testInstance{holder: catalog.NewHolder(log), loads: &fakeLoads{received: map[string]int{}}}
+	i.declared = catalog.NewFollower(catalog.TableDeclared, unavailableStore{}, i.holder, log, clock)
+	i.servers = catalog.NewFollower(catalog.TableServers, unavailableStore{}, i.holder, log, clock)
 	var handler http.Handler
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { handler.ServeHTTP(w, r) }))
 	i.Exchange = New(Config{
@@ -115,18 +115,18 @@
 }
 
 func TestExchange(t *testing.T) {
-	Convey("Two instances of which one knows the other tell each other what they run", t, func() {
-		a, b := newInstance(t, "a"), newInstance(t, "b")
+	Convey("Two instances, one of which knows the other, send each other their request counts", t, func() {
+		a, b := newTestInstance(t, "a"), newTestInstance(t, "b")
 		a.loads.set(map[string]int{"s1": 3})
 		b.loads.set(map[string]int{"s2": 5})
 		a.Learn(b.cfg.Self.Addr)
-		So(wait.Until(func() bool { return b.loads.heard("s1") == 3 && a.loads.heard("s2") == 5 }), ShouldBeTrue)
+		So(wait.Until(func() bool { return b.loads.receivedCount("s1") == 3 && a.loads.receivedCount("s2") == 5 }), ShouldBeTrue)
 		a.loads.set(map[string]int{})
-		So(wait.Until(func() bool { return b.loads.heard("s1") == 0 }), ShouldBeTrue)
+		So(wait.Until(func() bool { return b.loads.receivedCount("s1") == 0 }), ShouldBeTrue)
 	})
 
-	Convey("An instance that the store does not answer gets the newer tables and ages from another", t, func() {
-		a, b := newInstance(t, "a"), newInstance(t, "b")
+	Convey("An instance that gets no answer from the store gets newer tables and the ages of weights from another one", t, func() {
+		a, b := newTestInstance(t, "a"), newTestInstance(t, "b")
 		a.declared.Relay(catalog.State{Rows: []catalog.Row{{Key: "config", Revision: 7}}, Changed: 7, Read: 9}, "store")
 		a.servers.Relay(catalog.State{Rows: []catalog.Row{{Key: "s1", Revision: 8}}, Changed: 8, Read: 9}, "store")
 		known := time.Now().Add(-3 * time.Second)
@@ -140,12 +140,12 @@
 	})
 }
 
-func TestChangesAreToldOnce(t *testing.T) {
-	Convey("Only counts that changed are told, and servers that are gone as 0", t, func() {
-		told := map[string]int{}
-		So(changes(told, map[string]int{"a": 2, "b": 1}), ShouldResemble, map[string]int{"a": 2, "b": 1})
-		So(changes(told, map[string]int{"a": 2, "b": 3}), ShouldResemble, map[string]int{"b": 3})
-		So(changes(told, map[string]int{"a": 2}), ShouldResemble, map[string]int{"b": 0})
-		So(changes(told, map[string]int{"a": 2}), ShouldBeEmpty)
+func TestChangedCountsAreSentOnce(t *testing.T) {
+	Convey("Only counts that changed are sent, and 0 for servers that are gone", t, func() {
+		sent := map[string]int{}
+		So(changedCounts(sent, map[string]int{"a": 2, "b": 1}), ShouldResemble, map[string]int{"a": 2, "b": 1})
+		So(changedCounts(sent, map[string]int{"a": 2, "b": 3}), ShouldResemble, map[string]int{"b": 3})
+		So(changedCounts(sent, map[string]int{"a": 2}), ShouldResemble, map[string]int{"b": 0})
+		So(changedCounts(sent, map[string]int{"a": 2}), ShouldBeEmpty)
 	})
 }
--- a/connection/exchange/lag.go
+++ b/connection/exchange/lag.go
@@ -6,22 +6,23 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// behindFor is how long a revision that another instance knows may be missing
-// here before the table is asked for: usually the store brings it first.
-const behindFor = 400 * time.Millisecond
+// maxLag is how long a revision that a peer has may be missing here before the
+// table is requested from the peer. Usually the store delivers it sooner.
+const maxLag = 400 * time.Millisecond
 
-// lag notes the newest revision of a table that a peer named and that was
-// missing here, and since when. In a large deployment the table of servers
-// changes all the time and every instance is a little behind some other; only a
-// revision that stays missing says that the store does not bring it.
+// lag tracks a revision of a table that a peer has and that is missing here, and
+// since when. In a large deployment the table of servers changes all the time and
+// every entry instance is slightly behind some other. Only a revision that stays
+// missing shows that the store does not deliver it.
 type lag struct {
 	revision uint64
 	since    time.Time
 }
 
-// missing reports whether a revision that the peer named before has been missing
-// for behindFor, or nothing is known here at all.
-func (l *lag) missing(ours, theirs uint64, now time.Time) bool {
+// overdue reports whether the tracked revision has been missing for at least
+// maxLag, or no revision at all is known here. ours and theirs are the newest
+// revisions here and at the peer.
+func (l *lag) overdue(ours, theirs uint64, now time.Time) bool {
 	switch {
 	case theirs <= ours:
 		*l = lag{}
@@ -30,17 +31,18 @@
 	case ours >= l.revision:
 		*l = lag{theirs, now}
 	}
-	return l.revision > 0 && now.Sub(l.since) >= behindFor
+	return l.revision > 0 && now.Sub(l.since) >= maxLag
 }
 
-// mayAsk reports whether a table may be asked for at now, and notes it. One peer
-// is asked at a time: a table of a large deployment has a megabyte.
-func (x *Exchange) mayAsk(t catalog.Table, now time.Time) bool {
+// allowRequest reports whether a table may be requested at now, and records the
+// request if so. Within maxLag a table is requested from only one peer, because
+// in a large deployment its size is a megabyte.
+func (x *Exchange) allowRequest(t catalog.Table, now time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if last, ok := x.asked[t]; ok && now.Sub(last) < behindFor {
+	if last, ok := x.lastRequested[t]; ok && now.Sub(last) < maxLag {
 		return false
 	}
-	x.asked[t] = now
+	x.lastRequested[t] = now
 	return true
 }
