--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -1,6 +1,6 @@
-// Package confsync keeps the configuration of two processes equal over the
-// registration between them. Either side announces a newer version, the other
-// pulls it, and no side ever goes back.
+// Package confsync synchronises the configuration of an agent and an entry
+// instance over the registration between them. Either side announces a newer
+// version, which the other one pulls. Neither side returns to an older version.
 package confsync
 
 import (
@@ -17,26 +17,27 @@
 	"github.com/rattanway/rattanway/version/confstore"
 )
 
-// pullTimeout is how long one pull of a version is given before another peer
-// is asked for it.
+// pullTimeout is how long a pull of a version may take before the version is
+// pulled from another peer.
 const pullTimeout = time.Second
 
 var eventConfigRejected = eventlog.Define(130, "peer-configuration-rejected", logrus.ErrorLevel,
-	"A peer sent a configuration that failed its check; it was not put in force.")
+	"A peer sent a configuration that failed its check and was not put in force.")
 
-// Source is the configuration that a process holds.
+// Source gives access to the configuration in force in a process.
 type Source interface {
 	// Number returns the number of the version in force.
 	Number() uint64
-	// Changed returns a channel closed at the next change.
+	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
-	// Encode returns the version in force for a peer that holds have.
-	Encode(have uint64) (frame.Config, error)
-	// Offer checks c and puts it in force when it is newer.
+	// Encode returns the version in force, encoded for a peer that holds
+	// version peerVersion.
+	Encode(peerVersion uint64) (frame.Config, error)
+	// Offer checks c and puts it in force if it is newer.
 	Offer(c frame.Config) error
-	// Heard notes that a peer, asked at the time asked, holds version number
-	// as its newest.
-	Heard(number uint64, asked time.Time)
+	// Heard records that the newest version of a peer is number, as the answer
+	// to a Pull frame that was sent at pullSent.
+	Heard(number uint64, pullSent time.Time)
 }
 
 // Hub shares, between the registrations of one process, which version is
@@ -44,28 +45,31 @@
 type Hub struct {
 	source Source
 	log    *eventlog.Logger
-	// vouch says whether this process may confirm a peer's version.
-	vouch func() bool
+	// mayConfirm reports whether this process may confirm a peer's version.
+	mayConfirm func() bool
 
-	mu       sync.Mutex
-	pulling  uint64
-	since    time.Time
+	mu sync.Mutex
+	// pulledVersion is the version pulled last, and pullStarted the time at which
+	// that pull started.
+	pulledVersion uint64
+	pullStarted   time.Time
+	// sessions holds the open sessions.
 	sessions map[*Session]bool
 }
 
 // NewHub returns a Hub for source.
 func NewHub(source Source, log *eventlog.Logger) *Hub {
 	always := func() bool { return true }
-	return &Hub{source: source, log: log, vouch: always, sessions: map[*Session]bool{}}
+	return &Hub{source: source, log: log, mayConfirm: always, sessions: map[*Session]bool{}}
 }
 
-// VouchWhen makes the Hub confirm its peers' versions only while vouch
+// VouchWhen makes the Hub confirm its peers' versions only while mayConfirm
 // returns true: a process that was paused must not confirm the old version of
-// another one. It is called before first use.
-func (h *Hub) VouchWhen(vouch func() bool) { h.vouch = vouch }
+// another one. VouchWhen must be called before the Hub is used.
+func (h *Hub) VouchWhen(mayConfirm func() bool) { h.mayConfirm = mayConfirm }
 
-// Ask asks every peer for its version, so that the own one is confirmed or
-// replaced. It is called after a pause of the process.
+// Ask sends a Pull frame to every peer, so that the version in force here is
+// confirmed or replaced. It is called after the process was paused.
 func (h *Hub) Ask() {
 	h.mu.Lock()
 	sessions := make([]*Session, 0, len(h.sessions))
@@ -78,89 +82,93 @@
 	}
 }
 
-// mayPull reports whether this version should be pulled from the asking peer.
-func (h *Hub) mayPull(number uint64) bool {
+// startPull reports whether version number should be pulled from a peer: it must
+// be newer than the version in force, and no pull of it or of a newer version may
+// have started within pullTimeout. If so, startPull records the new pull.
+func (h *Hub) startPull(number uint64) bool {
 	if number <= h.source.Number() {
 		return false
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.pulling >= number && time.Since(h.since) < pullTimeout {
+	if h.pulledVersion >= number && time.Since(h.pullStarted) < pullTimeout {
 		return false
 	}
-	h.pulling = number
-	h.since = time.Now()
+	h.pulledVersion = number
+	h.pullStarted = time.Now()
 	return true
 }
 
-// Session keeps the configuration equal over one registration.
+// Session synchronises the configuration over one registration.
 type Session struct {
 	hub  *Hub
 	conn *frame.Conn
-	// known is the newest version that the peer is known to hold.
-	known atomic.Uint64
+	// peerVersion is the newest version that the peer is known to hold.
+	peerVersion atomic.Uint64
 
 	mu sync.Mutex
-	// asked is when the oldest unanswered Pull was sent; zero for none.
-	asked time.Time
+	// pullSent is when the oldest unanswered Pull frame was sent. It is zero if
+	// there is none.
+	pullSent time.Time
 }
 
-// NewSession returns a Session over conn, whose peer holds version known.
-// Close ends it.
-func NewSession(hub *Hub, conn *frame.Conn, known uint64) *Session {
+// NewSession returns a Session over conn, whose peer holds version peerVersion. The
+// caller ends the Session with Close.
+func NewSession(hub *Hub, conn *frame.Conn, peerVersion uint64) *Session {
 	s := &Session{hub: hub, conn: conn}
-	s.known.Store(known)
+	s.peerVersion.Store(peerVersion)
 	hub.mu.Lock()
 	hub.sessions[s] = true
 	hub.mu.Unlock()
 	return s
 }
 
-// Close ends the session; the connection is the caller's to close.
+// Close ends the session. The connection stays open; the caller closes it.
 func (s *Session) Close() {
 	s.hub.mu.Lock()
 	delete(s.hub.sessions, s)
 	s.hub.mu.Unlock()
 }
 
-// Heard notes that the peer holds version number, and pulls it when it is
-// newer than ours.
+// Heard records that the peer holds version number, and pulls it if it is newer
+// than the version in force here.
 func (s *Session) Heard(number uint64) error {
-	s.learn(number)
-	if !s.hub.mayPull(number) {
+	s.raisePeerVersion(number)
+	if !s.hub.startPull(number) {
 		return nil
 	}
 	return s.pull()
 }
 
-// pull asks the peer for its version.
+// pull sends a Pull frame to the peer.
 func (s *Session) pull() error {
 	s.mu.Lock()
-	if s.asked.IsZero() {
-		s.asked = time.Now()
+	if s.pullSent.IsZero() {
+		s.pullSent = time.Now()
 	}
 	s.mu.Unlock()
 	return s.conn.Send(frame.KindPull, frame.Pull{Have: s.hub.source.Number()})
 }
 
-// answered notes that the peer's newest version is number, when that answers
-// a Pull and the peer's own version is confirmed. A Notice that nobody asked
-// for may have waited in a buffer while this process was paused, and a peer
-// that was paused too may hold the same old version: they confirm nothing.
-func (s *Session) answered(number uint64, confirmed bool) {
+// applyConfirmation records that the peer's newest version is number, if the frame
+// answers a Pull and the peer marked its version as confirmed. Other frames confirm
+// nothing: a Notice without a Pull may have waited in a buffer while this process
+// was paused, and a peer that was paused too may hold the same old version.
+func (s *Session) applyConfirmation(number uint64, confirmed bool) {
 	if !confirmed {
 		return
 	}
 	s.mu.Lock()
-	asked := s.asked
-	s.asked = time.Time{}
+	pullSent := s.pullSent
+	s.pullSent = time.Time{}
 	s.mu.Unlock()
-	if !asked.IsZero() {
-		s.hub.source.Heard(number, asked)
+	if !pullSent.IsZero() {
+		s.hub.source.Heard(number, pullSent)
 	}
 }
 
-// Handle serves a configuration frame and reports whether f was one.
+// Handle processes f if it is a frame of the configuration protocol, and reports
+// whether it is.
 func (s *Session) Handle(f frame.Frame) (bool, error) {
 	switch f.Kind {
 	case frame.KindNotice:
@@ -168,27 +176,28 @@
 		if err := f.Decode(&n); err != nil {
 			return true, err
 		}
-		s.answered(n.Config, n.Confirmed)
+		s.applyConfirmation(n.Config, n.Confirmed)
 		return true, s.Heard(n.Config)
 	case frame.KindPull:
 		var p frame.Pull
 		if err := f.Decode(&p); err != nil {
 			return true, err
 		}
-		return true, s.send(p.Have)
+		return true, s.sendVersion(p.Have)
 	case frame.KindConfig:
 		var c frame.Config
 		if err := f.Decode(&c); err != nil {
 			return true, err
 		}
-		return true, s.accept(c)
+		return true, s.applyConfig(c)
 	default:
 		return false, nil
 	}
 }
 
-// Announce tells the peer of newer versions until ctx ends. It waits for
-// delay first, in which the peer may learn of the version elsewhere.
+// Announce sends a Notice frame to the peer for each newer version until ctx ends.
+// It waits for delay before each one, because the peer may get the version from
+// elsewhere in this time.
 func (s *Session) Announce(ctx context.Context, delay time.Duration) error {
 	for {
 		changed := s.hub.source.Changed()
@@ -203,8 +212,10 @@
 	}
 }
 
+// announceOnce waits for delay and sends a Notice frame, unless the peer already
+// holds the version in force.
 func (s *Session) announceOnce(ctx context.Context, delay time.Duration) error {
-	if s.hub.source.Number() <= s.known.Load() {
+	if s.hub.source.Number() <= s.peerVersion.Load() {
 		return nil
 	}
 	select {
@@ -213,33 +224,33 @@
 		return nil
 	}
 	number := s.hub.source.Number()
-	if number <= s.known.Load() {
+	if number <= s.peerVersion.Load() {
 		return nil
 	}
 	return s.conn.Send(frame.KindNotice, frame.Notice{Config: number})
 }
 
-// send sends the configuration to a peer that holds have, or only its number
-// when the peer has it already.
-func (s *Session) send(have uint64) error {
-	if number := s.hub.source.Number(); have >= number {
-		s.learn(have)
-		return s.conn.Send(frame.KindNotice, frame.Notice{Config: number, Confirmed: s.hub.vouch()})
+// sendVersion sends the configuration to a peer that holds version peerVersion, or
+// only its number if the peer already holds it.
+func (s *Session) sendVersion(peerVersion uint64) error {
+	if number := s.hub.source.Number(); peerVersion >= number {
+		s.raisePeerVersion(peerVersion)
+		return s.conn.Send(frame.KindNotice, frame.Notice{Config: number, Confirmed: s.hub.mayConfirm()})
 	}
-	c, err := s.hub.source.Encode(have)
+	c, err := s.hub.source.Encode(peerVersion)
 	if err != nil {
 		return err
 	}
-	c.Confirmed = s.hub.vouch()
-	s.learn(c.Number)
+	c.Confirmed = s.hub.mayConfirm()
+	s.raisePeerVersion(c.Number)
 	return s.conn.Send(frame.KindConfig, c)
 }
 
-// accept puts a received configuration in force. One that fails its check is
-// logged and dropped; the connection stays. A difference that does not fit is
-// answered by asking for the whole.
-func (s *Session) accept(c frame.Config) error {
-	s.learn(c.Number)
+// applyConfig puts a received configuration in force. One that fails its check is
+// logged and dropped, and the connection stays open. If a difference does not
+// start from the version in force, applyConfig requests the whole configuration.
+func (s *Session) applyConfig(c frame.Config) error {
+	s.raisePeerVersion(c.Number)
 	err := s.hub.source.Offer(c)
 	if errors.Is(err, confstore.ErrBase) {
 		return s.conn.Send(frame.KindPull, frame.Pull{Have: 0})
@@ -252,15 +263,15 @@
 		})
 		return nil
 	}
-	s.answered(c.Number, c.Confirmed)
+	s.applyConfirmation(c.Number, c.Confirmed)
 	return nil
 }
 
-// learn raises the version that the peer is known to hold.
-func (s *Session) learn(number uint64) {
+// raisePeerVersion sets peerVersion to number unless it is higher already.
+func (s *Session) raisePeerVersion(number uint64) {
 	for {
-		old := s.known.Load()
-		if number <= old || s.known.CompareAndSwap(old, number) {
+		old := s.peerVersion.Load()
+		if number <= old || s.peerVersion.CompareAndSwap(old, number) {
 			return
 		}
 	}
--- a/connection/confsync/holder.go
+++ b/connection/confsync/holder.go
@@ -9,9 +9,9 @@
 	"github.com/rattanway/rattanway/version/confstore"
 )
 
-// HolderSource is the Source over a process's Holder.
+// HolderSource implements Source with the Holder of a process.
 type HolderSource struct {
-	// Holder has the configuration in force.
+	// Holder holds the configuration in force.
 	Holder *confstore.Holder
 }
 
@@ -23,12 +23,12 @@
 // Changed implements Source.
 func (s HolderSource) Changed() <-chan struct{} { return s.Holder.Changed() }
 
-// Encode implements Source. A peer that holds the newest version gets a
-// Config with that number and no body.
-func (s HolderSource) Encode(have uint64) (frame.Config, error) {
-	e, err := confstore.EncodeFor(s.Holder, have)
+// Encode implements Source. For a peer that already holds the newest version it
+// returns a Config with that version's number and no body.
+func (s HolderSource) Encode(peerVersion uint64) (frame.Config, error) {
+	e, err := confstore.EncodeFor(s.Holder, peerVersion)
 	if errors.Is(err, confstore.ErrNothingNewer) {
-		return frame.Config{Number: have}, nil
+		return frame.Config{Number: peerVersion}, nil
 	}
 	return frame.Config{Number: e.Number, Digest: e.Digest, Base: e.Base, Body: e.Body}, err
 }
@@ -41,4 +41,4 @@
 }
 
 // Heard implements Source.
-func (s HolderSource) Heard(number uint64, asked time.Time) { s.Holder.Heard(number, asked) }
+func (s HolderSource) Heard(number uint64, pullSent time.Time) { s.Holder.Heard(number, pullSent) }
--- a/connection/confsync/replay_test.go
+++ b/connection/confsync/replay_test.go
@@ -10,26 +10,26 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// TestReplayedFrames sends an older configuration again, as a peer or a
-// recording might: it changes nothing, and the session goes on.
+// TestReplayedFrames checks that an older configuration and notice, sent again by a
+// peer or from a recording, change nothing and do not end the session.
 func TestReplayedFrames(t *testing.T) {
 	Convey("Given a process that went from version 3 to version 4", t, func() {
 		old, current := holderAt(3), holderAt(4)
-		ours, theirs := connect(t)
+		ownEnd, peerEnd := connect(t)
 		source := HolderSource{Holder: current}
-		session := NewSession(NewHub(source, eventlog.Discard()), ours, 3)
+		session := NewSession(NewHub(source, eventlog.Discard()), ownEnd, 3)
 		defer session.Close()
 		replayed, err := HolderSource{Holder: old}.Encode(0)
 		So(err, ShouldBeNil)
 		So(replayed.Number, ShouldEqual, 3)
 
-		Convey("version 3, sent twice, stays out of force and an older notice asks for nothing", func() {
+		Convey("version 3, sent twice, is not put in force, and a notice of version 3 causes no pull", func() {
 			for range 2 {
-				So(theirs.Send(frame.KindConfig, replayed), ShouldBeNil)
+				So(peerEnd.Send(frame.KindConfig, replayed), ShouldBeNil)
 			}
-			So(theirs.Send(frame.KindNotice, frame.Notice{Config: 3}), ShouldBeNil)
+			So(peerEnd.Send(frame.KindNotice, frame.Notice{Config: 3}), ShouldBeNil)
 			for range 3 {
-				f, err := ours.Receive(time.Now().Add(answerWithin))
+				f, err := ownEnd.Receive(time.Now().Add(answerTimeout))
 				So(err, ShouldBeNil)
 				handled, err := session.Handle(f)
 				So(handled, ShouldBeTrue)
@@ -37,7 +37,7 @@
 				So(source.Number(), ShouldEqual, 4)
 			}
 			So(session.pull(), ShouldBeNil)
-			f, err := theirs.Receive(time.Now().Add(answerWithin))
+			f, err := peerEnd.Receive(time.Now().Add(answerTimeout))
 			So(err, ShouldBeNil)
 			So(f.Kind, ShouldEqual, frame.KindPull)
 		})
--- a/connection/confsync/vouch_test.go
+++ b/connection/confsync/vouch_test.go
@@ -15,10 +15,10 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// answerWithin bounds the wait for a peer's answer.
-const answerWithin = 5 * time.Second
+// answerTimeout bounds the wait for a peer's answer.
+const answerTimeout = 5 * time.Second
 
-// connect returns the two ends of a connection.
+// connect returns the dialling and the accepting end of a connection.
 func connect(t *testing.T) (*frame.Conn, *frame.Conn) {
 	t.Helper()
 	accepted := make(chan *frame.Conn, 1)
@@ -28,19 +28,19 @@
 		}
 	}))
 	t.Cleanup(web.Close)
-	dialled, err := frame.Dial(strings.TrimPrefix(web.URL, "http://"), "/", "token", answerWithin)
+	dialling, err := frame.Dial(strings.TrimPrefix(web.URL, "http://"), "/", "token", answerTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := <-accepted
+	accepting := <-accepted
 	t.Cleanup(func() {
-		_ = dialled.Close()
-		_ = other.Close()
+		_ = dialling.Close()
+		_ = accepting.Close()
 	})
-	return dialled, other
+	return dialling, accepting
 }
 
-// holderAt returns a holder with a version in force.
+// holderAt returns a holder with version number in force.
 func holderAt(number uint64) *confstore.Holder {
 	set := declare.NewSet()
 	set.Regions["west"] = &declare.Region{Name: "west"}
@@ -51,48 +51,49 @@
 	return h
 }
 
-// exchange lets a process with version have ask a peer with version number,
-// and returns the asker's holder after the answer.
-func exchange(t *testing.T, have, number uint64, vouch bool) *confstore.Holder {
+// pullFromPeer lets a process that holds version ownVersion pull from a peer that
+// holds version peerVersion, and returns the holder of the process after the answer.
+// mayConfirm sets whether the peer may confirm versions.
+func pullFromPeer(t *testing.T, ownVersion, peerVersion uint64, mayConfirm bool) *confstore.Holder {
 	t.Helper()
-	near, far := connect(t)
-	mine, theirs := holderAt(have), holderAt(number)
-	asker := NewHub(HolderSource{Holder: mine}, eventlog.Discard())
-	peer := NewHub(HolderSource{Holder: theirs}, eventlog.Discard())
-	peer.VouchWhen(func() bool { return vouch })
-	ask := NewSession(asker, near, 0)
-	answer := NewSession(peer, far, 0)
+	ownEnd, peerEnd := connect(t)
+	ownHolder, peerHolder := holderAt(ownVersion), holderAt(peerVersion)
+	ownHub := NewHub(HolderSource{Holder: ownHolder}, eventlog.Discard())
+	peerHub := NewHub(HolderSource{Holder: peerHolder}, eventlog.Discard())
+	peerHub.VouchWhen(func() bool { return mayConfirm })
+	ownSession := NewSession(ownHub, ownEnd, 0)
+	peerSession := NewSession(peerHub, peerEnd, 0)
 
-	asker.Ask()
-	pull, err := far.Receive(time.Now().Add(answerWithin))
+	ownHub.Ask()
+	pull, err := peerEnd.Receive(time.Now().Add(answerTimeout))
 	So(err, ShouldBeNil)
-	_, err = answer.Handle(pull)
+	_, err = peerSession.Handle(pull)
 	So(err, ShouldBeNil)
-	reply, err := near.Receive(time.Now().Add(answerWithin))
+	reply, err := ownEnd.Receive(time.Now().Add(answerTimeout))
 	So(err, ShouldBeNil)
-	_, err = ask.Handle(reply)
+	_, err = ownSession.Handle(reply)
 	So(err, ShouldBeNil)
-	return mine
+	return ownHolder
 }
 
 func TestWhoMayConfirm(t *testing.T) {
-	Convey("Given a process that asks a peer for its version", t, func() {
-		Convey("a peer that is confirmed confirms the same version", func() {
-			_, ok := exchange(t, 4, 4, true).Age()
+	Convey("Given a process that pulls the version of a peer", t, func() {
+		Convey("a peer that may confirm versions confirms the same version", func() {
+			_, ok := pullFromPeer(t, 4, 4, true).Age()
 			So(ok, ShouldBeTrue)
 		})
-		Convey("a peer that was paused as well confirms nothing", func() {
-			_, ok := exchange(t, 4, 4, false).Age()
+		Convey("a peer that may not, because it was paused as well, confirms nothing", func() {
+			_, ok := pullFromPeer(t, 4, 4, false).Age()
 			So(ok, ShouldBeFalse)
 		})
-		Convey("a newer version of such a peer is taken, but not as the newest", func() {
-			h := exchange(t, 4, 5, false)
+		Convey("a newer version from a peer that was paused is put in force, but not confirmed", func() {
+			h := pullFromPeer(t, 4, 5, false)
 			So(h.Current().Number, ShouldEqual, 5)
 			_, ok := h.Age()
 			So(ok, ShouldBeFalse)
 		})
-		Convey("a newer version of a confirmed peer is taken as the newest", func() {
-			h := exchange(t, 4, 5, true)
+		Convey("a newer version from a peer that may confirm versions is put in force and confirmed", func() {
+			h := pullFromPeer(t, 4, 5, true)
 			So(h.Current().Number, ShouldEqual, 5)
 			_, ok := h.Age()
 			So(ok, ShouldBeTrue)
