--- a/connection/members/ask.go
+++ b/connection/members/ask.go
@@ -14,98 +14,102 @@
 	"github.com/rattanway/rattanway/process/instances"
 )
 
-// peerLists reads the list from entry instances.
-type peerLists struct {
-	self   core.Instance
-	token  string
-	known  func() []core.Instance
-	client *http.Client
-	// tag is that of the list read last.
-	tag string
+// listReader reads the list of instances from entry instances.
+type listReader struct {
+	self  core.Instance
+	token string
+	// knownEntries returns the entry instances that the watcher knows.
+	knownEntries func() []core.Instance
+	client       *http.Client
+	// etag is the ETag of the list read last.
+	etag string
 }
 
-// Ask returns a Fallback that asks entry instances that the watcher
-// knows, in random order so that no one of them is asked by all: an agent the
-// first that answers, an entry instance a few, to which it announces itself.
-func Ask(known func() []core.Instance, self core.Instance, token string) instances.Fallback {
-	p := &peerLists{
-		self: self, token: token, known: known,
+// Ask returns a Fallback that reads the list of instances from the known entry
+// instances, in random order so that the requests spread over them. An agent reads
+// the list of the first one that answers. An entry instance reads the lists of up
+// to maxListsPerRead of them and announces itself with each request.
+func Ask(knownEntries func() []core.Instance, self core.Instance, token string) instances.Fallback {
+	l := &listReader{
+		self: self, token: token, knownEntries: knownEntries,
 		client: &http.Client{Timeout: instances.DefaultInterval},
 	}
-	return p.read
+	return l.read
 }
 
-// read implements instances.Fallback. It returns the newest of the lists, and
-// none when it is equal to the last one.
-func (p *peerLists) read(ctx context.Context) ([]core.Instance, error) {
+// read implements instances.Fallback. It returns the joined lists of the entry
+// instances that answered. A list that equals the one read last adds nothing.
+func (l *listReader) read(ctx context.Context) ([]core.Instance, error) {
 	err := errors.New("no entry instance known")
 	var list []core.Instance
-	asked := 0
-	peers := p.known()
+	answers := 0
+	peers := l.knownEntries()
 	for _, i := range rand.Perm(len(peers)) {
-		if peers[i].ID == p.self.ID {
+		if peers[i].ID == l.self.ID {
 			continue
 		}
-		got, askErr := p.ask(ctx, peers[i])
-		if askErr != nil {
-			err = askErr
+		received, requestErr := l.requestList(ctx, peers[i])
+		if requestErr != nil {
+			err = requestErr
 			continue
 		}
-		list = append(list, got...)
-		asked++
-		if p.self.Role != core.RoleEntry || asked == askFanout {
+		list = append(list, received...)
+		answers++
+		if l.self.Role != core.RoleEntry || answers == maxListsPerRead {
 			break
 		}
 	}
-	if asked > 0 {
+	if answers > 0 {
 		return list, nil
 	}
 	return nil, err
 }
 
-// ask reads the list of one entry instance; nil when it is equal to the last.
-func (p *peerLists) ask(ctx context.Context, in core.Instance) ([]core.Instance, error) {
+// requestList reads the list of one entry instance. It returns nil if the list
+// equals the one read last.
+func (l *listReader) requestList(ctx context.Context, peer core.Instance) ([]core.Instance, error) {
 	const step = "list instances"
-	req, err := p.request(ctx, in)
+	req, err := l.newRequest(ctx, peer)
 	if err != nil {
-		return nil, core.Step(step, in.ID, err)
+		return nil, core.Step(step, peer.ID, err)
 	}
-	resp, err := p.client.Do(req)
+	resp, err := l.client.Do(req)
 	if err != nil {
-		return nil, core.Step(step, in.ID, err)
+		return nil, core.Step(step, peer.ID, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusNotModified {
 		return nil, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, core.Step(step, in.ID, errors.Errorf("status %d", resp.StatusCode))
+		return nil, core.Step(step, peer.ID, errors.Errorf("status %d", resp.StatusCode))
 	}
 	var list []core.Instance
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&list); err != nil {
-		return nil, core.Step(step, in.ID, err)
+		return nil, core.Step(step, peer.ID, err)
 	}
-	p.tag = resp.Header.Get("ETag")
+	l.etag = resp.Header.Get("ETag")
 	return list, nil
 }
 
-// request builds the question; an entry instance announces itself with it.
-func (p *peerLists) request(ctx context.Context, in core.Instance) (*http.Request, error) {
+// newRequest builds the HTTP request for the list of peer. The request of an entry
+// instance also announces it.
+func (l *listReader) newRequest(ctx context.Context, peer core.Instance) (*http.Request, error) {
 	method, body := http.MethodGet, []byte(nil)
-	if p.self.Role == core.RoleEntry {
+	if l.self.Role == core.RoleEntry {
 		var err error
 		method = http.MethodPost
-		if body, err = json.Marshal(p.self); err != nil {
+		if body, err = json.Marshal(l.self); err != nil {
 			return nil, err
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+in.Addr+Path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+peer.Addr+Path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set(core.HeaderPeerToken, p.token)
-	if p.tag != "" {
-		req.Header.Set("If-None-Match", p.tag)
+	req.Header.Set(core.HeaderPeerToken, l.token)
+	if l.etag != "" {
+		req.Header.Set("If-None-Match", l.etag)
 	}
 	return req, nil
 }
--- a/connection/members/members.go
+++ b/connection/members/members.go
@@ -1,6 +1,6 @@
-// Package members lets processes that cannot reach the platform learn of each
-// other from entry instances: a Server shows what an entry instance knows, and
-// Ask reads it.
+// Package members lets processes that cannot reach the platform get the list of
+// instances from entry instances: a Server serves the list that an entry instance
+// knows, and a Fallback made by Ask reads it.
 package members
 
 import (
@@ -18,46 +18,52 @@
 	"github.com/rattanway/rattanway/process/instances"
 )
 
-// Path is where entry instances show the list that they know, for
-// processes that cannot reach the platform. An entry instance that asks
-// announces itself with the question: while the platform is down, this is how
-// a new one becomes known.
+// Path is the HTTP path at which entry instances serve the list of instances that
+// they know, for processes that cannot reach the platform. An entry instance that
+// requests the list announces itself in the request: while the platform is down,
+// this is how a new entry instance becomes known.
 const Path = "/internal/instances"
 
 const (
-	// announcedFor is how long an announcement counts unless it is repeated.
-	announcedFor = 10 * time.Second
-	// askFanout is how many peers an entry instance asks at once.
-	askFanout = 3
-	// maxAnnounceBytes and maxListBytes bound a question and an answer.
+	// announcementLifetime is how long an announcement is valid unless it is
+	// repeated.
+	announcementLifetime = 10 * time.Second
+	// maxListsPerRead is the number of other entry instances from which an entry
+	// instance reads the list each time.
+	maxListsPerRead = 3
+	// maxAnnounceBytes and maxListBytes limit the bodies of a request and of a
+	// response.
 	maxAnnounceBytes = 4 << 10
 	maxListBytes     = 1 << 20
 )
 
-// Server answers processes that cannot reach the platform.
+// Server is the HTTP handler that serves the list of instances to processes that
+// cannot reach the platform.
 type Server struct {
 	watcher *instances.Watcher
 	reg     *registry.Registry
 
-	mu        sync.Mutex
-	announced map[string]announcement
+	mu sync.Mutex
+	// announcements holds the latest announcement of each entry instance, by its ID.
+	announcements map[string]announcement
 }
 
-// announcement is an entry instance that has asked for the list.
+// announcement is an entry instance that announced itself, and when.
 type announcement struct {
-	instance core.Instance
-	at       time.Time
+	instance   core.Instance
+	receivedAt time.Time
 }
 
-// NewServer returns a Server over the watched list and the registered agents.
+// NewServer returns a Server for the instances that w watches and the agents
+// registered in reg.
 func NewServer(w *instances.Watcher, reg *registry.Registry) *Server {
-	return &Server{watcher: w, reg: reg, announced: map[string]announcement{}}
+	return &Server{watcher: w, reg: reg, announcements: map[string]announcement{}}
 }
 
-// ServeHTTP implements http.Handler. The list's ETag lets an equal list cost
-// no body.
+// ServeHTTP implements http.Handler. The response carries an ETag, so that a
+// caller that already has the same list gets no body.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.Method == http.MethodPost && !s.announce(w, r) {
+	if r.Method == http.MethodPost && !s.recordAnnouncement(w, r) {
 		return
 	}
 	body, err := json.Marshal(s.list())
@@ -65,9 +71,9 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	tag := strconv.Quote(strconv.FormatUint(xxhash.Sum64(body), 16))
-	w.Header().Set("ETag", tag)
-	if r.Header.Get("If-None-Match") == tag {
+	etag := strconv.Quote(strconv.FormatUint(xxhash.Sum64(body), 16))
+	w.Header().Set("ETag", etag)
+	if r.Header.Get("If-None-Match") == etag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
@@ -75,8 +81,9 @@
 	_, _ = w.Write(body)
 }
 
-// announce notes the entry instance that asks.
-func (s *Server) announce(w http.ResponseWriter, r *http.Request) bool {
+// recordAnnouncement records the entry instance in the body of r. If the body
+// holds none, it responds with an error and returns false.
+func (s *Server) recordAnnouncement(w http.ResponseWriter, r *http.Request) bool {
 	var in core.Instance
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnounceBytes))
 	if err := d.Decode(&in); err != nil || in.ID == "" || in.Role != core.RoleEntry {
@@ -85,12 +92,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.announced[in.ID] = announcement{instance: in, at: time.Now()}
+	s.announcements[in.ID] = announcement{instance: in, receivedAt: time.Now()}
 	return true
 }
 
-// list returns the watched instances, the registered agents and the announced
-// entry instances that the list lacks, sorted by id.
+// list returns the watched instances, and those registered agents and announced
+// entry instances that are not among them, sorted by ID.
 func (s *Server) list() []core.Instance {
 	all := append([]core.Instance{}, s.watcher.All()...)
 	listed := map[string]bool{}
@@ -106,21 +113,22 @@
 	for _, srv := range s.reg.All() {
 		add(srv.Instance)
 	}
-	for _, in := range s.recent() {
+	for _, in := range s.recentAnnouncements() {
 		add(in)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].ID < all[j].ID })
 	return all
 }
 
-// recent returns the announced instances and forgets the old ones.
-func (s *Server) recent() []core.Instance {
+// recentAnnouncements returns the entry instances whose announcements are valid,
+// and deletes the expired announcements.
+func (s *Server) recentAnnouncements() []core.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []core.Instance
-	for id, a := range s.announced {
-		if time.Since(a.at) > announcedFor {
-			delete(s.announced, id)
+	for id, a := range s.announcements {
+		if time.Since(a.receivedAt) > announcementLifetime {
+			delete(s.announcements, id)
 			continue
 		}
 		all = append(all, a.instance)
