--- a/connection/fleet/events.go
+++ b/connection/fleet/events.go
@@ -16,5 +16,5 @@
 	eventEntry = eventlog.Define(143, "fleet-entry", logrus.InfoLevel,
 		"This agent connected to an entry instance.")
 	eventEntryGone = eventlog.Define(144, "fleet-entry-gone", logrus.InfoLevel,
-		"The connection to an entry instance failed or ended; it is dialled again.")
+		"The connection to an entry instance failed or ended; the agent dials the entry instance again.")
 )
--- a/connection/fleet/fleet_test.go
+++ b/connection/fleet/fleet_test.go
@@ -87,8 +87,8 @@
 
 func newTestAgent(t *testing.T, name string, e *testEntry) *testAgent {
 	t.Helper()
-	p := &testAgent{}
-	p.Links = NewLinks(LinksConfig{
+	a := &testAgent{}
+	a.Links = NewLinks(LinksConfig{
 		Hello: frame.AgentHello{Self: core.Instance{ID: name, Role: core.RoleAgent, Addr: name}, Server: "server-" + name},
 		Token: token, Entries: []string{e.server.Listener.Addr().String()}, Log: eventlog.Discard(),
 		Clock: clockwork.NewRealClock(),
@@ -96,30 +96,30 @@
 			return []frame.WantedWeights{{Model: "herbs", Version: 1, AgeMs: 60_000}}
 		},
 		Fleet: func(_ string, f *frame.Fleet) {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			p.fleet = f
+			a.mu.Lock()
+			defer a.mu.Unlock()
+			a.fleet = f
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = p.Run(ctx)
+		_ = a.Run(ctx)
 	}()
-	p.stop = sync.OnceFunc(func() {
+	a.stop = sync.OnceFunc(func() {
 		cancel()
 		<-done
 	})
-	t.Cleanup(p.stop)
-	return p
+	t.Cleanup(a.stop)
+	return a
 }
 
 // fleetMeets reports whether the last fleet message meets a condition.
-func (p *testAgent) fleetMeets(condition func(frame.Fleet) bool) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.fleet != nil && condition(*p.fleet)
+func (a *testAgent) fleetMeets(condition func(frame.Fleet) bool) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.fleet != nil && condition(*a.fleet)
 }
 
 func TestFleet(t *testing.T) {
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestChooseLists(t *testing.T) {
+func TestChooseListSenders(t *testing.T) {
 	Convey("Given entry instances of three data centres", t, func() {
 		connected := map[string]string{
 			"e1": "palermo", "e2": "palermo", "e3": "palermo", "e4": "catania", "e5": "catania", "e6": "trapani",
--- a/connection/fleet/hub.go
+++ b/connection/fleet/hub.go
@@ -271,10 +271,12 @@
 	return sameWeights(a, b) && sameOrigin(a.Origin(), b.Origin())
 }
 
+// sameOrigin reports whether two origins, which may be nil, are equal.
 func sameOrigin(a, b *catalog.Origin) bool {
 	return a == b || a != nil && b != nil && *a == *b
 }
 
+// sameWeights reports whether two snapshots declare the same version of each model.
 func sameWeights(a, b *catalog.Snapshot) bool {
 	if len(a.Weights) != len(b.Weights) {
 		return false
@@ -288,7 +290,7 @@
 }
 
 // fleetMessage builds the message for an agent: the wanted versions, their
-// origin, the entry instances and, on request, the list of agents.
+// origin, the entry instances and, if the agent requests it, the list of agents.
 func (h *Hub) fleetMessage(s *catalog.Snapshot, recipient *agentConn) frame.Fleet {
 	f := frame.Fleet{Entries: h.cfg.Entries(), DataCentre: h.cfg.DataCentre}
 	now := h.cfg.Clock.Now()
