--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -1,5 +1,5 @@
 // Package homes registers an agent with a set of entry instances, called its
-// homes, and keeps these registrations. One goroutine per home dials, sends
+// homes, and maintains the registrations. One goroutine per home dials, sends
 // reports and synchronises the configuration.
 package homes
 
@@ -26,14 +26,14 @@
 	DefaultPerRemote = 2
 	defaultMinHomes  = 4
 	// FullRateAgents is the largest number of agents per entry instance at
-	// which agents report at the configured heartbeat. With more, they lengthen
-	// the heartbeat in proportion.
+	// which agents send reports at the configured interval. With more, they
+	// lengthen the interval in proportion.
 	FullRateAgents = 60
 	// dialTimeout bounds the dialling of a home, and then the wait for its
 	// Welcome frame.
 	dialTimeout = 2 * time.Second
 	// announceDelay is the wait before an agent announces a newer configuration
-	// to an entry instance, which usually gets it elsewhere in this time.
+	// to an entry instance, which usually gets it from elsewhere in this time.
 	announceDelay = 2 * time.Second
 	// checkInterval is the time between two checks of the agent's report for
 	// changes.
@@ -86,7 +86,7 @@
 	Changed() <-chan struct{}
 }
 
-// Homes keeps the registrations of one agent with its homes.
+// Homes maintains the registrations of one agent with its homes.
 type Homes struct {
 	cfg     Config
 	members Members
@@ -96,8 +96,9 @@
 	// reportWatcher detects changes of the agent's report for all
 	// registrations.
 	reportWatcher *reportWatcher
-	// heartbeat is the longest time between two reports now, in nanoseconds.
-	heartbeat atomic.Int64
+	// heartbeatInterval is the current longest time between two reports, in
+	// nanoseconds.
+	heartbeatInterval atomic.Int64
 
 	mu sync.Mutex
 	// registered holds the IDs of the entry instances that have accepted the
@@ -121,7 +122,7 @@
 		registered:    map[string]bool{},
 		registrations: map[endpoint]*registration{},
 	}
-	h.heartbeat.Store(int64(cfg.Heartbeat))
+	h.heartbeatInterval.Store(int64(cfg.Heartbeat))
 	return h
 }
 
@@ -132,7 +133,7 @@
 	return len(h.registered)
 }
 
-// Run keeps the registrations until ctx ends.
+// Run maintains the registrations until ctx ends.
 func (h *Homes) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -164,7 +165,7 @@
 
 	firstReport, changed := h.reportWatcher.refresh()
 	firstReport.Changed = true
-	firstReport.HeartbeatMillis = time.Duration(h.heartbeat.Load()).Milliseconds()
+	firstReport.HeartbeatMillis = time.Duration(h.heartbeatInterval.Load()).Milliseconds()
 	hello := frame.Hello{
 		Instance:    h.cfg.Self,
 		Incarnation: h.cfg.Incarnation,
@@ -234,15 +235,15 @@
 // report in the Hello frame, and changed the channel that refresh returned with
 // it.
 func (h *Homes) sendReports(ctx context.Context, conn *frame.Conn, last frame.Report, changed <-chan struct{}) {
-	heartbeat := time.NewTimer(time.Duration(last.HeartbeatMillis) * time.Millisecond)
-	defer heartbeat.Stop()
+	heartbeatTimer := time.NewTimer(time.Duration(last.HeartbeatMillis) * time.Millisecond)
+	defer heartbeatTimer.Stop()
 	for {
 		heartbeatDue := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-heartbeat.C:
+		case <-heartbeatTimer.C:
 			heartbeatDue = true
 		}
 		var current frame.Report
@@ -250,13 +251,13 @@
 		if !heartbeatDue && !mustSendEarly(current, last) {
 			continue
 		}
-		interval := time.Duration(h.heartbeat.Load())
+		interval := time.Duration(h.heartbeatInterval.Load())
 		current.HeartbeatMillis = interval.Milliseconds()
 		if err := conn.Send(frame.KindReport, withoutUnchanged(current, last)); err != nil {
 			return
 		}
 		last = current
-		heartbeat.Reset(interval)
+		heartbeatTimer.Reset(interval)
 	}
 }
 
@@ -294,6 +295,7 @@
 		limitChange*limitChangeDivisor > last.Limit
 }
 
+// sameLoaded reports whether two lists of loaded versions are equal.
 func sameLoaded(a, b []frame.Loaded) bool {
 	if len(a) != len(b) {
 		return false
--- a/connection/homes/homes_test.go
+++ b/connection/homes/homes_test.go
@@ -42,13 +42,13 @@
 	Convey("If the homes are fewer than the minimum, the nearest entry instances are added", t, func() {
 		chosen := Select(self, entryInstances(5, "w2", "e1"), 64, 1, 4)
 		So(chosen, ShouldHaveLength, 4)
-		near := 0
+		nearest := 0
 		for _, e := range chosen {
 			if e.DataCentre == "w2" {
-				near++
+				nearest++
 			}
 		}
-		So(near, ShouldEqual, 3)
+		So(nearest, ShouldEqual, 3)
 	})
 	Convey("Leaving entry instances and agents are not chosen", t, func() {
 		list := entryInstances(2, "w1")
--- a/connection/homes/keep.go
+++ b/connection/homes/keep.go
@@ -21,6 +21,7 @@
 // address.
 type endpoint struct{ id, addr string }
 
+// endpointOf returns the endpoint of an instance.
 func endpointOf(in core.Instance) endpoint { return endpoint{id: in.ID, addr: in.Addr} }
 
 // registration is a registration with one home. Homes.mu guards wanted and ended.
@@ -46,7 +47,7 @@
 func (h *Homes) reconcile(ctx context.Context) []*registration {
 	members := h.members.All()
 	chosen := Select(h.cfg.Self, members, h.cfg.MaxLocal, h.cfg.PerRemote, h.cfg.MinHomes)
-	h.heartbeat.Store(int64(Heartbeat(h.cfg.Heartbeat, members, len(chosen))))
+	h.heartbeatInterval.Store(int64(Heartbeat(h.cfg.Heartbeat, members, len(chosen))))
 	active := map[endpoint]bool{}
 	for _, in := range members {
 		active[endpointOf(in)] = !in.Leaving
--- a/connection/homes/observed.go
+++ b/connection/homes/observed.go
@@ -15,7 +15,7 @@
 	build func() frame.Report
 
 	mu sync.Mutex
-	// lastNotified is the report for which changed was closed last.
+	// lastNotified is the report for which changed was last closed and replaced.
 	lastNotified frame.Report
 	changed      chan struct{}
 }
--- a/connection/homes/select.go
+++ b/connection/homes/select.go
@@ -44,7 +44,7 @@
 // Heartbeat returns the longest time between two reports of an agent that has the
 // given number of homes. It is base while at most FullRateAgents of the agents in
 // the list register with each entry instance. Above that it grows in proportion,
-// so that the rate of reports at an entry instance does not.
+// so that the rate of reports at an entry instance stays the same.
 func Heartbeat(base time.Duration, list []core.Instance, homes int) time.Duration {
 	entries, agents := 0, 0
 	for _, in := range list {
