--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// startPull reports whether version number should be pulled from a peer: it must
-// be newer than the version in force, and no pull of it or of a newer version may
-// have started within pullTimeout. If so, startPull records the new pull.
+// startPull reports whether version number should be pulled from a peer, and
+// records the pull if so. The version must be newer than the one in force, and no
+// pull of it or of a newer version may have started within pullTimeout.
 func (h *Hub) startPull(number uint64) bool {
 	if number <= h.source.Number() {
 		return false
