--- a/connection/orders/drain.go
+++ b/connection/orders/drain.go
@@ -7,51 +7,55 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// drain is the draining of one version.
+// drain is a wait for the calls of one version to end. err is set before done
+// is closed.
 type drain struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 	err    error
 }
 
-// retire unloads a version once no call of it runs at this agent. It reports
-// whether it gave the order; until then the calls that run go on.
-func (c *Controller) retire(ctx context.Context, v *view, l frame.Loaded) bool {
-	d, ok := c.retiring[l.Digest]
+// drainAndUnload drains the loaded version l and, once the drain is complete,
+// orders the engine to unload it. It never waits: it is called on every pass
+// and reports whether the engine accepted the order. Calls already running on
+// the version are not interrupted.
+func (c *Controller) drainAndUnload(ctx context.Context, in *passInput, l frame.Loaded) bool {
+	d, ok := c.drains[l.Digest]
 	if !ok {
 		d = c.startDrain(ctx, l.Digest)
-		c.retiring[l.Digest] = d
+		c.drains[l.Digest] = d
 	}
 	select {
 	case <-d.done:
 	default:
-		c.hold(l.Digest, "running calls")
+		c.recordWait(l.Digest, "running calls")
 		return false
 	}
 	if d.err != nil {
-		c.endDrain(l.Digest)
+		c.cancelDrain(l.Digest)
 		return false
 	}
-	c.order(ctx, v, actionUnload, l)
+	c.sendOrder(ctx, in, actionUnload, l)
 	return c.pending != nil
 }
 
-// startDrain stops new calls of a version and waits for those that run.
+// startDrain stops new calls of a version and waits in the background until the
+// running calls have ended.
 func (c *Controller) startDrain(ctx context.Context, version core.Digest) *drain {
 	ctx, cancel := context.WithCancel(ctx)
 	d := &drain{cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(d.done)
 		d.err = c.drainer.Drain(ctx, version)
-		c.nudge()
+		c.wakeRun()
 	}()
 	return d
 }
 
-// endDrain lets calls of a version in again.
-func (c *Controller) endDrain(version core.Digest) {
-	d := c.retiring[version]
-	delete(c.retiring, version)
+// cancelDrain stops the drain of a version and admits new calls of it again.
+func (c *Controller) cancelDrain(version core.Digest) {
+	d := c.drains[version]
+	delete(c.drains, version)
 	d.cancel()
 	<-d.done
 	c.drainer.Resume(version)
--- a/connection/orders/fence.go
+++ b/connection/orders/fence.go
@@ -10,79 +10,85 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// ErrSuperseded says that another agent has taken a fencing number for the
-// same backend server since this one did.
-var ErrSuperseded = errors.New("another agent gives the orders")
+// ErrSuperseded is returned when another agent has taken a fencing number for
+// the same backend server since this agent last took one.
+var ErrSuperseded = errors.New("superseded: another agent has taken a newer fencing number for this backend server")
 
 const (
-	// fencePrefix starts the key of a backend server's counter row.
+	// fencePrefix is the prefix of a counter row's key; the name of the
+	// backend server follows.
 	fencePrefix = "fence/"
-	// fenceTries is how often the counter is read again after a conflict or
-	// a lost answer.
-	fenceTries = 5
+	// maxFenceAttempts is the number of attempts to increment the counter when
+	// other writes conflict with it.
+	maxFenceAttempts = 5
 )
 
-// fenceRow is the content of a counter row.
+// fenceRow is the content of the table row that counts the fencing numbers of
+// one backend server.
 type fenceRow struct {
-	// Fence is the last number taken.
+	// Fence is the last fencing number taken.
 	Fence uint64 `json:"fence"`
 	// Holder is the incarnation of the agent that took it.
 	Holder string `json:"holder"`
 }
 
-// fencer takes fencing numbers for one backend server.
-type fencer struct {
+// fenceCounter takes fencing numbers for one backend server from a row of the
+// table. tookNumber is true once this agent has taken a number.
+type fenceCounter struct {
 	table       platform.Table
 	key         string
 	incarnation string
-	taken       bool
+	tookNumber  bool
 }
 
-// next takes the next number. It returns ErrSuperseded when another agent took
-// one since, unless claim is true.
-func (f *fencer) next(ctx context.Context, claim bool) (uint64, error) {
-	var last error
-	for range fenceTries {
+// next takes and returns the next fencing number. If another agent has taken a
+// number since this agent's last one, next returns ErrSuperseded, unless
+// takeOver is true.
+func (f *fenceCounter) next(ctx context.Context, takeOver bool) (uint64, error) {
+	var lastErr error
+	for range maxFenceAttempts {
 		row, revision, err := f.read(ctx)
 		if err != nil {
 			return 0, err
 		}
-		if f.taken && row.Holder != f.incarnation && !claim {
+		if f.tookNumber && row.Holder != f.incarnation && !takeOver {
 			return 0, ErrSuperseded
 		}
-		want := fenceRow{Fence: row.Fence + 1, Holder: f.incarnation}
-		err = f.write(ctx, want, revision)
+		newRow := fenceRow{Fence: row.Fence + 1, Holder: f.incarnation}
+		err = f.write(ctx, newRow, revision)
 		if errors.Is(err, platform.ErrUnknownOutcome) {
-			err = f.confirm(ctx, want)
+			err = f.confirmWrite(ctx, newRow)
 		}
 		if err == nil {
-			f.taken = true
-			return want.Fence, nil
+			f.tookNumber = true
+			return newRow.Fence, nil
 		}
-		last = err
+		lastErr = err
 		if !errors.Is(err, platform.ErrConflict) {
 			break
 		}
 	}
-	return 0, core.Step("take fencing number", "table", last)
+	return 0, core.Step("take fencing number", "table", lastErr)
 }
 
-func (f *fencer) read(ctx context.Context) (fenceRow, uint64, error) {
+// read returns the counter row and its revision, both zero if there is no row.
+func (f *fenceCounter) read(ctx context.Context) (fenceRow, uint64, error) {
 	var row fenceRow
-	got, err := f.table.Get(ctx, f.key, 0)
+	stored, err := f.table.Get(ctx, f.key, 0)
 	if errors.Is(err, platform.ErrNotFound) {
 		return row, 0, nil
 	}
 	if err != nil {
 		return row, 0, core.Step("read fencing number", "table", err)
 	}
-	if err := json.Unmarshal(got.Value, &row); err != nil {
+	if err := json.Unmarshal(stored.Value, &row); err != nil {
 		return row, 0, core.Step("decode fencing number", "table", err)
 	}
-	return row, got.Revision, nil
+	return row, stored.Revision, nil
 }
 
-func (f *fencer) write(ctx context.Context, row fenceRow, revision uint64) error {
+// write stores the counter row if its revision in the table is still revision.
+func (f *fenceCounter) write(ctx context.Context, row fenceRow, revision uint64) error {
 	value, err := json.Marshal(row)
 	if err != nil {
 		return err
@@ -92,14 +98,15 @@
 	}})
 }
 
-// confirm finds out whether a write whose answer was lost took effect. Each
-// number is written once, so a row with our number and name is ours.
-func (f *fencer) confirm(ctx context.Context, want fenceRow) error {
+// confirmWrite returns nil if a write with an unknown outcome took effect, and
+// platform.ErrConflict if it did not. An agent writes each number at most once,
+// so a row with this number and incarnation comes from that write.
+func (f *fenceCounter) confirmWrite(ctx context.Context, newRow fenceRow) error {
 	row, _, err := f.read(ctx)
 	if err != nil {
 		return err
 	}
-	if row != want {
+	if row != newRow {
 		return platform.ErrConflict
 	}
 	return nil
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -1,8 +1,8 @@
-// Package orders brings the engine beside an agent to hold the versions that
-// placement wants there: it has them fetched, gives the engine its orders one
-// at a time, each with a fencing number, and reads the engine's own report
-// back. It compares what is wanted with what is reported again and again, so
-// an order that was lost, refused or overtaken is simply given again.
+// Package orders runs the reconcile loop that makes the engine beside an agent
+// load the versions that placement assigns to its backend server. Each pass
+// compares the assigned versions with the engine's report, starts missing
+// fetches and sends at most one load or unload order, with a fencing number.
+// An order that is lost, refused or undone is sent again by a later pass.
 package orders
 
 import (
@@ -28,7 +28,7 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// Defaults of Config.
+// The default values of Config.
 const (
 	DefaultInterval      = time.Second
 	DefaultLoadTimeout   = 5 * time.Minute
@@ -39,7 +39,7 @@
 	DefaultReplaceShare  = 4
 )
 
-// Actions of an engine.Order.
+// The values of engine.Order.Action.
 const (
 	actionLoad   = "load"
 	actionUnload = "unload"
@@ -49,41 +49,45 @@
 type Config struct {
 	// Self is this agent; its ID is the backend server's name.
 	Self core.Instance
-	// Incarnation is different each time the agent starts; empty makes one.
+	// Incarnation is different each time the agent starts; if it is empty, a
+	// random one is generated.
 	Incarnation string
-	// Token authenticates the agents to each other.
+	// Token is the shared secret with which agents authenticate to each other.
 	Token string
 	// Source is the URL prefix from which the engine reads chunks; empty
 	// means "http://" + Self.Addr + "/internal".
 	Source string
-	// Interval is the time between two comparisons without any change.
+	// Interval is the longest time between two passes.
 	Interval time.Duration
-	// LoadTimeout is how long the engine may take to report a load.
+	// LoadTimeout is how long the engine may take to report a version as
+	// loaded after it accepted the order.
 	LoadTimeout time.Duration
-	// UnloadTimeout is the same for an unload.
+	// UnloadTimeout is how long the engine may take to stop reporting a
+	// version after it accepted the order to unload it.
 	UnloadTimeout time.Duration
 	// RetireDelay is how long a version must be unwanted before it is
-	// unloaded without need for its slot, so that a live list that flaps
-	// moves nothing.
+	// unloaded although its slot is not needed. A shorter flap in the list of
+	// live instances causes no unload.
 	RetireDelay time.Duration
-	// PeerPatience is how long a peer may be silent before the servers after
-	// it stop waiting for it.
+	// PeerPatience is how long a peer may fail to answer before the servers
+	// that must replace their version after it skip it.
 	PeerPatience time.Duration
-	// Enough is the share of a version's servers that must report it before
-	// the version it replaces is unloaded, 0 to 1.
+	// Enough is the share of a version's servers, from 0 to 1, that must
+	// report it as loaded before the version it replaces is unloaded.
 	Enough float64
-	// ReplaceShare bounds how many servers without a free slot replace a
-	// version at once: the servers of the model divided by this, at least 1.
+	// ReplaceShare limits how many servers without a free slot replace a
+	// version at the same time: the number of the model's servers divided by
+	// ReplaceShare, at least 1.
 	ReplaceShare int
-	// Metrics takes the counters; nil means metrics.DefaultRegistry.
+	// Metrics receives the gauges; nil means metrics.DefaultRegistry.
 	Metrics metrics.Registry
 }
 
-// applyDefaults fills in what was left out.
+// applyDefaults sets the fields that have no valid value to their defaults.
 func (c *Config) applyDefaults() {
 	for _, d := range []struct {
-		value *time.Duration
-		def   time.Duration
+		value    *time.Duration
+		fallback time.Duration
 	}{
 		{&c.Interval, DefaultInterval},
 		{&c.LoadTimeout, DefaultLoadTimeout},
@@ -92,7 +96,7 @@
 		{&c.PeerPatience, DefaultPeerPatience},
 	} {
 		if *d.value <= 0 {
-			*d.value = d.def
+			*d.value = d.fallback
 		}
 	}
 	if c.Incarnation == "" {
@@ -112,150 +116,168 @@
 	}
 }
 
-// Reports gives the newest report of the engine. *engine.Monitor implements
-// it.
+// Reports provides the newest status report of the engine. *engine.Monitor
+// implements it.
 type Reports interface {
-	// Status returns the report and its age; ok is false while there is none
-	// that can be used.
+	// Status returns the newest report and its age; ok is false if there is no
+	// report or it is too old to use.
 	Status() (s engine.Status, age time.Duration, ok bool)
 	// Changed returns a channel that is closed when the report changes.
 	Changed() <-chan struct{}
 }
 
-// Orderer gives the engine an order. engine.Engine implements it.
+// Orderer sends orders to the engine. engine.Engine implements it.
 type Orderer interface {
-	// Order returns once the engine accepted or refused the order.
+	// Order returns nil once the engine has accepted the order, and an error
+	// if the engine refused it or did not answer.
 	Order(ctx context.Context, o engine.Order) error
 }
 
-// Drainer stops new calls of a version at this agent and waits until those
-// that run have ended.
+// Drainer stops new calls of a version at this agent and waits until the
+// running calls have ended.
 type Drainer interface {
-	// Drain returns nil once no call of the version runs. Resume lets calls
-	// in again, and is called also when ctx ended.
+	// Drain refuses new calls of the version and returns nil once none of its
+	// calls runs. New calls stay refused until Resume is called, also after
+	// ctx has ended.
 	Drain(ctx context.Context, d core.Digest) error
-	// Resume ends a Drain.
+	// Resume admits new calls of the version again.
 	Resume(d core.Digest)
 }
 
-// noDrain is the Drainer of a Controller that was given none.
-type noDrain struct{}
+// noopDrainer replaces a nil Deps.Drainer. It drains at once.
+type noopDrainer struct{}
 
 // Drain implements Drainer.
-func (noDrain) Drain(context.Context, core.Digest) error { return nil }
+func (noopDrainer) Drain(context.Context, core.Digest) error { return nil }
 
 // Resume implements Drainer.
-func (noDrain) Resume(core.Digest) {}
+func (noopDrainer) Resume(core.Digest) {}
 
-// Deps are what a Controller works with.
+// Deps holds the dependencies of a Controller.
 type Deps struct {
-	// Holder has the configuration in force.
+	// Holder provides the configuration in force.
 	Holder *confstore.Holder
-	// Live returns the platform's list of instances.
+	// Live returns the platform's list of live instances.
 	Live func() []core.Instance
-	// Fetcher and Store bring and hold the chunks.
+	// Fetcher fetches the chunks of a version into Store.
 	Fetcher spread.Fetcher
 	Store   spread.Store
-	// Engine takes the orders, Reports tells what became of them.
+	// Engine receives the orders; Reports shows their effects.
 	Engine  Orderer
 	Reports Reports
-	// Drainer may be nil.
+	// Drainer drains a version before it is unloaded. If it is nil, versions
+	// are unloaded without a drain.
 	Drainer Drainer
-	// RegionShare is told what this agent may use of the link between
-	// regions, in bytes per second; 0 means no limit. It may be nil.
+	// RegionShare is called with the rate at which this agent may use the
+	// link between regions, in bytes per second; 0 means no limit. It may be
+	// nil.
 	RegionShare func(bytesPerSecond int64)
-	// Table has the counters of fencing numbers.
+	// Table stores the counters of fencing numbers.
 	Table platform.Table
 	Log   *eventlog.Logger
 	Clock clockwork.Clock
 }
 
-// Controller is the one that gives orders to one engine.
+// Controller reconciles the versions loaded by one engine with the versions
+// that placement assigns to its backend server.
 type Controller struct {
-	cfg     Config
-	holder  *confstore.Holder
-	live    func() []core.Instance
-	fetcher spread.Fetcher
-	store   spread.Store
-	engine  Orderer
-	reports Reports
-	drainer Drainer
-	share   func(bytesPerSecond int64)
-	log     *eventlog.Logger
-	clock   clockwork.Clock
-	client  *http.Client
-	fence   *fencer
+	cfg           Config
+	holder        *confstore.Holder
+	liveInstances func() []core.Instance
+	fetcher       spread.Fetcher
+	store         spread.Store
+	engine        Orderer
+	statusSource  Reports
+	drainer       Drainer
+	setRegionRate func(bytesPerSecond int64)
+	log           *eventlog.Logger
+	clock         clockwork.Clock
+	client        *http.Client
+	fenceCounter  *fenceCounter
 
-	// The fields below belong to the goroutine of Run.
-	pending  *pending
-	retiring map[core.Digest]*drain
-	unwanted map[core.Digest]time.Time
-	silent   map[string]time.Time
-	reasons  map[core.Digest]string
-	lastWant string
-	started  time.Time
-	planned  planned
+	// The fields from pending to cachedPlan are used only by the goroutine of
+	// Run.
+	pending *pendingOrder
+	// drains holds the drains of versions that are to be unloaded.
+	drains map[core.Digest]*drain
+	// unwantedSince holds when a loaded version was first seen to be unwanted.
+	unwantedSince map[core.Digest]time.Time
+	// unansweredSince holds, by agent ID, when a peer first failed to answer.
+	unansweredSince map[string]time.Time
+	// waitReasons holds why the next order for a version is delayed.
+	waitReasons map[core.Digest]string
+	// loggedWanted is the list of wanted versions that was logged last.
+	loggedWanted string
+	startedAt    time.Time
+	cachedPlan   cachedPlan
 
+	// wake makes Run start its next pass.
 	wake chan struct{}
 
-	mu         sync.Mutex
-	fetched    map[core.Digest]*manifest.Manifest
-	fetching   map[core.Digest]context.CancelFunc
-	distrusted map[core.Digest]bool
-	progress   []Progress
-	plan       *placement.Plan
+	// mu guards the fields below.
+	mu sync.Mutex
+	// fetched holds the manifests of the versions whose chunks are stored.
+	fetched map[core.Digest]*manifest.Manifest
+	// fetching holds the cancel functions of the running fetches.
+	fetching map[core.Digest]context.CancelFunc
+	// digestMismatch holds the versions for which the engine answered with
+	// another digest and which are not ordered again yet.
+	digestMismatch map[core.Digest]bool
+	progress       []Progress
+	plan           *placement.Plan
 }
 
-// pending is an order whose effect the engine has not reported yet.
-type pending struct {
-	order engine.Order
-	boot  string
-	since time.Time
+// pendingOrder is an accepted order whose effect the engine has not reported
+// yet. boot is the engine's boot ID when the order was sent.
+type pendingOrder struct {
+	order  engine.Order
+	boot   string
+	sentAt time.Time
 }
 
-// New returns a Controller. Run starts it.
+// New returns a Controller, which does nothing until Run is called.
 func New(cfg Config, d Deps) *Controller {
 	cfg.applyDefaults()
 	if d.Drainer == nil {
-		d.Drainer = noDrain{}
+		d.Drainer = noopDrainer{}
 	}
 	if d.RegionShare == nil {
 		d.RegionShare = func(int64) {}
 	}
 	return &Controller{
-		cfg:        cfg,
-		holder:     d.Holder,
-		live:       d.Live,
-		fetcher:    d.Fetcher,
-		store:      d.Store,
-		engine:     d.Engine,
-		reports:    d.Reports,
-		drainer:    d.Drainer,
-		share:      d.RegionShare,
-		log:        d.Log,
-		clock:      d.Clock,
-		client:     &http.Client{Timeout: stateTimeout},
-		fence:      &fencer{table: d.Table, key: fencePrefix + cfg.Self.ID, incarnation: cfg.Incarnation},
-		retiring:   map[core.Digest]*drain{},
-		unwanted:   map[core.Digest]time.Time{},
-		silent:     map[string]time.Time{},
-		reasons:    map[core.Digest]string{},
-		started:    d.Clock.Now(),
-		wake:       make(chan struct{}, 1),
-		fetched:    map[core.Digest]*manifest.Manifest{},
-		fetching:   map[core.Digest]context.CancelFunc{},
-		distrusted: map[core.Digest]bool{},
-		plan:       placement.Compute(declare.NewSet(), nil),
+		cfg:             cfg,
+		holder:          d.Holder,
+		liveInstances:   d.Live,
+		fetcher:         d.Fetcher,
+		store:           d.Store,
+		engine:          d.Engine,
+		statusSource:    d.Reports,
+		drainer:         d.Drainer,
+		setRegionRate:   d.RegionShare,
+		log:             d.Log,
+		clock:           d.Clock,
+		client:          &http.Client{Timeout: versionsTimeout},
+		fenceCounter:    &fenceCounter{table: d.Table, key: fencePrefix + cfg.Self.ID, incarnation: cfg.Incarnation},
+		drains:          map[core.Digest]*drain{},
+		unwantedSince:   map[core.Digest]time.Time{},
+		unansweredSince: map[string]time.Time{},
+		waitReasons:     map[core.Digest]string{},
+		startedAt:       d.Clock.Now(),
+		wake:            make(chan struct{}, 1),
+		fetched:         map[core.Digest]*manifest.Manifest{},
+		fetching:        map[core.Digest]context.CancelFunc{},
+		digestMismatch:  map[core.Digest]bool{},
+		plan:            placement.Compute(declare.NewSet(), nil),
 	}
 }
 
-// Run compares and orders until ctx ends, and returns its error.
+// Run makes reconcile passes until ctx ends, and returns its error.
 func (c *Controller) Run(ctx context.Context) error {
 	defer c.client.CloseIdleConnections()
 	for {
-		// The channels are taken first, so that no change between the pass
-		// and the wait is missed.
-		configured, reported := c.holder.Changed(), c.reports.Changed()
+		// The channels are obtained before the pass, so that a change during
+		// the pass is not missed.
+		configured, reported := c.holder.Changed(), c.statusSource.Changed()
 		c.pass(ctx)
 		select {
 		case <-ctx.Done():
@@ -268,45 +290,45 @@
 	}
 }
 
-// nudge makes Run compare again soon.
-func (c *Controller) nudge() {
+// wakeRun makes Run start its next pass without waiting for the interval.
+func (c *Controller) wakeRun() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Distrust says that the engine answered for version d with another digest,
-// though it reports d as loaded. The version is ordered again.
+// Distrust records that the engine answered a call for version d with another
+// digest, although it reports d as loaded. The engine is ordered to load d again.
 func (c *Controller) Distrust(d core.Digest) {
 	c.mu.Lock()
-	already := c.distrusted[d]
-	c.distrusted[d] = true
+	recorded := c.digestMismatch[d]
+	c.digestMismatch[d] = true
 	c.mu.Unlock()
-	if already {
+	if recorded {
 		return
 	}
-	c.log.Event(eventDistrusted, eventlog.Fields{"version": d})
-	c.nudge()
+	c.log.Event(eventVersionDistrusted, eventlog.Fields{"version": d})
+	c.wakeRun()
 }
 
-// Needers returns the agents that are to hold the version d, for the peers of
-// a fetch that another agent asks this one for.
+// Needers returns the agents whose servers are assigned the version d, in the
+// order of their rank. A fetch of d uses them as its peers.
 func (c *Controller) Needers(d core.Digest) []core.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.plan.Needers(d)
 }
 
-// computePlan returns the plan of now. This agent counts as live even when
-// the platform's list does not have it yet. The plan is worked out only when
-// the set or the list has changed.
+// computePlan returns the placement plan for the set and the current list of
+// live instances. This agent counts as live even if the platform does not list
+// it yet. The plan is computed again only if the set or the list has changed.
 func (c *Controller) computePlan(set *declare.Set) *placement.Plan {
-	listedNow := c.live()
-	if c.planned.set == set && slices.Equal(c.planned.live, listedNow) {
-		return c.planned.plan
+	current := c.liveInstances()
+	if c.cachedPlan.set == set && slices.Equal(c.cachedPlan.live, current) {
+		return c.cachedPlan.plan
 	}
-	live := append([]core.Instance{}, listedNow...)
+	live := append([]core.Instance{}, current...)
 	listed := false
 	for _, i := range live {
 		listed = listed || i.ID == c.cfg.Self.ID
@@ -315,22 +337,24 @@
 		live = append(live, c.cfg.Self)
 	}
 	plan := placement.Compute(set, live)
-	c.share(placement.RegionShare(set, plan, c.cfg.Self))
-	c.planned = planned{set: set, live: listedNow, plan: plan}
+	c.setRegionRate(placement.RegionShare(set, plan, c.cfg.Self))
+	c.cachedPlan = cachedPlan{set: set, live: current, plan: plan}
 	c.mu.Lock()
 	c.plan = plan
 	c.mu.Unlock()
 	return plan
 }
 
-// planned is a plan with what it was worked out from.
-type planned struct {
+// cachedPlan is a placement plan with the set and the list of live instances
+// that it was computed from.
+type cachedPlan struct {
 	set  *declare.Set
 	live []core.Instance
 	plan *placement.Plan
 }
 
-// startFetch fetches a version in the background unless that is under way.
+// startFetch fetches a version in the background unless it is already fetched
+// or being fetched.
 func (c *Controller) startFetch(ctx context.Context, w placement.Want) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -342,13 +366,13 @@
 	go func() {
 		defer cancel()
 		m, err := c.fetcher.Fetch(ctx, w.Digest, func() []core.Instance { return c.Needers(w.Digest) })
-		c.endFetch(ctx, w, m, err)
+		c.finishFetch(ctx, w, m, err)
 	}()
 }
 
-// endFetch records the outcome of a fetch. After a failure the next pass
-// starts it again.
-func (c *Controller) endFetch(ctx context.Context, w placement.Want, m *manifest.Manifest, err error) {
+// finishFetch records the outcome of a fetch. The next pass starts a failed
+// fetch again. If the store was full, finishFetch drops unwanted chunks.
+func (c *Controller) finishFetch(ctx context.Context, w placement.Want, m *manifest.Manifest, err error) {
 	c.mu.Lock()
 	delete(c.fetching, w.Digest)
 	if err == nil {
@@ -356,20 +380,20 @@
 	}
 	c.mu.Unlock()
 	if err == nil {
-		c.nudge()
+		c.wakeRun()
 		return
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	c.log.Fail(eventFetchFailed, err, eventlog.Fields{"model": w.Model, "version": w.Digest})
+	c.log.Fail(eventVersionFetchFailed, err, eventlog.Fields{"model": w.Model, "version": w.Digest})
 	if errors.Is(err, spread.ErrFull) {
-		c.makeRoom()
+		c.dropUnwantedChunks()
 	}
 }
 
-// makeRoom drops the chunks of versions that are not wanted.
-func (c *Controller) makeRoom() {
+// dropUnwantedChunks removes the chunks of unwanted versions from the store.
+func (c *Controller) dropUnwantedChunks() {
 	c.mu.Lock()
 	wanted := map[core.Digest]bool{}
 	for _, w := range c.plan.Wanted(c.cfg.Self.ID) {
@@ -386,5 +410,5 @@
 	c.mu.Unlock()
 	before := c.store.Bytes()
 	c.store.Retain(keep)
-	c.log.Event(eventDropped, eventlog.Fields{"bytes": before - c.store.Bytes()})
+	c.log.Event(eventChunksDropped, eventlog.Fields{"bytes": before - c.store.Bytes()})
 }
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -14,104 +14,104 @@
 )
 
 func TestRollout(t *testing.T) {
-	Convey("Given eight servers with one slot that hold a version", t, func() {
-		r := newRig(t, 8, 1)
-		v1 := r.declare("m", "m-1", "", 8)
-		So(r.until(r.all(v1)), ShouldBeTrue)
-		r.least = len(r.members)
-
-		Convey("the next one replaces it on a quarter of them at once", func() {
-			v2 := r.declare("m", "m-2", "", 8)
-			So(r.until(r.all(v2)), ShouldBeTrue)
-			So(r.least, ShouldBeGreaterThanOrEqualTo, 6)
+	Convey("Given eight servers with one slot each that have loaded a version", t, func() {
+		c := newCluster(t, 8, 1)
+		v1 := c.declareVersion("m", "m-1", "", 8)
+		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
+		c.minServing = len(c.agents)
+
+		Convey("the next version replaces it on at most a quarter of them at a time", func() {
+			v2 := c.declareVersion("m", "m-2", "", 8)
+			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
+			So(c.minServing, ShouldBeGreaterThanOrEqualTo, 6)
 		})
-		Convey("a version that no engine can load stops at the first of them", func() {
-			for _, m := range r.members {
-				m.engine.deaf = true
+		Convey("a version that no engine can load is tried on at most two of them", func() {
+			for _, m := range c.agents {
+				m.engine.ignoreOrders = true
 			}
-			for _, m := range r.members[:] {
+			for _, m := range c.agents[:] {
 				m.engine.fencing = false
 			}
-			v2 := r.declare("m", "m-2", "", 8)
+			v2 := c.declareVersion("m", "m-2", "", 8)
 			for range 50 {
-				r.step()
+				c.step()
 			}
-			asked := 0
-			for _, m := range r.members {
+			ordered := 0
+			for _, m := range c.agents {
 				for _, o := range m.engine.orders {
 					if o.Digest == v2 || o.Action == actionUnload {
-						asked++
+						ordered++
 						break
 					}
 				}
 			}
-			So(asked, ShouldBeLessThanOrEqualTo, 2)
+			So(ordered, ShouldBeLessThanOrEqualTo, 2)
 		})
-		Convey("a server that vanished holds the others up only for a while", func() {
-			v2 := r.declare("m", "m-2", "", 8)
-			gone := r.members[0]
+		Convey("a server that has disappeared delays the others only until PeerPatience has passed", func() {
+			v2 := c.declareVersion("m", "m-2", "", 8)
+			gone := c.agents[0]
 			gone.server.Close()
-			r.members = r.members[1:]
-			So(r.until(r.all(v2)), ShouldBeTrue)
+			c.agents = c.agents[1:]
+			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
 		})
-		Convey("rolling back to a version that is still held fetches nothing", func() {
-			v2 := r.declare("m", "m-2", "", 8)
-			So(r.until(r.all(v2)), ShouldBeTrue)
-			r.declare("m", "m-1", "", 8)
-			So(r.until(r.all(v1)), ShouldBeTrue)
-			for _, m := range r.members {
+		Convey("rolling back to a version whose chunks are still stored fetches nothing", func() {
+			v2 := c.declareVersion("m", "m-2", "", 8)
+			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
+			c.declareVersion("m", "m-1", "", 8)
+			So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
+			for _, m := range c.agents {
 				So(m.fetcher.fetches[v1], ShouldEqual, 1)
 			}
 		})
 	})
-	Convey("Given four servers with two slots that hold a version", t, func() {
-		r := newRig(t, 4, 2)
-		v1 := r.declare("m", "m-1", "", 4)
-		So(r.until(r.all(v1)), ShouldBeTrue)
-
-		Convey("the old version stays until the new one stands on enough of them", func() {
-			for _, m := range r.members[:2] {
-				m.fetcher.hang[core.DigestOf([]byte("m-2"))] = true
+	Convey("Given four servers with two slots each that have loaded a version", t, func() {
+		c := newCluster(t, 4, 2)
+		v1 := c.declareVersion("m", "m-1", "", 4)
+		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
+
+		Convey("the old version stays loaded until the new one is rolled out", func() {
+			for _, m := range c.agents[:2] {
+				m.fetcher.blocked[core.DigestOf([]byte("m-2"))] = true
 			}
-			v2 := r.declare("m", "m-2", "", 4)
+			v2 := c.declareVersion("m", "m-2", "", 4)
 			for range 60 {
-				r.step()
+				c.step()
 			}
-			for _, m := range r.members {
+			for _, m := range c.agents {
 				So(m.engine.digests(), ShouldContain, v1)
 			}
-			So(r.until(func() bool { return holds(r.members[3].engine.loaded, v2) }), ShouldBeTrue)
+			So(c.stepUntil(func() bool { return containsDigest(c.agents[3].engine.loaded, v2) }), ShouldBeTrue)
 		})
-		Convey("and goes once it does", func() {
-			v2 := r.declare("m", "m-2", "", 4)
-			So(r.until(r.all(v1, v2)), ShouldBeTrue)
-			So(r.until(r.all(v2)), ShouldBeTrue)
+		Convey("the old version is unloaded once the new one is rolled out", func() {
+			v2 := c.declareVersion("m", "m-2", "", 4)
+			So(c.stepUntil(c.allLoaded(v1, v2)), ShouldBeTrue)
+			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
 		})
-		Convey("an adapter is loaded after its base", func() {
-			a := r.declare("adapter", "adapter-1", "m-1", 4)
-			So(r.until(r.all(v1, a)), ShouldBeTrue)
+		Convey("an adapter is loaded after its base version", func() {
+			a := c.declareVersion("adapter", "adapter-1", "m-1", 4)
+			So(c.stepUntil(c.allLoaded(v1, a)), ShouldBeTrue)
 		})
 	})
 }
 
-func TestNameRepublishedInMidFlight(t *testing.T) {
-	Convey("Given a version that is being fetched when its name gets another manifest", t, func() {
-		r := newRig(t, 2, 1)
+func TestVersionRepublishedDuringFetch(t *testing.T) {
+	Convey("Given a version that is published again with another manifest while it is being fetched", t, func() {
+		c := newCluster(t, 2, 1)
 		first := core.DigestOf([]byte("m-1"))
-		for _, m := range r.members {
-			m.fetcher.hang[first] = true
+		for _, m := range c.agents {
+			m.fetcher.blocked[first] = true
 		}
-		r.declare("m", "m-1", "", 2)
-		So(r.until(func() bool { return r.members[0].fetcher.count(first) > 0 }), ShouldBeTrue)
+		c.declareVersion("m", "m-1", "", 2)
+		So(c.stepUntil(func() bool { return c.agents[0].fetcher.count(first) > 0 }), ShouldBeTrue)
 		second := core.DigestOf([]byte("m-1 again"))
-		set := *r.set
+		set := *c.set
 		set.Versions = map[string]*declare.Version{"m-1": {Name: "m-1", Model: "m", Manifest: second}}
-		r.apply(&set)
+		c.apply(&set)
 
-		Convey("the first fetch ends and only the second is ever ordered", func() {
-			So(r.until(r.all(second)), ShouldBeTrue)
-			So(r.until(func() bool { return r.members[0].fetcher.cancelled() == 1 }), ShouldBeTrue)
-			for _, m := range r.members {
+		Convey("the first fetch is cancelled and only the second manifest is ever ordered", func() {
+			So(c.stepUntil(c.allLoaded(second)), ShouldBeTrue)
+			So(c.stepUntil(func() bool { return c.agents[0].fetcher.cancelled() == 1 }), ShouldBeTrue)
+			for _, m := range c.agents {
 				for _, o := range m.engine.orders {
 					So(o.Digest, ShouldEqual, second)
 				}
@@ -120,128 +120,131 @@
 	})
 }
 
+// count returns the number of fetches of d that were started.
 func (f *fakeFetcher) count(d core.Digest) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fetches[d]
 }
 
+// cancelled returns the number of fetches that were cancelled.
 func (f *fakeFetcher) cancelled() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ended
+	return f.cancelledFetches
 }
 
 func TestOldOrders(t *testing.T) {
-	Convey("Given an agent that was frozen and replaced", t, func() {
-		r := newRig(t, 1, 1)
-		old := r.members[0]
-		v1 := r.declare("m", "m-1", "", 1)
-		So(r.until(r.all(v1)), ShouldBeTrue)
+	Convey("Given an agent that was paused and meanwhile replaced", t, func() {
+		c := newCluster(t, 1, 1)
+		old := c.agents[0]
+		v1 := c.declareVersion("m", "m-1", "", 1)
+		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
 
 		self := old.cfg.Self
 		self.Addr = "127.0.0.1:1"
-		r.live = []core.Instance{self}
-		replacement := &member{engine: old.engine, fetcher: old.fetcher}
-		replacement.Controller = r.controller(self, replacement)
-		r.members = []*member{replacement}
-		v2 := r.declare("m", "m-2", "", 1)
-		So(r.until(r.all(v2)), ShouldBeTrue)
-		// The replacement sees the effect of its own order before the old
-		// agent wakes; one that it has not seen is overdue after LoadTimeout.
-		r.step()
-
-		Convey("woken, it takes no fencing number and gives no order", func() {
-			_, err := old.fence.next(context.Background(), old.listedHere())
+		c.liveInstances = []core.Instance{self}
+		replacement := &testAgent{engine: old.engine, fetcher: old.fetcher}
+		replacement.Controller = c.controller(self, replacement)
+		c.agents = []*testAgent{replacement}
+		v2 := c.declareVersion("m", "m-2", "", 1)
+		So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
+		// The replacement must see the effect of its own order before the old
+		// agent resumes; an order without a visible effect is overdue only
+		// after LoadTimeout.
+		c.step()
+
+		Convey("the resumed agent gets no fencing number and so sends no order", func() {
+			_, err := old.fenceCounter.next(context.Background(), old.isListed())
 			So(errors.Is(err, ErrSuperseded), ShouldBeTrue)
 		})
-		Convey("an order that it gives with its old number is refused", func() {
+		Convey("an order that it sends with its old fencing number is refused", func() {
 			stale := engine.Order{Fence: 1, Action: actionUnload, Model: "m", Version: "m-2", Digest: v2}
 			So(old.engine.Order(context.Background(), stale), ShouldNotBeNil)
 		})
-		Convey("an engine that ignores fencing and obeys is brought back", func() {
+		Convey("an engine that ignores fencing and executes the order is corrected by the replacement", func() {
 			old.engine.fencing = false
 			stale := engine.Order{Fence: 1, Action: actionUnload, Model: "m", Version: "m-2", Digest: v2}
 			So(old.engine.Order(context.Background(), stale), ShouldBeNil)
 			So(old.engine.digests(), ShouldBeEmpty)
-			So(r.until(r.all(v2)), ShouldBeTrue)
+			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
 		})
-		Convey("once the platform lists it again it may order", func() {
-			r.live = []core.Instance{old.cfg.Self}
-			_, err := old.fence.next(context.Background(), old.listedHere())
+		Convey("it gets a fencing number once the platform lists it again", func() {
+			c.liveInstances = []core.Instance{old.cfg.Self}
+			_, err := old.fenceCounter.next(context.Background(), old.isListed())
 			So(err, ShouldBeNil)
 		})
 	})
 }
 
 func TestEngineThatReportsLoadedAndIsNot(t *testing.T) {
-	Convey("Given an engine caught answering with another digest than it reports", t, func() {
-		r := newRig(t, 1, 1)
-		v1 := r.declare("m", "m-1", "", 1)
-		So(r.until(r.all(v1)), ShouldBeTrue)
-		m := r.members[0]
+	Convey("Given an engine that answered with a digest other than the one it reports", t, func() {
+		c := newCluster(t, 1, 1)
+		v1 := c.declareVersion("m", "m-1", "", 1)
+		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
+		m := c.agents[0]
 		before := len(m.engine.orders)
 		m.Distrust(v1)
 
 		Convey("the version is ordered again", func() {
-			So(r.until(func() bool { return len(m.engine.orders) > before }), ShouldBeTrue)
+			So(c.stepUntil(func() bool { return len(m.engine.orders) > before }), ShouldBeTrue)
 			last := m.engine.orders[len(m.engine.orders)-1]
 			So(last.Action, ShouldEqual, actionLoad)
 			So(last.Digest, ShouldEqual, v1)
 		})
 	})
-	Convey("Given an engine that accepts a load and never reports it", t, func() {
-		r := newRig(t, 1, 1)
-		r.members[0].engine.deaf = true
-		r.declare("m", "m-1", "", 1)
-		So(r.until(func() bool { return len(r.members[0].engine.orders) >= 2 }), ShouldBeFalse)
-		r.clock.Advance(DefaultLoadTimeout)
-		So(r.until(func() bool { return len(r.members[0].engine.orders) >= 2 }), ShouldBeTrue)
+	Convey("An accepted load that the engine never reports is ordered again after the load timeout", t, func() {
+		c := newCluster(t, 1, 1)
+		c.agents[0].engine.ignoreOrders = true
+		c.declareVersion("m", "m-1", "", 1)
+		So(c.stepUntil(func() bool { return len(c.agents[0].engine.orders) >= 2 }), ShouldBeFalse)
+		c.clock.Advance(DefaultLoadTimeout)
+		So(c.stepUntil(func() bool { return len(c.agents[0].engine.orders) >= 2 }), ShouldBeTrue)
 	})
 }
 
-func TestAgentStartedAnewBesideALoadedEngine(t *testing.T) {
-	Convey("It fetches nothing until the engine has lost the version", t, func() {
-		r := newRig(t, 1, 1)
-		m := r.members[0]
+func TestAgentRestartedBesideLoadedEngine(t *testing.T) {
+	Convey("A restarted agent fetches a version only once the engine no longer reports it as loaded", t, func() {
+		c := newCluster(t, 1, 1)
+		m := c.agents[0]
 		v1 := core.DigestOf([]byte("m-1"))
 		m.engine.loaded = []frame.Loaded{{Model: "m", Version: "m-1", Digest: v1}}
-		r.declare("m", "m-1", "", 1)
-		So(r.until(func() bool { return m.fetcher.count(v1) > 0 }), ShouldBeFalse)
+		c.declareVersion("m", "m-1", "", 1)
+		So(c.stepUntil(func() bool { return m.fetcher.count(v1) > 0 }), ShouldBeFalse)
 		m.engine.loaded = nil
-		So(r.until(r.all(v1)), ShouldBeTrue)
+		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
 		So(m.fetcher.count(v1), ShouldEqual, 1)
 	})
 }
 
 func TestTableDown(t *testing.T) {
-	Convey("Given a table that is down", t, func() {
-		r := newRig(t, 1, 1)
-		r.table.down = true
-		m := r.members[0]
+	Convey("Given a table that is unavailable", t, func() {
+		c := newCluster(t, 1, 1)
+		c.table.down = true
+		m := c.agents[0]
 
-		Convey("a version is loaded into a free slot with the engine's own number", func() {
+		Convey("a version is loaded into a free slot with the fencing number that the engine reports", func() {
 			m.engine.fence = 7
-			v1 := r.declare("m", "m-1", "", 1)
-			So(r.until(r.all(v1)), ShouldBeTrue)
+			v1 := c.declareVersion("m", "m-1", "", 1)
+			So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
 			So(m.engine.orders[0].Fence, ShouldEqual, 7)
 		})
-		Convey("nothing is unloaded until it is back", func() {
+		Convey("nothing is unloaded until the table is available again", func() {
 			old := core.DigestOf([]byte("m-1"))
 			m.engine.loaded = []frame.Loaded{{Model: "m", Version: "m-1", Digest: old}}
-			v2 := r.declare("m", "m-2", "", 1)
+			v2 := c.declareVersion("m", "m-2", "", 1)
 			for range 60 {
-				r.step()
+				c.step()
 			}
 			So(m.engine.digests(), ShouldResemble, []core.Digest{old})
-			r.table.down = false
-			So(r.until(r.all(v2)), ShouldBeTrue)
+			c.table.down = false
+			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
 		})
 	})
-	Convey("A fencing number whose answer was lost is found to be taken", t, func() {
-		r := newRig(t, 1, 1)
-		r.table.lose = 1
-		f := r.members[0].fence
+	Convey("A fencing number counts as taken if its commit took effect but had an unknown outcome", t, func() {
+		c := newCluster(t, 1, 1)
+		c.table.loseAnswers = 1
+		f := c.agents[0].fenceCounter
 		first, err := f.next(context.Background(), false)
 		So(err, ShouldBeNil)
 		second, err := f.next(context.Background(), false)
--- a/connection/orders/pass.go
+++ b/connection/orders/pass.go
@@ -16,21 +16,21 @@
 	"github.com/rattanway/rattanway/version/placement"
 )
 
-// firstReport is how long an agent waits for its engine's first report before
-// it fetches what may be loaded already.
-const firstReport = 3 * time.Second
+// firstReportTimeout is how long an agent waits for its engine's first report
+// before it fetches versions that the engine may already have loaded.
+const firstReportTimeout = 3 * time.Second
 
-// view is what one pass works from.
-type view struct {
+// passInput holds the state that one reconcile pass works on.
+type passInput struct {
 	set    *declare.Set
 	plan   *placement.Plan
-	wants  []placement.Want
+	wanted []placement.Want
 	status engine.Status
 	slots  int
 }
 
-// pass compares what is wanted with what the engine reports and gives at most
-// one order.
+// pass makes one reconcile pass: it compares the wanted versions with the
+// engine's report, starts missing fetches and sends at most one order.
 func (c *Controller) pass(ctx context.Context) {
 	snapshot := c.holder.Current()
 	server := snapshot.Set.BackendServers[c.cfg.Self.ID]
@@ -38,85 +38,91 @@
 		return
 	}
 	plan := c.computePlan(snapshot.Set)
-	v := &view{
-		set:   snapshot.Set,
-		plan:  plan,
-		wants: plan.Wanted(c.cfg.Self.ID),
-		slots: max(1, server.Slots),
-	}
-	c.limitRegion(snapshot.Set)
-	c.logWanted(snapshot.Number, v.wants)
-	c.cancelUnwanted(v.wants)
-	status, age, ok := c.reports.Status()
-	v.status = status
-	c.fetchMissing(ctx, v, ok)
+	in := &passInput{
+		set:    snapshot.Set,
+		plan:   plan,
+		wanted: plan.Wanted(c.cfg.Self.ID),
+		slots:  max(1, server.Slots),
+	}
+	c.applyRegionBudget(snapshot.Set)
+	c.logWanted(snapshot.Number, in.wanted)
+	c.cancelUnwantedFetches(in.wanted)
+	status, age, ok := c.statusSource.Status()
+	in.status = status
+	c.fetchMissing(ctx, in, ok)
 	if ok {
-		c.settle(v, age)
-		c.markUnwanted(v)
+		c.checkPending(in, age)
+		c.updateUnwanted(in)
 		if c.pending == nil {
-			c.decide(ctx, v)
+			c.sendNextOrder(ctx, in)
 		}
 	}
-	c.publish(v, ok)
+	c.publishProgress(in, ok)
 }
 
-// fetchMissing fetches the wanted versions that the engine does not report. An
-// engine that has not reported yet is given a moment, so that an agent started
-// anew beside an engine that holds its versions fetches nothing.
-func (c *Controller) fetchMissing(ctx context.Context, v *view, known bool) {
-	if !known && c.clock.Since(c.started) < firstReport {
+// fetchMissing starts fetches of the wanted versions that the engine does not
+// report as loaded. Without a report it waits firstReportTimeout from the
+// agent's start, so that an agent restarted beside an engine that has its
+// versions loaded fetches nothing.
+func (c *Controller) fetchMissing(ctx context.Context, in *passInput, statusKnown bool) {
+	if !statusKnown && c.clock.Since(c.startedAt) < firstReportTimeout {
 		return
 	}
-	for _, w := range v.wants {
-		if !known || !c.loaded(v, w.Digest) {
+	for _, w := range in.wanted {
+		if !statusKnown || !c.hasLoaded(in, w.Digest) {
 			c.startFetch(ctx, w)
 		}
 	}
 }
 
-// regionLimiter is a Fetcher whose use of the link between regions is limited.
-type regionLimiter interface {
+// regionBudgetSetter is implemented by fetchers that can limit their use of the
+// link between regions.
+type regionBudgetSetter interface {
 	SetRegionBudget(bytesPerSecond int64)
 }
 
-// limitRegion passes a declared budget of this region's link on.
-func (c *Controller) limitRegion(set *declare.Set) {
+// applyRegionBudget passes the declared budget of this region's link to the
+// fetcher.
+func (c *Controller) applyRegionBudget(set *declare.Set) {
 	region, ok := set.Regions[c.cfg.Self.Region]
 	if !ok || region.LinkBytesPerSecond <= 0 {
 		return
 	}
-	if f, ok := c.fetcher.(regionLimiter); ok {
+	if f, ok := c.fetcher.(regionBudgetSetter); ok {
 		f.SetRegionBudget(region.LinkBytesPerSecond)
 	}
 }
 
-// logWanted writes a line when the wanted versions changed.
-func (c *Controller) logWanted(config uint64, wants []placement.Want) {
+// logWanted logs the wanted versions if they have changed since the last pass.
+// config is the number of the configuration.
+func (c *Controller) logWanted(config uint64, wanted []placement.Want) {
 	var names []string
-	for _, w := range wants {
+	for _, w := range wanted {
 		names = append(names, fmt.Sprintf("%s/%s %s rank %d", w.Model, w.Version, w.Digest, w.Rank))
 	}
 	line := strings.Join(names, ", ")
-	if line == c.lastWant {
+	if line == c.loggedWanted {
 		return
 	}
-	c.lastWant = line
-	c.log.Event(eventWanted, eventlog.Fields{"config": config, "wanted": names, "server": c.cfg.Self.ID})
+	c.loggedWanted = line
+	c.log.Event(eventPlacementWanted, eventlog.Fields{"config": config, "wanted": names, "server": c.cfg.Self.ID})
 }
 
-// cancelUnwanted ends the fetches of versions that are not wanted any more.
-func (c *Controller) cancelUnwanted(wants []placement.Want) {
+// cancelUnwantedFetches cancels the fetches of versions that are no longer
+// wanted.
+func (c *Controller) cancelUnwantedFetches(wanted []placement.Want) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for d, cancel := range c.fetching {
-		if !wanted(wants, d) {
+		if !isWanted(wanted, d) {
 			cancel()
 		}
 	}
 }
 
-func wanted(wants []placement.Want, d core.Digest) bool {
-	for _, w := range wants {
+// isWanted reports whether the digest d is among the wanted versions.
+func isWanted(wanted []placement.Want, d core.Digest) bool {
+	for _, w := range wanted {
 		if w.Digest == d {
 			return true
 		}
@@ -124,157 +130,163 @@
 	return false
 }
 
-// settle drops the pending order once the engine's report shows its effect,
-// once the engine started anew, or once it is overdue. A report from before
-// the order says nothing.
-func (c *Controller) settle(v *view, age time.Duration) {
+// checkPending clears the pending order if the engine's report shows its
+// effect, if the engine has restarted, or if the order is overdue. A report
+// older than the order is ignored. age is the age of the report.
+func (c *Controller) checkPending(in *passInput, age time.Duration) {
 	p := c.pending
-	if p == nil || c.clock.Since(p.since) <= age {
+	if p == nil || c.clock.Since(p.sentAt) <= age {
 		return
 	}
 	fields := eventlog.Fields{
 		"action": p.order.Action, "model": p.order.Model, "version": p.order.Digest, "fence": p.order.Fence,
-		"ms": c.clock.Since(p.since).Milliseconds(),
+		"ms": c.clock.Since(p.sentAt).Milliseconds(),
 	}
 	timeout := c.cfg.UnloadTimeout
 	if p.order.Action == actionLoad {
 		timeout = c.cfg.LoadTimeout
 	}
 	switch {
-	case holds(v.status.Loaded, p.order.Digest) == (p.order.Action == actionLoad):
-		c.log.Event(eventConfirmed, fields)
-	case v.status.Boot != p.boot || c.clock.Since(p.since) > timeout:
-		c.log.Event(eventOverdue, fields)
+	case containsDigest(in.status.Loaded, p.order.Digest) == (p.order.Action == actionLoad):
+		c.log.Event(eventOrderConfirmed, fields)
+	case in.status.Boot != p.boot || c.clock.Since(p.sentAt) > timeout:
+		c.log.Event(eventOrderOverdue, fields)
 	default:
 		return
 	}
 	c.pending = nil
 }
 
-// markUnwanted remembers since when each loaded version is unwanted, and ends
-// the drains of those that are wanted again or gone.
-func (c *Controller) markUnwanted(v *view) {
-	for _, l := range v.status.Loaded {
-		if wanted(v.wants, l.Digest) {
-			delete(c.unwanted, l.Digest)
+// updateUnwanted records since when each loaded version is unwanted, and
+// cancels the drains of versions that are wanted again or no longer loaded.
+func (c *Controller) updateUnwanted(in *passInput) {
+	for _, l := range in.status.Loaded {
+		if isWanted(in.wanted, l.Digest) {
+			delete(c.unwantedSince, l.Digest)
 			continue
 		}
-		if _, ok := c.unwanted[l.Digest]; !ok {
-			c.unwanted[l.Digest] = c.clock.Now()
+		if _, ok := c.unwantedSince[l.Digest]; !ok {
+			c.unwantedSince[l.Digest] = c.clock.Now()
 		}
 	}
-	for d := range c.unwanted {
-		if !holds(v.status.Loaded, d) {
-			delete(c.unwanted, d)
+	for d := range c.unwantedSince {
+		if !containsDigest(in.status.Loaded, d) {
+			delete(c.unwantedSince, d)
 		}
 	}
-	for d := range c.retiring {
-		if _, ok := c.unwanted[d]; !ok {
-			c.endDrain(d)
+	for d := range c.drains {
+		if _, ok := c.unwantedSince[d]; !ok {
+			c.cancelDrain(d)
 		}
 	}
 }
 
-// decide gives the next order: first a load that is possible, then an unload
-// that makes room for one or that is due.
-func (c *Controller) decide(ctx context.Context, v *view) {
-	for _, w := range v.wants {
-		if c.loaded(v, w.Digest) || !c.ready(v, w) {
+// sendNextOrder sends at most one order. It goes through the wanted versions
+// first and loads the first one that can be loaded, or unloads a version to free
+// a slot for it. Otherwise it unloads a version that is no longer needed.
+func (c *Controller) sendNextOrder(ctx context.Context, in *passInput) {
+	for _, w := range in.wanted {
+		if c.hasLoaded(in, w.Digest) || !c.canLoad(in, w) {
 			continue
 		}
-		if len(v.status.Loaded) < v.slots || holds(v.status.Loaded, w.Digest) {
-			c.order(ctx, v, actionLoad, frame.Loaded{Model: w.Model, Version: w.Version, Digest: w.Digest})
+		if len(in.status.Loaded) < in.slots || containsDigest(in.status.Loaded, w.Digest) {
+			c.sendOrder(ctx, in, actionLoad, frame.Loaded{Model: w.Model, Version: w.Version, Digest: w.Digest})
 			return
 		}
-		if c.replace(ctx, v, w) {
+		if c.freeSlot(ctx, in, w) {
 			return
 		}
 	}
-	for _, l := range v.status.Loaded {
-		if c.retirable(ctx, v, l) && c.retire(ctx, v, l) {
+	for _, l := range in.status.Loaded {
+		if c.mayUnload(ctx, in, l) && c.drainAndUnload(ctx, in, l) {
 			return
 		}
 	}
 }
 
-// loaded reports whether the engine reports d and has not been caught
-// answering with something else.
-func (c *Controller) loaded(v *view, d core.Digest) bool {
+// hasLoaded reports whether the engine reports d as loaded and no call for d
+// was answered with another digest.
+func (c *Controller) hasLoaded(in *passInput, d core.Digest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return holds(v.status.Loaded, d) && !c.distrusted[d]
+	return containsDigest(in.status.Loaded, d) && !c.digestMismatch[d]
 }
 
-// ready reports whether a version can be loaded: all of its chunks are
-// verified, and its base is loaded.
-func (c *Controller) ready(v *view, w placement.Want) bool {
+// canLoad reports whether a version can be loaded: all of its chunks are
+// verified, and its base version, if any, is loaded. If not, it records the
+// reason.
+func (c *Controller) canLoad(in *passInput, w placement.Want) bool {
 	c.mu.Lock()
-	held := c.fetched[w.Digest] != nil
+	verified := c.fetched[w.Digest] != nil
 	c.mu.Unlock()
 	switch {
-	case !held:
-		c.hold(w.Digest, "chunks")
-	case w.Base != "" && !c.loaded(v, w.Base):
-		c.hold(w.Digest, "base version")
+	case !verified:
+		c.recordWait(w.Digest, "chunks")
+	case w.Base != "" && !c.hasLoaded(in, w.Base):
+		c.recordWait(w.Digest, "base version")
 	default:
 		return true
 	}
 	return false
 }
 
-// replace unloads a version to make room for w. It reports whether it gave an
-// order. The version that w replaces goes only when it is this server's turn;
-// one of another model goes when that model stands on enough servers.
-func (c *Controller) replace(ctx context.Context, v *view, w placement.Want) bool {
-	for _, l := range v.status.Loaded {
-		if wanted(v.wants, l.Digest) {
+// freeSlot drains and unloads an unwanted version to free a slot for w, and
+// reports whether the engine accepted the order. An older version of the same
+// model is unloaded only if mayReplace allows it, a version of another model only
+// if that model is rolled out.
+func (c *Controller) freeSlot(ctx context.Context, in *passInput, w placement.Want) bool {
+	for _, l := range in.status.Loaded {
+		if isWanted(in.wanted, l.Digest) {
 			continue
 		}
-		if l.Model == w.Model && !c.myTurn(ctx, v.plan.Needers(w.Digest), w.Rank, w.Digest) {
-			c.hold(w.Digest, "turn to replace")
+		if l.Model == w.Model && !c.mayReplace(ctx, in.plan.Needers(w.Digest), w.Rank, w.Digest) {
+			c.recordWait(w.Digest, "turn to replace")
 			continue
 		}
-		if l.Model != w.Model && !c.modelStands(ctx, v, l.Model) {
-			c.hold(w.Digest, "slot held by "+l.Model)
+		if l.Model != w.Model && !c.modelRolledOut(ctx, in, l.Model) {
+			c.recordWait(w.Digest, "slot held by "+l.Model)
 			continue
 		}
-		return c.retire(ctx, v, l)
+		return c.drainAndUnload(ctx, in, l)
 	}
 	return false
 }
 
-// retirable reports whether an unwanted version may be unloaded though its
-// slot is not needed.
-func (c *Controller) retirable(ctx context.Context, v *view, l frame.Loaded) bool {
-	since, unwanted := c.unwanted[l.Digest]
+// mayUnload reports whether a version may be unloaded although its slot is not
+// needed: it has been unwanted for RetireDelay, the wanted versions of its model
+// are loaded here, and the model is rolled out.
+func (c *Controller) mayUnload(ctx context.Context, in *passInput, l frame.Loaded) bool {
+	since, unwanted := c.unwantedSince[l.Digest]
 	if !unwanted || c.clock.Since(since) < c.cfg.RetireDelay {
 		return false
 	}
-	for _, w := range v.wants {
-		if w.Model == l.Model && !c.loaded(v, w.Digest) {
+	for _, w := range in.wanted {
+		if w.Model == l.Model && !c.hasLoaded(in, w.Digest) {
 			return false
 		}
 	}
-	return c.modelStands(ctx, v, l.Model)
+	return c.modelRolledOut(ctx, in, l.Model)
 }
 
-// modelStands reports whether the version that a model is to serve stands on
-// enough servers. A model that is not declared needs none.
-func (c *Controller) modelStands(ctx context.Context, v *view, model string) bool {
-	m, ok := v.set.Models[model]
+// modelRolledOut reports whether the declared version of a model is rolled out,
+// as defined by versionRolledOut. It returns true for a model that is not
+// declared.
+func (c *Controller) modelRolledOut(ctx context.Context, in *passInput, model string) bool {
+	m, ok := in.set.Models[model]
 	if !ok {
 		return true
 	}
-	version, ok := v.set.Versions[m.Version]
+	version, ok := in.set.Versions[m.Version]
 	if !ok {
 		return false
 	}
-	return c.standsOnEnough(ctx, v.plan.Needers(version.Manifest), version.Manifest)
+	return c.versionRolledOut(ctx, in.plan.Needers(version.Manifest), version.Manifest)
 }
 
-// order takes a fencing number and gives one order.
-func (c *Controller) order(ctx context.Context, v *view, action string, l frame.Loaded) {
-	fence, from, err := c.takeFence(ctx, v, action)
+// sendOrder takes a fencing number and sends one order to the engine. If the
+// engine accepts it, the order becomes the pending one.
+func (c *Controller) sendOrder(ctx context.Context, in *passInput, action string, l frame.Loaded) {
+	fence, source, err := c.takeFencingNumber(ctx, in, action)
 	if err != nil {
 		return
 	}
@@ -282,44 +294,45 @@
 		Fence: fence, Action: action, Model: l.Model, Version: l.Version, Digest: l.Digest, Source: c.cfg.Source,
 	}
 	fields := eventlog.Fields{
-		"action": action, "model": l.Model, "version": l.Digest, "fence": fence, "fenceFrom": from,
+		"action": action, "model": l.Model, "version": l.Digest, "fence": fence, "fenceFrom": source,
 	}
 	if err := c.engine.Order(ctx, o); err != nil {
-		c.log.Fail(eventRefused, err, fields)
+		c.log.Fail(eventOrderFailed, err, fields)
 		return
 	}
-	c.log.Event(eventOrder, fields)
-	delete(c.reasons, l.Digest)
+	c.log.Event(eventOrderGiven, fields)
+	delete(c.waitReasons, l.Digest)
 	c.mu.Lock()
-	delete(c.distrusted, l.Digest)
+	delete(c.digestMismatch, l.Digest)
 	c.mu.Unlock()
-	c.pending = &pending{order: o, boot: v.status.Boot, since: c.clock.Now()}
+	c.pending = &pendingOrder{order: o, boot: in.status.Boot, sentAt: c.clock.Now()}
 }
 
-// takeFence returns a fencing number and where it came from. While the table
-// is down, a load into a free slot is ordered with the number that the engine
-// reports: it takes nothing away from callers, and any agent that has taken a
-// higher number overrules it. An unload is never ordered without the table.
-func (c *Controller) takeFence(ctx context.Context, v *view, action string) (uint64, string, error) {
-	fence, err := c.fence.next(ctx, c.listedHere())
+// takeFencingNumber returns a fencing number and its source, "table" or
+// "engine". While the table is unavailable, a load is ordered with the number
+// that the engine reports. This is safe: a load into a free slot affects no
+// running calls, and orders of an agent that has taken a higher number override
+// it. An unload is never ordered without the table.
+func (c *Controller) takeFencingNumber(ctx context.Context, in *passInput, action string) (uint64, string, error) {
+	fence, err := c.fenceCounter.next(ctx, c.isListed())
 	switch {
 	case err == nil:
 		return fence, "table", nil
 	case errors.Is(err, ErrSuperseded):
-		c.log.Event(eventSuperseded, eventlog.Fields{"server": c.cfg.Self.ID})
+		c.log.Event(eventAgentSuperseded, eventlog.Fields{"server": c.cfg.Self.ID})
 		return 0, "", err
 	}
-	c.log.Fail(eventFenceFailed, err, eventlog.Fields{"server": c.cfg.Self.ID, "action": action})
+	c.log.Fail(eventFenceUnavailable, err, eventlog.Fields{"server": c.cfg.Self.ID, "action": action})
 	if action == actionLoad && ctx.Err() == nil {
-		return v.status.Fence, "engine", nil
+		return in.status.Fence, "engine", nil
 	}
 	return 0, "", err
 }
 
-// listedHere reports whether the platform lists this agent, at its address,
-// as the one beside the backend server.
-func (c *Controller) listedHere() bool {
-	for _, i := range c.live() {
+// isListed reports whether the platform lists this agent at its address, and
+// not as leaving.
+func (c *Controller) isListed() bool {
+	for _, i := range c.liveInstances() {
 		if i.ID == c.cfg.Self.ID {
 			return i.Addr == c.cfg.Self.Addr && !i.Leaving
 		}
@@ -327,11 +340,12 @@
 	return false
 }
 
-// hold remembers why a version is not ordered yet, and logs a new reason.
-func (c *Controller) hold(d core.Digest, reason string) {
-	if c.reasons[d] == reason {
+// recordWait records why the next order for a version is delayed, and logs the
+// reason if it has changed.
+func (c *Controller) recordWait(d core.Digest, reason string) {
+	if c.waitReasons[d] == reason {
 		return
 	}
-	c.reasons[d] = reason
-	c.log.Event(eventHeld, eventlog.Fields{"version": d, "reason": reason})
+	c.waitReasons[d] = reason
+	c.log.Event(eventRolloutWaits, eventlog.Fields{"version": d, "reason": reason})
 }
--- a/connection/orders/peers.go
+++ b/connection/orders/peers.go
@@ -13,46 +13,48 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// StatePath serves to peers what the engine beside this agent reports as
-// loaded, as JSON.
+// StatePath is the HTTP path at which an agent serves to its peers the list of
+// versions that its engine reports as loaded, as JSON.
 const StatePath = "/internal/versions"
 
 const (
-	// stateTimeout bounds the reading of one peer's state.
-	stateTimeout = time.Second
-	// maxStateBytes bounds a peer's state, in bytes.
-	maxStateBytes = 1 << 20
-	// sampleSize is the number of peers that are asked whether a version
-	// stands on enough servers.
+	// versionsTimeout bounds one request for a peer's loaded versions.
+	versionsTimeout = time.Second
+	// maxVersionsBytes is the largest response read from a peer, in bytes.
+	maxVersionsBytes = 1 << 20
+	// sampleSize is the largest number of agents that are checked to decide
+	// whether a version is rolled out.
 	sampleSize = 8
 )
 
-// peerState is what an agent tells its peers.
-type peerState struct {
-	// Loaded is what the engine reports; empty while it does not answer.
+// versionsResponse is the body of a response at StatePath.
+type versionsResponse struct {
+	// Loaded lists the versions that the engine reports as loaded. It is empty
+	// while the engine does not answer.
 	Loaded []frame.Loaded `json:"loaded"`
 }
 
-// Handler serves StatePath to callers that give the peer token.
+// Handler returns the handler for StatePath. It refuses requests without the
+// peer token.
 func (c *Controller) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !core.SameSecret(r.Header.Get(core.HeaderPeerToken), c.cfg.Token) {
 			http.Error(w, "wrong peer token", http.StatusUnauthorized)
 			return
 		}
-		var state peerState
-		if status, _, ok := c.reports.Status(); ok {
-			state.Loaded = status.Loaded
+		var response versionsResponse
+		if status, _, ok := c.statusSource.Status(); ok {
+			response.Loaded = status.Loaded
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(state)
+		_ = json.NewEncoder(w).Encode(response)
 	})
 }
 
-// peerHolds asks a peer whether its engine reports the version d. An error
-// says that the peer did not answer.
-func (c *Controller) peerHolds(ctx context.Context, peer core.Instance, d core.Digest) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
+// peerHasLoaded requests a peer's loaded versions and reports whether d is among
+// them. It returns an error if the peer sent no valid response.
+func (c *Controller) peerHasLoaded(ctx context.Context, peer core.Instance, d core.Digest) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, versionsTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer.Addr+StatePath, nil)
 	if err != nil {
@@ -67,15 +69,15 @@
 	if resp.StatusCode != http.StatusOK {
 		return false, core.Step("read versions", peer.ID, errors.Errorf("status %d", resp.StatusCode))
 	}
-	var state peerState
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStateBytes)).Decode(&state); err != nil {
+	var response versionsResponse
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxVersionsBytes)).Decode(&response); err != nil {
 		return false, core.Step("read versions", peer.ID, err)
 	}
-	return holds(state.Loaded, d), nil
+	return containsDigest(response.Loaded, d), nil
 }
 
-// holds reports whether a list of loaded versions has the digest d.
-func holds(loaded []frame.Loaded, d core.Digest) bool {
+// containsDigest reports whether a list of loaded versions contains the digest d.
+func containsDigest(loaded []frame.Loaded, d core.Digest) bool {
 	for _, l := range loaded {
 		if l.Digest == d {
 			return true
@@ -84,28 +86,29 @@
 	return false
 }
 
-// standsOnEnough reports whether enough of a version's servers report it. It
-// asks a sample that is spread evenly over the ranks; a peer that does not
-// answer counts as one that does not hold it.
-func (c *Controller) standsOnEnough(ctx context.Context, needers []core.Instance, d core.Digest) bool {
-	sample := spreadSample(needers, sampleSize)
-	standing := 0
+// versionRolledOut reports whether at least the share Config.Enough of the agents
+// report the version d as loaded. It checks at most sampleSize of the agents,
+// spread evenly over their ranks. A peer that does not answer counts as not
+// having loaded d. agents are the agents assigned d, in the order of their rank.
+func (c *Controller) versionRolledOut(ctx context.Context, agents []core.Instance, d core.Digest) bool {
+	sample := evenSample(agents, sampleSize)
+	loadedCount := 0
 	for _, peer := range sample {
 		if peer.ID == c.cfg.Self.ID {
-			if status, _, ok := c.reports.Status(); ok && holds(status.Loaded, d) {
-				standing++
+			if status, _, ok := c.statusSource.Status(); ok && containsDigest(status.Loaded, d) {
+				loadedCount++
 			}
 			continue
 		}
-		if held, err := c.peerHolds(ctx, peer, d); err == nil && held {
-			standing++
+		if loaded, err := c.peerHasLoaded(ctx, peer, d); err == nil && loaded {
+			loadedCount++
 		}
 	}
-	return len(sample) > 0 && float64(standing) >= c.cfg.Enough*float64(len(sample))
+	return len(sample) > 0 && float64(loadedCount) >= c.cfg.Enough*float64(len(sample))
 }
 
-// spreadSample returns up to n peers at even distances.
-func spreadSample(peers []core.Instance, n int) []core.Instance {
+// evenSample returns at most n of the peers, evenly spaced.
+func evenSample(peers []core.Instance, n int) []core.Instance {
 	if len(peers) <= n {
 		return peers
 	}
@@ -116,21 +119,22 @@
 	return out
 }
 
-// myTurn reports whether this server may replace its version in place. At
-// most width servers of a model replace at once: the server of rank r starts
-// when that of rank r-width reports the new version. A predecessor that has
-// not answered for a while serves nobody and is passed over.
-func (c *Controller) myTurn(ctx context.Context, needers []core.Instance, rank int, d core.Digest) bool {
-	width := max(1, len(needers)/c.cfg.ReplaceShare)
-	for r := rank - width; r >= 0; r -= width {
-		held, err := c.peerHolds(ctx, needers[r], d)
+// mayReplace reports whether this server, of the given rank, may unload its old
+// version to load d into the same slot. At most maxReplacing of the agents
+// assigned d do this at the same time: the server of rank r waits until the one
+// of rank r-maxReplacing reports d as loaded. A predecessor that has not answered
+// for Config.PeerPatience handles no calls and is skipped.
+func (c *Controller) mayReplace(ctx context.Context, agents []core.Instance, rank int, d core.Digest) bool {
+	maxReplacing := max(1, len(agents)/c.cfg.ReplaceShare)
+	for r := rank - maxReplacing; r >= 0; r -= maxReplacing {
+		loaded, err := c.peerHasLoaded(ctx, agents[r], d)
 		if err == nil {
-			delete(c.silent, needers[r].ID)
-			return held
+			delete(c.unansweredSince, agents[r].ID)
+			return loaded
 		}
-		since, known := c.silent[needers[r].ID]
-		if !known {
-			c.silent[needers[r].ID] = c.clock.Now()
+		since, recorded := c.unansweredSince[agents[r].ID]
+		if !recorded {
+			c.unansweredSince[agents[r].ID] = c.clock.Now()
 			return false
 		}
 		if c.clock.Since(since) < c.cfg.PeerPatience {
--- a/connection/orders/progress.go
+++ b/connection/orders/progress.go
@@ -7,100 +7,105 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// State is how far a version has come at one backend server.
+// State is the rollout state of one version at one backend server.
 type State string
 
-// The states of a version.
+// The rollout states of a version.
 const (
-	// StateFetching says that chunks are missing.
+	// StateFetching means that chunks are missing.
 	StateFetching State = "fetching"
-	// StateVerified says that every chunk is held and the load is not yet
-	// ordered; Reason says what it waits for.
+	// StateVerified means that all chunks are stored and verified, and the load
+	// is not ordered yet; Progress.Reason gives the cause of the delay.
 	StateVerified State = "verified"
-	// StateOrdered says that the engine accepted the load.
+	// StateOrdered means that the engine has accepted the order to load the
+	// version.
 	StateOrdered State = "ordered"
-	// StateLoaded says that the engine reports the version.
+	// StateLoaded means that the engine reports the version as loaded.
 	StateLoaded State = "loaded"
-	// StateRetiring says that the version is loaded and no longer wanted.
+	// StateRetiring means that the version is loaded and no longer wanted.
 	StateRetiring State = "retiring"
-	// StateUnknown says that the engine does not report.
+	// StateUnknown means that there is no current report of the engine.
 	StateUnknown State = "unknown"
 )
 
-// Progress is the state of one version at this backend server.
+// Progress describes the rollout of one version at this backend server.
 type Progress struct {
-	// Model and Version name the version; Version is empty for one that is
-	// only reported by the engine under no name.
+	// Model and Version name the version. Version is empty if the version is
+	// not wanted and the engine reports it without a name.
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	// Digest is the manifest digest.
 	Digest core.Digest `json:"digest"`
-	// Rank is the server's place in the model's order, from 0; -1 when the
-	// version is not wanted here.
+	// Rank is the server's position, from 0, in the rollout order of the
+	// version's servers; -1 if the version is not wanted here.
 	Rank int `json:"rank"`
-	// State is how far it has come.
+	// State is the rollout state.
 	State State `json:"state"`
-	// Reason says what the next order waits for; empty for nothing.
+	// Reason is why the next order is delayed; empty if it is not.
 	Reason string `json:"reason,omitempty"`
-	// Fetch counts chunks and bytes while they are fetched.
+	// Fetch counts the chunks and bytes of the version and how many of them are
+	// stored.
 	Fetch spread.Progress `json:"fetch"`
 }
 
-// fetchProgress is what a Fetcher may tell of a fetch.
-type fetchProgress interface {
+// progressReporter is implemented by fetchers that report the progress of a
+// fetch.
+type progressReporter interface {
 	Progress(d core.Digest) (spread.Progress, bool)
 }
 
-// Progress returns the state of every version wanted here or loaded.
+// Progress returns the progress of every version that is wanted or loaded here,
+// as of the last pass.
 func (c *Controller) Progress() []Progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.progress
 }
 
-// publish makes the state after a pass visible.
-func (c *Controller) publish(v *view, known bool) {
+// publishProgress updates the result of Progress and the gauges after a pass.
+// statusKnown is false if there is no current report of the engine.
+func (c *Controller) publishProgress(in *passInput, statusKnown bool) {
 	var all []Progress
 	loaded := 0
-	for _, w := range v.wants {
+	for _, w := range in.wanted {
 		p := Progress{Model: w.Model, Version: w.Version, Digest: w.Digest, Rank: w.Rank}
-		p.State = c.state(v, w.Digest, known)
+		p.State = c.stateOf(in, w.Digest, statusKnown)
 		if p.State == StateLoaded {
 			loaded++
 		}
 		if p.State == StateFetching || p.State == StateVerified {
-			p.Reason = c.reasons[w.Digest]
+			p.Reason = c.waitReasons[w.Digest]
 		}
-		if f, ok := c.fetcher.(fetchProgress); ok {
+		if f, ok := c.fetcher.(progressReporter); ok {
 			p.Fetch, _ = f.Progress(w.Digest)
 		}
 		all = append(all, p)
 	}
-	for _, l := range v.status.Loaded {
-		if wanted(v.wants, l.Digest) {
+	for _, l := range in.status.Loaded {
+		if isWanted(in.wanted, l.Digest) {
 			continue
 		}
 		all = append(all, Progress{
 			Model: l.Model, Version: l.Version, Digest: l.Digest, Rank: -1,
-			State: StateRetiring, Reason: c.reasons[l.Digest],
+			State: StateRetiring, Reason: c.waitReasons[l.Digest],
 		})
 	}
-	c.gauge("versions.wanted", len(v.wants))
-	c.gauge("versions.loaded", loaded)
-	c.gauge("weights.held-bytes", int(c.store.Bytes()))
+	c.updateGauge("versions.wanted", len(in.wanted))
+	c.updateGauge("versions.loaded", loaded)
+	c.updateGauge("weights.held-bytes", int(c.store.Bytes()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress = all
 }
 
-// state returns how far a wanted version has come.
-func (c *Controller) state(v *view, d core.Digest, known bool) State {
+// stateOf returns the state of a wanted version.
+func (c *Controller) stateOf(in *passInput, d core.Digest, statusKnown bool) State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case !known:
+	case !statusKnown:
 		return StateUnknown
-	case holds(v.status.Loaded, d) && !c.distrusted[d]:
+	case containsDigest(in.status.Loaded, d) && !c.digestMismatch[d]:
 		return StateLoaded
 	case c.pending != nil && c.pending.order.Digest == d:
 		return StateOrdered
@@ -110,6 +115,7 @@
 	return StateFetching
 }
 
-func (c *Controller) gauge(name string, value int) {
+// updateGauge sets a gauge in the metrics registry.
+func (c *Controller) updateGauge(name string, value int) {
 	metrics.GetOrRegisterGauge(name, c.cfg.Metrics).Update(int64(value))
 }
--- a/connection/orders/rig_test.go
+++ b/connection/orders/rig_test.go
@@ -26,17 +26,20 @@
 
 const testToken = "peer-token"
 
-// fakeEngine obeys orders at once and reports at once.
+// fakeEngine is an engine that executes each order immediately and reports the
+// effect. If ignoreOrders is set, it accepts orders without any effect.
 type fakeEngine struct {
-	mu      sync.Mutex
-	clock   clockwork.Clock
-	fencing bool
-	deaf    bool
-	loaded  []frame.Loaded
-	orders  []engine.Order
-	fence   uint64
+	mu           sync.Mutex
+	clock        clockwork.Clock
+	fencing      bool
+	ignoreOrders bool
+	loaded       []frame.Loaded
+	orders       []engine.Order
+	fence        uint64
 }
 
+// Order implements Orderer. It refuses a fencing number that is too low if fencing
+// is set.
 func (e *fakeEngine) Order(_ context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,26 +48,28 @@
 	}
 	e.fence = max(e.fence, o.Fence)
 	e.orders = append(e.orders, o)
-	if e.deaf {
+	if e.ignoreOrders {
 		return nil
 	}
 	l := frame.Loaded{Model: o.Model, Version: o.Version, Digest: o.Digest}
-	e.loaded = slices.DeleteFunc(e.loaded, func(have frame.Loaded) bool { return have == l })
+	e.loaded = slices.DeleteFunc(e.loaded, func(other frame.Loaded) bool { return other == l })
 	if o.Action == actionLoad {
 		e.loaded = append(e.loaded, l)
 	}
 	return nil
 }
 
+// Status implements Reports.
 func (e *fakeEngine) Status() (engine.Status, time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return engine.Status{Loaded: slices.Clone(e.loaded), Fence: e.fence, Boot: "boot"}, -1, true
 }
 
+// Changed implements Reports; its nil channel never signals a change.
 func (e *fakeEngine) Changed() <-chan struct{} { return nil }
 
-// digests returns what is loaded, in the order of loading.
+// digests returns the digests of the loaded versions, in the order of loading.
 func (e *fakeEngine) digests() []core.Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,12 +80,13 @@
 	return all
 }
 
-// fakeTable is a table in memory that can be down or lose answers.
+// fakeTable is an in-memory table. It is unavailable while down is set, and the
+// next loseAnswers commits take effect but return ErrUnknownOutcome.
 type fakeTable struct {
-	mu   sync.Mutex
-	rows map[string]platform.Row
-	down bool
-	lose int
+	mu          sync.Mutex
+	rows        map[string]platform.Row
+	down        bool
+	loseAnswers int
 	platform.Table
 }
 
@@ -109,163 +115,169 @@
 		return platform.ErrConflict
 	}
 	t.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Revision: row.Revision + 1}
-	if t.lose > 0 {
-		t.lose--
+	if t.loseAnswers > 0 {
+		t.loseAnswers--
 		return platform.ErrUnknownOutcome
 	}
 	return nil
 }
 
-// fakeFetcher has every version at once, unless it is told to hang.
+// fakeFetcher completes every fetch immediately, except those of blocked versions,
+// which end only when their context is cancelled.
 type fakeFetcher struct {
-	mu      sync.Mutex
-	hang    map[core.Digest]bool
-	fetches map[core.Digest]int
-	ended   int
+	mu               sync.Mutex
+	blocked          map[core.Digest]bool
+	fetches          map[core.Digest]int
+	cancelledFetches int
 }
 
 func (f *fakeFetcher) Fetch(ctx context.Context, d core.Digest, _ func() []spread.Peer) (*manifest.Manifest, error) {
 	f.mu.Lock()
 	f.fetches[d]++
-	hang := f.hang[d]
+	blocked := f.blocked[d]
 	f.mu.Unlock()
-	if hang {
+	if blocked {
 		<-ctx.Done()
 		f.mu.Lock()
-		f.ended++
+		f.cancelledFetches++
 		f.mu.Unlock()
 		return nil, ctx.Err()
 	}
 	return &manifest.Manifest{}, nil
 }
 
-// member is one agent of a rig.
-type member struct {
+// testAgent is one agent of a cluster, with its engine and fetcher.
+type testAgent struct {
 	*Controller
 	engine  *fakeEngine
 	fetcher *fakeFetcher
 	server  *httptest.Server
 }
 
-// rig is a few agents under one configuration.
-type rig struct {
-	clock   *clockwork.FakeClock
-	table   *fakeTable
-	holder  *confstore.Holder
-	set     *declare.Set
-	number  uint64
-	live    []core.Instance
-	members []*member
-	// least is the smallest number of servers that had any version loaded
-	// after every server had one.
-	least int
+// cluster is a set of agents that share one configuration.
+type cluster struct {
+	clock         *clockwork.FakeClock
+	table         *fakeTable
+	holder        *confstore.Holder
+	set           *declare.Set
+	configNumber  uint64
+	liveInstances []core.Instance
+	agents        []*testAgent
+	// minServing is the smallest number of agents whose engine had a version
+	// loaded at the end of any step since minServing was last set.
+	minServing int
 }
 
-// newRig declares n servers with slots and starts their agents.
-func newRig(t *testing.T, n, slots int) *rig {
+// newCluster declares n backend servers with the given number of slots each and
+// starts their agents.
+func newCluster(t *testing.T, n, slots int) *cluster {
 	t.Helper()
-	r := &rig{
-		clock:  clockwork.NewFakeClock(),
-		table:  &fakeTable{rows: map[string]platform.Row{}},
-		holder: confstore.NewHolder(),
-		set:    declare.NewSet(),
-		least:  n,
+	c := &cluster{
+		clock:      clockwork.NewFakeClock(),
+		table:      &fakeTable{rows: map[string]platform.Row{}},
+		holder:     confstore.NewHolder(),
+		set:        declare.NewSet(),
+		minServing: n,
 	}
-	r.set.DataCentres["dc"] = &declare.DataCentre{Name: "dc", Region: "r"}
+	c.set.DataCentres["dc"] = &declare.DataCentre{Name: "dc", Region: "r"}
 	for i := range n {
 		name := fmt.Sprintf("gpu-%d", i)
-		r.set.BackendServers[name] = &declare.BackendServer{Name: name, DataCentre: "dc", Slots: slots}
+		c.set.BackendServers[name] = &declare.BackendServer{Name: name, DataCentre: "dc", Slots: slots}
 		server := httptest.NewUnstartedServer(nil)
 		self := core.Instance{ID: name, Role: core.RoleAgent, Addr: server.Listener.Addr().String(), DataCentre: "dc", Region: "r"}
-		r.live = append(r.live, self)
-		m := r.newMember(self)
+		c.liveInstances = append(c.liveInstances, self)
+		m := c.newAgent(self)
 		m.server = server
 		server.Config.Handler = m.Handler()
 		server.Start()
 		t.Cleanup(server.Close)
-		r.members = append(r.members, m)
+		c.agents = append(c.agents, m)
 	}
-	return r
+	return c
 }
 
-// newMember returns another agent for the server that self stands beside.
-func (r *rig) newMember(self core.Instance) *member {
-	m := &member{
-		engine:  &fakeEngine{clock: r.clock, fencing: true},
-		fetcher: &fakeFetcher{hang: map[core.Digest]bool{}, fetches: map[core.Digest]int{}},
+// newAgent returns an agent with a new engine and fetcher.
+func (c *cluster) newAgent(self core.Instance) *testAgent {
+	m := &testAgent{
+		engine:  &fakeEngine{clock: c.clock, fencing: true},
+		fetcher: &fakeFetcher{blocked: map[core.Digest]bool{}, fetches: map[core.Digest]int{}},
 	}
-	m.Controller = r.controller(self, m)
+	m.Controller = c.controller(self, m)
 	return m
 }
 
-func (r *rig) controller(self core.Instance, m *member) *Controller {
+// controller returns a Controller for the agent self that uses the fakes of m.
+func (c *cluster) controller(self core.Instance, m *testAgent) *Controller {
 	return New(Config{Self: self, Token: testToken, Metrics: metrics.NewRegistry()}, Deps{
-		Holder: r.holder, Live: func() []core.Instance { return r.live },
+		Holder: c.holder, Live: func() []core.Instance { return c.liveInstances },
 		Fetcher: m.fetcher, Store: spread.NewStore(1 << 20), Engine: m.engine, Reports: m.engine,
-		Table: r.table, Log: eventlog.Discard(), Clock: r.clock,
+		Table: c.table, Log: eventlog.Discard(), Clock: c.clock,
 	})
 }
 
-// declare puts a version of a model in force and returns its digest.
-func (r *rig) declare(model, version, base string, replicas int) core.Digest {
+// declareVersion declares a version of a model, makes it the one to serve and
+// returns its digest.
+func (c *cluster) declareVersion(model, version, base string, replicas int) core.Digest {
 	d := core.DigestOf([]byte(version))
-	set := *r.set
+	set := *c.set
 	set.Models = map[string]*declare.Model{model: {Name: model, Version: version, Replicas: replicas}}
-	for name, m := range r.set.Models {
+	for name, m := range c.set.Models {
 		if name != model {
 			set.Models[name] = m
 		}
 	}
 	set.Versions = map[string]*declare.Version{version: {Name: version, Model: model, Manifest: d, Base: base}}
-	for name, v := range r.set.Versions {
+	for name, v := range c.set.Versions {
 		if name != version {
 			set.Versions[name] = v
 		}
 	}
-	r.apply(&set)
+	c.apply(&set)
 	return d
 }
 
-// apply puts a set in force.
-func (r *rig) apply(set *declare.Set) {
-	r.set = set
-	r.number++
-	r.holder.Offer(&declare.Snapshot{Number: r.number, Set: set})
+// apply makes a set of declarations the configuration in force.
+func (c *cluster) apply(set *declare.Set) {
+	c.set = set
+	c.configNumber++
+	c.holder.Offer(&declare.Snapshot{Number: c.configNumber, Set: set})
 }
 
-// step lets every agent compare once, a second later.
-func (r *rig) step() {
-	r.clock.Advance(time.Second)
+// step advances the clock by one second and makes every agent do one pass.
+func (c *cluster) step() {
+	c.clock.Advance(time.Second)
 	serving := 0
-	for _, m := range r.members {
+	for _, m := range c.agents {
 		m.pass(context.Background())
 		if len(m.engine.digests()) > 0 {
 			serving++
 		}
 	}
-	r.least = min(r.least, serving)
+	c.minServing = min(c.minServing, serving)
 }
 
-// until steps until cond holds, and reports whether it did within a bound.
-func (r *rig) until(cond func() bool) bool {
+// stepUntil steps until cond returns true, and reports whether it did within a
+// limited number of steps.
+func (c *cluster) stepUntil(cond func() bool) bool {
 	const steps, pause = 300, 2 * time.Millisecond
 	for range steps {
 		if cond() {
 			return true
 		}
-		r.step()
+		c.step()
 		select {
-		case <-r.members[0].wake:
+		case <-c.agents[0].wake:
 		case <-time.After(pause):
 		}
 	}
 	return cond()
 }
 
-// all reports whether every server holds exactly the versions ds.
-func (r *rig) all(ds ...core.Digest) func() bool {
+// allLoaded returns a condition that is true when every engine has loaded exactly
+// the versions ds, in this order.
+func (c *cluster) allLoaded(ds ...core.Digest) func() bool {
 	return func() bool {
-		for _, m := range r.members {
+		for _, m := range c.agents {
 			if !slices.Equal(m.engine.digests(), ds) {
 				return false
 			}
