--- a/connection/work/pool.go
+++ b/connection/work/pool.go
@@ -11,29 +11,32 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Defaults of PoolConfig.
+// The default values of PoolConfig.
 const (
 	defaultMaxIdle     = 64
 	defaultIdleTimeout = 30 * time.Second
 	defaultDialTimeout = 2 * time.Second
 )
 
-// ErrCrossed says that a frame carried another request's id. The connection
-// is closed and the frame is never relayed.
+// ErrCrossed is returned when a received frame carries the ID of another
+// request. The frame is discarded and its connection is closed.
 var ErrCrossed = errors.New("frame of another request")
 
 // PoolConfig holds the settings of a Pool.
 type PoolConfig struct {
-	// PeerToken authenticates this process to agents.
+	// PeerToken is the secret that authenticates this process to agents.
 	PeerToken string
-	// MaxIdle is the most idle connections kept per agent. Default 64.
+	// MaxIdle is the maximum number of idle connections kept per agent.
+	// Default 64.
 	MaxIdle int
-	// IdleTimeout closes connections that were idle this long. Default 30 s.
+	// IdleTimeout is how long a connection may be idle and still be used
+	// again. Default 30 s.
 	IdleTimeout time.Duration
-	// DialTimeout bounds the opening of a connection. Default 2 s.
+	// DialTimeout limits the time to open a connection. Default 2 s.
 	DialTimeout time.Duration
 }
 
+// applyDefaults returns c with its zero fields set to their defaults.
 func (c PoolConfig) applyDefaults() PoolConfig {
 	core.SetDefault(&c.MaxIdle, defaultMaxIdle)
 	core.SetDefault(&c.IdleTimeout, defaultIdleTimeout)
@@ -41,16 +44,19 @@
 	return c
 }
 
-// idleConn is a connection that no request uses.
+// idleConn is an open connection that no request uses.
 type idleConn struct {
-	conn  *frame.Conn
-	since time.Time
+	conn      *frame.Conn
+	idleSince time.Time
 }
 
-// Pool keeps work connections to agents, by address. It implements Opener.
+// Pool opens work connections to agents and reuses idle ones. It implements Opener
+// and is safe for concurrent use.
 type Pool struct {
-	cfg  PoolConfig
-	mu   sync.Mutex
+	cfg PoolConfig
+	mu  sync.Mutex
+	// idle holds the idle connections by agent address; the last of a list was
+	// used last.
 	idle map[string][]idleConn
 }
 
@@ -61,7 +67,7 @@
 
 // Open implements Opener.
 func (p *Pool) Open(_ context.Context, agent core.Instance, id string, kind frame.Kind, msg any) (Exchange, error) {
-	conn := p.take(agent.Addr)
+	conn := p.takeIdle(agent.Addr)
 	if conn == nil {
 		var err error
 		conn, err = frame.Dial(agent.Addr, Path, p.cfg.PeerToken, p.cfg.DialTimeout)
@@ -74,16 +80,16 @@
 		p.discard(agent.Addr, conn)
 		return nil, err
 	}
-	return &exchange{pool: p, addr: agent.Addr, conn: conn, id: id}, nil
+	return &pooledExchange{pool: p, addr: agent.Addr, conn: conn, id: id}, nil
 }
 
 // Forget closes every idle connection to addr.
 func (p *Pool) Forget(addr string) {
 	p.mu.Lock()
-	list := p.idle[addr]
+	conns := p.idle[addr]
 	delete(p.idle, addr)
 	p.mu.Unlock()
-	for _, c := range list {
+	for _, c := range conns {
 		_ = c.conn.Close()
 	}
 }
@@ -91,42 +97,45 @@
 // Close closes every idle connection.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	all := p.idle
+	idle := p.idle
 	p.idle = map[string][]idleConn{}
 	p.mu.Unlock()
-	for _, list := range all {
-		for _, c := range list {
+	for _, conns := range idle {
+		for _, c := range conns {
 			_ = c.conn.Close()
 		}
 	}
 }
 
-// take returns the idle connection to addr that was used last, or nil.
-func (p *Pool) take(addr string) *frame.Conn {
-	oldest := time.Now().Add(-p.cfg.IdleTimeout)
+// takeIdle removes and returns the most recently used idle connection to addr. If
+// there is none or it has been idle for longer than IdleTimeout, takeIdle closes
+// all idle connections to addr and returns nil.
+func (p *Pool) takeIdle(addr string) *frame.Conn {
+	cutoff := time.Now().Add(-p.cfg.IdleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[addr]
-	if len(list) == 0 {
+	conns := p.idle[addr]
+	if len(conns) == 0 {
 		return nil
 	}
-	last := list[len(list)-1]
-	if last.since.Before(oldest) {
-		for _, c := range list {
+	last := conns[len(conns)-1]
+	if last.idleSince.Before(cutoff) {
+		for _, c := range conns {
 			_ = c.conn.Close()
 		}
 		delete(p.idle, addr)
 		return nil
 	}
-	p.idle[addr] = list[:len(list)-1]
+	p.idle[addr] = conns[:len(conns)-1]
 	return last.conn
 }
 
-// put keeps conn for the next request.
-func (p *Pool) put(addr string, conn *frame.Conn) {
+// putIdle keeps conn for a later request, or closes it if there are MaxIdle idle
+// connections to addr already.
+func (p *Pool) putIdle(addr string, conn *frame.Conn) {
 	p.mu.Lock()
 	if len(p.idle[addr]) < p.cfg.MaxIdle {
-		p.idle[addr] = append(p.idle[addr], idleConn{conn: conn, since: time.Now()})
+		p.idle[addr] = append(p.idle[addr], idleConn{conn: conn, idleSince: time.Now()})
 		conn = nil
 	}
 	p.mu.Unlock()
@@ -135,15 +144,16 @@
 	}
 }
 
-// discard closes a connection that failed, and with it the idle ones to the
-// same address, which are likely to be dead too.
+// discard closes a failed connection and all idle connections to the same address,
+// which have probably failed too.
 func (p *Pool) discard(addr string, conn *frame.Conn) {
 	_ = conn.Close()
 	p.Forget(addr)
 }
 
-// exchange is one request on one connection.
-type exchange struct {
+// pooledExchange implements Exchange on a connection of a Pool. failed is true
+// after an error; conn is nil after Close.
+type pooledExchange struct {
 	pool   *Pool
 	addr   string
 	conn   *frame.Conn
@@ -152,17 +162,17 @@
 }
 
 // Send implements Exchange.
-func (x *exchange) Send(kind frame.Kind, msg any) error {
+func (x *pooledExchange) Send(kind frame.Kind, msg any) error {
 	err := x.conn.Send(kind, msg)
 	x.failed = x.failed || err != nil
 	return err
 }
 
 // Receive implements Exchange.
-func (x *exchange) Receive(ctx context.Context) (any, error) {
-	stop := context.AfterFunc(ctx, func() { _ = x.conn.Close() })
+func (x *pooledExchange) Receive(ctx context.Context) (any, error) {
+	cancelClose := context.AfterFunc(ctx, func() { _ = x.conn.Close() })
 	f, err := x.conn.Receive(time.Time{})
-	if !stop() {
+	if !cancelClose() {
 		x.failed = true
 		return nil, core.Step("receive answer", x.conn.Peer(), context.Cause(ctx))
 	}
@@ -183,7 +193,7 @@
 }
 
 // Close implements Exchange.
-func (x *exchange) Close(whole bool) {
+func (x *pooledExchange) Close(finished bool) {
 	if x.conn == nil {
 		return
 	}
@@ -192,15 +202,16 @@
 	switch {
 	case x.failed:
 		x.pool.discard(x.addr, conn)
-	case whole:
-		x.pool.put(x.addr, conn)
+	case finished:
+		x.pool.putIdle(x.addr, conn)
 	default:
 		_ = conn.Close()
 	}
 }
 
-// Decode decodes an agent's frame into its message type and returns the
-// request id that it carries.
+// Decode decodes a frame sent by an agent and returns a pointer to the message and
+// the request ID in it. The error is frame.ErrUnexpected if agents do not send
+// frames of this kind.
 func Decode(f frame.Frame) (msg any, id string, err error) {
 	switch f.Kind {
 	case frame.KindAdmit:
--- a/connection/work/server.go
+++ b/connection/work/server.go
@@ -13,16 +13,17 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
+// The events that a Server logs.
 var (
-	eventWorkRefused = eventlog.Define(120, "work-connection-refused", logrus.WarnLevel,
-		"An agent could not accept a work connection.")
-	eventWorkBroken = eventlog.Define(121, "work-connection-broken", logrus.WarnLevel,
-		"An agent closed a work connection because an exchange on it failed.")
+	eventConnectionRefused = eventlog.Define(120, "work-connection-refused", logrus.WarnLevel,
+		"An agent could not accept a work connection from an entry instance.")
+	eventConnectionBroken = eventlog.Define(121, "work-connection-broken", logrus.WarnLevel,
+		"An agent closed a work connection because it failed to handle a request on it.")
 )
 
-// Server accepts work connections at an agent and gives each request on them
-// to a Handler. It implements http.Handler; the caller has checked the peer's
-// token.
+// Server accepts work connections at an agent and passes each request on them to a
+// Handler. It implements http.Handler and expects that the caller has already
+// checked the peer token.
 type Server struct {
 	handler Handler
 	log     *eventlog.Logger
@@ -32,16 +33,17 @@
 	closed bool
 }
 
-// NewServer returns a Server for handler.
+// NewServer returns a Server that passes requests to handler.
 func NewServer(handler Handler, log *eventlog.Logger) *Server {
 	return &Server{handler: handler, log: log, conns: map[*frame.Conn]bool{}}
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP upgrades r to a work connection and serves the connection until it
+// ends.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
-		s.log.Fail(eventWorkRefused, err, eventlog.Fields{"peer": r.RemoteAddr})
+		s.log.Fail(eventConnectionRefused, err, eventlog.Fields{"peer": r.RemoteAddr})
 		return
 	}
 	if !s.track(conn) {
@@ -52,8 +54,8 @@
 	s.serve(conn)
 }
 
-// Close closes every connection. Exchanges in flight are cut: call it after
-// the Handler has drained.
+// Close closes every connection and refuses new ones. Requests that still run are
+// aborted, so the Handler should be drained first.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,6 +65,8 @@
 	}
 }
 
+// track adds conn to the open connections. It returns false if the Server is
+// closed.
 func (s *Server) track(conn *frame.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,6 +77,7 @@
 	return true
 }
 
+// untrack removes conn from the open connections and closes it.
 func (s *Server) untrack(conn *frame.Conn) {
 	s.mu.Lock()
 	delete(s.conns, conn)
@@ -80,7 +85,8 @@
 	_ = conn.Close()
 }
 
-// serve handles one request after the other until the connection ends.
+// serve handles the requests on a connection, one after the other, until the
+// connection ends or the Handler returns an error.
 func (s *Server) serve(conn *frame.Conn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -94,14 +100,14 @@
 			return
 		}
 		if err := s.handler.Handle(ctx, first, x); err != nil {
-			s.log.Fail(eventWorkBroken, err, eventlog.Fields{"peer": conn.Peer()})
+			s.log.Fail(eventConnectionBroken, err, eventlog.Fields{"peer": conn.Peer()})
 			return
 		}
 	}
 }
 
-// receiveAll passes the connection's frames on and ends ctx when the entry
-// closes it.
+// receiveAll sends the received frames to the channel frames. It cancels ctx when
+// the connection ends.
 func receiveAll(ctx context.Context, cancel context.CancelFunc, conn *frame.Conn, frames chan<- frame.Frame) {
 	defer cancel()
 	for {
--- a/connection/work/work.go
+++ b/connection/work/work.go
@@ -1,6 +1,6 @@
-// Package work carries requests from entry instances to agents. A Pool at the
-// entry holds WebSocket connections per agent, each used by one request at a
-// time; Serve at the agent reads them.
+// Package work carries requests from entry instances to agents over WebSocket
+// connections. A Pool at the entry instance keeps connections to each agent, and a
+// Server at the agent accepts them. A connection carries one request at a time.
 package work
 
 import (
@@ -13,40 +13,44 @@
 // Path is the HTTP path at which agents accept work connections.
 const Path = "/internal/work"
 
-// Exchange is one request on one connection, as the entry sees it. It must be
-// closed; closing before the end cancels the request at the agent.
+// Exchange is the entry instance's side of one request on one connection. The
+// caller must close it; closing it before the agent has finished cancels the
+// request at the agent.
 type Exchange interface {
-	// Send writes a frame.
+	// Send sends a frame of the given kind with the message msg.
 	Send(kind frame.Kind, msg any) error
-	// Receive returns the next frame of this request, decoded into a value
-	// of its message type. A frame with another request id closes the
-	// connection and gives ErrCrossed.
+	// Receive waits for the next frame and returns a pointer to its decoded
+	// message. It returns ErrCrossed if the frame carries another request's
+	// ID; after an error, Close closes the connection. The end of ctx closes
+	// the connection at once.
 	Receive(ctx context.Context) (any, error)
-	// Close ends the exchange. The connection returns to the pool only when
-	// whole is true, that is after End, Fail, Refuse or Answer.
-	Close(whole bool)
+	// Close ends the exchange. finished must be true only if the agent's last
+	// message (End, Fail, Refuse or Answer) was received: the connection is
+	// then reused, otherwise it is closed.
+	Close(finished bool)
 }
 
-// Opener opens exchanges. *Pool implements it; tests use fakes.
+// Opener opens exchanges with agents. *Pool implements it.
 type Opener interface {
-	// Open takes a connection to the agent and sends the first frame.
+	// Open gets a connection to the agent and sends the first frame. id is the
+	// request ID that the agent's frames must carry.
 	Open(ctx context.Context, agent core.Instance, id string, kind frame.Kind, msg any) (Exchange, error)
 }
 
-// Handler runs at the agent for each new request of a connection. It returns
-// once the exchange is over; an error closes the connection.
+// Handler handles requests at an agent.
 type Handler interface {
-	// Handle serves the exchange whose first frame is first.
+	// Handle handles the request that begins with the frame first, and returns
+	// when the exchange is over. An error closes the connection. ctx ends when
+	// the entry instance closes the connection.
 	Handle(ctx context.Context, first frame.Frame, x AgentExchange) error
 }
 
-// AgentExchange is one request on one connection, as the agent sees it.
-// The context given to the Handler ends when the entry closes the connection.
+// AgentExchange is the agent's side of one request on one connection.
 type AgentExchange interface {
-	// Send writes a frame.
+	// Send sends a frame of the given kind with the message msg.
 	Send(kind frame.Kind, msg any) error
-	// Receive reads the next frame of the entry, such as Go.
+	// Receive waits for the next frame from the entry instance, such as Go.
 	Receive(ctx context.Context) (frame.Frame, error)
-	// Peer names the entry instance.
+	// Peer identifies the entry instance in errors and log lines.
 	Peer() string
 }
--- a/connection/work/work_test.go
+++ b/connection/work/work_test.go
@@ -16,15 +16,17 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// handlerFunc is a Handler made of a function.
+// handlerFunc is a function that implements Handler.
 type handlerFunc func(ctx context.Context, first frame.Frame, x AgentExchange) error
 
+// Handle implements Handler.
 func (f handlerFunc) Handle(ctx context.Context, first frame.Frame, x AgentExchange) error {
 	return f(ctx, first, x)
 }
 
-// start runs an agent with handler and returns a pool and the agent.
-func start(handler handlerFunc) (*Pool, core.Instance, func()) {
+// startAgent starts an agent with the given handler. It returns a Pool, the agent
+// and a function that stops both.
+func startAgent(handler handlerFunc) (*Pool, core.Instance, func()) {
 	server := NewServer(handler, eventlog.Discard())
 	listener := httptest.NewServer(server)
 	pool := NewPool(PoolConfig{PeerToken: "peer-token"})
@@ -36,15 +38,15 @@
 	}
 }
 
-// echo answers each request with an End that carries answerID, or the
-// request's own id when answerID is empty.
-func echo(answerID string) handlerFunc {
+// respondWithEnd returns a handler that responds to each request with an End
+// message that carries responseID, or the request's ID if responseID is empty.
+func respondWithEnd(responseID string) handlerFunc {
 	return func(_ context.Context, first frame.Frame, x AgentExchange) error {
 		var req frame.Request
 		if err := first.Decode(&req); err != nil {
 			return err
 		}
-		id := answerID
+		id := responseID
 		if id == "" {
 			id = req.ID
 		}
@@ -55,8 +57,8 @@
 func TestPool(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx := context.Background()
-	Convey("A connection is used again after a whole exchange", t, func() {
-		pool, agent, stop := start(echo(""))
+	Convey("A connection is reused after a finished exchange", t, func() {
+		pool, agent, stop := startAgent(respondWithEnd(""))
 		defer stop()
 		for _, id := range []string{"r1", "r2"} {
 			x, err := pool.Open(ctx, agent, id, frame.KindRequest, frame.Request{ID: id})
@@ -68,8 +70,8 @@
 		}
 		So(len(pool.idle[agent.Addr]), ShouldEqual, 1)
 	})
-	Convey("A frame of another request is never passed on", t, func() {
-		pool, agent, stop := start(echo("r0"))
+	Convey("A frame that carries another request's ID is discarded with its connection", t, func() {
+		pool, agent, stop := startAgent(respondWithEnd("r0"))
 		defer stop()
 		x, err := pool.Open(ctx, agent, "r1", frame.KindRequest, frame.Request{ID: "r1"})
 		So(err, ShouldBeNil)
@@ -79,9 +81,9 @@
 		x.Close(true)
 		So(pool.idle[agent.Addr], ShouldBeEmpty)
 	})
-	Convey("Closing an exchange ends the agent's context", t, func() {
+	Convey("Closing an exchange cancels the context of the agent's handler", t, func() {
 		ended := make(chan struct{})
-		pool, agent, stop := start(func(ctx context.Context, _ frame.Frame, _ AgentExchange) error {
+		pool, agent, stop := startAgent(func(ctx context.Context, _ frame.Frame, _ AgentExchange) error {
 			<-ctx.Done()
 			close(ended)
 			return ctx.Err()
@@ -92,27 +94,28 @@
 		x.Close(false)
 		So(closedWithin(ended, 5*time.Second), ShouldBeTrue)
 	})
-	Convey("The end of the caller's context ends a wait", t, func() {
-		pool, agent, stop := start(func(ctx context.Context, _ frame.Frame, _ AgentExchange) error {
+	Convey("Receive returns when its context ends", t, func() {
+		pool, agent, stop := startAgent(func(ctx context.Context, _ frame.Frame, _ AgentExchange) error {
 			<-ctx.Done()
 			return ctx.Err()
 		})
 		defer stop()
 		x, err := pool.Open(ctx, agent, "r1", frame.KindRequest, frame.Request{ID: "r1"})
 		So(err, ShouldBeNil)
-		short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
+		timeoutCtx, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 		defer cancel()
-		_, err = x.Receive(short)
+		_, err = x.Receive(timeoutCtx)
 		So(errors.Is(err, context.DeadlineExceeded), ShouldBeTrue)
 		x.Close(false)
 	})
 }
 
-func closedWithin(ch <-chan struct{}, limit time.Duration) bool {
+// closedWithin reports whether ch is closed before the timeout.
+func closedWithin(ch <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-ch:
 		return true
-	case <-time.After(limit):
+	case <-time.After(timeout):
 		return false
 	}
 }
