--- a/connection/registry/listener.go
+++ b/connection/registry/listener.go
@@ -17,79 +17,85 @@
 // Path is the HTTP path at which entry instances accept registrations.
 const Path = "/internal/register"
 
-// Defaults of ListenerConfig.
+// Heartbeat and timeout settings of a Listener.
 const (
-	// DefaultHeartbeat is the longest time between two reports.
+	// DefaultHeartbeat is the default for the longest time between two reports.
 	DefaultHeartbeat = 5 * time.Second
-	// helloTimeout bounds the wait for the first frame.
+	// helloTimeout is how long a Listener waits for the first frame.
 	helloTimeout = 5 * time.Second
-	// suspectAfter is the number of heartbeats after which a silent server
-	// is suspect.
+	// suspectAfter is the number of heartbeats without a report after which
+	// a server is suspect.
 	suspectAfter = 2
-	// goneAfter is the number of heartbeats after which it is removed.
+	// goneAfter is the number of heartbeats without any frame from the agent
+	// after which its registration ends.
 	goneAfter = 4
-	// maxHeartbeat bounds the heartbeat that an agent announces.
+	// maxHeartbeat is the upper limit for the heartbeat that an agent
+	// announces.
 	maxHeartbeat = time.Minute
 )
 
+// The events that a Listener logs.
 var (
-	eventRegistered = eventlog.Define(101, "agent-registered", logrus.InfoLevel,
+	eventAgentRegistered = eventlog.Define(101, "agent-registered", logrus.InfoLevel,
 		"An agent registered with this entry instance.")
-	eventGone = eventlog.Define(102, "agent-gone", logrus.InfoLevel,
-		"An agent's registration ended; it gets no new work from here.")
-	eventSuspect = eventlog.Define(103, "agent-suspect", logrus.WarnLevel,
-		"An agent missed its heartbeats; it gets no new work until it reports again.")
-	eventState = eventlog.Define(104, "server-state", logrus.InfoLevel,
+	eventAgentGone = eventlog.Define(102, "agent-gone", logrus.InfoLevel,
+		"An agent's registration ended; this entry instance sends it no new requests.")
+	eventAgentSuspect = eventlog.Define(103, "agent-suspect", logrus.WarnLevel,
+		"An agent missed its heartbeats; this entry instance sends it no new requests until it reports again.")
+	eventServerState = eventlog.Define(104, "server-state", logrus.InfoLevel,
 		"A backend server's state, limit or loaded versions changed.")
 	eventRegistrationRefused = eventlog.Define(105, "registration-refused", logrus.WarnLevel,
-		"A registration was refused or broke off with an error.")
+		"A registration was refused or ended with an error.")
 )
 
 // ListenerConfig holds the settings of a Listener.
 type ListenerConfig struct {
 	// Self is this entry instance.
 	Self core.Instance
-	// Heartbeat is the longest time between two reports of an agent that
-	// announces no other. Default 5 s.
+	// Heartbeat is the longest time between two reports of an agent that does
+	// not announce its own heartbeat. Default 5 s.
 	Heartbeat time.Duration
 }
 
+// applyDefaults returns c with its zero fields set to their defaults.
 func (c ListenerConfig) applyDefaults() ListenerConfig {
 	core.SetDefault(&c.Heartbeat, DefaultHeartbeat)
 	return c
 }
 
-// Listener accepts registrations and feeds a Registry. It implements
-// http.Handler; the caller has checked the peer's token.
+// Listener accepts registrations of agents and keeps a Registry up to date with
+// their reports. It implements http.Handler and expects that the caller has already
+// checked the peer token.
 type Listener struct {
-	cfg ListenerConfig
-	reg *Registry
-	hub *confsync.Hub
-	src confsync.Source
-	log *eventlog.Logger
-	// gone is called with the address of a server whose registration ended.
-	gone func(addr string)
+	cfg      ListenerConfig
+	registry *Registry
+	hub      *confsync.Hub
+	source   confsync.Source
+	log      *eventlog.Logger
+	// onUnregister is called with the address of an agent whose registration
+	// ended.
+	onUnregister func(addr string)
 
 	mu    sync.Mutex
 	conns map[*frame.Conn]bool
-	// sequence numbers registrations.
-	sequence uint64
+	// lastRegistration is the number of the newest registration.
+	lastRegistration uint64
 }
 
-// NewListener returns a Listener. gone may be nil; it is called with the address
-// of an agent whose registration ended.
-func NewListener(cfg ListenerConfig, reg *Registry, hub *confsync.Hub, src confsync.Source, gone func(addr string), log *eventlog.Logger) *Listener {
-	if gone == nil {
-		gone = func(string) {}
+// NewListener returns a Listener. onUnregister is called with the address of an
+// agent whose registration ended, unless a newer one replaced it; it may be nil.
+func NewListener(cfg ListenerConfig, registry *Registry, hub *confsync.Hub, source confsync.Source, onUnregister func(addr string), log *eventlog.Logger) *Listener {
+	if onUnregister == nil {
+		onUnregister = func(string) {}
 	}
 	return &Listener{
-		cfg:   cfg.applyDefaults(),
-		reg:   reg,
-		hub:   hub,
-		src:   src,
-		log:   log,
-		gone:  gone,
-		conns: map[*frame.Conn]bool{},
+		cfg:          cfg.applyDefaults(),
+		registry:     registry,
+		hub:          hub,
+		source:       source,
+		log:          log,
+		onUnregister: onUnregister,
+		conns:        map[*frame.Conn]bool{},
 	}
 }
 
@@ -102,7 +108,8 @@
 	}
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP upgrades r to a connection and serves one registration on it until it
+// ends.
 func (l *Listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
@@ -111,8 +118,8 @@
 	}
 	l.mu.Lock()
 	l.conns[conn] = true
-	l.sequence++
-	number := l.sequence
+	l.lastRegistration++
+	registration := l.lastRegistration
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
@@ -120,24 +127,25 @@
 		l.mu.Unlock()
 		_ = conn.Close()
 	}()
-	if err := l.serve(conn, number); err != nil {
+	if err := l.serveRegistration(conn, registration); err != nil {
 		l.log.Fail(eventRegistrationRefused, err, eventlog.Fields{"peer": conn.Peer()})
 	}
 }
 
-// serve runs one registration from its Hello to its end.
-func (l *Listener) serve(conn *frame.Conn, number uint64) error {
+// serveRegistration serves one registration, from the agent's Hello to the end of
+// the connection.
+func (l *Listener) serveRegistration(conn *frame.Conn, registration uint64) error {
 	var hello frame.Hello
 	if err := conn.Expect(frame.KindHello, &hello, time.Now().Add(helloTimeout)); err != nil {
 		return err
 	}
 	conn.SetPeer(hello.Instance.ID)
-	welcome := frame.Welcome{Instance: l.cfg.Self, Config: l.src.Number()}
+	welcome := frame.Welcome{Instance: l.cfg.Self, Config: l.source.Number()}
 	if err := conn.Send(frame.KindWelcome, welcome); err != nil {
 		return err
 	}
-	l.register(hello, number)
-	defer l.unregister(hello, number)
+	l.register(hello, registration)
+	defer l.unregister(hello, registration)
 
 	session := confsync.NewSession(l.hub, conn, hello.Report.Config)
 	defer session.Close()
@@ -147,14 +155,16 @@
 	if err := session.Heard(hello.Report.Config); err != nil {
 		return err
 	}
-	return l.receive(conn, session, hello, number)
+	return l.receiveFrames(conn, session, hello, registration)
 }
 
-// receive handles the agent's frames until the connection ends.
-func (l *Listener) receive(conn *frame.Conn, session *confsync.Session, hello frame.Hello, number uint64) error {
-	heartbeat := l.heartbeat(hello.Report, l.cfg.Heartbeat)
-	quiet := l.suspect(hello.Instance.ID, number, heartbeat)
-	defer quiet.stop()
+// receiveFrames handles the agent's frames until the connection ends or no frame
+// arrives for goneAfter heartbeats. It returns nil in both cases, and an error for
+// a frame that it cannot handle.
+func (l *Listener) receiveFrames(conn *frame.Conn, session *confsync.Session, hello frame.Hello, registration uint64) error {
+	heartbeat := l.announcedHeartbeat(hello.Report, l.cfg.Heartbeat)
+	monitor := l.monitorHeartbeats(hello.Instance.ID, registration, heartbeat)
+	defer monitor.stop()
 	for {
 		f, err := conn.Receive(time.Now().Add(goneAfter * heartbeat))
 		if err != nil {
@@ -174,35 +184,36 @@
 		if err := f.Decode(&report); err != nil {
 			return core.Step("registration", conn.Peer(), err)
 		}
-		heartbeat = l.heartbeat(report, heartbeat)
-		l.update(hello, report)
-		quiet.announced(heartbeat)
+		heartbeat = l.announcedHeartbeat(report, heartbeat)
+		l.applyReport(hello, report)
+		monitor.setHeartbeat(heartbeat)
 		if err := session.Heard(report.Config); err != nil {
 			return err
 		}
 	}
 }
 
-// heartbeat returns the longest time until the next report, as the report
-// says or as it was before.
-func (l *Listener) heartbeat(r frame.Report, before time.Duration) time.Duration {
-	if r.HeartbeatMillis <= 0 {
-		return before
+// announcedHeartbeat returns the heartbeat that a report announces, at most
+// maxHeartbeat, or current if the report announces none.
+func (l *Listener) announcedHeartbeat(report frame.Report, current time.Duration) time.Duration {
+	if report.HeartbeatMillis <= 0 {
+		return current
 	}
-	return min(time.Duration(r.HeartbeatMillis)*time.Millisecond, maxHeartbeat)
+	return min(time.Duration(report.HeartbeatMillis)*time.Millisecond, maxHeartbeat)
 }
 
-// register adds the server, in place of an earlier incarnation of it.
-func (l *Listener) register(hello frame.Hello, number uint64) {
-	l.reg.Put(Server{
+// register adds the server to the registry and replaces any earlier registration
+// of it.
+func (l *Listener) register(hello frame.Hello, registration uint64) {
+	l.registry.Put(Server{
 		Instance:     hello.Instance,
 		Incarnation:  hello.Incarnation,
-		Registration: number,
+		Registration: registration,
 		Service:      hello.Service,
 		Report:       hello.Report,
 		Heard:        time.Now(),
 	})
-	l.log.Event(eventRegistered, eventlog.Fields{
+	l.log.Event(eventAgentRegistered, eventlog.Fields{
 		"server":      hello.Instance.ID,
 		"dataCentre":  hello.Instance.DataCentre,
 		"incarnation": hello.Incarnation,
@@ -212,33 +223,35 @@
 	})
 }
 
-// unregister removes the server unless a newer registration of it came.
-func (l *Listener) unregister(hello frame.Hello, number uint64) {
-	if !l.reg.Remove(hello.Instance.ID, number) {
+// unregister removes the server from the registry, unless a newer registration has
+// replaced this one.
+func (l *Listener) unregister(hello frame.Hello, registration uint64) {
+	if !l.registry.Remove(hello.Instance.ID, registration) {
 		return
 	}
-	l.gone(hello.Instance.Addr)
-	l.log.Event(eventGone, eventlog.Fields{
+	l.onUnregister(hello.Instance.Addr)
+	l.log.Event(eventAgentGone, eventlog.Fields{
 		"server":      hello.Instance.ID,
 		"incarnation": hello.Incarnation,
 	})
 }
 
-// update takes in a report.
-func (l *Listener) update(hello frame.Hello, report frame.Report) {
+// applyReport stores an agent's report in the registry. A report without a list of
+// loaded versions keeps the previous list.
+func (l *Listener) applyReport(hello frame.Hello, report frame.Report) {
 	var changed bool
-	l.reg.Update(hello.Instance.ID, hello.Incarnation, func(srv *Server) {
-		old := srv.Report
+	l.registry.Update(hello.Instance.ID, hello.Incarnation, func(srv *Server) {
+		previous := srv.Report
 		if !report.Changed {
-			report.Loaded = old.Loaded
+			report.Loaded = previous.Loaded
 		}
-		changed = report.Changed || report.State != old.State || report.Limit != old.Limit || srv.Suspect
+		changed = report.Changed || report.State != previous.State || report.Limit != previous.Limit || srv.Suspect
 		srv.Report = report
 		srv.Heard = time.Now()
 		srv.Suspect = false
 	})
 	if changed {
-		l.log.Event(eventState, eventlog.Fields{
+		l.log.Event(eventServerState, eventlog.Fields{
 			"server": hello.Instance.ID,
 			"state":  report.State,
 			"limit":  report.Limit,
--- a/connection/registry/listener_test.go
+++ b/connection/registry/listener_test.go
@@ -15,10 +15,11 @@
 	"github.com/rattanway/rattanway/version/confstore"
 )
 
-func eventually(check func() bool) bool {
+// eventually reports whether cond returns true within 10 seconds.
+func eventually(cond func() bool) bool {
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
-		if check() {
+		if cond() {
 			return true
 		}
 		<-time.After(5 * time.Millisecond)
@@ -27,11 +28,11 @@
 }
 
 func TestHeartbeat(t *testing.T) {
-	Convey("Given an entry instance whose own heartbeat is an hour", t, func() {
-		reg := New()
+	Convey("Given an entry instance with a default heartbeat of one hour", t, func() {
+		registry := New()
 		source := confsync.HolderSource{Holder: confstore.NewHolder()}
 		hub := confsync.NewHub(source, eventlog.Discard())
-		listener := NewListener(ListenerConfig{Heartbeat: time.Hour}, reg, hub, source, nil, eventlog.Discard())
+		listener := NewListener(ListenerConfig{Heartbeat: time.Hour}, registry, hub, source, nil, eventlog.Discard())
 		server := httptest.NewServer(listener)
 		defer server.Close()
 		defer listener.Close()
@@ -44,20 +45,20 @@
 		So(conn.Send(frame.KindHello, hello), ShouldBeNil)
 		var welcome frame.Welcome
 		So(conn.Expect(frame.KindWelcome, &welcome, time.Now().Add(time.Second)), ShouldBeNil)
-		suspect := func() bool {
-			srv, ok := reg.Get("gpu-1")
+		isSuspect := func() bool {
+			srv, ok := registry.Get("gpu-1")
 			return ok && srv.Suspect
 		}
 
-		Convey("an agent that announced 100 ms and falls silent is suspect, and then gone", func() {
-			So(eventually(suspect), ShouldBeTrue)
-			So(eventually(func() bool { _, ok := reg.Get("gpu-1"); return !ok }), ShouldBeTrue)
+		Convey("an agent that announced a heartbeat of 100 ms and sends no reports becomes suspect and is then removed", func() {
+			So(eventually(isSuspect), ShouldBeTrue)
+			So(eventually(func() bool { _, ok := registry.Get("gpu-1"); return !ok }), ShouldBeTrue)
 		})
-		Convey("a suspect agent that reports again is not suspect any more", func() {
-			So(eventually(suspect), ShouldBeTrue)
+		Convey("a suspect agent that reports again is no longer suspect", func() {
+			So(eventually(isSuspect), ShouldBeTrue)
 			report.HeartbeatMillis = maxHeartbeat.Milliseconds()
 			So(conn.Send(frame.KindReport, report), ShouldBeNil)
-			So(eventually(func() bool { return !suspect() }), ShouldBeTrue)
+			So(eventually(func() bool { return !isSuspect() }), ShouldBeTrue)
 		})
 	})
 }
--- a/connection/registry/registry.go
+++ b/connection/registry/registry.go
@@ -1,5 +1,6 @@
-// Package registry keeps, at an entry instance, what is known of the agents
-// that are registered with it. One goroutine per registration feeds it.
+// Package registry keeps, at an entry instance, the registered agents and the
+// newest report of each. A Listener accepts the registrations and updates the
+// Registry; requests are routed by its content.
 package registry
 
 import (
@@ -10,26 +11,33 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Server is what an entry instance knows of one backend server.
+// Server is the registry entry of one backend server.
 type Server struct {
 	// Instance is the agent beside the server.
 	Instance core.Instance
-	// Incarnation is the agent's.
+	// Incarnation identifies the agent process; it is different after each
+	// start.
 	Incarnation string
-	// Registration numbers the registrations at this entry instance; a newer
-	// one replaces an older one of the same server.
+	// Registration is the number of the registration at this entry instance. A
+	// registration with a higher number replaces an older one of the same
+	// server.
 	Registration uint64
-	// Service names the plain service; empty for an engine.
+	// Service is the name of the plain service that the server runs; empty if
+	// the server runs an engine.
 	Service string
-	// Report is the newest report; Loaded is always filled in.
+	// Report is the newest report. Its field Loaded is always set, also if the
+	// agent left it out because it had not changed.
 	Report frame.Report
-	// Heard is when the newest report or load arrived.
+	// Heard is when the newest report, or the newest load figures in a
+	// response, arrived.
 	Heard time.Time
-	// Suspect is true when reports have been missed.
+	// Suspect is true if the agent has missed its heartbeats and has not sent a
+	// report since.
 	Suspect bool
 }
 
-// Holds reports whether the engine reports the manifest digest d for model.
+// Holds reports whether the engine reports that it has loaded the version of model
+// with the manifest digest d.
 func (s Server) Holds(model string, d core.Digest) bool {
 	for _, l := range s.Report.Loaded {
 		if l.Model == model && l.Digest == d {
@@ -43,23 +51,23 @@
 type Registry struct {
 	mu      sync.RWMutex
 	servers map[string]Server
-	// list caches the servers for readers; nil after a change.
-	list []Server
+	// cachedList is the result of All; nil after a change.
+	cachedList []Server
 }
 
 // New returns an empty Registry.
 func New() *Registry { return &Registry{servers: map[string]Server{}} }
 
-// Put adds or replaces a server.
+// Put adds a server, or replaces the one with the same ID.
 func (r *Registry) Put(s Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.servers[s.Instance.ID] = s
-	r.list = nil
+	r.cachedList = nil
 }
 
-// Update applies change to the server with this id and incarnation, and
-// reports whether there is one.
+// Update applies change to the server with the given ID and incarnation, and
+// reports whether that server exists. change runs while the registry is locked.
 func (r *Registry) Update(id, incarnation string, change func(*Server)) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,12 +77,12 @@
 	}
 	change(&s)
 	r.servers[id] = s
-	r.list = nil
+	r.cachedList = nil
 	return true
 }
 
-// Remove removes the server unless a newer registration has replaced it, and
-// reports whether it did.
+// Remove removes the server with the given ID if it has the given registration
+// number, and reports whether it was removed.
 func (r *Registry) Remove(id string, registration uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,11 +91,11 @@
 		return false
 	}
 	delete(r.servers, id)
-	r.list = nil
+	r.cachedList = nil
 	return true
 }
 
-// Get returns one server.
+// Get returns the server with the given ID and whether it is registered.
 func (r *Registry) Get(id string) (Server, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -95,22 +103,22 @@
 	return s, ok
 }
 
-// All returns every server in no particular order. The slice is shared and
-// must not be changed.
+// All returns all servers in no particular order. The caller must not change the
+// returned slice, which other callers share.
 func (r *Registry) All() []Server {
 	r.mu.RLock()
-	list := r.list
+	list := r.cachedList
 	r.mu.RUnlock()
 	if list != nil {
 		return list
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.list == nil {
-		r.list = make([]Server, 0, len(r.servers))
+	if r.cachedList == nil {
+		r.cachedList = make([]Server, 0, len(r.servers))
 		for _, s := range r.servers {
-			r.list = append(r.list, s)
+			r.cachedList = append(r.cachedList, s)
 		}
 	}
-	return r.list
+	return r.cachedList
 }
--- a/connection/registry/suspicion.go
+++ b/connection/registry/suspicion.go
@@ -8,54 +8,56 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// lateLook is the number of heartbeats between two looks from which on the
-// later one counts for nothing: this process was paused, and reports may be
+// lateCheckFactor is the time between two checks, in heartbeats, from which the
+// later check is ignored: this process was probably paused, and reports may be
 // waiting to be read.
-const lateLook = 1.5
+const lateCheckFactor = 1.5
 
-// suspicion marks a server as suspect when nothing has been heard of it for
-// suspectAfter heartbeats. It is a timer, not a goroutine, since an entry
-// instance holds one for each registration.
-type suspicion struct {
+// heartbeatMonitor marks a server as suspect if its registry entry has not been
+// updated for suspectAfter heartbeats. It uses a timer instead of a goroutine,
+// since an entry instance has one monitor for each registration.
+type heartbeatMonitor struct {
 	listener *Listener
 	server   string
-	// number is the registration that is watched.
-	number uint64
+	// registration is the number of the monitored registration.
+	registration uint64
 	// heartbeat is the longest time between two reports, in nanoseconds.
 	heartbeat atomic.Int64
 	timer     *time.Timer
-	// looked is when look ran last; it belongs to look.
-	looked time.Time
+	// lastCheck is the time of the last check. Only check uses it.
+	lastCheck time.Time
 }
 
-// suspect starts to watch a registration.
-func (l *Listener) suspect(server string, number uint64, heartbeat time.Duration) *suspicion {
-	s := &suspicion{listener: l, server: server, number: number, looked: time.Now()}
-	s.announced(heartbeat)
-	s.timer = time.AfterFunc(math.MaxInt64, s.look)
-	s.timer.Reset(heartbeat)
-	return s
+// monitorHeartbeats starts a heartbeatMonitor for a registration. server is the ID
+// of the server.
+func (l *Listener) monitorHeartbeats(server string, registration uint64, heartbeat time.Duration) *heartbeatMonitor {
+	m := &heartbeatMonitor{listener: l, server: server, registration: registration, lastCheck: time.Now()}
+	m.setHeartbeat(heartbeat)
+	m.timer = time.AfterFunc(math.MaxInt64, m.check)
+	m.timer.Reset(heartbeat)
+	return m
 }
 
-// announced takes in the heartbeat that the newest report announces.
-func (s *suspicion) announced(heartbeat time.Duration) { s.heartbeat.Store(int64(heartbeat)) }
+// setHeartbeat sets the heartbeat to the one that the newest report announces.
+func (m *heartbeatMonitor) setHeartbeat(heartbeat time.Duration) { m.heartbeat.Store(int64(heartbeat)) }
 
-// stop ends the watching.
-func (s *suspicion) stop() { s.timer.Stop() }
+// stop stops the monitor.
+func (m *heartbeatMonitor) stop() { m.timer.Stop() }
 
-// look runs once each heartbeat while the registration lasts.
-func (s *suspicion) look() {
-	srv, ok := s.listener.reg.Get(s.server)
-	if !ok || srv.Registration != s.number {
+// check marks the server as suspect if its reports are overdue. The timer runs it
+// once per heartbeat until the registration has ended.
+func (m *heartbeatMonitor) check() {
+	srv, ok := m.listener.registry.Get(m.server)
+	if !ok || srv.Registration != m.registration {
 		return
 	}
-	heartbeat := time.Duration(s.heartbeat.Load())
-	late := time.Since(s.looked).Seconds() >= lateLook*heartbeat.Seconds()
-	s.looked = time.Now()
-	s.timer.Reset(heartbeat)
+	heartbeat := time.Duration(m.heartbeat.Load())
+	late := time.Since(m.lastCheck).Seconds() >= lateCheckFactor*heartbeat.Seconds()
+	m.lastCheck = time.Now()
+	m.timer.Reset(heartbeat)
 	if late || srv.Suspect || time.Since(srv.Heard) < suspectAfter*heartbeat {
 		return
 	}
-	s.listener.reg.Update(s.server, srv.Incarnation, func(srv *Server) { srv.Suspect = true })
-	s.listener.log.Event(eventSuspect, eventlog.Fields{"server": s.server})
+	m.listener.registry.Update(m.server, srv.Incarnation, func(srv *Server) { srv.Suspect = true })
+	m.listener.log.Event(eventAgentSuspect, eventlog.Fields{"server": m.server})
 }
