--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -47,7 +47,7 @@
 			}
 			So(ordered, ShouldBeLessThanOrEqualTo, 2)
 		})
-		Convey("a server that has disappeared delays the others only until PeerPatience has passed", func() {
+		Convey("a server that has disappeared delays the others only for a limited time", func() {
 			v2 := c.declareVersion("m", "m-2", "", 8)
 			gone := c.agents[0]
 			gone.server.Close()
