--- a/request/ops/client.go
+++ b/request/ops/client.go
@@ -15,14 +15,15 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// clientTimeout bounds one call; it is longer than what the server may take.
-const clientTimeout = callTimeout + 5*time.Second
+// clientTimeout limits one request. It exceeds the server's limit, so that the
+// server's error reaches the client.
+const clientTimeout = requestTimeout + 5*time.Second
 
-// maxAnswerBytes is the largest answer that is read.
-const maxAnswerBytes = 32 << 20
+// maxResponseBytes is the limit at which a response body is cut off.
+const maxResponseBytes = 32 << 20
 
-// Client calls the operators' HTTP of one entry instance. Refusals are
-// *Problem errors.
+// Client calls the operator API of one entry instance. When the server refuses
+// a request, the error wraps a *Problem.
 type Client struct {
 	addr  string
 	token string
@@ -34,70 +35,70 @@
 	return &Client{addr: addr, token: token, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// Plan asks what files would change.
+// Plan previews the changes that the declarations in req would make.
 func (c *Client) Plan(ctx context.Context, req PlanRequest) (PlanAnswer, error) {
-	var answer PlanAnswer
-	err := c.call(ctx, http.MethodPost, "/ops/plan", req, &answer)
-	return answer, err
+	var response PlanAnswer
+	err := c.callJSON(ctx, http.MethodPost, "/ops/plan", req, &response)
+	return response, err
 }
 
-// Apply puts files in force.
+// Apply makes the declarations in req the next configuration version.
 func (c *Client) Apply(ctx context.Context, req ApplyRequest) (Accepted, error) {
-	var answer Accepted
-	err := c.call(ctx, http.MethodPost, "/ops/apply", req, &answer)
-	return answer, err
+	var response Accepted
+	err := c.callJSON(ctx, http.MethodPost, "/ops/apply", req, &response)
+	return response, err
 }
 
-// Revert puts the content of an old version in force again.
+// Revert makes the content of an old version the next version.
 func (c *Client) Revert(ctx context.Context, req RevertRequest) (Accepted, error) {
-	var answer Accepted
-	err := c.call(ctx, http.MethodPost, "/ops/revert", req, &answer)
-	return answer, err
+	var response Accepted
+	err := c.callJSON(ctx, http.MethodPost, "/ops/revert", req, &response)
+	return response, err
 }
 
 // SetDataCentreOut takes a data centre out of service or back in.
 func (c *Client) SetDataCentreOut(ctx context.Context, name string, out bool, cause Cause) (Accepted, error) {
-	state := "in"
+	action := "in"
 	if out {
-		state = "out"
+		action = "out"
 	}
-	var answer Accepted
-	err := c.call(ctx, http.MethodPost, "/ops/datacentres/"+url.PathEscape(name)+"/"+state, cause, &answer)
-	return answer, err
+	var response Accepted
+	err := c.callJSON(ctx, http.MethodPost, "/ops/datacentres/"+url.PathEscape(name)+"/"+action, cause, &response)
+	return response, err
 }
 
-// SetBackendServerLeaving asks a backend server to leave or to stay.
+// SetBackendServerLeaving takes a backend server out of service or back in.
 func (c *Client) SetBackendServerLeaving(ctx context.Context, name string, leaving bool, cause Cause) (Accepted, error) {
-	state := "staying"
+	action := "staying"
 	if leaving {
-		state = "leaving"
+		action = "leaving"
 	}
-	var answer Accepted
-	err := c.call(ctx, http.MethodPost, "/ops/backendservers/"+url.PathEscape(name)+"/"+state, cause, &answer)
-	return answer, err
+	var response Accepted
+	err := c.callJSON(ctx, http.MethodPost, "/ops/backendservers/"+url.PathEscape(name)+"/"+action, cause, &response)
+	return response, err
 }
 
-// History lists the newest versions.
+// History returns up to limit versions, the newest first.
 func (c *Client) History(ctx context.Context, limit int) (HistoryAnswer, error) {
-	var answer HistoryAnswer
-	err := c.call(ctx, http.MethodGet, "/ops/history?limit="+strconv.Itoa(limit), nil, &answer)
-	return answer, err
+	var response HistoryAnswer
+	err := c.callJSON(ctx, http.MethodGet, "/ops/history?limit="+strconv.Itoa(limit), nil, &response)
+	return response, err
 }
 
-// Snapshot returns the documents of a version.
+// Snapshot returns the declarations of a version as YAML documents.
 func (c *Client) Snapshot(ctx context.Context, number uint64) ([]byte, error) {
 	return c.send(ctx, http.MethodGet, "/ops/snapshots/"+strconv.FormatUint(number, 10), nil)
 }
 
-// Status returns what the entry instance knows.
+// Status returns the status of the entry instance and its backend servers.
 func (c *Client) Status(ctx context.Context) (Status, error) {
-	var answer Status
-	err := c.call(ctx, http.MethodGet, "/ops/status", nil, &answer)
-	return answer, err
+	var response Status
+	err := c.callJSON(ctx, http.MethodGet, "/ops/status", nil, &response)
+	return response, err
 }
 
-// call sends a JSON request and decodes the JSON answer.
-func (c *Client) call(ctx context.Context, method, path string, req, answer any) error {
+// callJSON sends a JSON request and decodes the JSON response.
+func (c *Client) callJSON(ctx context.Context, method, path string, req, response any) error {
 	var body []byte
 	if req != nil {
 		var err error
@@ -109,35 +110,37 @@
 	if err != nil {
 		return err
 	}
-	return core.Step("read answer", c.addr, json.Unmarshal(raw, answer))
+	return core.Step("read response", c.addr, json.Unmarshal(raw, response))
 }
 
-// send sends a request and returns the body of its answer.
+// send sends a request and returns the response body, or the *Problem of a
+// response whose status is not 200.
 func (c *Client) send(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	step := method + " " + path
+	operation := method + " " + path
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.addr+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, core.Step(step, c.addr, err)
+		return nil, core.Step(operation, c.addr, err)
 	}
 	req.Header.Set("Authorization", "Bearer "+c.token)
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, core.Step(step, c.addr, err)
+		return nil, core.Step(operation, c.addr, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, core.Step(step, c.addr, err)
+		return nil, core.Step(operation, c.addr, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, core.Step(step, c.addr, readProblem(resp.StatusCode, raw))
+		return nil, core.Step(operation, c.addr, parseProblem(resp.StatusCode, raw))
 	}
 	return raw, nil
 }
 
-// readProblem returns the problem document of an answer.
-func readProblem(status int, raw []byte) error {
+// parseProblem returns the problem document in a response body as an error, or
+// an error with the status if the body is not a problem document.
+func parseProblem(status int, raw []byte) error {
 	var p Problem
 	if err := json.Unmarshal(raw, &p); err != nil || p.Type == "" {
 		return errors.Errorf("status %d", status)
--- a/request/ops/fuzz_test.go
+++ b/request/ops/fuzz_test.go
@@ -16,7 +16,7 @@
 	"github.com/rattanway/rattanway/version/confstore"
 )
 
-// emptyTable is a table without rows that counts the commits.
+// emptyTable is a table without rows. It counts the commits and fails them.
 type emptyTable struct{ commits int }
 
 // Get implements platform.Table.
@@ -46,9 +46,9 @@
 // Put implements platform.Objects.
 func (emptyStore) Put(context.Context, string, []byte) error { return nil }
 
-// FuzzBodies demands that no body breaks the operators' HTTP, that every
-// refusal is a problem document, and that nothing is written for a body that
-// is refused as bad.
+// FuzzBodies checks that no request body causes a panic or an internal error in
+// the operator API, that error responses are well-formed problem documents, and
+// that a request refused as malformed or invalid writes nothing to the platform.
 func FuzzBodies(f *testing.F) {
 	for _, path := range []string{"/ops/apply", "/ops/plan", "/ops/revert", "/ops/datacentres/x/out", "/ops/backendservers/%2e%2e/leaving"} {
 		for _, body := range []string{
@@ -60,7 +60,7 @@
 		}
 	}
 	table := &emptyTable{}
-	server := New(Config{Operators: []Operator{{Token: anyToken}}},
+	server := New(Config{Operators: []Operator{{Token: unnamedToken}}},
 		confstore.NewPublisher(table, emptyStore{}, clockwork.NewRealClock()), confstore.NewHolder(), nil, eventlog.Discard())
 	router := echo.New()
 	server.Register(router.Group(""))
@@ -68,12 +68,12 @@
 		if !strings.HasPrefix(path, "/ops/") || strings.ContainsAny(path, " \r\n\x00") {
 			return
 		}
-		before := table.commits
+		commitsBefore := table.commits
 		r, err := http.NewRequest(http.MethodPost, "http://entry"+path, strings.NewReader(body))
 		if err != nil {
 			return
 		}
-		r.Header.Set("Authorization", "Bearer "+anyToken)
+		r.Header.Set("Authorization", "Bearer "+unnamedToken)
 		w := httptest.NewRecorder()
 		router.ServeHTTP(w, r)
 		if w.Header().Get("Content-Type") != problemMediaType {
@@ -81,14 +81,14 @@
 		}
 		var p Problem
 		if err := json.Unmarshal(w.Body.Bytes(), &p); err != nil || p.Type == "" || p.Status != w.Code {
-			t.Fatalf("not a problem document: %q", w.Body)
+			t.Fatalf("malformed problem document: %q", w.Body)
 		}
 		if p.Type == TypeInternal {
 			t.Fatalf("internal error: %s", p.Detail)
 		}
-		bad := p.Type == TypeBadRequest || p.Type == TypeInvalid
-		if bad && table.commits != before {
-			t.Fatal("a refused body was written")
+		refused := p.Type == TypeBadRequest || p.Type == TypeInvalid
+		if refused && table.commits != commitsBefore {
+			t.Fatal("a refused request committed a write to the platform")
 		}
 	})
 }
--- a/request/ops/messages.go
+++ b/request/ops/messages.go
@@ -1,6 +1,6 @@
-// Package ops serves the operators' HTTP of an entry instance: applying,
-// reverting and reading configuration, and the state of the system as the
-// instance sees it. Client is the other side.
+// Package ops implements the operator API of an entry instance, server and
+// client: operators plan, apply and revert configuration changes, take data
+// centres and backend servers out of service, and read the history and status.
 package ops
 
 import (
@@ -13,59 +13,64 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Cause says who makes a change and why.
+// Cause describes who makes a change and why.
 type Cause struct {
-	// Author says who makes the change. An operator whose token carries a
-	// name is recorded under that name instead.
+	// Author is the person who makes the change. If the operator's token is
+	// configured with a name, that name is recorded instead.
 	Author string `json:"author,omitempty"`
-	// Reason says why.
+	// Reason is the author's reason for the change.
 	Reason string `json:"reason"`
-	// ChangeID identifies the change over repeated attempts.
+	// ChangeID identifies the change, so that a retry does not apply it twice.
 	ChangeID string `json:"changeId"`
 }
 
-// ApplyRequest asks to put a whole set of declarations in force.
+// ApplyRequest requests that a complete set of declarations replaces the
+// configuration in force.
 type ApplyRequest struct {
 	Cause
-	// Base is the version that the change was made for; it must be given.
+	// Base is the number of the version that the change is based on. It is
+	// required.
 	Base *uint64 `json:"base"`
 	// Files hold the declarations.
 	Files []declare.File `json:"files"`
 }
 
-// RevertRequest asks to put the content of an old version in force again.
+// RevertRequest requests a new version with the content of an old one.
 type RevertRequest struct {
 	Cause
-	// Base is the version that the change was made for; when absent the
-	// newest is taken.
+	// Base is the number of the version that the change is based on; nil
+	// means the newest version.
 	Base *uint64 `json:"base,omitempty"`
-	// Number is the old version.
+	// Number is the number of the old version.
 	Number uint64 `json:"number"`
 }
 
-// PlanRequest asks what a set of declarations would change.
+// PlanRequest requests a preview of the changes that a set of declarations
+// would make.
 type PlanRequest struct {
 	// Files hold the declarations.
 	Files []declare.File `json:"files"`
 }
 
-// PlanAnswer says what a set of declarations would change.
+// PlanAnswer lists the changes that a set of declarations would make.
 type PlanAnswer struct {
-	// Base is the version compared with.
+	// Base is the number of the version that the declarations are compared
+	// with.
 	Base uint64 `json:"base"`
-	// Changes are what differs.
+	// Changes are the differences from that version.
 	Changes []declare.Change `json:"changes"`
-	// Effects say what the changes will cause, one line each.
+	// Effects describe the consequences of the changes, one line each.
 	Effects []string `json:"effects"`
 }
 
-// Accepted answers a change that is in force.
+// Accepted is the response to a change that is in force.
 type Accepted struct {
-	// Number is the version's number.
+	// Number is the number of the version in force.
 	Number uint64 `json:"number"`
-	// Digest is the digest of its content.
+	// Digest is the digest of the version's content.
 	Digest core.Digest `json:"digest"`
-	// Unchanged is true when nothing differed, so that no version was made.
+	// Unchanged is true if the change made no difference, so that no new
+	// version was created.
 	Unchanged bool `json:"unchanged,omitempty"`
 }
 
@@ -75,40 +80,42 @@
 	Entries []confstore.Entry `json:"entries"`
 }
 
-// Status is what an entry instance knows.
+// Status describes an entry instance and the backend servers registered at it.
 type Status struct {
 	// Instance is the entry instance.
 	Instance core.Instance `json:"instance"`
-	// Config is the number of the configuration in force.
+	// Config is the number of the configuration version in force.
 	Config uint64 `json:"config"`
-	// Digest is its digest.
+	// Digest is the digest of that configuration.
 	Digest core.Digest `json:"digest"`
-	// ConfirmedMillis is the time since the configuration was last
-	// confirmed, in milliseconds; -1 when it never was.
+	// ConfirmedMillis is the time since the configuration was last confirmed
+	// to be the newest, in milliseconds; -1 if it never was.
 	ConfirmedMillis int64 `json:"confirmedMillis"`
 	// Servers are the registered backend servers, sorted by name.
 	Servers []ServerStatus `json:"servers"`
 }
 
-// ServerStatus is what an entry instance knows of one backend server.
+// ServerStatus is the status of one backend server.
 type ServerStatus struct {
 	// Name is the server's name.
 	Name string `json:"name"`
-	// DataCentre is where it stands.
+	// DataCentre is the data centre of the server.
 	DataCentre string `json:"dataCentre"`
-	// Service names its plain service; empty for an engine.
+	// Service is the name of the plain service that the server runs; empty for
+	// a model engine.
 	Service string `json:"service,omitempty"`
-	// State is what its agent reports.
+	// State is the state that the server's agent reports.
 	State frame.State `json:"state"`
-	// Suspect is true when reports have been missed.
+	// Suspect is true if the agent's reports are overdue.
 	Suspect bool `json:"suspect,omitempty"`
-	// InFlight and Limit are in calls.
+	// InFlight is the number of calls in flight.
 	InFlight int `json:"inFlight"`
-	// Limit is the number of calls admitted at once now.
+	// Limit is the current maximum number of concurrent calls.
 	Limit int `json:"limit"`
-	// Config is the number of the configuration in force at its agent.
+	// Config is the number of the configuration version in force at the agent.
 	Config uint64 `json:"config"`
-	// Loaded lists the versions that its engine reports.
+	// Loaded lists the model versions that the server's engine reports as
+	// loaded.
 	Loaded []string `json:"loaded,omitempty"`
 }
 
@@ -116,20 +123,20 @@
 type Problem struct {
 	// Type is one of the Type constants.
 	Type string `json:"type"`
-	// Title is the same for each Type.
+	// Title is a short summary of the problem type.
 	Title string `json:"title"`
 	// Status is the HTTP status.
 	Status int `json:"status"`
-	// Detail says what happened.
+	// Detail explains this occurrence of the problem.
 	Detail string `json:"detail"`
-	// Problems are what is wrong with the declarations.
+	// Problems are the faults found in the declarations.
 	Problems []declare.Problem `json:"problems,omitempty"`
-	// Winner is the version that came first, of a conflict.
+	// Winner is set for a conflict: the version that was accepted first.
 	Winner *confstore.Entry `json:"winner,omitempty"`
-	// InForce is the newest version, of a conflict.
+	// InForce is set for a conflict: the number of the newest version.
 	InForce uint64 `json:"inForce,omitempty"`
-	// Changes are what differs between the base and the newest version, of a
-	// conflict.
+	// Changes is set for a conflict: the differences between the base and the
+	// newest version.
 	Changes []declare.Change `json:"changes,omitempty"`
 }
 
@@ -148,7 +155,8 @@
 	problemMediaType = "application/problem+json"
 )
 
-// Error implements error with every problem on a line of its own.
+// Error implements error. Each declaration problem and each change is on a
+// line of its own.
 func (p *Problem) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%d): %s", p.Title, p.Status, p.Detail)
--- a/request/ops/ops.go
+++ b/request/ops/ops.go
@@ -25,61 +25,64 @@
 )
 
 const (
-	// maxBodyBytes is the largest request: files of declare.MaxTotalBytes in
-	// base64, and the rest.
+	// maxBodyBytes is the maximum size of a request body:
+	// declare.MaxTotalBytes of files in base64, and 1 MiB for everything else.
 	maxBodyBytes = declare.MaxTotalBytes/3*4 + 1<<20
-	// callTimeout bounds what one request does at the platform.
-	callTimeout = 10 * time.Second
-	// defaultHistory and maxHistory are numbers of versions.
-	defaultHistory = 20
-	maxHistory     = 1000
+	// requestTimeout limits the handling of one request, including its calls
+	// to the platform.
+	requestTimeout = 10 * time.Second
+	// defaultHistoryLimit and maxHistoryLimit are the default and the maximum
+	// number of versions in a history response.
+	defaultHistoryLimit = 20
+	maxHistoryLimit     = 1000
 )
 
 var (
-	eventAccepted = eventlog.Define(210, "configuration-accepted", logrus.InfoLevel,
-		"An operator's change was accepted as the next version through this instance.")
-	eventRefused = eventlog.Define(211, "configuration-refused", logrus.WarnLevel,
-		"An operator's change was refused; nothing was changed, unless the outcome is said to be unknown.")
-	eventOperatorToken = eventlog.Define(212, "operator-token-refused", logrus.WarnLevel,
-		"A call of the operators' HTTP came without a valid token.")
+	eventChangeAccepted = eventlog.Define(210, "configuration-accepted", logrus.InfoLevel,
+		"This instance accepted an operator's change as the next version.")
+	eventChangeRefused = eventlog.Define(211, "configuration-refused", logrus.WarnLevel,
+		"An operator's change was refused. The configuration did not change, unless the error is that the outcome is unknown.")
+	eventTokenRefused = eventlog.Define(212, "operator-token-refused", logrus.WarnLevel,
+		"A request to the operator API had no valid token.")
 )
 
-// Operator is someone who may use the operators' HTTP.
+// Operator is a user of the operator API.
 type Operator struct {
-	// Name is recorded as the author of changes; when empty, what the
-	// request says is recorded.
+	// Name is recorded as the author of changes; when empty, the author named
+	// in the request is recorded.
 	Name string
 	// Token is the bearer token.
 	Token string
 }
 
-// ParseOperator reads "NAME=TOKEN" or "TOKEN".
+// ParseOperator parses "NAME=TOKEN" or "TOKEN".
 func ParseOperator(text string) (Operator, error) {
 	name, token, ok := strings.Cut(text, "=")
 	if !ok {
 		name, token = "", text
 	}
 	if token == "" {
-		return Operator{}, errors.New("operator: want NAME=TOKEN or TOKEN")
+		return Operator{}, errors.New("operator: token is empty, expected NAME=TOKEN or TOKEN")
 	}
 	return Operator{Name: name, Token: token}, nil
 }
 
-// Config says who may use the operators' HTTP, and at which instance.
+// Config configures the operator API of an entry instance.
 type Config struct {
-	// Instance is the entry instance that serves.
+	// Instance is the entry instance that serves the API.
 	Instance core.Instance
-	// Operators are those who may call; none means that every call is
+	// Operators are the permitted users; if there are none, every request is
 	// refused.
 	Operators []Operator
-	// Live lists the instances that take part in placement, for plans; nil
-	// means the registered backend servers.
+	// Live returns the agents' instances that take part in placement. Plans
+	// are computed with it; nil means the registered backend servers.
 	Live func() []core.Instance
-	// Weights holds the manifests, for plans; nil leaves amounts out.
+	// Weights stores the weight manifests, from which plans compute amounts of
+	// data; nil leaves the amounts out.
 	Weights platform.Objects
 }
 
-// Server serves the operators' HTTP.
+// Server serves the operator API.
 type Server struct {
 	config    Config
 	publisher *confstore.Publisher
@@ -88,8 +91,8 @@
 	log       *eventlog.Logger
 }
 
-// New returns a Server. servers lists the registered backend servers; nil
-// means none.
+// New returns a Server. servers returns the registered backend servers; nil
+// means that there are none.
 func New(config Config, publisher *confstore.Publisher, holder *confstore.Holder, servers func() []registry.Server, log *eventlog.Logger) *Server {
 	if servers == nil {
 		servers = func() []registry.Server { return nil }
@@ -97,7 +100,7 @@
 	return &Server{config: config, publisher: publisher, holder: holder, servers: servers, log: log}
 }
 
-// Register adds the routes, below /ops, to g.
+// Register adds the routes of the operator API to g, below /ops.
 func (s *Server) Register(g *echo.Group) {
 	ops := g.Group("/ops", s.authorize)
 	ops.POST("/plan", s.plan)
@@ -105,30 +108,31 @@
 	ops.POST("/revert", s.revert)
 	ops.GET("/history", s.history)
 	ops.GET("/snapshots/:number", s.snapshot)
-	ops.POST("/datacentres/:name/out", s.setOut(true))
-	ops.POST("/datacentres/:name/in", s.setOut(false))
-	ops.POST("/backendservers/:name/leaving", s.setLeaving(true))
-	ops.POST("/backendservers/:name/staying", s.setLeaving(false))
+	ops.POST("/datacentres/:name/out", s.setDataCentreOut(true))
+	ops.POST("/datacentres/:name/in", s.setDataCentreOut(false))
+	ops.POST("/backendservers/:name/leaving", s.setBackendServerLeaving(true))
+	ops.POST("/backendservers/:name/staying", s.setBackendServerLeaving(false))
 	ops.GET("/status", s.status)
 }
 
-// operatorKey is where the calling operator stands in the echo context.
+// operatorKey is the key of the authenticated Operator in the echo context.
 const operatorKey = "operator"
 
-// authorize admits calls with an operator's token, bounds their time and
-// turns errors into problem documents.
+// authorize is a middleware that refuses requests without an operator's token,
+// limits the handling to requestTimeout and turns errors into problem
+// documents.
 func (s *Server) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		operator, ok := s.operator(c.Request())
+		operator, ok := s.authenticate(c.Request())
 		if !ok {
-			s.log.Event(eventOperatorToken, eventlog.Fields{"peer": c.Request().RemoteAddr, "path": c.Path()})
+			s.log.Event(eventTokenRefused, eventlog.Fields{"peer": c.Request().RemoteAddr, "path": c.Path()})
 			return writeProblem(c, &Problem{
 				Type: TypeToken, Title: "wrong token", Status: http.StatusUnauthorized,
 				Detail: "want an operator's token in the Authorization header",
 			})
 		}
 		c.Set(operatorKey, operator)
-		ctx, cancel := context.WithTimeout(c.Request().Context(), callTimeout)
+		ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
 		defer cancel()
 		c.SetRequest(c.Request().WithContext(ctx))
 		if err := next(c); err != nil {
@@ -138,8 +142,10 @@
 	}
 }
 
-// operator returns who calls. Every token is compared, each in constant time.
-func (s *Server) operator(r *http.Request) (Operator, bool) {
+// authenticate returns the operator whose token the request carries. It compares
+// all configured tokens, each in constant time, so that the duration reveals
+// nothing about them.
+func (s *Server) authenticate(r *http.Request) (Operator, bool) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return Operator{}, false
@@ -157,8 +163,8 @@
 	return found, matches > 0
 }
 
-// read decodes the request's JSON body.
-func read(c echo.Context, v any) error {
+// decodeBody decodes the request's JSON body into v.
+func decodeBody(c echo.Context, v any) error {
 	d := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
@@ -170,8 +176,9 @@
 	return nil
 }
 
-// change returns the change that a cause describes, without base and set.
-func change(c echo.Context, cause Cause) confstore.Change {
+// newChange returns a change with the author, reason and id of cause. The caller
+// sets its base and its declarations.
+func newChange(c echo.Context, cause Cause) confstore.Change {
 	author := cause.Author
 	if operator, ok := c.Get(operatorKey).(Operator); ok && operator.Name != "" {
 		author = operator.Name
@@ -182,7 +189,7 @@
 // apply serves POST /ops/apply.
 func (s *Server) apply(c echo.Context) error {
 	var req ApplyRequest
-	if err := read(c, &req); err != nil {
+	if err := decodeBody(c, &req); err != nil {
 		return err
 	}
 	if req.Base == nil {
@@ -190,86 +197,91 @@
 	}
 	parsed, problems := declare.Check(req.Files)
 	if len(problems) > 0 {
-		return s.refuse(req.Cause, &declare.InvalidError{Problems: problems})
+		return s.refuseChange(req.Cause, &declare.InvalidError{Problems: problems})
 	}
-	ch := change(c, req.Cause)
-	ch.Base = *req.Base
-	ch.Set = parsed.Set
-	snapshot, err := s.publisher.Apply(c.Request().Context(), ch)
+	change := newChange(c, req.Cause)
+	change.Base = *req.Base
+	change.Set = parsed.Set
+	snapshot, err := s.publisher.Apply(c.Request().Context(), change)
 	var invalid *declare.InvalidError
 	if errors.As(err, &invalid) {
 		err = &declare.InvalidError{Problems: parsed.Positions.Locate(invalid.Problems)}
 	}
-	return s.answer(c, ch, snapshot, err)
+	return s.respond(c, change, snapshot, err)
 }
 
 // revert serves POST /ops/revert.
 func (s *Server) revert(c echo.Context) error {
 	var req RevertRequest
-	if err := read(c, &req); err != nil {
+	if err := decodeBody(c, &req); err != nil {
 		return err
 	}
 	ctx := c.Request().Context()
-	ch := change(c, req.Cause)
+	change := newChange(c, req.Cause)
 	if req.Base != nil {
-		ch.Base = *req.Base
+		change.Base = *req.Base
 	} else {
 		head, err := s.publisher.Head(ctx)
 		if err != nil {
-			return s.refuse(req.Cause, err)
+			return s.refuseChange(req.Cause, err)
 		}
-		ch.Base = head.Number
+		change.Base = head.Number
 	}
-	snapshot, err := s.publisher.Revert(ctx, req.Number, ch)
-	return s.answer(c, ch, snapshot, err)
+	snapshot, err := s.publisher.Revert(ctx, req.Number, change)
+	return s.respond(c, change, snapshot, err)
 }
 
-// setOut serves POST /ops/datacentres/NAME/out and in.
-func (s *Server) setOut(out bool) echo.HandlerFunc {
-	return s.edit(func(set *declare.Set, name string) error { return set.SetDataCentreOut(name, out) })
+// setDataCentreOut serves POST /ops/datacentres/NAME/out and
+// POST /ops/datacentres/NAME/in.
+func (s *Server) setDataCentreOut(out bool) echo.HandlerFunc {
+	return s.editHandler(func(set *declare.Set, name string) error { return set.SetDataCentreOut(name, out) })
 }
 
-// setLeaving serves POST /ops/backendservers/NAME/leaving and staying.
-func (s *Server) setLeaving(leaving bool) echo.HandlerFunc {
-	return s.edit(func(set *declare.Set, name string) error { return set.SetBackendServerLeaving(name, leaving) })
+// setBackendServerLeaving serves POST /ops/backendservers/NAME/leaving and
+// POST /ops/backendservers/NAME/staying.
+func (s *Server) setBackendServerLeaving(leaving bool) echo.HandlerFunc {
+	return s.editHandler(func(set *declare.Set, name string) error { return set.SetBackendServerLeaving(name, leaving) })
 }
 
-// edit serves a change of one field of one object.
-func (s *Server) edit(step func(set *declare.Set, name string) error) echo.HandlerFunc {
+// editHandler returns a handler that applies edit to the object that the path
+// names.
+func (s *Server) editHandler(edit func(set *declare.Set, name string) error) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		var cause Cause
-		if err := read(c, &cause); err != nil {
+		if err := decodeBody(c, &cause); err != nil {
 			return err
 		}
-		ch := change(c, cause)
-		snapshot, err := s.publisher.Edit(c.Request().Context(), ch, func(set *declare.Set) error {
-			return step(set, c.Param("name"))
+		change := newChange(c, cause)
+		snapshot, err := s.publisher.Edit(c.Request().Context(), change, func(set *declare.Set) error {
+			return edit(set, c.Param("name"))
 		})
-		return s.answer(c, ch, snapshot, err)
+		return s.respond(c, change, snapshot, err)
 	}
 }
 
-// answer puts an accepted version in force here at once and answers.
-func (s *Server) answer(c echo.Context, ch confstore.Change, snapshot *declare.Snapshot, err error) error {
+// respond sends the result of a change. An accepted version comes into force at
+// this instance at once, without waiting for the next poll of the platform.
+func (s *Server) respond(c echo.Context, change confstore.Change, snapshot *declare.Snapshot, err error) error {
 	if errors.Is(err, confstore.ErrUnchanged) {
-		return s.answerUnchanged(c)
+		return s.respondUnchanged(c)
 	}
 	if err != nil {
-		return s.refuse(Cause{Author: ch.Author, Reason: ch.Reason, ChangeID: ch.ChangeID}, err)
+		return s.refuseChange(Cause{Author: change.Author, Reason: change.Reason, ChangeID: change.ChangeID}, err)
 	}
 	s.holder.Offer(snapshot)
-	s.log.Event(eventAccepted, eventlog.Fields{
+	s.log.Event(eventChangeAccepted, eventlog.Fields{
 		"number": snapshot.Number,
 		"digest": snapshot.Digest.Short(),
-		"author": ch.Author,
-		"change": ch.ChangeID,
-		"reason": ch.Reason,
+		"author": change.Author,
+		"change": change.ChangeID,
+		"reason": change.Reason,
 	})
 	return c.JSON(http.StatusOK, Accepted{Number: snapshot.Number, Digest: snapshot.Digest})
 }
 
-// answerUnchanged answers a change that changes nothing.
-func (s *Server) answerUnchanged(c echo.Context) error {
+// respondUnchanged sends the version in force as the result of a change that
+// made no difference.
+func (s *Server) respondUnchanged(c echo.Context) error {
 	head, err := s.publisher.Head(c.Request().Context())
 	if err != nil {
 		return err
@@ -277,23 +289,23 @@
 	return c.JSON(http.StatusOK, Accepted{Number: head.Number, Digest: head.Digest, Unchanged: true})
 }
 
-// refuse logs a refused change and returns its problem document.
-func (s *Server) refuse(cause Cause, err error) error {
-	s.log.Fail(eventRefused, err, eventlog.Fields{"author": cause.Author, "change": cause.ChangeID})
-	p := problemOf(err)
-	if p.Type == TypeNotApplied {
-		p.Detail = "nothing was changed: " + p.Detail
+// refuseChange logs a refused change and returns its problem document.
+func (s *Server) refuseChange(cause Cause, err error) error {
+	s.log.Fail(eventChangeRefused, err, eventlog.Fields{"author": cause.Author, "change": cause.ChangeID})
+	problem := problemOf(err)
+	if problem.Type == TypeNotApplied {
+		problem.Detail = "nothing was changed: " + problem.Detail
 	}
-	return p
+	return problem
 }
 
 // history serves GET /ops/history.
 func (s *Server) history(c echo.Context) error {
-	limit := defaultHistory
+	limit := defaultHistoryLimit
 	if text := c.QueryParam("limit"); text != "" {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 1 || n > maxHistory {
-			return badRequest("limit: want a number from 1 to " + strconv.Itoa(maxHistory))
+		if err != nil || n < 1 || n > maxHistoryLimit {
+			return badRequest("limit: want a number from 1 to " + strconv.Itoa(maxHistoryLimit))
 		}
 		limit = n
 	}
@@ -321,7 +333,7 @@
 // status serves GET /ops/status.
 func (s *Server) status(c echo.Context) error {
 	current := s.holder.Current()
-	answer := Status{
+	response := Status{
 		Instance:        s.config.Instance,
 		Config:          current.Number,
 		Digest:          current.Digest,
@@ -329,16 +341,16 @@
 		Servers:         []ServerStatus{},
 	}
 	if age, ok := s.holder.Age(); ok {
-		answer.ConfirmedMillis = age.Milliseconds()
+		response.ConfirmedMillis = age.Milliseconds()
 	}
 	for _, server := range s.servers() {
-		answer.Servers = append(answer.Servers, serverStatus(server))
+		response.Servers = append(response.Servers, serverStatus(server))
 	}
-	sort.Slice(answer.Servers, func(i, j int) bool { return answer.Servers[i].Name < answer.Servers[j].Name })
-	return c.JSON(http.StatusOK, answer)
+	sort.Slice(response.Servers, func(i, j int) bool { return response.Servers[i].Name < response.Servers[j].Name })
+	return c.JSON(http.StatusOK, response)
 }
 
-// serverStatus describes one registered server.
+// serverStatus returns the status of one registered backend server.
 func serverStatus(server registry.Server) ServerStatus {
 	status := ServerStatus{
 		Name:       server.Instance.ID,
@@ -350,8 +362,8 @@
 		Limit:      server.Report.Limit,
 		Config:     server.Report.Config,
 	}
-	for _, l := range server.Report.Loaded {
-		status.Loaded = append(status.Loaded, l.Model+" "+l.Version+" "+l.Digest.Short())
+	for _, version := range server.Report.Loaded {
+		status.Loaded = append(status.Loaded, version.Model+" "+version.Version+" "+version.Digest.Short())
 	}
 	return status
 }
--- a/request/ops/ops_test.go
+++ b/request/ops/ops_test.go
@@ -27,68 +27,71 @@
 )
 
 const (
-	annToken = "token-of-ann"
-	anyToken = "token-of-anyone"
+	// namedToken is the token of the operator ann.
+	namedToken = "token-of-ann"
+	// unnamedToken is the token of an operator without a name.
+	unnamedToken = "token-of-anyone"
 )
 
-// bench is a platform stand-in and some entry instances' operators' HTTP.
-type bench struct {
+// fixture is a stand-in for the platform and the operator APIs of several entry
+// instances.
+type fixture struct {
 	platform *httptest.Server
 	entries  []*entry
 }
 
-// entry is one entry instance's operators' HTTP.
+// entry is the operator API of one entry instance.
 type entry struct {
-	web    *httptest.Server
+	server *httptest.Server
 	addr   string
 	holder *confstore.Holder
 	client *Client
 }
 
-// newBench starts n entries on one platform.
-func newBench(t *testing.T, n int) *bench {
+// newFixture starts a platform and n entry instances that use it.
+func newFixture(t *testing.T, n int) *fixture {
 	t.Helper()
-	b := &bench{platform: httptest.NewServer(standin.New(standin.Config{}, clockwork.NewRealClock()))}
-	t.Cleanup(b.platform.Close)
+	f := &fixture{platform: httptest.NewServer(standin.New(standin.Config{}, clockwork.NewRealClock()))}
+	t.Cleanup(f.platform.Close)
 	for i := range n {
-		b.entries = append(b.entries, b.newEntry(t, i))
+		f.entries = append(f.entries, f.newEntry(t, i))
 	}
-	return b
+	return f
 }
 
-// newEntry starts one entry.
-func (b *bench) newEntry(t *testing.T, i int) *entry {
+// newEntry starts entry instance number i.
+func (f *fixture) newEntry(t *testing.T, i int) *entry {
 	p := platform.NewHTTP(platform.Config{
-		Addr:    strings.TrimPrefix(b.platform.URL, "http://"),
+		Addr:    strings.TrimPrefix(f.platform.URL, "http://"),
 		Timeout: time.Second,
 		Metrics: metrics.NewRegistry(),
 	})
 	e := &entry{holder: confstore.NewHolder()}
 	server := New(Config{
 		Instance:  core.Instance{ID: fmt.Sprintf("entry-%d", i)},
-		Operators: []Operator{{Name: "ann", Token: annToken}, {Token: anyToken}},
+		Operators: []Operator{{Name: "ann", Token: namedToken}, {Token: unnamedToken}},
 	}, confstore.NewPublisher(p.Table, p.Objects, clockwork.NewRealClock()), e.holder, nil, eventlog.Discard())
 	router := echo.New()
 	server.Register(router.Group(""))
-	e.web = httptest.NewServer(router)
-	t.Cleanup(e.web.Close)
-	e.addr = strings.TrimPrefix(e.web.URL, "http://")
-	e.client = NewClient(e.addr, anyToken)
+	e.server = httptest.NewServer(router)
+	t.Cleanup(e.server.Close)
+	e.addr = strings.TrimPrefix(e.server.URL, "http://")
+	e.client = NewClient(e.addr, unnamedToken)
 	return e
 }
 
-// faults posts a fault request to the platform.
-func (b *bench) faults(f standin.FaultRequest) {
-	body, err := json.Marshal(f)
+// setFaults sets the faults that the platform injects.
+func (f *fixture) setFaults(faults standin.FaultRequest) {
+	body, err := json.Marshal(faults)
 	So(err, ShouldBeNil)
-	resp, err := http.Post(b.platform.URL+"/faults", "application/json", bytes.NewReader(body))
+	resp, err := http.Post(f.platform.URL+"/faults", "application/json", bytes.NewReader(body))
 	So(err, ShouldBeNil)
 	So(resp.Body.Close(), ShouldBeNil)
 	So(resp.StatusCode, ShouldEqual, http.StatusNoContent)
 }
 
-// declarations returns a file with two data centres, an engine in each, a
-// model on them and some regions.
+// declarations returns a file that declares two data centres with a backend
+// server in each, a model, the region west and the given regions.
 func declarations(regions ...string) []declare.File {
 	digest := core.DigestOf([]byte("manifest"))
 	text := fmt.Sprintf(`kind: Region
@@ -112,17 +115,18 @@
 	return []declare.File{{Name: "all.yaml", Body: []byte(text)}}
 }
 
-// request returns an apply request.
-func request(base uint64, id string, regions ...string) ApplyRequest {
+// applyRequest returns a request to apply declarations of the given regions.
+func applyRequest(base uint64, changeID string, regions ...string) ApplyRequest {
 	return ApplyRequest{
-		Cause: Cause{Author: "ben", Reason: "test", ChangeID: id},
+		Cause: Cause{Author: "ben", Reason: "test", ChangeID: changeID},
 		Base:  &base,
 		Files: declarations(regions...),
 	}
 }
 
-// problem returns the problem document that err carries.
-func problem(err error) *Problem {
+// requireProblem returns the problem document that err wraps, and fails the test
+// if there is none.
+func requireProblem(err error) *Problem {
 	var p *Problem
 	So(errors.As(err, &p), ShouldBeTrue)
 	return p
@@ -130,126 +134,126 @@
 
 func TestOperations(t *testing.T) {
 	Convey("Given two entries and an accepted configuration", t, func() {
-		b := newBench(t, 2)
-		one, two := b.entries[0], b.entries[1]
+		f := newFixture(t, 2)
+		entryA, entryB := f.entries[0], f.entries[1]
 		ctx := context.Background()
-		accepted, err := one.client.Apply(ctx, request(0, "c1"))
+		accepted, err := entryA.client.Apply(ctx, applyRequest(0, "c1"))
 		So(err, ShouldBeNil)
 		So(accepted.Number, ShouldEqual, 1)
 
-		Convey("it is in force at once at the entry that took it", func() {
-			So(one.holder.Current().Number, ShouldEqual, 1)
-			status, err := one.client.Status(ctx)
+		Convey("the configuration is in force at once at the entry that accepted it", func() {
+			So(entryA.holder.Current().Number, ShouldEqual, 1)
+			status, err := entryA.client.Status(ctx)
 			So(err, ShouldBeNil)
 			So(status.Config, ShouldEqual, 1)
 		})
-		Convey("the name of an operator's token is the author", func() {
-			_, err := NewClient(two.addr, annToken).Apply(ctx, request(1, "c2", "east"))
+		Convey("the name configured for an operator's token is recorded as the author", func() {
+			_, err := NewClient(entryB.addr, namedToken).Apply(ctx, applyRequest(1, "c2", "east"))
 			So(err, ShouldBeNil)
-			history, err := one.client.History(ctx, 10)
+			history, err := entryA.client.History(ctx, 10)
 			So(err, ShouldBeNil)
 			So(history.Entries[0].Author, ShouldEqual, "ann")
 			So(history.Entries[1].Author, ShouldEqual, "ben")
 		})
-		Convey("a plan tells what differs and for which base", func() {
-			plan, err := two.client.Plan(ctx, PlanRequest{Files: declarations("east")})
+		Convey("a plan lists the changes and the base that they are compared with", func() {
+			plan, err := entryB.client.Plan(ctx, PlanRequest{Files: declarations("east")})
 			So(err, ShouldBeNil)
 			So(plan.Base, ShouldEqual, 1)
 			So(plan.Changes[0].String(), ShouldEqual, "add Region east")
 		})
-		Convey("a conflict names the winner and what differs", func() {
-			_, err := one.client.Apply(ctx, request(1, "c2", "east"))
+		Convey("a conflict reports the version accepted first and the changes since the base", func() {
+			_, err := entryA.client.Apply(ctx, applyRequest(1, "c2", "east"))
 			So(err, ShouldBeNil)
-			_, err = two.client.Apply(ctx, request(1, "c3", "north"))
-			p := problem(err)
+			_, err = entryB.client.Apply(ctx, applyRequest(1, "c3", "north"))
+			p := requireProblem(err)
 			So(p.Type, ShouldEqual, TypeConflict)
 			So(p.Winner.ChangeID, ShouldEqual, "c2")
 			So(p.Changes[0].String(), ShouldEqual, "add Region east")
 		})
-		Convey("every entry replays the same bytes", func() {
-			first, err := one.client.Snapshot(ctx, 1)
+		Convey("every entry returns the same bytes for a version", func() {
+			first, err := entryA.client.Snapshot(ctx, 1)
 			So(err, ShouldBeNil)
-			second, err := two.client.Snapshot(ctx, 1)
+			second, err := entryB.client.Snapshot(ctx, 1)
 			So(err, ShouldBeNil)
 			So(bytes.Equal(first, second), ShouldBeTrue)
 		})
-		Convey("a data centre goes out and returns, and a second drain changes nothing", func() {
+		Convey("a data centre is taken out of service once and back in; the last one in service cannot be taken out", func() {
 			cause := Cause{Author: "ben", Reason: "power", ChangeID: "d1"}
-			out, err := two.client.SetDataCentreOut(ctx, "palermo", true, cause)
+			out, err := entryB.client.SetDataCentreOut(ctx, "palermo", true, cause)
 			So(err, ShouldBeNil)
 			So(out.Number, ShouldEqual, 2)
 			cause.ChangeID = "d2"
-			again, err := one.client.SetDataCentreOut(ctx, "palermo", true, cause)
+			again, err := entryA.client.SetDataCentreOut(ctx, "palermo", true, cause)
 			So(err, ShouldBeNil)
 			So(again.Unchanged, ShouldBeTrue)
 			cause.ChangeID = "d3"
-			_, err = one.client.SetDataCentreOut(ctx, "trapani", true, cause)
-			p := problem(err)
+			_, err = entryA.client.SetDataCentreOut(ctx, "trapani", true, cause)
+			p := requireProblem(err)
 			So(p.Type, ShouldEqual, TypeInvalid)
 			So(p.Problems[0].Why, ShouldContainSubstring, "every data centre")
-			back, err := one.client.SetDataCentreOut(ctx, "palermo", false, cause)
+			back, err := entryA.client.SetDataCentreOut(ctx, "palermo", false, cause)
 			So(err, ShouldBeNil)
 			So(back.Number, ShouldEqual, 3)
 		})
-		Convey("a drain repeated under one change id is done once, another under that id is refused", func() {
+		Convey("a drain repeated with the same change id takes effect once, another drain with that id is refused", func() {
 			cause := Cause{Author: "ben", Reason: "repair", ChangeID: "s1"}
-			first, err := one.client.SetBackendServerLeaving(ctx, "gpu-1", true, cause)
+			first, err := entryA.client.SetBackendServerLeaving(ctx, "gpu-1", true, cause)
 			So(err, ShouldBeNil)
-			second, err := two.client.SetBackendServerLeaving(ctx, "gpu-1", true, cause)
+			second, err := entryB.client.SetBackendServerLeaving(ctx, "gpu-1", true, cause)
 			So(err, ShouldBeNil)
 			So(second.Number, ShouldEqual, first.Number)
-			_, err = two.client.SetBackendServerLeaving(ctx, "gpu-2", true, cause)
-			So(problem(err).Type, ShouldEqual, TypeChangeID)
+			_, err = entryB.client.SetBackendServerLeaving(ctx, "gpu-2", true, cause)
+			So(requireProblem(err).Type, ShouldEqual, TypeChangeID)
 		})
-		Convey("a drain of what does not exist is refused", func() {
-			_, err := one.client.SetBackendServerLeaving(ctx, "gpu-9", true, Cause{Author: "ben", Reason: "x", ChangeID: "s1"})
-			So(problem(err).Type, ShouldEqual, TypeNotFound)
+		Convey("a drain of an unknown backend server is refused", func() {
+			_, err := entryA.client.SetBackendServerLeaving(ctx, "gpu-9", true, Cause{Author: "ben", Reason: "x", ChangeID: "s1"})
+			So(requireProblem(err).Type, ShouldEqual, TypeNotFound)
 		})
-		Convey("an old version returns as a new one", func() {
-			_, err := one.client.Apply(ctx, request(1, "c2", "east"))
+		Convey("a revert creates a new version with the old content", func() {
+			_, err := entryA.client.Apply(ctx, applyRequest(1, "c2", "east"))
 			So(err, ShouldBeNil)
-			back, err := two.client.Revert(ctx, RevertRequest{Cause: Cause{Author: "ben", Reason: "undo", ChangeID: "r1"}, Number: 1})
+			back, err := entryB.client.Revert(ctx, RevertRequest{Cause: Cause{Author: "ben", Reason: "undo", ChangeID: "r1"}, Number: 1})
 			So(err, ShouldBeNil)
 			So(back.Number, ShouldEqual, 3)
 			So(back.Digest, ShouldEqual, accepted.Digest)
-			again, err := one.client.Revert(ctx, RevertRequest{Cause: Cause{Author: "ben", Reason: "undo", ChangeID: "r1"}, Number: 1})
+			again, err := entryA.client.Revert(ctx, RevertRequest{Cause: Cause{Author: "ben", Reason: "undo", ChangeID: "r1"}, Number: 1})
 			So(err, ShouldBeNil)
 			So(again.Number, ShouldEqual, 3)
 		})
-		Convey("a return to an old version that comes too late is a conflict", func() {
-			_, err := one.client.Apply(ctx, request(1, "c2", "east"))
+		Convey("a revert on an outdated base is a conflict", func() {
+			_, err := entryA.client.Apply(ctx, applyRequest(1, "c2", "east"))
 			So(err, ShouldBeNil)
 			base := uint64(1)
-			_, err = two.client.Revert(ctx, RevertRequest{Cause: Cause{Author: "ben", Reason: "undo", ChangeID: "r1"}, Base: &base, Number: 1})
-			So(problem(err).Type, ShouldEqual, TypeConflict)
-			So(problem(err).Winner.ChangeID, ShouldEqual, "c2")
+			_, err = entryB.client.Revert(ctx, RevertRequest{Cause: Cause{Author: "ben", Reason: "undo", ChangeID: "r1"}, Base: &base, Number: 1})
+			So(requireProblem(err).Type, ShouldEqual, TypeConflict)
+			So(requireProblem(err).Winner.ChangeID, ShouldEqual, "c2")
 		})
 	})
 }
 
 func TestRefusals(t *testing.T) {
 	Convey("Given an entry", t, func() {
-		b := newBench(t, 1)
-		e := b.entries[0]
+		f := newFixture(t, 1)
+		e := f.entries[0]
 		ctx := context.Background()
-		_, err := e.client.Apply(ctx, request(0, "c1"))
+		_, err := e.client.Apply(ctx, applyRequest(0, "c1"))
 		So(err, ShouldBeNil)
-		untouched := func() {
+		assertNoNewVersion := func() {
 			history, err := e.client.History(ctx, 10)
 			So(err, ShouldBeNil)
 			So(len(history.Entries), ShouldEqual, 1)
 		}
 
-		Convey("a wrong token, an empty one and none are refused", func() {
-			for _, token := range []string{"wrong", "", annToken + "x"} {
-				_, err := NewClient(e.addr, token).Apply(ctx, request(1, "c2", "east"))
-				So(problem(err).Type, ShouldEqual, TypeToken)
+		Convey("requests with a wrong or an empty token are refused", func() {
+			for _, token := range []string{"wrong", "", namedToken + "x"} {
+				_, err := NewClient(e.addr, token).Apply(ctx, applyRequest(1, "c2", "east"))
+				So(requireProblem(err).Type, ShouldEqual, TypeToken)
 			}
-			untouched()
+			assertNoNewVersion()
 		})
-		Convey("bad bodies are refused in short words", func() {
+		Convey("malformed bodies are refused with a short detail", func() {
 			big := strings.Repeat("x", 1000000)
-			for body, why := range map[string]string{
+			for body, detail := range map[string]string{
 				"":                             "EOF",
 				"[]":                           "cannot unmarshal",
 				`{"base":-1}`:                  "cannot unmarshal",
@@ -258,84 +262,84 @@
 				`{"reason":"r","files":[]}`:    "base is missing",
 				`{"` + big + `":1,"base":"x"}`: "",
 			} {
-				p := problem(post(e, "/ops/apply", body))
+				p := requireProblem(postRaw(e, "/ops/apply", body))
 				So(p.Status, ShouldEqual, http.StatusBadRequest)
-				So(p.Detail, ShouldContainSubstring, why)
+				So(p.Detail, ShouldContainSubstring, detail)
 			}
-			untouched()
+			assertNoNewVersion()
 		})
-		Convey("a body above the bound is refused", func() {
-			p := problem(post(e, "/ops/apply", `{"reason":"`+strings.Repeat("x", maxBodyBytes)+`"}`))
+		Convey("a body over the size limit is refused", func() {
+			p := requireProblem(postRaw(e, "/ops/apply", `{"reason":"`+strings.Repeat("x", maxBodyBytes)+`"}`))
 			So(p.Detail, ShouldContainSubstring, "too large")
-			untouched()
+			assertNoNewVersion()
 		})
-		Convey("declarations with problems are refused with their lines", func() {
-			req := request(1, "c2")
+		Convey("invalid declarations are refused with the file and line of each problem", func() {
+			req := applyRequest(1, "c2")
 			req.Files[0].Body = append(req.Files[0].Body, []byte("---\nkind: Region\nname: "+strings.Repeat("n", 1000000)+"\n")...)
 			req.Files = append(req.Files, declare.File{Name: "bomb.yaml", Body: []byte("a: &a [1]\nb: [*a]\n")})
 			_, err := e.client.Apply(ctx, req)
-			p := problem(err)
+			p := requireProblem(err)
 			So(p.Type, ShouldEqual, TypeInvalid)
 			So(len(p.Problems), ShouldEqual, 2)
 			So(p.Problems[0].File, ShouldEqual, "all.yaml")
 			So(p.Problems[0].Line, ShouldEqual, 17)
 			So(len(p.Error()), ShouldBeLessThan, 1000)
-			untouched()
+			assertNoNewVersion()
 		})
 		Convey("a change without a reason is refused", func() {
-			req := request(1, "c2", "east")
+			req := applyRequest(1, "c2", "east")
 			req.Reason = ""
 			_, err := e.client.Apply(ctx, req)
-			So(problem(err).Type, ShouldEqual, TypeBadRequest)
-			untouched()
+			So(requireProblem(err).Type, ShouldEqual, TypeBadRequest)
+			assertNoNewVersion()
 		})
-		Convey("the removal of a version in use is refused at its model's line", func() {
-			req := request(1, "c2")
+		Convey("the removal of a version that its model still uses is refused", func() {
+			req := applyRequest(1, "c2")
 			req.Files[0].Body = bytes.ReplaceAll(req.Files[0].Body, []byte("herbs-1"), []byte("herbs-2"))
 			_, err := e.client.Apply(ctx, req)
-			p := problem(err)
+			p := requireProblem(err)
 			So(p.Type, ShouldEqual, TypeInvalid)
 			So(p.Problems[0].Why, ShouldContainSubstring, "still answers from it")
-			untouched()
+			assertNoNewVersion()
 		})
-		Convey("while the platform is down a change is refused plainly, and nothing is lost after", func() {
+		Convey("while the platform is down a change is refused, and succeeds afterwards", func() {
 			down := true
-			b.faults(standin.FaultRequest{Unavailable: &down})
-			_, err := e.client.Apply(ctx, request(1, "c2", "east"))
-			p := problem(err)
+			f.setFaults(standin.FaultRequest{Unavailable: &down})
+			_, err := e.client.Apply(ctx, applyRequest(1, "c2", "east"))
+			p := requireProblem(err)
 			So(p.Type, ShouldEqual, TypeNotApplied)
 			So(p.Detail, ShouldContainSubstring, "nothing was changed")
 			So(e.holder.Current().Number, ShouldEqual, 1)
 			down = false
-			b.faults(standin.FaultRequest{Unavailable: &down})
-			untouched()
-			again, err := e.client.Apply(ctx, request(1, "c2", "east"))
+			f.setFaults(standin.FaultRequest{Unavailable: &down})
+			assertNoNewVersion()
+			again, err := e.client.Apply(ctx, applyRequest(1, "c2", "east"))
 			So(err, ShouldBeNil)
 			So(again.Number, ShouldEqual, 2)
 		})
 	})
 }
 
-// post sends a raw body and returns the problem of the answer.
-func post(e *entry, path, body string) error {
+// postRaw sends body unchanged and returns the client's error.
+func postRaw(e *entry, path, body string) error {
 	_, err := e.client.send(context.Background(), http.MethodPost, path, []byte(body))
 	return err
 }
 
 func TestLostAnswerThroughAnotherEntry(t *testing.T) {
-	Convey("Given a platform that loses the answers of the next commits", t, func() {
-		b := newBench(t, 2)
-		lose := 1
-		b.faults(standin.FaultRequest{LoseCommitAnswers: &lose})
+	Convey("Given a platform that loses the response to the next commit", t, func() {
+		f := newFixture(t, 2)
+		lostResponses := 1
+		f.setFaults(standin.FaultRequest{LoseCommitAnswers: &lostResponses})
 		ctx := context.Background()
 
-		Convey("the change repeated through another entry leaves one history row", func() {
-			first, err := b.entries[0].client.Apply(ctx, request(0, "c1"))
+		Convey("a change repeated through another entry is recorded once", func() {
+			first, err := f.entries[0].client.Apply(ctx, applyRequest(0, "c1"))
 			So(err, ShouldBeNil)
-			second, err := b.entries[1].client.Apply(ctx, request(0, "c1"))
+			second, err := f.entries[1].client.Apply(ctx, applyRequest(0, "c1"))
 			So(err, ShouldBeNil)
 			So(second.Number, ShouldEqual, first.Number)
-			history, err := b.entries[1].client.History(ctx, 10)
+			history, err := f.entries[1].client.History(ctx, 10)
 			So(err, ShouldBeNil)
 			So(len(history.Entries), ShouldEqual, 1)
 		})
@@ -344,42 +348,42 @@
 
 func TestRacesThroughEntries(t *testing.T) {
 	for _, operators := range []int{2, 10} {
-		Convey(fmt.Sprintf("Given %d operators who race through four entries", operators), t, func() {
-			b := newBench(t, 4)
+		Convey(fmt.Sprintf("Given %d operators who apply changes concurrently through four entries", operators), t, func() {
+			f := newFixture(t, 4)
 			const rounds = 5
 			for round := range uint64(rounds) {
-				errs := b.race(operators, round)
-				won := 0
+				errs := f.applyConcurrently(operators, round)
+				accepted := 0
 				for _, err := range errs {
 					if err == nil {
-						won++
+						accepted++
 						continue
 					}
-					p := problem(err)
+					p := requireProblem(err)
 					So(p.Type, ShouldEqual, TypeConflict)
 					So(p.Winner.Number, ShouldEqual, round+1)
 					So(p.Changes, ShouldNotBeEmpty)
 				}
-				So(won, ShouldEqual, 1)
+				So(accepted, ShouldEqual, 1)
 			}
-			history, err := b.entries[0].client.History(context.Background(), 100)
+			history, err := f.entries[0].client.History(context.Background(), 100)
 			So(err, ShouldBeNil)
 			So(len(history.Entries), ShouldEqual, rounds)
 		})
 	}
 }
 
-// race lets operators apply different changes on one base at once, spread over
-// the entries.
-func (b *bench) race(operators int, base uint64) []error {
+// applyConcurrently applies one change per operator concurrently, all on the same
+// base and each through the next of the entries. It returns the operators' errors.
+func (f *fixture) applyConcurrently(operators int, base uint64) []error {
 	errs := make([]error, operators)
 	var wg sync.WaitGroup
 	for n := range operators {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			id := fmt.Sprintf("round-%d-operator-%d", base, n)
-			_, errs[n] = b.entries[n%len(b.entries)].client.Apply(context.Background(), request(base, id, id))
+			changeID := fmt.Sprintf("round-%d-operator-%d", base, n)
+			_, errs[n] = f.entries[n%len(f.entries)].client.Apply(context.Background(), applyRequest(base, changeID, changeID))
 		}()
 	}
 	wg.Wait()
--- a/request/ops/plan.go
+++ b/request/ops/plan.go
@@ -13,7 +13,7 @@
 // plan serves POST /ops/plan.
 func (s *Server) plan(c echo.Context) error {
 	var req PlanRequest
-	if err := read(c, &req); err != nil {
+	if err := decodeBody(c, &req); err != nil {
 		return err
 	}
 	parsed, problems := declare.Check(req.Files)
@@ -36,19 +36,19 @@
 		Base:    base.Number,
 		Changes: declare.Diff(base.Set, parsed.Set),
 		Effects: plan.Effects(ctx, plan.Input{
-			Old: base.Set, New: parsed.Set, Live: s.live(), Weights: s.config.Weights,
+			Old: base.Set, New: parsed.Set, Live: s.liveInstances(), Weights: s.config.Weights,
 		}),
 	})
 }
 
-// live returns the instances that take part in placement.
-func (s *Server) live() []core.Instance {
+// liveInstances returns the agents' instances that take part in placement.
+func (s *Server) liveInstances() []core.Instance {
 	if s.config.Live != nil {
 		return s.config.Live()
 	}
-	var all []core.Instance
+	var instances []core.Instance
 	for _, server := range s.servers() {
-		all = append(all, server.Instance)
+		instances = append(instances, server.Instance)
 	}
-	return all
+	return instances
 }
--- a/request/ops/problems.go
+++ b/request/ops/problems.go
@@ -15,15 +15,15 @@
 
 // problemOf returns the problem document for an error.
 func problemOf(err error) *Problem {
-	var own *Problem
-	var routing *echo.HTTPError
+	var problem *Problem
+	var httpErr *echo.HTTPError
 	var invalid *declare.InvalidError
 	var conflict *confstore.ConflictError
 	switch {
-	case errors.As(err, &own):
-		return own
-	case errors.As(err, &routing):
-		return &Problem{Type: TypeNotFound, Title: "no such call", Status: routing.Code, Detail: fmt.Sprint(routing.Message)}
+	case errors.As(err, &problem):
+		return problem
+	case errors.As(err, &httpErr):
+		return &Problem{Type: TypeNotFound, Title: "no such call", Status: httpErr.Code, Detail: fmt.Sprint(httpErr.Message)}
 	case errors.As(err, &invalid):
 		return &Problem{
 			Type: TypeInvalid, Title: "declarations refused", Status: http.StatusUnprocessableEntity,
@@ -33,11 +33,12 @@
 	case errors.As(err, &conflict):
 		return conflictProblem(conflict)
 	default:
-		return plainProblem(err)
+		return sentinelProblem(err)
 	}
 }
 
-// conflictProblem tells the operator who came first and what differs.
+// conflictProblem returns the problem document of a conflict: the version that
+// was accepted first, and what has changed since the base.
 func conflictProblem(e *confstore.ConflictError) *Problem {
 	return &Problem{
 		Type: TypeConflict, Title: "another change came first", Status: http.StatusConflict,
@@ -49,9 +50,9 @@
 	}
 }
 
-// plainProblem returns the problem document of an error without details of
-// its own.
-func plainProblem(err error) *Problem {
+// sentinelProblem returns the problem document of an error that is recognized
+// by a sentinel value, or of an internal error if it matches none.
+func sentinelProblem(err error) *Problem {
 	p := &Problem{Detail: err.Error()}
 	switch {
 	case errors.Is(err, confstore.ErrChange):
@@ -73,12 +74,12 @@
 	return p
 }
 
-// badRequest returns the problem of a request that could not be read.
+// badRequest returns the problem document of a malformed request.
 func badRequest(detail string) *Problem {
 	return &Problem{Type: TypeBadRequest, Title: "bad request", Status: http.StatusBadRequest, Detail: detail}
 }
 
-// writeProblem answers with a problem document.
+// writeProblem sends p as the response.
 func writeProblem(c echo.Context, p *Problem) error {
 	body, err := json.Marshal(p)
 	if err != nil {
