--- a/connection/frame/conn.go
+++ b/connection/frame/conn.go
@@ -14,31 +14,35 @@
 	"github.com/rattanway/rattanway/process/dial"
 )
 
-// bufferBytes is the size of a connection's read and write buffers.
+// bufferBytes is the size of a connection's read and write buffers, in bytes.
 const bufferBytes = 4 << 10
 
-// writeTimeout bounds the writing of one frame to a peer that reads nothing.
+// writeTimeout limits the time to write one frame, for peers that stop reading.
 const writeTimeout = 10 * time.Second
 
-// Errors that a Conn returns, wrapped with step and peer.
+// The errors of a Conn. They are wrapped with the failed operation and the peer.
 var (
-	// ErrMalformed says that a frame could not be decoded.
+	// ErrMalformed is returned when a frame cannot be decoded.
 	ErrMalformed = errors.New("malformed frame")
-	// ErrVersion says that the peer speaks another protocol version.
+	// ErrVersion is returned when a frame has another protocol version than
+	// ProtocolVersion.
 	ErrVersion = errors.New("protocol version not supported")
-	// ErrUnexpected says that a frame of another kind was expected.
+	// ErrUnexpected is returned when a received frame is not of the expected
+	// kind.
 	ErrUnexpected = errors.New("unexpected frame")
 )
 
-// envelope is the outer form of every frame.
-type envelope struct {
+// receivedEnvelope is the envelope of a received frame, with its body still
+// encoded.
+type receivedEnvelope struct {
 	Version uint8           `cbor:"1,keyasint"`
 	Kind    Kind            `cbor:"2,keyasint"`
 	Body    cbor.RawMessage `cbor:"3,keyasint"`
 }
 
-// outgoing is an envelope whose body has not been encoded yet.
-type outgoing struct {
+// outgoingEnvelope is the envelope of a frame to send. It is encoded together
+// with its body.
+type outgoingEnvelope struct {
 	Version uint8 `cbor:"1,keyasint"`
 	Kind    Kind  `cbor:"2,keyasint"`
 	Body    any   `cbor:"3,keyasint"`
@@ -46,7 +50,7 @@
 
 // Frame is a received frame whose body has not been decoded yet.
 type Frame struct {
-	// Kind says which message it is.
+	// Kind is the kind of the message in the frame.
 	Kind Kind
 	body cbor.RawMessage
 }
@@ -61,7 +65,8 @@
 
 var decMode = newDecMode()
 
-// newDecMode bounds what a malicious frame may cost to decode.
+// newDecMode returns a decoding mode that limits the nesting and the sizes in a
+// frame, and with them the cost of decoding a malicious frame.
 func newDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxNestedLevels:  8,
@@ -74,18 +79,18 @@
 	return mode
 }
 
-// Encode returns the encoding of one frame.
+// Encode returns an encoded frame with the message msg.
 func Encode(kind Kind, msg any) ([]byte, error) {
-	body, err := cbor.Marshal(outgoing{Version: ProtocolVersion, Kind: kind, Body: msg})
+	body, err := cbor.Marshal(outgoingEnvelope{Version: ProtocolVersion, Kind: kind, Body: msg})
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode frame of kind %d", kind)
 	}
 	return body, nil
 }
 
-// Parse decodes the envelope of one frame.
+// Parse decodes the envelope of a frame and checks its protocol version.
 func Parse(raw []byte) (Frame, error) {
-	var e envelope
+	var e receivedEnvelope
 	if err := decMode.Unmarshal(raw, &e); err != nil {
 		return Frame{}, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
@@ -95,18 +100,18 @@
 	return Frame{Kind: e.Kind, body: e.Body}, nil
 }
 
-// Conn carries frames over one WebSocket. One goroutine may receive while
-// others send.
+// Conn sends and receives frames over a WebSocket connection. Several goroutines
+// may send concurrently, while one goroutine receives.
 type Conn struct {
 	ws     *websocket.Conn
 	peer   string
 	sendMu sync.Mutex
 }
 
-// Peer names the other side in errors and log lines.
+// Peer returns the name of the peer for errors and log lines.
 func (c *Conn) Peer() string { return c.peer }
 
-// SetPeer changes the name of the other side once it is known.
+// SetPeer sets the name of the peer, which at first is its address.
 func (c *Conn) SetPeer(name string) { c.peer = name }
 
 // Send writes one frame.
@@ -123,24 +128,24 @@
 	return core.Step("send frame", c.peer, c.ws.WriteMessage(websocket.BinaryMessage, raw))
 }
 
-// Receive reads the next frame. A zero deadline waits for ever.
+// Receive reads the next frame. A zero deadline means no time limit.
 func (c *Conn) Receive(deadline time.Time) (Frame, error) {
 	if err := c.ws.SetReadDeadline(deadline); err != nil {
 		return Frame{}, core.Step("receive frame", c.peer, err)
 	}
-	kind, raw, err := c.ws.ReadMessage()
+	messageType, raw, err := c.ws.ReadMessage()
 	if err != nil {
 		return Frame{}, core.Step("receive frame", c.peer, err)
 	}
-	if kind != websocket.BinaryMessage {
+	if messageType != websocket.BinaryMessage {
 		return Frame{}, core.Step("receive frame", c.peer, ErrMalformed)
 	}
 	f, err := Parse(raw)
 	return f, core.Step("receive frame", c.peer, err)
 }
 
-// Expect reads the next frame and decodes it into msg, or fails when it is of
-// another kind.
+// Expect reads the next frame and decodes it into msg. It returns ErrUnexpected
+// if the frame is not of the given kind.
 func (c *Conn) Expect(kind Kind, msg any, deadline time.Time) error {
 	f, err := c.Receive(deadline)
 	if err != nil {
@@ -152,7 +157,7 @@
 	return core.Step("receive frame", c.peer, f.Decode(msg))
 }
 
-// Close closes the connection at once.
+// Close closes the connection immediately, without a WebSocket close handshake.
 func (c *Conn) Close() error { return c.ws.Close() }
 
 var upgrader = websocket.Upgrader{
@@ -161,7 +166,7 @@
 	WriteBufferPool: &sync.Pool{},
 }
 
-// Accept upgrades an HTTP request to a Conn. The caller has checked the
+// Accept upgrades an HTTP request to a Conn. The caller must have checked the
 // peer's token.
 func Accept(w http.ResponseWriter, r *http.Request) (*Conn, error) {
 	ws, err := upgrader.Upgrade(w, r, nil)
@@ -172,7 +177,8 @@
 	return &Conn{ws: ws, peer: r.RemoteAddr}, nil
 }
 
-// Dial opens a Conn to path at addr ("ip:port") with the peer token.
+// Dial opens a Conn to path at addr ("ip:port") and sends the peer token.
+// timeout limits the time until the connection is open.
 func Dial(addr, path, token string, timeout time.Duration) (*Conn, error) {
 	d := websocket.Dialer{
 		NetDialContext:   dial.Context,
--- a/connection/frame/fleet.go
+++ b/connection/frame/fleet.go
@@ -6,108 +6,121 @@
 )
 
 // The kinds of messages between entry instances, and between entry instances
-// and the agents beside model servers that are reached directly.
+// and those agents whose backend servers receive requests directly from the
+// entry instances, not through the agent.
 const (
-	KindEntryHello Kind = 32 // entry to entry, first on a connection
-	KindLoads      Kind = 33 // entry to entry: requests running at servers
-	KindWant       Kind = 34 // entry to entry: send me these tables
-	KindTable      Kind = 35 // entry to entry: the content of a table
-	KindAgentHello Kind = 36 // agent to entry, first on a connection
-	KindAgentState Kind = 37 // agent to entry: what its server holds
-	KindFleet      Kind = 38 // entry to agent: weights to hold, and from whom
+	KindEntryHello Kind = 32 // entry to entry: first message on a connection
+	KindLoads      Kind = 33 // entry to entry: requests in flight per backend server
+	KindWant       Kind = 34 // entry to entry: request for tables
+	KindTable      Kind = 35 // entry to entry: content of a table
+	KindAgentHello Kind = 36 // agent to entry: first message on a connection
+	KindAgentState Kind = 37 // agent to entry: versions loaded by its backend server
+	KindFleet      Kind = 38 // entry to agent: versions to load and their sources
 )
 
-// EntryHello opens a connection between entry instances.
+// EntryHello is the first message on a connection between entry instances.
 type EntryHello struct {
-	// Self is the sender.
+	// Self is the entry instance that sends the message.
 	Self core.Instance `cbor:"1,keyasint"`
 }
 
-// Loads tells another entry instance what the sender runs at servers, and how
-// new its tables are.
+// Loads reports to another entry instance which requests the sender has in
+// flight and which revisions its tables have.
 type Loads struct {
-	// Declared and Servers are the revisions of the newest changes that the
-	// sender knows.
+	// Declared is the revision of the newest change in the sender's table of
+	// declarations.
 	Declared uint64 `cbor:"1,keyasint"`
-	Servers  uint64 `cbor:"2,keyasint"`
-	// Running are the counts that changed since the last message.
+	// Servers is the revision of the newest change in the sender's table of
+	// backend servers.
+	Servers uint64 `cbor:"2,keyasint"`
+	// Running maps the id of a backend server to the number of requests that the
+	// sender has in flight there. It contains only the numbers that changed
+	// since the last message.
 	Running map[string]int `cbor:"3,keyasint,omitempty"`
-	// Declared weights that became known lately, with their ages.
+	// Weights are the recently declared model versions with their ages.
 	Weights []WantedWeights `cbor:"4,keyasint,omitempty"`
 }
 
-// Want asks for tables.
+// Want requests the content of tables.
 type Want struct {
-	// Tables are the tables that are older at the sender.
+	// Tables are the tables of which the requester has an older revision.
 	Tables []catalog.Table `cbor:"1,keyasint"`
 }
 
 // TableState is the content of a table.
 type TableState struct {
-	// Table says which one.
+	// Table identifies the table.
 	Table catalog.Table `cbor:"1,keyasint"`
-	// State is its content.
+	// State is the content of the table.
 	State catalog.State `cbor:"2,keyasint"`
 }
 
-// AgentHello opens a connection from an agent beside a model server.
+// AgentHello is an agent's first message on a connection to an entry instance.
 type AgentHello struct {
-	// Self is the agent; Addr is where it serves weights.
+	// Self is the agent. Its Addr is the address from which other agents fetch
+	// weights.
 	Self core.Instance `cbor:"1,keyasint"`
-	// Server is the address of its model server.
+	// Server is the address of the agent's backend server.
 	Server string `cbor:"2,keyasint"`
-	// Declared are the versions that the agent has heard of, with their ages.
+	// Declared are the declared versions that the agent has received from entry
+	// instances, with their ages.
 	Declared []WantedWeights `cbor:"3,keyasint,omitempty"`
 }
 
-// AgentState is what an agent reads from its own model server.
+// AgentState is the state that an agent reads from its backend server.
 type AgentState struct {
-	// Weights are the versions of the models of which the server holds every
-	// layer.
+	// Weights maps the name of each model that is loaded with all its layers to
+	// the number of the loaded version.
 	Weights map[string]int `cbor:"1,keyasint,omitempty"`
-	// Loading says that the server takes no new work while it loads.
+	// Loading is true while the server loads a version and accepts no requests.
 	Loading bool `cbor:"2,keyasint,omitempty"`
-	// List asks for the list of agents from now on.
+	// List is true if the agent requests the list of agents in each Fleet
+	// message.
 	List bool `cbor:"3,keyasint,omitempty"`
 }
 
-// WantedWeights is a version that agents are to bring to their servers.
+// WantedWeights is a declared model version that agents must load into their
+// backend servers.
 type WantedWeights struct {
-	// Model and Version name it.
-	Model   string `cbor:"1,keyasint"`
-	Version int    `cbor:"2,keyasint"`
-	// AgeMs is for how long the version has been declared, in milliseconds.
+	// Model is the name of the model.
+	Model string `cbor:"1,keyasint"`
+	// Version is the number of the version.
+	Version int `cbor:"2,keyasint"`
+	// AgeMs is the time since the version was declared, in milliseconds.
 	AgeMs int64 `cbor:"3,keyasint"`
-	// Chunks and ChunkBytes are the number and size of its pieces.
-	Chunks     int `cbor:"4,keyasint"`
+	// Chunks is the number of chunks of the version.
+	Chunks int `cbor:"4,keyasint"`
+	// ChunkBytes is the size of a chunk, in bytes.
 	ChunkBytes int `cbor:"5,keyasint"`
-	// Service is the service whose servers hold it.
+	// Service is the name of the service whose backend servers load the version.
 	Service string `cbor:"6,keyasint"`
 }
 
-// FleetAgent is an agent that brings weights to its server.
+// FleetAgent is an agent that loads model versions into its backend server.
 type FleetAgent struct {
 	// Instance is the agent.
 	Instance core.Instance `cbor:"1,keyasint"`
-	// Server is the address of its model server.
+	// Server is the address of the agent's backend server.
 	Server string `cbor:"2,keyasint"`
-	// Holds says that its server serves the newest weights.
+	// Holds is true if the server has loaded the newest declared versions.
 	Holds bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Fleet is what an agent needs to know to bring weights to its server.
+// Fleet contains the versions that an agent must load and the sources from which
+// the agent can fetch them.
 type Fleet struct {
-	// Weights are the versions to hold.
+	// Weights are the versions to load.
 	Weights []WantedWeights `cbor:"1,keyasint"`
-	// Origin is the address of the source of weights, and OriginRate what
-	// its link carries in bytes per second.
-	Origin     string `cbor:"2,keyasint"`
-	OriginRate int64  `cbor:"3,keyasint"`
-	// Agents are the agents that hold or need them; only an agent that asked
-	// for the list is told.
+	// Origin is the address of the store from which all weights originate.
+	Origin string `cbor:"2,keyasint"`
+	// OriginRate is the bandwidth of the origin, in bytes per second.
+	OriginRate int64 `cbor:"3,keyasint"`
+	// Agents lists the agents that have loaded the versions or have yet to load
+	// them. It is only sent to agents that set AgentState.List.
 	Agents []FleetAgent `cbor:"4,keyasint,omitempty"`
-	// Entries are the addresses of the entry instances that are known.
+	// Entries are the addresses of the entry instances that the sender has
+	// found.
 	Entries []string `cbor:"5,keyasint"`
-	// DataCentre is the sender's.
+	// DataCentre is the data centre of the sender.
 	DataCentre string `cbor:"6,keyasint"`
 }
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -1,227 +1,245 @@
-// Package frame defines the typed messages that our processes exchange over
-// WebSocket connections, and their CBOR encoding. Every message travels in an
-// Envelope with the protocol version and the message's kind; unknown fields
-// are ignored, so that newer processes can talk to older ones.
+// Package frame defines the messages that entry instances and agents exchange
+// over WebSocket connections, and their CBOR encoding. A frame is one message in
+// an envelope with the protocol version and the kind of the message. Decoding
+// ignores unknown fields, so that newer processes can talk to older ones.
 package frame
 
 import (
 	"github.com/rattanway/rattanway/core"
 )
 
-// ProtocolVersion is the version of the frames that this build speaks.
+// ProtocolVersion is the protocol version of the frames that this build sends
+// and accepts.
 const ProtocolVersion = 1
 
-// MaxBytes is the largest frame that is accepted, in bytes.
+// MaxBytes is the maximum size of an accepted frame, in bytes.
 const MaxBytes = 16 << 20
 
-// Kind says which message an Envelope carries.
+// Kind is the kind of the message in a frame.
 type Kind uint8
 
-// The kinds of messages. Registration: an agent dials an entry instance.
-// Work: an entry instance dials an agent; one request at a time.
+// The kinds of messages, by the connection that carries them.
 const (
-	KindHello   Kind = 1 // agent to entry, first on a registration
-	KindWelcome Kind = 2 // entry to agent, the answer
-	KindReport  Kind = 3 // agent to entry, load and state
-	KindNotice  Kind = 4 // either way: a configuration version is known
-	KindPull    Kind = 5 // either way: send me the configuration
-	KindConfig  Kind = 6 // either way: the configuration
+	// Registration connections, which an agent opens to an entry instance.
+	KindHello   Kind = 1 // agent to entry: first message
+	KindWelcome Kind = 2 // entry to agent: response to Hello
+	KindReport  Kind = 3 // agent to entry: load and state
+	KindNotice  Kind = 4 // both ways: number of the sender's configuration version
+	KindPull    Kind = 5 // both ways: request for the configuration
+	KindConfig  Kind = 6 // both ways: the configuration
 
+	// Work connections, which an entry instance opens to an agent. They carry
+	// one request at a time.
 	KindRequest Kind = 16 // entry to agent: run this repeatable call
-	KindOffer   Kind = 17 // entry to agent: hold a slot for this call
+	KindOffer   Kind = 17 // entry to agent: hold a slot for this once-only call
 	KindAdmit   Kind = 18 // agent to entry: a slot is held
 	KindGo      Kind = 19 // entry to agent: run the offered call
-	KindRefuse  Kind = 20 // agent to entry: not admitted, not run
-	KindHead    Kind = 21 // agent to entry: status and header of the answer
-	KindData    Kind = 22 // agent to entry: a piece of the answer's body
-	KindEnd     Kind = 23 // agent to entry: the answer is whole
-	KindFail    Kind = 24 // agent to entry: the answer broke off
-	KindAsk     Kind = 25 // entry to agent: did attempt n of a keyed call run?
-	KindAnswer  Kind = 26 // agent to entry: the answer to Ask
+	KindRefuse  Kind = 20 // agent to entry: the call was not admitted and did not run
+	KindHead    Kind = 21 // agent to entry: status and header of the response
+	KindData    Kind = 22 // agent to entry: part of the response body
+	KindEnd     Kind = 23 // agent to entry: the response is complete
+	KindFail    Kind = 24 // agent to entry: the response failed or is incomplete
+	KindAsk     Kind = 25 // entry to agent: did this attempt of a keyed call run?
+	KindAnswer  Kind = 26 // agent to entry: response to Ask
 )
 
-// State is the state of a backend server as its agent sees it.
+// State is the state of a backend server as determined by its agent.
 type State string
 
 // The states of a backend server.
 const (
-	// StateCold says that the server is up but bears little load.
+	// StateCold means that the server is up and its limit is still at its
+	// declared cold limit.
 	StateCold State = "cold"
-	// StateWarming says that its limit is growing.
+	// StateWarming means that the limit is between the cold limit and the full
+	// limit.
 	StateWarming State = "warming"
-	// StateReady says that it bears its full limit.
+	// StateReady means that the server has its full limit.
 	StateReady State = "ready"
-	// StateLeaving says that it takes no new work.
+	// StateLeaving means that the server accepts no new calls.
 	StateLeaving State = "leaving"
-	// StateDown says that the engine or service does not answer.
+	// StateDown means that the engine or service does not respond.
 	StateDown State = "down"
 )
 
-// Loaded is one version that an engine itself reports as loaded.
+// Loaded is a model version that an engine reports as loaded.
 type Loaded struct {
-	// Model is the model's name.
+	// Model is the name of the model.
 	Model string `cbor:"1,keyasint" json:"model"`
-	// Version is the version's name.
+	// Version is the name of the version.
 	Version string `cbor:"2,keyasint" json:"version"`
 	// Digest is the manifest digest that the engine computed.
 	Digest core.Digest `cbor:"3,keyasint" json:"digest"`
 }
 
-// Report is an agent's account of its backend server.
+// Report is an agent's report on its backend server.
 type Report struct {
 	// State is the server's state.
 	State State `cbor:"1,keyasint"`
-	// Limit is the number of calls the agent admits at once now.
+	// Limit is the current maximum number of concurrent calls.
 	Limit int `cbor:"2,keyasint"`
 	// InFlight is the number of admitted calls that have not ended.
 	InFlight int `cbor:"3,keyasint"`
 	// Queued is the number of calls waiting for a slot.
 	Queued int `cbor:"4,keyasint"`
-	// Config is the number of the configuration in force at the agent.
+	// Config is the number of the configuration version in force at the agent.
 	Config uint64 `cbor:"5,keyasint"`
-	// Loaded lists what the engine reports; sent when Changed.
+	// Loaded lists the versions that the engine reports as loaded. It is only
+	// sent with Changed set.
 	Loaded []Loaded `cbor:"6,keyasint,omitempty"`
-	// Changed is true when Loaded is meaningful: it replaces the last list.
+	// Changed is true if Loaded replaces the list of the last report; otherwise
+	// that list is still valid.
 	Changed bool `cbor:"7,keyasint,omitempty"`
-	// HeartbeatMillis is the longest time until the next report, in
-	// milliseconds; 0 means as told before.
+	// HeartbeatMillis is the maximum time until the next report, in
+	// milliseconds; 0 means that it is the same as before.
 	HeartbeatMillis int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Hello opens a registration.
+// Hello is an agent's first message on a registration connection.
 type Hello struct {
 	// Instance is the agent.
 	Instance core.Instance `cbor:"1,keyasint"`
-	// Incarnation is different each time the agent starts.
+	// Incarnation is an id that is different each time the agent starts.
 	Incarnation string `cbor:"2,keyasint"`
-	// Service names the plain service beside the agent; empty for an engine.
+	// Service is the name of the plain service beside the agent; empty for a
+	// model engine.
 	Service string `cbor:"3,keyasint,omitempty"`
 	// Report is the first report, with Changed set.
 	Report Report `cbor:"4,keyasint"`
 }
 
-// Welcome answers a Hello.
+// Welcome is the response to Hello.
 type Welcome struct {
 	// Instance is the entry instance.
 	Instance core.Instance `cbor:"1,keyasint"`
-	// Config is the number of the configuration in force at the entry.
+	// Config is the number of the configuration version in force at the entry.
 	Config uint64 `cbor:"2,keyasint"`
 }
 
-// Notice says which configuration the sender holds.
+// Notice announces the sender's configuration version. It is also the response
+// to a Pull whose sender already has that version.
 type Notice struct {
-	// Config is the version's number.
+	// Config is the number of the configuration version.
 	Config uint64 `cbor:"1,keyasint"`
-	// Confirmed is true in the answer to a Pull, when the sender's own
-	// version has been confirmed since it was last paused.
+	// Confirmed is only set in a response to Pull. It is true if the sender's
+	// version has been confirmed as the newest since the sender started and
+	// since it was last paused.
 	Confirmed bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Pull asks for the configuration.
+// Pull requests the configuration.
 type Pull struct {
-	// Have is the number that the sender holds, so that the other side may
-	// send only what has changed since.
+	// Have is the number of the requester's version, so that the peer can send
+	// only the difference from it; 0 requests the complete configuration.
 	Have uint64 `cbor:"1,keyasint"`
 }
 
-// Config carries a configuration: whole, or as the difference from Base.
+// Config carries a configuration version, either complete or as the difference
+// from version Base.
 type Config struct {
-	// Number is the version's number.
+	// Number is the number of the version.
 	Number uint64 `cbor:"1,keyasint"`
-	// Digest is the digest of the whole encoded set.
+	// Digest is the digest of the complete encoded configuration.
 	Digest core.Digest `cbor:"2,keyasint"`
-	// Base is the number that Body is a difference from; 0 when whole.
+	// Base is the number of the version that Body is a difference from; 0 if
+	// Body is complete.
 	Base uint64 `cbor:"3,keyasint,omitempty"`
-	// Body is the encoded set or difference, as package declare defines it.
+	// Body is the configuration or the difference, encoded by package declare.
 	Body []byte `cbor:"4,keyasint"`
-	// Confirmed is as in Notice.
+	// Confirmed has the same meaning as Notice.Confirmed.
 	Confirmed bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Request is one call that an entry instance gives to an agent, in a
-// KindRequest frame (run it) or a KindOffer frame (hold a slot for it).
+// Request is a call that an entry instance sends to an agent. In a KindRequest
+// frame the agent runs it, in a KindOffer frame the agent holds a slot for it.
 type Request struct {
-	// ID is the request id. Every frame of the exchange carries it.
+	// ID is the request id. Every frame about this request carries it.
 	ID string `cbor:"1,keyasint"`
-	// Account names the client account.
+	// Account is the name of the client account.
 	Account string `cbor:"2,keyasint"`
-	// Share is the account's weight when capacity is short, at least 1.
+	// Share is the weight of the client account when capacity is scarce, at
+	// least 1.
 	Share int `cbor:"3,keyasint"`
-	// Priority is 0 (lowest) to 9.
+	// Priority is from 0 (lowest) to 9 (highest).
 	Priority int `cbor:"4,keyasint"`
 	// Method is the HTTP method.
 	Method string `cbor:"5,keyasint"`
-	// Path is the path and query at the engine or service.
+	// Path is the path and query of the URL at the engine or service.
 	Path string `cbor:"6,keyasint"`
-	// Header is passed on to the engine or service.
+	// Header is the HTTP header, forwarded to the engine or service.
 	Header map[string][]string `cbor:"7,keyasint,omitempty"`
-	// Body is the call's whole body.
+	// Body is the complete request body.
 	Body []byte `cbor:"8,keyasint,omitempty"`
-	// Model and Digest pin the version that must answer; empty for services.
+	// Model is the name of the model; empty for a plain service.
 	Model string `cbor:"9,keyasint,omitempty"`
-	// Digest is the manifest digest that must answer.
+	// Digest is the manifest digest of the model version that must serve the
+	// call; empty for a plain service.
 	Digest core.Digest `cbor:"10,keyasint,omitempty"`
-	// Config is the number of the configuration the entry decided on.
+	// Config is the number of the configuration version by which the entry
+	// routed the call.
 	Config uint64 `cbor:"11,keyasint"`
-	// TimeoutMillis is what is left of the call's deadline, in milliseconds.
+	// TimeoutMillis is the time left until the deadline of the call, in
+	// milliseconds.
 	TimeoutMillis int64 `cbor:"12,keyasint"`
-	// ResumeTokens is the number of tokens that the caller has already; the
-	// engine goes on after them.
+	// ResumeTokens is the number of tokens that the caller has already received;
+	// the engine continues the response after them.
 	ResumeTokens int `cbor:"13,keyasint,omitempty"`
-	// Attempt counts the attempts at a keyed once-only call, from 1.
+	// Attempt is the number of the attempt at a keyed once-only call, from 1.
 	Attempt int `cbor:"14,keyasint,omitempty"`
-	// Key identifies a keyed once-only call: account, service and the
-	// caller's Idempotency-Key; empty without a key.
+	// Key identifies a keyed once-only call by client account, service and the
+	// caller's Idempotency-Key; empty if the call has no key.
 	Key string `cbor:"15,keyasint,omitempty"`
 }
 
-// Admit answers an offer: a slot is held for a short time.
+// Admit is the response to an offer for which the agent holds a slot.
 type Admit struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
-	// Incarnation is the agent's.
+	// Incarnation is the incarnation of the agent.
 	Incarnation string `cbor:"2,keyasint"`
-	// HoldMillis is how long the slot is held, in milliseconds.
+	// HoldMillis is the time for which the slot is held, in milliseconds.
 	HoldMillis int64 `cbor:"3,keyasint"`
 }
 
-// Go runs an offered call.
+// Go instructs an agent to run an offered call.
 type Go struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
 }
 
-// Reason says why a call was not admitted.
+// Reason is the reason why an agent did not admit a call.
 type Reason string
 
-// The reasons for a refusal by an agent.
+// The reasons why an agent does not admit a call.
 const (
-	ReasonFull      Reason = "full"       // limit and queue are full
-	ReasonLeaving   Reason = "leaving"    // the server takes no new work
-	ReasonOut       Reason = "out"        // the data centre is out
-	ReasonStale     Reason = "stale"      // the agent's configuration is too old
-	ReasonDigest    Reason = "digest"     // the engine holds other weights
-	ReasonDown      Reason = "down"       // the engine does not answer
+	ReasonFull      Reason = "full"       // no slot is free and the queue is full, or the wait in it took too long
+	ReasonLeaving   Reason = "leaving"    // the server accepts no new calls
+	ReasonOut       Reason = "out"        // the data centre is out of service
+	ReasonStale     Reason = "stale"      // the agent's configuration is too old or unconfirmed
+	ReasonDigest    Reason = "digest"     // the engine has not loaded the requested version
+	ReasonDown      Reason = "down"       // the engine or service does not respond
 	ReasonDuplicate Reason = "duplicate"  // this attempt was refused or run before
-	ReasonExpired   Reason = "expired"    // the deadline or the hold has passed
-	ReasonUnknown   Reason = "unknown-op" // the path is not one of the server's
+	ReasonExpired   Reason = "expired"    // the deadline or the time of the held slot has passed
+	ReasonUnknown   Reason = "unknown-op" // the server does not serve this method and path
 )
 
-// Refuse says that a call was not admitted and that no part of it ran.
+// Refuse reports that a call was not admitted and that no part of it ran.
 type Refuse struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
-	// Reason says why.
+	// Reason is the reason of the refusal.
 	Reason Reason `cbor:"2,keyasint"`
-	// RetryAfterMillis suggests when to try again, in milliseconds.
+	// RetryAfterMillis is the suggested time until a retry, in milliseconds; 0
+	// means no suggestion.
 	RetryAfterMillis int64 `cbor:"3,keyasint,omitempty"`
-	// Load is the agent's load now.
+	// Load is the agent's current load.
 	Load Load `cbor:"4,keyasint"`
 }
 
-// Load is the part of a report that rides on answers.
+// Load is an agent's load. The last frame of every call carries it, so that
+// the entry instance has newer values than those of the last report.
 type Load struct {
-	// Limit is the number of calls admitted at once now.
+	// Limit is the current maximum number of concurrent calls.
 	Limit int `cbor:"1,keyasint"`
 	// InFlight is the number of admitted calls that have not ended.
 	InFlight int `cbor:"2,keyasint"`
@@ -229,94 +247,97 @@
 	Queued int `cbor:"3,keyasint"`
 }
 
-// Head is the start of an answer.
+// Head is the start of a response.
 type Head struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
 	// Status is the HTTP status.
 	Status int `cbor:"2,keyasint"`
-	// Header holds the answer's header.
+	// Header is the HTTP header of the response.
 	Header map[string][]string `cbor:"3,keyasint,omitempty"`
-	// Digest is the manifest digest that the engine says it answers from.
+	// Digest is the manifest digest of the model version that the engine reports
+	// for this response; empty for a plain service.
 	Digest core.Digest `cbor:"4,keyasint,omitempty"`
 }
 
-// Data is a piece of an answer's body.
+// Data is a part of a response body.
 type Data struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
-	// Body is the piece.
+	// Body is the next part of the response body.
 	Body []byte `cbor:"2,keyasint"`
-	// Tokens is the number of whole tokens in the piece, 0 for services.
+	// Tokens is the number of complete tokens in this part; 0 for a plain
+	// service.
 	Tokens int `cbor:"3,keyasint,omitempty"`
 }
 
-// End says that the answer is whole.
+// End reports that the response is complete.
 type End struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
-	// Bytes is the length of the whole body.
+	// Bytes is the length of the response body.
 	Bytes int64 `cbor:"2,keyasint"`
-	// Sum is the xxhash64 of the whole body.
+	// Sum is the xxhash64 checksum of the response body.
 	Sum uint64 `cbor:"3,keyasint"`
-	// Load is the agent's load now.
+	// Load is the agent's current load.
 	Load Load `cbor:"4,keyasint"`
 }
 
-// Fail says that the answer broke off, or that the engine failed before it
-// began.
+// Fail reports that the response broke off, or that the engine failed before
+// the response began.
 type Fail struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
-	// Word says what became of the call.
+	// Word is the outcome of the call.
 	Word core.Refusal `cbor:"2,keyasint"`
-	// Detail says why, for logs.
+	// Detail is the cause of the failure, for logs.
 	Detail string `cbor:"3,keyasint,omitempty"`
-	// Load is the agent's load now.
+	// Load is the agent's current load.
 	Load Load `cbor:"4,keyasint"`
 }
 
-// Ask asks the incarnation that may have run a keyed call whether it did, and
-// forbids it to run that attempt or an earlier one from now on.
+// Ask queries whether an agent has run an attempt of a keyed call. From then on
+// the agent does not start that attempt or an earlier one.
 type Ask struct {
-	// ID is the request id of the exchange.
+	// ID is the request id of this query.
 	ID string `cbor:"1,keyasint"`
 	// Key identifies the keyed call.
 	Key string `cbor:"2,keyasint"`
-	// Attempt is the attempt asked about.
+	// Attempt is the number of the attempt in question.
 	Attempt int `cbor:"3,keyasint"`
 }
 
-// Ran says what an agent knows of an attempt.
+// Ran is the state of an attempt of a keyed call at an agent.
 type Ran string
 
-// What an agent knows of an attempt.
+// The states of an attempt of a keyed call.
 const (
-	RanNo      Ran = "no"      // it never ran and never will
-	RanRunning Ran = "running" // it is running now
-	RanYes     Ran = "yes"     // it ran
-	RanUnknown Ran = "unknown" // the agent no longer remembers
+	RanNo      Ran = "no"      // never ran and will never run
+	RanRunning Ran = "running" // is running
+	RanYes     Ran = "yes"     // has run
+	RanUnknown Ran = "unknown" // the agent has no record of the attempt any more
 )
 
-// Answer answers an Ask.
+// Answer is the response to Ask.
 type Answer struct {
-	// ID is the request id of the exchange.
+	// ID is the request id of the query.
 	ID string `cbor:"1,keyasint"`
-	// Incarnation is the agent's, to be compared with the recorded one.
+	// Incarnation is the incarnation of the agent. The entry instance compares
+	// it with the incarnation recorded for the attempt.
 	Incarnation string `cbor:"2,keyasint"`
-	// Ran says what became of the attempt.
+	// Ran is the state of the attempt.
 	Ran Ran `cbor:"3,keyasint"`
-	// Outcome is the answer of an attempt that ran, while the agent still
-	// keeps it.
+	// Outcome is the response of an attempt that has run; nil if the agent no
+	// longer stores it.
 	Outcome *Outcome `cbor:"4,keyasint,omitempty"`
 }
 
-// Outcome is the whole answer of a once-only call.
+// Outcome is the complete response of a once-only call.
 type Outcome struct {
 	// Status is the HTTP status.
 	Status int `cbor:"1,keyasint"`
-	// Header holds the answer's header.
+	// Header is the HTTP header of the response.
 	Header map[string][]string `cbor:"2,keyasint,omitempty"`
-	// Body is the answer's whole body.
+	// Body is the complete response body.
 	Body []byte `cbor:"3,keyasint,omitempty"`
 }
--- a/connection/frame/frame_test.go
+++ b/connection/frame/frame_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestParse(t *testing.T) {
-	Convey("A frame survives encoding and decoding", t, func() {
+	Convey("A decoded frame equals the encoded one", t, func() {
 		raw, err := Encode(KindData, Data{ID: "r1", Body: []byte("abc"), Tokens: 2})
 		So(err, ShouldBeNil)
 		f, err := Parse(raw)
@@ -33,25 +33,25 @@
 		So(f.Decode(&got), ShouldBeNil)
 		So(got.ID, ShouldEqual, "r1")
 	})
-	Convey("Another protocol version is refused", t, func() {
+	Convey("A frame with another protocol version is rejected", t, func() {
 		raw, err := cbor.Marshal(map[int]any{1: ProtocolVersion + 1, 2: KindGo, 3: map[int]any{}})
 		So(err, ShouldBeNil)
 		_, err = Parse(raw)
 		So(errors.Is(err, ErrVersion), ShouldBeTrue)
 	})
-	Convey("Rubbish is refused", t, func() {
+	Convey("Data that is not CBOR is rejected", t, func() {
 		_, err := Parse([]byte("not cbor"))
 		So(errors.Is(err, ErrMalformed), ShouldBeTrue)
 	})
 }
 
 func TestConnRefusesOverlongFrames(t *testing.T) {
-	Convey("A frame over the limit ends the connection with the peer named", t, func() {
+	Convey("Receiving a frame over the size limit returns an error that contains the name of the peer", t, func() {
 		result := make(chan error, 1)
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			conn, err := Accept(w, r)
 			if err != nil {
-				return // a stray request; the test's own connection still comes
+				return // not a WebSocket request; the test's connection follows
 			}
 			defer func() { _ = conn.Close() }()
 			conn.SetPeer("agent-1")
