--- a/connection/engine/engine.go
+++ b/connection/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine is an agent's client of the model engine or plain service
-// beside it. The protocol is plain HTTP; docs/protocol/engine.md describes it.
+// Package engine implements an agent's client of the model engine or plain
+// service beside it. The protocol is plain HTTP; docs/protocol/engine.md
+// describes it.
 package engine
 
 import (
@@ -10,79 +11,85 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Status is what an engine reports of itself. It lags.
+// Status is an engine's report on itself. It may lag behind the actual state.
 type Status struct {
-	// Loaded lists the versions that can answer now.
+	// Loaded lists the loaded model versions, which can serve calls.
 	Loaded []frame.Loaded `json:"loaded"`
 	// InFlight is the number of running calls.
 	InFlight int `json:"inFlight"`
 	// Queued is the number of waiting calls.
 	Queued int `json:"queued"`
-	// Fence is the highest fencing number the engine has accepted.
+	// Fence is the highest fencing number that the engine has accepted.
 	Fence uint64 `json:"fence"`
-	// Boot is different each time the engine starts or turns cold.
+	// Boot is an id that changes each time the engine starts or becomes cold.
 	Boot string `json:"boot"`
 }
 
-// Order asks an engine to load or unload a version.
+// Order instructs an engine to load or unload a model version.
 type Order struct {
-	// Fence is the order's fencing number.
+	// Fence is the fencing number of the order. The engine refuses an order with
+	// a lower number than one that it has accepted.
 	Fence uint64 `json:"fence"`
 	// Action is "load" or "unload".
 	Action string `json:"action"`
-	// Model and Version name the version.
+	// Model is the name of the model.
 	Model string `json:"model"`
-	// Version is the version's name.
+	// Version is the name of the version.
 	Version string `json:"version"`
-	// Digest is the version's manifest digest.
+	// Digest is the manifest digest of the version.
 	Digest core.Digest `json:"digest"`
-	// Source is the agent's URL prefix from which the engine reads the
-	// verified chunks, below which are /manifests/DIGEST and /chunks/DIGEST.
+	// Source is the URL prefix at which the agent serves verified weights to the
+	// engine, as SOURCE/manifests/DIGEST and SOURCE/chunks/DIGEST.
 	Source string `json:"source"`
 }
 
 // Call is one call to the engine or service.
 type Call struct {
-	// ID is the request id, sent and expected back in X-Request-Id.
+	// ID is the request id. It is sent in X-Request-Id, and the response must
+	// carry it too.
 	ID string
-	// Method, Path, Header and Body are the HTTP request.
+	// Method, Path, Header and Body are those of the HTTP request.
 	Method string
 	Path   string
 	Header map[string][]string
 	Body   []byte
-	// Digest pins the version that is to answer; empty for plain services.
+	// Digest is the manifest digest of the model version that must serve the
+	// call; empty for a plain service.
 	Digest core.Digest
-	// Once makes the client send the call on a connection of its own and
-	// never a second time.
+	// Once is true for a once-only call: it is sent on a new connection and never
+	// sent again.
 	Once bool
-	// ResumeTokens makes the engine go on after this many tokens.
+	// ResumeTokens is the number of tokens that the caller has already received;
+	// the engine continues the response after them.
 	ResumeTokens int
-	// Priority is 0 (lowest) to 9.
+	// Priority is from 0 (lowest) to 9 (highest).
 	Priority int
 }
 
-// Answer is the start of an engine's answer; Body is read to its end.
+// Answer is an engine's response with its body still unread.
 type Answer struct {
-	// ID is the request id that the engine answered.
+	// ID is the request id in the response.
 	ID string
 	// Status is the HTTP status.
 	Status int
-	// Header is the answer's header.
+	// Header is the HTTP header.
 	Header map[string][]string
-	// Digest is the manifest digest that the engine computed itself; empty
-	// for plain services.
+	// Digest is the manifest digest that the engine itself computed from the
+	// weights that served the call; empty for a plain service.
 	Digest core.Digest
-	// Body is the answer's body. A nil error at its end is not enough for a
-	// streamed answer: see frame.End.
+	// Body is the response body. Reaching its end without an error does not prove
+	// that a streamed response is complete; see frame.End.
 	Body io.ReadCloser
 }
 
-// Engine is what an agent needs of the engine or service beside it.
+// Engine is the model engine or plain service beside an agent.
 type Engine interface {
-	// Status reads the engine's report.
+	// Status reads the current status.
 	Status(ctx context.Context) (Status, error)
-	// Order gives an order and returns once the engine accepted or refused.
+	// Order sends an order and returns once the engine has accepted or refused
+	// it.
 	Order(ctx context.Context, o Order) error
-	// Do starts a call. Ending ctx cancels it at the engine.
+	// Do sends a call and returns the start of the response. Cancelling ctx
+	// cancels the call at the engine.
 	Do(ctx context.Context, c Call) (Answer, error)
 }
--- a/connection/engine/http.go
+++ b/connection/engine/http.go
@@ -17,13 +17,14 @@
 
 // Paths and headers of the engine's protocol.
 const (
-	// StatusPath serves the engine's Status as JSON.
+	// StatusPath is the path at which an engine serves its Status as JSON.
 	StatusPath = "/engine/status"
-	// OrdersPath takes an Order as JSON.
+	// OrdersPath is the path at which an engine accepts an Order as JSON.
 	OrdersPath = "/engine/orders"
-	// HealthPath answers 200 while a plain service is healthy.
+	// HealthPath is the default path at which a plain service responds with
+	// status 200 while it is healthy.
 	HealthPath = "/healthz"
-	// HeaderResumeTokens is the number of tokens that the caller has already.
+	// HeaderResumeTokens is the request header that carries Call.ResumeTokens.
 	HeaderResumeTokens = "X-Resume-Tokens"
 )
 
@@ -32,18 +33,19 @@
 	idleConnTimeout = 90 * time.Second
 	maxIdleConns    = 1024
 	maxStatusBytes  = 1 << 20
-	transportBuffer = 8 << 10
+	// transportBufferBytes is the size of a connection's read and write buffers.
+	transportBufferBytes = 8 << 10
 )
 
-// Errors that HTTP returns, wrapped with step and peer.
+// The errors of HTTP. They are wrapped with the failed operation and the peer.
 var (
-	// ErrNotSent says that no connection was made: no part of the call
-	// reached the engine.
+	// ErrNotSent is returned when no connection could be opened, so that no part
+	// of the call reached the engine.
 	ErrNotSent = errors.New("not sent")
-	// ErrFenced says that the engine refused an order with an old fencing
-	// number.
+	// ErrFenced is returned when the engine refuses an order because its fencing
+	// number is too old.
 	ErrFenced = errors.New("fencing number too old")
-	// ErrRefused says that the engine refused an order for another reason.
+	// ErrRefused is returned when the engine refuses an order for another reason.
 	ErrRefused = errors.New("refused")
 )
 
@@ -53,34 +55,35 @@
 	addr       string
 	token      string
 	healthPath string
-	// pooled reuses connections; fresh opens one for each call, so that a
-	// once-only call is never replayed on a second connection.
-	pooled *http.Client
-	fresh  *http.Client
+	// pooledClient reuses connections.
+	pooledClient *http.Client
+	// unpooledClient opens a connection for each call, so that a once-only call
+	// is never sent again after a reused connection breaks.
+	unpooledClient *http.Client
 }
 
 var _ Engine = (*HTTP)(nil)
 
 // NewHTTP returns the client of the engine at addr ("ip:port"). It sends
-// peerToken with orders and status reads.
+// peerToken with orders and status requests.
 func NewHTTP(addr, peerToken string) *HTTP {
 	return &HTTP{
-		addr:   addr,
-		token:  peerToken,
-		pooled: &http.Client{Transport: newTransport(false), CheckRedirect: noRedirect},
-		fresh:  &http.Client{Transport: newTransport(true), CheckRedirect: noRedirect},
+		addr:           addr,
+		token:          peerToken,
+		pooledClient:   &http.Client{Transport: newTransport(false), CheckRedirect: noRedirect},
+		unpooledClient: &http.Client{Transport: newTransport(true), CheckRedirect: noRedirect},
 	}
 }
 
-// NewHTTPOver returns the client of an engine that is reached through
-// transport, such as one in the same process.
+// NewHTTPOver returns the client of an engine that is called through transport,
+// such as an engine in the same process.
 func NewHTTPOver(transport http.RoundTripper) *HTTP {
 	client := &http.Client{Transport: transport, CheckRedirect: noRedirect}
-	return &HTTP{addr: "engine", pooled: client, fresh: client}
+	return &HTTP{addr: "engine", pooledClient: client, unpooledClient: client}
 }
 
 // NewServiceHTTP returns the client of the plain service at addr. Its Status
-// is a health check at healthPath; empty means HealthPath.
+// method performs a health check at healthPath; empty means HealthPath.
 func NewServiceHTTP(addr, healthPath string) *HTTP {
 	if healthPath == "" {
 		healthPath = HealthPath
@@ -90,52 +93,54 @@
 	return h
 }
 
+// noRedirect makes an http.Client return a redirect instead of following it.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// newTransport returns a transport that marks failed dials with ErrNotSent.
-func newTransport(fresh bool) *http.Transport {
+// newTransport returns a transport whose dial errors match ErrNotSent.
+func newTransport(disableKeepAlives bool) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
-				return nil, errors.Wrap(notSent{err}, "dial")
+				return nil, errors.Wrap(notSentError{err}, "dial")
 			}
 			return conn, nil
 		},
 		DisableCompression:  true,
-		DisableKeepAlives:   fresh,
+		DisableKeepAlives:   disableKeepAlives,
 		MaxIdleConns:        maxIdleConns,
 		MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout:     idleConnTimeout,
-		ReadBufferSize:      transportBuffer,
-		WriteBufferSize:     transportBuffer,
+		ReadBufferSize:      transportBufferBytes,
+		WriteBufferSize:     transportBufferBytes,
 	}
 }
 
-// notSent is a dial error that is also ErrNotSent.
-type notSent struct{ err error }
+// notSentError is a dial error that matches ErrNotSent.
+type notSentError struct{ err error }
 
 // Error implements error.
-func (e notSent) Error() string { return e.err.Error() }
+func (e notSentError) Error() string { return e.err.Error() }
 
-// Unwrap returns the cause.
-func (e notSent) Unwrap() error { return e.err }
+// Unwrap returns the dial error.
+func (e notSentError) Unwrap() error { return e.err }
 
 // Is reports whether target is ErrNotSent.
-func (e notSent) Is(target error) bool { return target == ErrNotSent }
+func (e notSentError) Is(target error) bool { return target == ErrNotSent }
 
-// Status implements Engine. For a plain service it is a health check.
+// Status implements Engine. For a plain service it performs a health check and
+// returns an empty Status.
 func (h *HTTP) Status(ctx context.Context) (Status, error) {
 	path := StatusPath
 	if h.healthPath != "" {
 		path = h.healthPath
 	}
-	resp, err := h.send(ctx, http.MethodGet, path, nil)
+	resp, err := h.sendControl(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return Status{}, core.Step("read engine status", h.addr, err)
 	}
-	defer drain(resp.Body)
+	defer drainBody(resp.Body)
 	if resp.StatusCode != http.StatusOK {
 		return Status{}, core.Step("read engine status", h.addr, errors.Errorf("status %d", resp.StatusCode))
 	}
@@ -147,18 +152,18 @@
 	return s, core.Step("read engine status", h.addr, err)
 }
 
-// Order implements Engine. It returns ErrFenced when the engine refused the
-// order's fencing number, and ErrRefused for any other refusal.
+// Order implements Engine. It returns ErrFenced if the engine refuses the
+// fencing number of the order, and ErrRefused for any other refusal.
 func (h *HTTP) Order(ctx context.Context, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return core.Step("order engine", h.addr, err)
 	}
-	resp, err := h.send(ctx, http.MethodPost, OrdersPath, body)
+	resp, err := h.sendControl(ctx, http.MethodPost, OrdersPath, body)
 	if err != nil {
 		return core.Step("order engine", h.addr, err)
 	}
-	defer drain(resp.Body)
+	defer drainBody(resp.Body)
 	switch {
 	case resp.StatusCode == http.StatusConflict:
 		return core.Step("order engine", h.addr, ErrFenced)
@@ -168,8 +173,8 @@
 	return nil
 }
 
-// send makes one control call.
-func (h *HTTP) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
+// sendControl sends a status request or an order.
+func (h *HTTP) sendControl(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+h.addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -180,20 +185,20 @@
 	if body != nil {
 		req.Header.Set("Content-Type", "application/json")
 	}
-	return h.pooled.Do(req)
+	return h.pooledClient.Do(req)
 }
 
-// Do implements Engine. Ending ctx closes the connection, which cancels the
-// call at the engine. An error that is ErrNotSent says that the call did not
-// reach the engine.
+// Do implements Engine. Cancelling ctx closes the connection, which cancels the
+// call at the engine. It returns ErrNotSent if the call did not reach the
+// engine.
 func (h *HTTP) Do(ctx context.Context, c Call) (Answer, error) {
-	req, err := h.request(ctx, c)
+	req, err := h.newRequest(ctx, c)
 	if err != nil {
 		return Answer{}, core.Step("call engine", h.addr, err)
 	}
-	client := h.pooled
+	client := h.pooledClient
 	if c.Once {
-		client = h.fresh
+		client = h.unpooledClient
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -208,12 +213,13 @@
 	}, nil
 }
 
-// request builds the HTTP request of c.
-func (h *HTTP) request(ctx context.Context, c Call) (*http.Request, error) {
+// newRequest returns the HTTP request of c.
+func (h *HTTP) newRequest(ctx context.Context, c Call) (*http.Request, error) {
 	var body io.Reader = bytes.NewReader(c.Body)
 	if c.Once {
-		// Without GetBody the transport never sends a request twice, also
-		// not one that bears an Idempotency-Key.
+		// NopCloser keeps http.NewRequest from setting GetBody. Without GetBody
+		// the transport never sends a request twice, even if the request has an
+		// Idempotency-Key.
 		body = io.NopCloser(body)
 	}
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+h.addr+c.Path, body)
@@ -235,8 +241,9 @@
 	return req, nil
 }
 
-// drain reads what is left of a small body, so that its connection is reused.
-func drain(body io.ReadCloser) {
+// drainBody reads the rest of a small body and closes it, so that the connection
+// can be reused.
+func drainBody(body io.ReadCloser) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxStatusBytes))
 	_ = body.Close()
 }
--- a/connection/engine/http_test.go
+++ b/connection/engine/http_test.go
@@ -20,8 +20,8 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// droppingServer answers the first request and, from the second on, executes
-// it and closes the connection without an answer.
+// droppingServer starts a server that responds to the first request. It executes
+// each later request but closes the connection without a response.
 func droppingServer(t *testing.T) (addr string, executions *atomic.Int32) {
 	executions = &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -33,6 +33,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), executions
 }
 
+// keyedCall returns a call with an Idempotency-Key.
 func keyedCall(once bool) Call {
 	return Call{
 		ID: "r1", Method: http.MethodPost, Path: "/lots", Body: []byte("{}"), Once: once,
@@ -41,15 +42,15 @@
 }
 
 func TestOnceIsNeverRepeated(t *testing.T) {
-	Convey("Given a service that breaks a kept connection after it executed a call", t, func() {
+	Convey("Given a service that executes a call and then closes the reused connection without a response", t, func() {
 		addr, executions := droppingServer(t)
 		client := NewHTTP(addr, "")
 		first, err := client.Do(context.Background(), keyedCall(false))
 		So(err, ShouldBeNil)
-		drain(first.Body)
+		drainBody(first.Body)
 		executions.Store(1)
 
-		Convey("the HTTP library sends a call with a key a second time", func() {
+		Convey("the HTTP library sends a call with an Idempotency-Key a second time", func() {
 			_, err := client.Do(context.Background(), keyedCall(false))
 			So(err, ShouldNotBeNil)
 			So(executions.Load(), ShouldBeGreaterThan, 2)
@@ -61,14 +62,14 @@
 			So(executions.Load(), ShouldEqual, 2)
 		})
 	})
-	Convey("Only a call whose connection was never made is told as not sent", t, func() {
+	Convey("A call whose connection cannot be opened returns ErrNotSent", t, func() {
 		_, err := NewHTTP("127.0.0.1:1", "").Do(context.Background(), keyedCall(true))
 		So(errors.Is(err, ErrNotSent), ShouldBeTrue)
 	})
 }
 
 func TestOrders(t *testing.T) {
-	Convey("An engine's refusal of a fencing number is told from its other refusals", t, func() {
+	Convey("The refusal of a fencing number returns another error than other refusals", t, func() {
 		status := http.StatusConflict
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -84,20 +85,20 @@
 	})
 }
 
-// scripted is an engine whose status the test sets.
-type scripted struct {
+// fakeEngine is an engine whose status is set by the test.
+type fakeEngine struct {
 	Engine
 	status Status
 	err    error
 }
 
 // Status implements Engine.
-func (s *scripted) Status(context.Context) (Status, error) { return s.status, s.err }
+func (e *fakeEngine) Status(context.Context) (Status, error) { return e.status, e.err }
 
 func TestMonitor(t *testing.T) {
 	Convey("Given a monitor of an engine", t, func() {
 		clock := clockwork.NewFakeClock()
-		eng := &scripted{status: Status{Boot: "b1"}}
+		eng := &fakeEngine{status: Status{Boot: "b1"}}
 		m := NewMonitor(eng, 0, eventlog.Discard(), clock)
 		_, _, ok := m.Status()
 		So(ok, ShouldBeFalse)
@@ -105,7 +106,7 @@
 		_, _, ok = m.Status()
 		So(ok, ShouldBeTrue)
 
-		Convey("load alone wakes nobody, other versions do", func() {
+		Convey("a change of the load does not close the Changed channel, a change of the versions does", func() {
 			changed := m.Changed()
 			eng.status.InFlight = 3
 			m.poll(context.Background())
@@ -114,7 +115,7 @@
 			m.poll(context.Background())
 			So(isClosed(changed), ShouldBeTrue)
 		})
-		Convey("an engine that does not answer is down at once, and up again", func() {
+		Convey("an engine is down after one failed poll and up after the next successful one", func() {
 			eng.err = errors.New("refused")
 			m.poll(context.Background())
 			_, _, ok := m.Status()
@@ -124,7 +125,7 @@
 			_, _, ok = m.Status()
 			So(ok, ShouldBeTrue)
 		})
-		Convey("a report that has grown old is not used", func() {
+		Convey("a status that is too old is not used", func() {
 			clock.Advance(maxStatusAge + time.Millisecond)
 			_, age, ok := m.Status()
 			So(ok, ShouldBeFalse)
@@ -133,6 +134,7 @@
 	})
 }
 
+// isClosed reports whether c is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
--- a/connection/engine/monitor.go
+++ b/connection/engine/monitor.go
@@ -14,33 +14,33 @@
 
 // Defaults of a Monitor.
 const (
-	// DefaultStatusInterval is the time between two polls.
+	// DefaultStatusInterval is the default time between two polls.
 	DefaultStatusInterval = 250 * time.Millisecond
-	// statusTimeout bounds one poll.
+	// statusTimeout limits the duration of one poll.
 	statusTimeout = time.Second
-	// maxStatusAge is the age from which a report is not used any more.
+	// maxStatusAge is the age from which a status is not used any more.
 	maxStatusAge = 3 * time.Second
 )
 
 var (
-	eventEngineUp      = eventlog.Define(420, "engine-up", logrus.InfoLevel, "The engine or service beside the agent answers its status again.")
-	eventEngineDown    = eventlog.Define(421, "engine-down", logrus.WarnLevel, "The engine or service beside the agent does not answer its status.")
-	eventEngineChanged = eventlog.Define(422, "engine-changed", logrus.InfoLevel, "The engine reports other loaded versions, another fencing number or another boot id.")
+	eventEngineUp      = eventlog.Define(420, "engine-up", logrus.InfoLevel, "The engine or service beside the agent responds to status requests, for the first time or again.")
+	eventEngineDown    = eventlog.Define(421, "engine-down", logrus.WarnLevel, "The engine or service beside the agent does not respond to a status request.")
+	eventEngineChanged = eventlog.Define(422, "engine-changed", logrus.InfoLevel, "The loaded versions, the fencing number or the boot id in the engine's status changed, or the engine came up.")
 )
 
-// Monitor polls the status of one engine and keeps the newest.
+// Monitor polls the status of one engine and stores the newest.
 type Monitor struct {
 	engine   Engine
 	interval time.Duration
 	log      *eventlog.Logger
 	clock    clockwork.Clock
 
-	mu      sync.RWMutex
-	status  Status
-	read    time.Time
-	known   bool
-	up      bool
-	changed chan struct{}
+	mu        sync.RWMutex
+	status    Status
+	readAt    time.Time
+	hasStatus bool
+	up        bool
+	changed   chan struct{}
 }
 
 // NewMonitor returns a Monitor that polls engine every interval; 0 means
@@ -52,7 +52,7 @@
 	return &Monitor{engine: engine, interval: interval, log: log, clock: clock, changed: make(chan struct{})}
 }
 
-// Run polls until ctx ends and returns its error.
+// Run polls until ctx ends, and returns the error of ctx.
 func (m *Monitor) Run(ctx context.Context) error {
 	ticker := m.clock.NewTicker(m.interval)
 	defer ticker.Stop()
@@ -66,39 +66,40 @@
 	}
 }
 
-// poll reads the status once.
+// poll reads the status once, and stores it or marks the engine down.
 func (m *Monitor) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	s, err := m.engine.Status(ctx)
 	if err != nil {
 		if ctx.Err() != context.Canceled {
-			m.fail(err)
+			m.markDown(err)
 		}
 		return
 	}
-	m.accept(s)
+	m.store(s)
 }
 
-// accept keeps a report and wakes those who wait for a change.
-func (m *Monitor) accept(s Status) {
+// store stores a status. If the status changed, it closes the channel that
+// Changed returned.
+func (m *Monitor) store(s Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.up {
 		m.log.Event(eventEngineUp, eventlog.Fields{"boot": s.Boot})
 	}
-	differs := !m.known || !m.up || !sameVersions(m.status, s)
+	differs := !m.hasStatus || !m.up || !sameExceptLoad(m.status, s)
 	if differs {
 		m.log.Event(eventEngineChanged, eventlog.Fields{"loaded": len(s.Loaded), "fence": s.Fence, "boot": s.Boot})
 	}
-	m.status, m.read, m.known, m.up = s, m.clock.Now(), true, true
+	m.status, m.readAt, m.hasStatus, m.up = s, m.clock.Now(), true, true
 	if differs {
-		m.signal()
+		m.notifyChanged()
 	}
 }
 
-// fail marks the engine down.
-func (m *Monitor) fail(err error) {
+// markDown marks the engine as down because of err.
+func (m *Monitor) markDown(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.up {
@@ -106,34 +107,36 @@
 	}
 	m.up = false
 	m.log.Fail(eventEngineDown, err, nil)
-	m.signal()
+	m.notifyChanged()
 }
 
-func (m *Monitor) signal() {
+// notifyChanged closes the channel that Changed returned and replaces it. The
+// caller must hold the lock.
+func (m *Monitor) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// sameVersions reports whether a and b tell of the same versions, fence and
-// boot.
-func sameVersions(a, b Status) bool {
+// sameExceptLoad reports whether a and b have the same loaded versions, fencing
+// number and boot id. The numbers of calls may differ.
+func sameExceptLoad(a, b Status) bool {
 	return a.Fence == b.Fence && a.Boot == b.Boot && slices.Equal(a.Loaded, b.Loaded)
 }
 
-// Status returns the newest report and its age. ok is false while the engine
-// does not answer and when the report is too old to be used.
+// Status returns the newest status and its age. ok is false if the engine does
+// not respond or the status is too old to be used.
 func (m *Monitor) Status() (s Status, age time.Duration, ok bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if !m.known {
+	if !m.hasStatus {
 		return Status{}, 0, false
 	}
-	age = m.clock.Since(m.read)
+	age = m.clock.Since(m.readAt)
 	return m.status, age, m.up && age < maxStatusAge
 }
 
-// Changed returns a channel that is closed when the engine goes up or down or
-// reports other versions, another fence or another boot.
+// Changed returns a channel that is closed at the next change: the engine goes up
+// or down, or its loaded versions, fencing number or boot id change.
 func (m *Monitor) Changed() <-chan struct{} {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
