--- a/connection/backend/conn.go
+++ b/connection/backend/conn.go
@@ -15,45 +15,47 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Buffer sizes of a connection, in bytes: an event of a stream and the header
-// of an answer are a few hundred.
+// The buffer sizes of a connection, in bytes. An event of a stream and the header
+// of a response are a few hundred bytes long.
 const (
-	readBytes  = 2 << 10
-	writeBytes = 2 << 10
+	readBufferBytes  = 2 << 10
+	writeBufferBytes = 2 << 10
 )
 
-// maxForeign is how many answers to other requests are passed over before a
-// connection is given up.
-const maxForeign = 3
+// maxMismatches is how many responses to other requests are skipped before Conn.Do
+// fails.
+const maxMismatches = 3
 
-// Errors of an exchange.
+// The errors of Conn.Do.
 var (
-	// ErrNotSent says that no byte of the request left this process.
+	// ErrNotSent is returned when no byte of the request was sent.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrForeign says that only answers to other requests came.
-	ErrForeign = errors.New("answer belongs to another request")
+	// ErrForeign is returned when only responses to other requests arrived.
+	ErrForeign = errors.New("response belongs to another request")
 )
 
-// Conn is one connection to a server.
+// Conn is a connection to a backend server.
 type Conn struct {
-	net     net.Conn
-	reader  *bufio.Reader
-	writer  *bufio.Writer
-	addr    string
-	used    bool
-	idleAt  time.Time
-	idleFor time.Duration
+	net       net.Conn
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	addr      string
+	used      bool
+	idleSince time.Time
+	idleLimit time.Duration
 }
 
 // Close closes the connection.
 func (c *Conn) Close() { _ = c.net.Close() }
 
-// Do sends a request and reads the header of its answer. It returns ErrNotSent
-// when nothing left this process. same reports whether an answer belongs to
-// the request; others are passed over. When ctx ends the connection is closed.
-// The caller reads the answer's body and then calls Pool.Put or Close.
-func (c *Conn) Do(ctx context.Context, head string, req *http.Request, body []byte, same func(*http.Response) bool) (*http.Response, error) {
-	if c.used && c.dirty() {
+// Do sends head, the encoded request line and header, and then body. It reads the
+// header of the response; req is only used to parse it. belongs reports whether a
+// response belongs to the request; other responses are skipped. Do returns
+// ErrNotSent, before it sends anything, if a reused connection is not usable any
+// more. To interrupt Do when ctx ends, the caller closes the connection. After Do,
+// the caller reads the response body and then calls Pool.Put or Close.
+func (c *Conn) Do(ctx context.Context, head string, req *http.Request, body []byte, belongs func(*http.Response) bool) (*http.Response, error) {
+	if c.used && c.hasUnexpectedInput() {
 		return nil, core.Step("send request", c.addr, ErrNotSent)
 	}
 	c.used = true
@@ -66,16 +68,16 @@
 	if err := c.writer.Flush(); err != nil {
 		return nil, core.Step("send request", c.addr, err)
 	}
-	for range maxForeign {
+	for range maxMismatches {
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
 			return nil, core.Step("read answer", c.addr, err)
 		}
-		if same(resp) {
+		if belongs(resp) {
 			return resp, nil
 		}
-		if err := discard(resp); err != nil {
-			return nil, core.Step("pass over answer", c.addr, err)
+		if err := skipBody(resp); err != nil {
+			return nil, core.Step("skip response", c.addr, err)
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -84,54 +86,56 @@
 	return nil, core.Step("read answer", c.addr, ErrForeign)
 }
 
-// maxDiscard bounds the body of an answer that is passed over, in bytes.
-const maxDiscard = 1 << 20
+// maxSkippedBytes is the maximum length of a skipped response body.
+const maxSkippedBytes = 1 << 20
 
-// discard reads the body of an answer that belongs to nobody.
-func discard(resp *http.Response) error {
-	if resp.Close || resp.ContentLength > maxDiscard {
-		return errors.New("answer has no usable end")
+// skipBody reads the body of a response to another request, so that the next
+// response on the connection can be read. It fails if the body is too long or the
+// server closes the connection after it.
+func skipBody(resp *http.Response) error {
+	if resp.Close || resp.ContentLength > maxSkippedBytes {
+		return errors.New("response to another request is too long or closes the connection")
 	}
 	buf := make([]byte, 4<<10)
-	for total := 0; total <= maxDiscard; {
+	for total := 0; total <= maxSkippedBytes; {
 		n, err := resp.Body.Read(buf)
 		total += n
 		if err != nil {
 			return resp.Body.Close()
 		}
 	}
-	return errors.New("answer is too long")
+	return errors.New("response to another request is too long")
 }
 
-// dirty reports whether anything arrived on the idle connection: bytes that
-// belong to no request, or its end.
-func (c *Conn) dirty() bool {
+// hasUnexpectedInput reports whether the idle connection is unusable because bytes
+// arrived without a request, or because the server closed it.
+func (c *Conn) hasUnexpectedInput() bool {
 	if c.reader.Buffered() > 0 {
 		return true
 	}
-	raw, ok := c.net.(syscall.Conn)
+	sysConn, ok := c.net.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	control, err := raw.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	waiting := true
-	err = control.Read(func(fd uintptr) bool {
-		var one [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waiting = n > 0 || err == nil || !errors.Is(err, syscall.EAGAIN)
+	unexpected := true
+	err = rawConn.Read(func(fd uintptr) bool {
+		var peeked [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		unexpected = n > 0 || err == nil || !errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return waiting || err != nil
+	return unexpected || err != nil
 }
 
-// keepFor reads how long an answer allows the connection to stay idle; 0 when
-// it must be closed.
-func keepFor(resp *http.Response, most time.Duration) time.Duration {
-	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	if resp.Close || unframed {
+// allowedIdleTime returns how long the connection may stay idle after resp, at most
+// maxTime. Zero or less means that the connection must be closed.
+func allowedIdleTime(resp *http.Response, maxTime time.Duration) time.Duration {
+	endsAtClose := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	if resp.Close || endsAtClose {
 		return 0
 	}
 	for _, part := range strings.Split(resp.Header.Get("Keep-Alive"), ",") {
@@ -140,9 +144,8 @@
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			// A server may close the connection just as it is used.
-			return min(most, time.Duration(seconds)*time.Second-keepMargin)
+			return min(maxTime, time.Duration(seconds)*time.Second-idleTimeMargin)
 		}
 	}
-	return most
+	return maxTime
 }
--- a/connection/backend/doc.go
+++ b/connection/backend/doc.go
@@ -1,4 +1,5 @@
-// Package backend holds HTTP/1.1 connections to backend servers. One request
-// is on a connection at a time. The caller learns how far a request came, so
-// that it can tell what may be sent again.
+// Package backend manages HTTP/1.1 client connections to backend servers. A
+// connection carries one request at a time. Its errors show whether a request
+// may have reached the server, so that the caller can decide whether a retry is
+// safe.
 package backend
--- a/connection/backend/pool.go
+++ b/connection/backend/pool.go
@@ -14,17 +14,19 @@
 )
 
 const (
-	// keepMost is how long an unused connection is kept; connections that
-	// went silent meanwhile cost a request its time.
-	keepMost = 4 * time.Second
-	// keepMargin is left of the time that a server keeps it.
-	keepMargin = time.Second
-	// sweepEvery is the time between two searches for old connections.
-	sweepEvery = time.Second
+	// maxIdleTime is how long an unused connection is kept. If the server became
+	// unreachable in that time, the next request on the connection loses time
+	// until it times out.
+	maxIdleTime = 4 * time.Second
+	// idleTimeMargin is subtracted from the idle timeout that a server announces,
+	// because the server may close the connection just as it is used.
+	idleTimeMargin = time.Second
+	// sweepInterval is the time between two searches for expired connections.
+	sweepInterval = time.Second
 )
 
-// Pool keeps unused connections by the address of their server. It is safe for
-// concurrent use.
+// Pool keeps idle connections by the address of their backend server. It is safe
+// for concurrent use.
 type Pool struct {
 	clock clockwork.Clock
 	mu    sync.Mutex
@@ -36,11 +38,11 @@
 	return &Pool{clock: clock, idle: map[string][]*Conn{}}
 }
 
-// Get returns a connection to addr: the one used last, or with fresh set, or
-// when none is left, a new one.
+// Get returns the most recently used idle connection to addr. If there is none, or
+// if fresh is true, it opens a new connection.
 func (p *Pool) Get(ctx context.Context, addr string, fresh bool) (*Conn, error) {
 	if !fresh {
-		if c := p.take(addr); c != nil {
+		if c := p.takeIdle(addr); c != nil {
 			return c, nil
 		}
 	}
@@ -50,20 +52,21 @@
 	}
 	return &Conn{
 		net: conn, addr: addr,
-		reader: bufio.NewReaderSize(conn, readBytes),
-		writer: bufio.NewWriterSize(conn, writeBytes),
+		reader: bufio.NewReaderSize(conn, readBufferBytes),
+		writer: bufio.NewWriterSize(conn, writeBufferBytes),
 	}, nil
 }
 
-// take returns the idle connection that was used last, nil when there is none.
-func (p *Pool) take(addr string) *Conn {
+// takeIdle removes the most recently used idle connection to addr and returns it,
+// or nil if there is none. It closes the expired connections that it finds.
+func (p *Pool) takeIdle(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	for list := p.idle[addr]; len(list) > 0; list = p.idle[addr] {
 		c := list[len(list)-1]
 		p.idle[addr] = list[:len(list)-1]
-		if now.Sub(c.idleAt) < c.idleFor {
+		if now.Sub(c.idleSince) < c.idleLimit {
 			return c
 		}
 		c.Close()
@@ -71,33 +74,35 @@
 	return nil
 }
 
-// Put keeps a connection whose answer was read to its end.
+// Put returns a connection to the pool after its response resp has been read to
+// the end. It closes the connection if resp does not allow its reuse.
 func (p *Pool) Put(c *Conn, resp *http.Response) {
-	c.idleFor = keepFor(resp, keepMost)
-	if c.idleFor <= 0 {
+	c.idleLimit = allowedIdleTime(resp, maxIdleTime)
+	if c.idleLimit <= 0 {
 		c.Close()
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.idleAt = p.clock.Now()
+	c.idleSince = p.clock.Now()
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// Run closes connections that were not used for long, until ctx ends.
+// Run closes expired connections until ctx ends, and then all idle ones.
 func (p *Pool) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			p.sweep(true)
 			return nil
-		case <-p.clock.After(sweepEvery):
+		case <-p.clock.After(sweepInterval):
 			p.sweep(false)
 		}
 	}
 }
 
-// sweep closes the connections that are too old, or all of them.
+// sweep closes the expired idle connections, or all idle connections if all is
+// true.
 func (p *Pool) sweep(all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +110,7 @@
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if all || now.Sub(c.idleAt) >= c.idleFor {
+			if all || now.Sub(c.idleSince) >= c.idleLimit {
 				c.Close()
 				continue
 			}
