--- a/core/default.go
+++ b/core/default.go
@@ -1,6 +1,6 @@
 package core
 
-// SetDefault gives field the default value when it has its zero value.
+// SetDefault sets *field to value if *field is the zero value of its type.
 func SetDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/core/digest.go
+++ b/core/digest.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// digestPrefix names the hash algorithm in a textual digest.
+// digestPrefix is the hash algorithm at the start of a digest.
 const digestPrefix = "sha256:"
 
 // Digest is a content digest in the form "sha256:" followed by 64 lower-case
@@ -21,7 +21,7 @@
 	return Digest(digestPrefix + hex.EncodeToString(sum[:]))
 }
 
-// ParseDigest checks that s is a well-formed digest and returns it.
+// ParseDigest returns s as a Digest, or an error if s is not well formed.
 func ParseDigest(s string) (Digest, error) {
 	raw, ok := strings.CutPrefix(s, digestPrefix)
 	if !ok {
@@ -36,7 +36,7 @@
 	return Digest(s), nil
 }
 
-// Short returns the first 12 hexadecimal digits, for log lines.
+// Short returns the first 12 hexadecimal digits, for log lines and messages.
 func (d Digest) Short() string {
 	raw := strings.TrimPrefix(string(d), digestPrefix)
 	if len(raw) > 12 {
@@ -45,7 +45,7 @@
 	return raw
 }
 
-// Matches reports whether body has the digest d.
+// Matches reports whether d is the digest of body.
 func (d Digest) Matches(body []byte) bool {
 	return DigestOf(body) == d
 }
--- a/core/doc.go
+++ b/core/doc.go
@@ -1,3 +1,3 @@
-// Package core holds the identifiers and small value types that every other
-// package shares. It imports nothing else of the module.
+// Package core holds identifiers, small value types and helper functions that
+// the other packages share. It imports no other package of this module.
 package core
--- a/core/errors.go
+++ b/core/errors.go
@@ -2,18 +2,19 @@
 
 import "fmt"
 
-// StepError says in which step, and against which peer, an error arose.
+// StepError is an error with the operation that failed and the peer involved.
 type StepError struct {
 	// Step names the operation, for example "fetch chunk".
 	Step string
-	// Peer is the identifier or address of the other side; empty for none.
+	// Peer is the identifier or address of the other process; empty if no
+	// other process is involved.
 	Peer string
-	// Err is the cause.
+	// Err is the wrapped error.
 	Err error
 }
 
-// Step wraps err with the step and the peer at which it arose. A nil err
-// gives nil.
+// Step wraps err in a StepError with the operation that failed and the peer
+// involved. It returns nil if err is nil.
 func Step(step, peer string, err error) error {
 	if err == nil {
 		return nil
@@ -21,7 +22,7 @@
 	return &StepError{Step: step, Peer: peer, Err: err}
 }
 
-// Error implements error.
+// Error returns the step, the peer and the wrapped error as text.
 func (e *StepError) Error() string {
 	if e.Peer == "" {
 		return fmt.Sprintf("%s: %v", e.Step, e.Err)
@@ -29,5 +30,5 @@
 	return fmt.Sprintf("%s (peer %s): %v", e.Step, e.Peer, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *StepError) Unwrap() error { return e.Err }
--- a/core/instance.go
+++ b/core/instance.go
@@ -1,54 +1,61 @@
 package core
 
-// Role says what kind of process an instance runs.
+// Role is the kind of process that an instance runs.
 type Role string
 
-// The roles of our own processes.
+// Roles of the processes of this system.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
 )
 
-// Instance is one of our processes as the platform's live list, its settings
-// or a registration describe it.
+// Instance describes one process of this system. The description comes from
+// the platform's list of instances, from settings or from a registration.
 type Instance struct {
-	// ID is the instance's name; an agent's is its backend server's name.
+	// ID is the instance's name. An agent has the name of its backend server.
 	ID string `json:"id" cbor:"1,keyasint"`
-	// Role is entry or agent.
+	// Role is RoleEntry or RoleAgent.
 	Role Role `json:"role" cbor:"2,keyasint"`
 	// Addr is the "ip:port" on which the instance listens.
 	Addr string `json:"addr" cbor:"3,keyasint"`
-	// DataCentre names the data centre the instance stands in.
+	// DataCentre is the name of the data centre in which the instance runs.
 	DataCentre string `json:"dataCentre" cbor:"4,keyasint"`
-	// Region names the region of that data centre.
+	// Region is the name of the region of that data centre.
 	Region string `json:"region" cbor:"5,keyasint"`
-	// Leaving is true once the platform has announced the instance's stop.
+	// Leaving is true once the platform has announced that it will stop the
+	// instance.
 	Leaving bool `json:"leaving,omitempty" cbor:"6,keyasint,omitempty"`
 }
 
-// Refusal is the word that tells a caller what became of a refused call.
+// Refusal classifies a failed call in a problem document: whether the call was
+// executed.
 type Refusal string
 
-// The refusal words of problem documents.
+// Values of Refusal in problem documents.
 const (
-	// RefusalNotRun says that no part of the call was executed.
+	// RefusalNotRun means that no part of the call was executed.
 	RefusalNotRun Refusal = "not-run"
-	// RefusalUnknown says that the call may or may not have been executed.
+	// RefusalUnknown means that the call may or may not have been executed.
 	RefusalUnknown Refusal = "unknown"
-	// RefusalIncomplete says that the answer broke off after it began.
+	// RefusalIncomplete means that the response ended early, after its start
+	// had been sent.
 	RefusalIncomplete Refusal = "incomplete"
 )
 
-// Header names used between our processes, callers and engines.
+// Names of HTTP headers between the processes of this system, callers and
+// engines.
 const (
-	// HeaderRequestID carries the request id, on requests and on answers.
+	// HeaderRequestID carries the request id in requests and responses.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderDigest carries the manifest digest that produced an answer.
+	// HeaderDigest carries the manifest digest of the model version that
+	// produced a response.
 	HeaderDigest = "X-Model-Digest"
-	// HeaderPeerToken authenticates our processes to each other.
+	// HeaderPeerToken carries the token with which the processes of this
+	// system authenticate to each other.
 	HeaderPeerToken = "X-Peer-Token"
-	// HeaderIdempotencyKey carries a caller's key for a once-only call.
+	// HeaderIdempotencyKey carries the caller's key of a once-only call, which is
+	// executed at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderPriority carries a caller's priority, 0 (lowest) to 9.
+	// HeaderPriority carries the priority of a call, from 0 (lowest) to 9.
 	HeaderPriority = "X-Priority"
 )
