--- a/process/dial/dial.go
+++ b/process/dial/dial.go
@@ -1,5 +1,5 @@
-// Package dial opens TCP connections that notice within seconds that the other
-// side is gone, also when no reset arrives.
+// Package dial opens TCP connections that detect an unreachable peer within
+// seconds even if no reset arrives, and reopens connections with backoff.
 package dial
 
 import (
@@ -11,37 +11,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of a connection. A round trip takes a few milliseconds; the platform
-// counts a machine as out of touch after 3 s.
+// Timeouts of a connection. A round trip takes a few milliseconds; the platform
+// treats a machine as unreachable after 3 s.
 const (
-	// Timeout bounds the opening of a connection.
+	// Timeout is the longest time to open a connection.
 	Timeout = 800 * time.Millisecond
-	// unacknowledged is how long sent bytes may stay without an
-	// acknowledgement.
-	unacknowledged = 2 * time.Second
-	keepAliveIdle  = time.Second
-	keepAliveEvery = time.Second
-	keepAliveTries = 2
+	// unackedTimeout is how long sent bytes may remain unacknowledged before
+	// the connection is closed (TCP_USER_TIMEOUT).
+	unackedTimeout    = 2 * time.Second
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 )
 
 var dialer = &net.Dialer{
 	Timeout: Timeout,
 	KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveTries,
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 	},
 	Control: func(_, _ string, c syscall.RawConn) error {
-		var failed error
+		var sockoptErr error
 		err := c.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+			sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return sockoptErr
 	},
 }
 
-// Context opens a connection.
+// Context opens a connection to addr within Timeout, or until ctx ends.
 func Context(ctx context.Context, network, addr string) (net.Conn, error) {
 	return dialer.DialContext(ctx, network, addr)
 }
--- a/process/dial/keep.go
+++ b/process/dial/keep.go
@@ -9,47 +9,51 @@
 )
 
 const (
-	// firstTimeout bounds the first tries to open a connection; each further
-	// one may take twice as long, up to Timeout. After a loss of power the
-	// first packet to a machine that is not up yet is lost, and the next one
-	// would follow after a second.
-	firstTimeout = 100 * time.Millisecond
-	// firstTries is the number of tries before pauses and timeouts grow:
-	// machines that start together are up within about half a second.
-	firstTries = 5
+	// initialTimeout bounds each of the first attempts to open a connection;
+	// the timeout then doubles with each attempt, up to Timeout. It is short
+	// because the first packet to a machine that is still starting after a
+	// power failure is lost, and TCP retransmits it only after a second.
+	initialTimeout = 100 * time.Millisecond
+	// initialAttempts is the number of attempts before pauses and timeouts
+	// grow: machines that start together are up within about half a second
+	// of each other.
+	initialAttempts = 5
 )
 
-// Pauses are the pauses between the connections of a Keep.
+// Pauses configures the pauses of Keep between the end of a connection and the
+// next attempt.
 type Pauses struct {
-	// Least and Most bound the pause, which varies by half and doubles after
-	// the first tries.
+	// Least is the initial pause. After the first attempts the pause doubles
+	// with each attempt, up to Most. Each pause is randomized between 50 %
+	// and 150 %.
 	Least, Most time.Duration
-	// Steady is how long a connection must have lasted for its end to count
-	// as a new one.
+	// Steady is how long a connection must have lasted for pause and timeout
+	// to start again at their initial values when it ends.
 	Steady time.Duration
 }
 
-// Keep opens a connection again and again until ctx ends. session opens it
-// within timeout and returns when it has ended; lost is told of the first end
-// of several in a row.
+// Keep reopens a connection whenever it ends, until ctx ends. session opens the
+// connection within timeout and returns when the connection has ended. onLost
+// receives the error of the first session and of each session that lasted longer
+// than p.Steady; the errors of the short sessions that follow are not reported.
 func Keep(ctx context.Context, clock clockwork.Clock, p Pauses,
-	session func(ctx context.Context, timeout time.Duration) error, lost func(error)) {
-	pause, timeout, told := p.Least, firstTimeout, false
-	for tries := 1; ctx.Err() == nil; tries++ {
+	session func(ctx context.Context, timeout time.Duration) error, onLost func(error)) {
+	pause, timeout, reported := p.Least, initialTimeout, false
+	for attempt := 1; ctx.Err() == nil; attempt++ {
 		start := clock.Now()
 		err := session(ctx, timeout)
 		if clock.Since(start) > p.Steady {
-			pause, timeout, told, tries = p.Least, firstTimeout, false, 1
+			pause, timeout, reported, attempt = p.Least, initialTimeout, false, 1
 		}
-		if !told && ctx.Err() == nil {
-			lost(err)
-			told = true
+		if !reported && ctx.Err() == nil {
+			onLost(err)
+			reported = true
 		}
 		select {
 		case <-ctx.Done():
 		case <-clock.After(pause/2 + rand.N(pause)):
 		}
-		if tries >= firstTries {
+		if attempt >= initialAttempts {
 			pause, timeout = min(2*pause, p.Most), min(2*timeout, Timeout)
 		}
 	}
--- a/process/dial/keep_test.go
+++ b/process/dial/keep_test.go
@@ -14,9 +14,10 @@
 func TestKeep(t *testing.T) {
 	pauses := Pauses{Least: 80 * time.Millisecond, Most: 300 * time.Millisecond, Steady: 1500 * time.Millisecond}
 
-	Convey("A machine that comes up a little after the others is reached soon", t, func() {
+	Convey("A machine that starts a little later than the others is reached soon after its start", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			// Until then its packets are lost: a try lasts its whole timeout.
+			// Before upAfter every packet to the machine is lost, so an attempt
+			// lasts for its whole timeout.
 			const upAfter = 400 * time.Millisecond
 			ctx, cancel := context.WithCancel(t.Context())
 			start := time.Now()
@@ -35,25 +36,25 @@
 			}
 		})
 	})
-	Convey("Only the first of several ends in a row is told, and each steady connection counts anew", t, func() {
+	Convey("Only the first of several failures in a row is reported; a connection that lasted starts a new row", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			told, n := 0, 0
+			reported, attempts := 0, 0
 			Keep(ctx, clockwork.NewRealClock(), pauses, func(_ context.Context, timeout time.Duration) error {
-				n++
+				attempts++
 				if timeout > Timeout {
 					t.Errorf("timeout %s", timeout)
 				}
 				switch {
-				case n == 20:
+				case attempts == 20:
 					cancel()
-				case n == 10:
+				case attempts == 10:
 					<-time.After(2 * pauses.Steady)
 				}
 				return errors.New("refused")
-			}, func(error) { told++ })
-			if told != 2 {
-				t.Errorf("%d ends were told", told)
+			}, func(error) { reported++ })
+			if reported != 2 {
+				t.Errorf("%d failures were reported", reported)
 			}
 		})
 	})
