--- a/process/eventlog/bounded.go
+++ b/process/eventlog/bounded.go
@@ -11,57 +11,64 @@
 )
 
 const (
-	// queueLines is how many lines may wait for a slow reader, about 1 MB.
+	// queueLines is how many lines may wait for a slow writer, about 1 MB.
 	queueLines = 2048
-	// linesPerSecond and linesBurst bound the lines of one event: an entry
+	// linesPerSecond and linesBurst limit the lines of each event: an entry
 	// instance answers about 100 requests a second.
 	linesPerSecond = 150
 	linesBurst     = 300
 )
 
-// NewBounded returns a Logger like New whose lines never block the caller: each
-// event has a rate, and lines beyond it, or beyond a reader that does not read,
-// are counted and left out. The next line of the event says how many in its
-// field "leftOut". Close writes what is queued.
+// NewBounded is like New, but the Logger never blocks its caller: a background
+// goroutine writes the lines. Lines above the rate limit of their event are left
+// out, and the field "leftOut" of the event's next line holds their number. Lines
+// are dropped while the queue is full because w is slow; the event
+// log-lines-dropped reports their number. Close of the Closer writes the queued
+// lines and ends the goroutine.
 func NewBounded(w io.Writer, level logrus.Level, process string) (*Logger, io.Closer) {
 	q := newQueue(w)
 	l := New(q, level, process)
-	l.limits = &limits{}
+	l.limits = &rateLimits{}
 	return l, q
 }
 
-// limits bound the lines of each event.
-type limits struct {
-	events sync.Map
+// rateLimits holds the rate limit of each event.
+type rateLimits struct {
+	// byNumber maps the number of an event to its *rateLimit.
+	byNumber sync.Map
 }
 
-// limit is the bound of one event.
-type limit struct {
-	rate    *rate.Limiter
+// rateLimit is the rate limit of one event.
+type rateLimit struct {
+	limiter *rate.Limiter
+	// leftOut counts the lines left out since the last line that was written.
 	leftOut atomic.Int64
 }
 
-// admit reports whether a line may be written, and how many were left out
-// before it.
-func (l *limits) admit(e Event) (leftOut int64, ok bool) {
-	v, found := l.events.Load(e.Number)
+// allow reports whether a line of event e may be written now, and how many
+// lines of e were left out since the last one.
+func (l *rateLimits) allow(e Event) (leftOut int64, ok bool) {
+	v, found := l.byNumber.Load(e.Number)
 	if !found {
-		v, _ = l.events.LoadOrStore(e.Number, &limit{rate: rate.NewLimiter(linesPerSecond, linesBurst)})
+		v, _ = l.byNumber.LoadOrStore(e.Number, &rateLimit{limiter: rate.NewLimiter(linesPerSecond, linesBurst)})
 	}
-	one := v.(*limit)
-	if !one.rate.Allow() {
-		one.leftOut.Add(1)
+	limit := v.(*rateLimit)
+	if !limit.limiter.Allow() {
+		limit.leftOut.Add(1)
 		return 0, false
 	}
-	return one.leftOut.Swap(0), true
+	return limit.leftOut.Swap(0), true
 }
 
-// queue hands lines to a writer in the background.
+// queue is a bounded queue of lines that a background goroutine writes.
 type queue struct {
-	lines   chan []byte
+	lines chan []byte
+	// dropped counts the lines dropped since the last report.
 	dropped atomic.Int64
-	done    chan struct{}
-	once    sync.Once
+	// done is closed when the goroutine has ended.
+	done      chan struct{}
+	closeOnce sync.Once
+	// closing is closed by Close.
 	closing chan struct{}
 }
 
@@ -71,7 +78,8 @@
 	return q
 }
 
-// Write implements io.Writer; it never blocks.
+// Write queues a copy of line, or drops the line if the queue is full. It never
+// blocks and returns no error.
 func (q *queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -81,7 +89,7 @@
 	return len(line), nil
 }
 
-// run writes lines until Close.
+// run writes the queued lines to w until Close, then those still queued.
 func (q *queue) run(w io.Writer) {
 	defer close(q.done)
 	for {
@@ -101,7 +109,8 @@
 	}
 }
 
-// write writes a line, after one that says how many were dropped.
+// write writes a line to w. If lines were dropped, it first writes an event with
+// their number.
 func (q *queue) write(w io.Writer, line []byte) {
 	if n := q.dropped.Swap(0); n > 0 {
 		if _, err := fmt.Fprintf(w, "{\"event\":611,\"level\":\"warning\",\"msg\":\"log-lines-dropped\",\"lines\":%d}\n", n); err != nil {
@@ -109,18 +118,18 @@
 		}
 	}
 	if _, err := w.Write(line); err != nil {
-		// There is nowhere left to tell it; the count shows once the reader
-		// is back.
+		// The error cannot be logged to w; the line is counted as dropped and
+		// reported when a later write succeeds.
 		q.dropped.Add(1)
 	}
 }
 
 var _ = Define(611, "log-lines-dropped", logrus.WarnLevel,
-	"The reader of the log was too slow; the field gives the number of lines that were dropped.")
+	"The log output was too slow; the field gives the number of lines that were dropped.")
 
-// Close writes what is queued and ends the writer.
+// Close writes the queued lines and returns when the goroutine has ended.
 func (q *queue) Close() error {
-	q.once.Do(func() { close(q.closing) })
+	q.closeOnce.Do(func() { close(q.closing) })
 	<-q.done
 	return nil
 }
--- a/process/eventlog/bounded_test.go
+++ b/process/eventlog/bounded_test.go
@@ -12,36 +12,36 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var eventTest = Define(9900, "test-event", logrus.InfoLevel, "An event of the tests.")
+var eventTest = Define(9900, "test-event", logrus.InfoLevel, "An event for tests.")
 
 func TestBoundedLogger(t *testing.T) {
-	Convey("A reader that stops reading never blocks a caller, and learns how much it missed", t, func() {
+	Convey("A blocked log output never blocks a caller, and the number of dropped lines is logged", t, func() {
 		reader, writer := io.Pipe()
 		l, closer := NewBounded(writer, logrus.InfoLevel, "test")
-		l.limits = nil // the queue alone is tested here
-		done := make(chan struct{})
+		l.limits = nil // tests the queue without the rate limits
+		logged := make(chan struct{})
 		go func() {
-			defer close(done)
+			defer close(logged)
 			for range 2 * queueLines {
 				l.Event(eventTest, Fields{})
 			}
 		}()
 		select {
-		case <-done:
+		case <-logged:
 		case <-time.After(10 * time.Second):
 			t.Fatal("a log line blocked its caller")
 		}
-		read := make(chan string, 1)
+		output := make(chan string, 1)
 		go func() {
 			raw, _ := io.ReadAll(reader)
-			read <- string(raw)
+			output <- string(raw)
 		}()
 		So(closer.Close(), ShouldBeNil)
 		So(writer.Close(), ShouldBeNil)
-		So(<-read, ShouldContainSubstring, `"msg":"log-lines-dropped"`)
+		So(<-output, ShouldContainSubstring, `"msg":"log-lines-dropped"`)
 	})
 
-	Convey("An event beyond its rate is left out, and every line is accounted for", t, func() {
+	Convey("Lines above the rate limit of an event are left out and counted", t, func() {
 		var out bytes.Buffer
 		l, closer := NewBounded(&out, logrus.InfoLevel, "test")
 		const events = 3 * linesBurst
@@ -50,8 +50,8 @@
 			l.Event(eventTest, Fields{})
 		}
 		allowed := linesBurst + int(time.Since(start).Seconds()*linesPerSecond) + 1
-		one, _ := l.limits.events.Load(eventTest.Number)
-		one.(*limit).rate.SetLimit(1e9)
+		limit, _ := l.limits.byNumber.Load(eventTest.Number)
+		limit.(*rateLimit).limiter.SetLimit(1e9)
 		<-time.After(time.Millisecond)
 		l.Event(eventTest, Fields{})
 		So(closer.Close(), ShouldBeNil)
--- a/process/eventlog/eventlog.go
+++ b/process/eventlog/eventlog.go
@@ -1,5 +1,6 @@
-// Package eventlog writes numbered events through logrus. Each event has a
-// number, a name and a meaning in the catalogue; docs/EVENTS.md lists them.
+// Package eventlog writes log lines of numbered events through logrus. The
+// catalogue holds the number, name, level and description of every event;
+// docs/EVENTS.md lists them.
 package eventlog
 
 import (
@@ -10,38 +11,39 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Event is one numbered kind of log line.
+// Event is a kind of log line.
 type Event struct {
-	// Number is unique: 1xx connection, 2xx configuration, 3xx weights,
-	// 4xx agent, 5xx entry, 6xx process.
+	// Number is unique. Its first digit is the area: 1xx connection,
+	// 2xx configuration, 3xx weights, 4xx agent, 5xx entry, 6xx process.
 	Number int
-	// Name is a short kebab-case name.
+	// Name is a short name in kebab case.
 	Name string
 	// Level is the level at which the event is written.
 	Level logrus.Level
-	// Meaning tells an operator what happened.
+	// Meaning is the description of the event for operators.
 	Meaning string
 }
 
 var (
 	catalogueMu sync.Mutex
-	catalogue   = map[int]Event{}
+	// catalogue holds the defined events by number.
+	catalogue = map[int]Event{}
 )
 
-// Define adds an event to the catalogue. It panics on a number used twice,
-// which is a programming error found at start-up.
+// Define adds an event to the catalogue and returns it. It panics if the number
+// is already in use, a programming error that shows at start-up.
 func Define(number int, name string, level logrus.Level, meaning string) Event {
 	e := Event{Number: number, Name: name, Level: level, Meaning: meaning}
 	catalogueMu.Lock()
 	defer catalogueMu.Unlock()
-	if old, ok := catalogue[number]; ok {
-		panic("event number used twice: " + old.Name + " and " + name)
+	if other, ok := catalogue[number]; ok {
+		panic("event number used twice: " + other.Name + " and " + name)
 	}
 	catalogue[number] = e
 	return e
 }
 
-// Catalogue returns every defined event in the order of its number.
+// Catalogue returns all defined events, sorted by number.
 func Catalogue() []Event {
 	catalogueMu.Lock()
 	defer catalogueMu.Unlock()
@@ -53,17 +55,18 @@
 	return all
 }
 
-// Fields are the typed values of a log line, by name.
+// Fields holds the values of a log line by field name.
 type Fields = logrus.Fields
 
 // Logger writes events for one process.
 type Logger struct {
 	entry *logrus.Entry
-	// limits bound the lines; nil for no bound.
-	limits *limits
+	// limits holds the rate limits of the events; nil means no limits.
+	limits *rateLimits
 }
 
-// New returns a Logger that writes JSON lines to w, each naming the process.
+// New returns a Logger that writes the events of level and more severe ones to w
+// as JSON lines, each with process in the field "process".
 func New(w io.Writer, level logrus.Level, process string) *Logger {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -72,31 +75,32 @@
 	return &Logger{entry: l.WithField("process", process)}
 }
 
-// Discard returns a Logger that writes nothing, for tests.
+// Discard returns a Logger for tests that writes nothing.
 func Discard() *Logger { return New(io.Discard, logrus.PanicLevel, "test") }
 
-// With returns a Logger that adds fields to each line.
+// With returns a Logger that adds the fields f to each line.
 func (l *Logger) With(f Fields) *Logger {
 	return &Logger{entry: l.entry.WithFields(f), limits: l.limits}
 }
 
-// Event writes one line for e.
+// Event writes a line for event e with the fields f.
 func (l *Logger) Event(e Event, f Fields) {
 	l.write(l.entry, e, f)
 }
 
-// Fail writes one line for e with the error err.
+// Fail writes a line for event e with the error err and the fields f.
 func (l *Logger) Fail(e Event, err error, f Fields) {
 	l.write(l.entry.WithError(err), e, f)
 }
 
-// write writes a line unless its level or rate leaves it out.
+// write writes a line for event e unless the logger's level or the rate limit of
+// e excludes it.
 func (l *Logger) write(entry *logrus.Entry, e Event, f Fields) {
 	if !entry.Logger.IsLevelEnabled(e.Level) {
 		return
 	}
 	if l.limits != nil {
-		leftOut, ok := l.limits.admit(e)
+		leftOut, ok := l.limits.allow(e)
 		if !ok {
 			return
 		}
--- a/process/eventlog/eventlog_test.go
+++ b/process/eventlog/eventlog_test.go
@@ -15,7 +15,7 @@
 		log := New(&out, logrus.InfoLevel, "entry-1")
 		e := Event{Number: 999, Name: "sample", Level: logrus.InfoLevel}
 
-		Convey("a line carries number, name, process and fields", func() {
+		Convey("a line holds the number, the name, the process and the fields", func() {
 			log.Event(e, Fields{"request": "r1"})
 			var line map[string]any
 			So(json.Unmarshal(out.Bytes(), &line), ShouldBeNil)
@@ -24,7 +24,7 @@
 			So(line["process"], ShouldEqual, "entry-1")
 			So(line["request"], ShouldEqual, "r1")
 		})
-		Convey("an event below the level writes nothing", func() {
+		Convey("an event below the logger's level is not written", func() {
 			e.Level = logrus.DebugLevel
 			log.Event(e, nil)
 			So(out.Len(), ShouldEqual, 0)
