--- a/process/httpserver/httpserver.go
+++ b/process/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package httpserver runs the one HTTP listener of a process and holds the
-// middleware for tokens between processes.
+// Package httpserver runs HTTP listeners and holds the middleware that checks the
+// token of requests between the processes of this system.
 package httpserver
 
 import (
@@ -13,19 +13,20 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// headerTimeout bounds the reading of a request's header.
+// headerTimeout is the longest time to read a request's header.
 const headerTimeout = 5 * time.Second
 
-// maxHeaderBytes bounds a request's header, in bytes.
+// maxHeaderBytes is the largest size of a request's header, in bytes.
 const maxHeaderBytes = 64 << 10
 
-// Server is a listening HTTP server.
+// Server is an HTTP server with an open listener.
 type Server struct {
 	http     *http.Server
 	listener net.Listener
 }
 
-// Listen opens addr ("ip:port") for handler. Nothing is served before Run.
+// Listen returns a Server that listens on addr ("ip:port") and serves handler.
+// Requests are served once Run is called.
 func Listen(addr string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -41,10 +42,10 @@
 	}, nil
 }
 
-// Addr returns the address that is listened on.
+// Addr returns the address of the listener.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Run serves until Shutdown.
+// Run serves requests until Shutdown is called, and then returns nil.
 func (s *Server) Run() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -53,8 +54,8 @@
 	return core.Step("serve", s.Addr(), err)
 }
 
-// Shutdown stops listening, waits for the requests in flight until ctx ends,
-// then closes what is left.
+// Shutdown closes the listener and waits for the requests in flight. If ctx ends
+// first, Shutdown closes the remaining connections and returns an error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	if err != nil {
@@ -63,7 +64,8 @@
 	return core.Step("shut down", s.Addr(), err)
 }
 
-// RequirePeer serves next only to callers that present the peer token.
+// RequirePeer returns a handler that passes requests with the peer token to next
+// and answers all others with status 401. An empty token admits no request.
 func RequirePeer(token string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if token == "" || !core.SameSecret(r.Header.Get(core.HeaderPeerToken), token) {
