--- a/process/instances/linger.go
+++ b/process/instances/linger.go
@@ -6,71 +6,75 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Defaults of Config. An instance that restarts is back before the first has
-// passed, so that no replica moves for it; a list that loses half of the
-// system at once is more likely wrong than true.
+// Defaults of Config.
 const (
-	defaultLinger     = time.Minute
+	// defaultLinger is longer than the restart of an instance, so that a
+	// restart moves no replica.
+	defaultLinger = time.Minute
+	// defaultMassLinger is longer because a list without most of the
+	// instances is more likely wrong than true.
 	defaultMassLinger = 10 * time.Minute
 )
 
-// lingerer is an instance that vanished from the list.
-type lingerer struct {
+// missingInstance is an instance that is missing from the platform's list but
+// kept for a while.
+type missingInstance struct {
 	instance core.Instance
-	until    time.Time
+	// expires is when the instance is removed.
+	expires time.Time
 }
 
-// linger notes which of the known instances list lacks, and returns those
-// that still count. The lock is held.
-func (w *Watcher) linger(list []core.Instance) []core.Instance {
+// updateMissing updates the missing instances for a new list from the platform
+// and returns those that are kept. The caller holds w.mu.
+func (w *Watcher) updateMissing(list []core.Instance) []core.Instance {
 	listed := map[string]bool{}
 	for _, in := range list {
 		listed[in.ID] = true
-		delete(w.lingering, in.ID)
+		delete(w.missing, in.ID)
 	}
-	var vanished []core.Instance
+	var newlyMissing []core.Instance
 	for _, in := range w.list {
-		_, lingers := w.lingering[in.ID]
-		if !listed[in.ID] && !in.Leaving && !lingers {
-			vanished = append(vanished, in)
+		_, alreadyMissing := w.missing[in.ID]
+		if !listed[in.ID] && !in.Leaving && !alreadyMissing {
+			newlyMissing = append(newlyMissing, in)
 		}
 	}
-	wait := w.cfg.Linger
-	if 2*len(vanished) > len(w.list) {
-		wait = w.cfg.MassLinger
+	keepFor := w.cfg.Linger
+	if 2*len(newlyMissing) > len(w.list) {
+		keepFor = w.cfg.MassLinger
 	}
-	until := w.cfg.Clock.Now().Add(wait)
-	for _, in := range vanished {
-		w.lingering[in.ID] = lingerer{instance: in, until: until}
+	expires := w.cfg.Clock.Now().Add(keepFor)
+	for _, in := range newlyMissing {
+		w.missing[in.ID] = missingInstance{instance: in, expires: expires}
 	}
 	var kept []core.Instance
-	for _, l := range w.lingering {
-		kept = append(kept, l.instance)
+	for _, m := range w.missing {
+		kept = append(kept, m.instance)
 	}
 	return kept
 }
 
-// expire drops the instances that have lingered long enough.
-func (w *Watcher) expire() {
+// removeExpired removes the missing instances that have expired.
+func (w *Watcher) removeExpired() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.cfg.Clock.Now()
-	gone := map[string]bool{}
-	for id, l := range w.lingering {
-		if now.Before(l.until) {
+	expired := map[string]bool{}
+	for id, m := range w.missing {
+		if now.Before(m.expires) {
 			continue
 		}
-		gone[id] = true
-		delete(w.lingering, id)
+		expired[id] = true
+		delete(w.missing, id)
 	}
-	if len(gone) == 0 {
+	if len(expired) == 0 {
 		return
 	}
 	var list []core.Instance
 	for _, in := range w.list {
-		if !gone[in.ID] {
+		if !expired[in.ID] {
 			list = append(list, in)
 		}
 	}
-	w.publish(list)
+	w.setList(list)
 }
--- a/process/instances/watcher.go
+++ b/process/instances/watcher.go
@@ -1,5 +1,6 @@
-// Package instances follows the platform's lagging list of instances and
-// keeps the last known one while the platform cannot be reached.
+// Package instances polls the platform's list of instances, which lags behind
+// their real state, and keeps the last known list while the platform is
+// unreachable.
 package instances
 
 import (
@@ -17,36 +18,37 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// DefaultInterval is the time between two reads of the list.
+// DefaultInterval is the default of Config.Interval.
 const DefaultInterval = 2 * time.Second
 
 var (
 	eventListChanged = eventlog.Define(601, "instances-changed", logrus.InfoLevel,
 		"The list of live and leaving instances changed.")
-	eventListUnread = eventlog.Define(602, "instances-unread", logrus.WarnLevel,
+	eventListReadFailed = eventlog.Define(602, "instances-unread", logrus.WarnLevel,
 		"The list of instances could not be read from the platform; the last known one stays in use.")
 )
 
-// Fallback reads the list from a peer when the platform cannot be reached.
+// Fallback reads the list of instances from a peer. It is called when the list
+// could not be read from the platform.
 type Fallback func(ctx context.Context) ([]core.Instance, error)
 
 // Config holds the settings of a Watcher.
 type Config struct {
-	// Interval is the time between two reads. Default 2 s.
+	// Interval is the time between two reads of the list. Default 2 s.
 	Interval time.Duration
-	// Seeds are instances known from settings, used until a list is read.
+	// Seeds are the instances in use until the first list has been read.
 	Seeds []core.Instance
-	// Linger is how long an instance that vanished from the list, without
-	// having been listed as leaving, still counts as listed. Default 60 s.
+	// Linger is how long an instance is kept that is missing from the list
+	// and was not listed as leaving before. Default 60 s.
 	Linger time.Duration
-	// MassLinger is the same for a list that lost more than half of its
-	// instances at once. Default 10 min.
+	// MassLinger is used instead of Linger when more than half of the
+	// instances are missing from the list at once. Default 10 min.
 	MassLinger time.Duration
-	// Clock tells the time; nil means the system's.
+	// Clock is the source of time; nil means the system clock.
 	Clock clockwork.Clock
 }
 
-// applyDefaults fills in what is not set.
+// applyDefaults sets the fields that are not set to their defaults.
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.Interval, DefaultInterval)
 	core.SetDefault(&c.Linger, defaultLinger)
@@ -56,7 +58,8 @@
 	}
 }
 
-// Watcher holds the newest known list. It is safe for concurrent use.
+// Watcher polls the list of instances and holds the last known list. It is safe
+// for concurrent use.
 type Watcher struct {
 	cfg      Config
 	source   platform.Instances
@@ -64,57 +67,63 @@
 	log      *eventlog.Logger
 
 	mu sync.RWMutex
-	// list is what counts: the listed instances and those that linger.
-	list      []core.Instance
-	lingering map[string]lingerer
-	tag       string
-	changed   chan struct{}
-	failing   bool
+	// list holds the listed instances and the missing ones that are kept.
+	list []core.Instance
+	// missing holds by id the missing instances that are kept.
+	missing map[string]missingInstance
+	// tag is the tag of the platform's list read last.
+	tag string
+	// changed is closed when list changes.
+	changed chan struct{}
+	// failing is true if the last read from the platform failed.
+	failing bool
 }
 
-// NewWatcher returns a Watcher that holds the seeds. fallback may be nil.
+// NewWatcher returns a Watcher that holds cfg.Seeds until Run has read a list
+// from source. fallback may be nil.
 func NewWatcher(cfg Config, source platform.Instances, fallback Fallback, log *eventlog.Logger) *Watcher {
 	cfg.applyDefaults()
 	return &Watcher{
-		cfg:       cfg,
-		source:    source,
-		fallback:  fallback,
-		log:       log,
-		list:      cfg.Seeds,
-		lingering: map[string]lingerer{},
-		changed:   make(chan struct{}),
+		cfg:      cfg,
+		source:   source,
+		fallback: fallback,
+		log:      log,
+		list:     cfg.Seeds,
+		missing:  map[string]missingInstance{},
+		changed:  make(chan struct{}),
 	}
 }
 
-// All returns the newest known list. It must not be changed.
+// All returns the last known list. The caller must not modify it.
 func (w *Watcher) All() []core.Instance {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.list
 }
 
-// Role returns the known instances with this role.
+// Role returns the instances of the last known list that have this role.
 func (w *Watcher) Role(role core.Role) []core.Instance {
-	var some []core.Instance
+	var matching []core.Instance
 	for _, in := range w.All() {
 		if in.Role == role {
-			some = append(some, in)
+			matching = append(matching, in)
 		}
 	}
-	return some
+	return matching
 }
 
-// Changed returns a channel closed when the list changes.
+// Changed returns a channel that is closed when the list next changes.
 func (w *Watcher) Changed() <-chan struct{} {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.changed
 }
 
-// Run reads the list until ctx ends.
+// Run reads the list at intervals of Config.Interval, with jitter, until ctx ends.
+// It returns nil.
 func (w *Watcher) Run(ctx context.Context) error {
 	for {
-		w.read(ctx)
+		w.refresh(ctx)
 		jitter := time.Duration(rand.Int64N(int64(w.cfg.Interval) / 4))
 		select {
 		case <-time.After(w.cfg.Interval - w.cfg.Interval/8 + jitter):
@@ -124,92 +133,99 @@
 	}
 }
 
-// read reads the list once, from the platform or else from a peer.
-func (w *Watcher) read(ctx context.Context) {
+// refresh reads the list from the platform, or from a peer if that fails, and
+// updates the known list.
+func (w *Watcher) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, w.cfg.Interval)
 	defer cancel()
 	w.mu.RLock()
 	tag := w.tag
 	w.mu.RUnlock()
 	list, tag, err := w.source.List(ctx, tag)
-	defer w.expire()
+	defer w.removeExpired()
 	switch {
 	case err == nil:
-		w.replace(list, tag)
+		w.replaceList(list, tag)
 		return
 	case errors.Is(err, platform.ErrNotModified):
-		w.recovered()
+		w.clearFailure()
 		return
 	}
-	w.failed(err)
+	w.logFailure(err)
 	if w.fallback == nil {
 		return
 	}
 	list, err = w.fallback(context.WithoutCancel(ctx))
 	if err == nil && len(list) > 0 {
-		w.merge(list)
+		w.mergePeerList(list)
 	}
 }
 
-// replace takes in the platform's list.
-func (w *Watcher) replace(list []core.Instance, tag string) {
+// replaceList sets the known list to the platform's list and the missing
+// instances that are kept.
+func (w *Watcher) replaceList(list []core.Instance, tag string) {
 	w.mu.Lock()
 	w.tag = tag
 	w.failing = false
-	kept := w.linger(list)
-	w.publish(append(append([]core.Instance{}, list...), kept...))
+	kept := w.updateMissing(list)
+	w.setList(append(append([]core.Instance{}, list...), kept...))
 	w.mu.Unlock()
 	w.log.Event(eventListChanged, eventlog.Fields{"instances": len(list), "lingering": len(kept)})
 }
 
-// publish puts a list in force. The lock is held.
-func (w *Watcher) publish(list []core.Instance) {
+// setList sets the known list and closes the channel of Changed. The caller holds
+// w.mu.
+func (w *Watcher) setList(list []core.Instance) {
 	w.list = list
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// merge adds what a peer knows to the last known list, since a peer's view
-// may be older or cut off.
-func (w *Watcher) merge(list []core.Instance) {
+// mergePeerList adds the instances of a peer's list to the known list, and takes
+// the peer's description of those that are in both. It removes none, since the
+// peer's list may be older or incomplete.
+func (w *Watcher) mergePeerList(list []core.Instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := map[string]int{}
+	indexByID := map[string]int{}
 	merged := make([]core.Instance, 0, len(w.list)+len(list))
 	for _, in := range append(append([]core.Instance{}, w.list...), list...) {
-		i, ok := at[in.ID]
+		i, ok := indexByID[in.ID]
 		if ok {
 			merged[i] = in
 			continue
 		}
-		at[in.ID] = len(merged)
+		indexByID[in.ID] = len(merged)
 		merged = append(merged, in)
 	}
-	if equal(merged, w.list) {
+	if equalLists(merged, w.list) {
 		return
 	}
 	w.tag = ""
-	w.publish(merged)
+	w.setList(merged)
 }
 
-func (w *Watcher) recovered() {
+// clearFailure records that the last read from the platform succeeded.
+func (w *Watcher) clearFailure() {
 	w.mu.Lock()
 	w.failing = false
 	w.mu.Unlock()
 }
 
-// failed logs the first of a run of failures.
-func (w *Watcher) failed(err error) {
+// logFailure records that a read from the platform failed, and logs err if the
+// read before succeeded.
+func (w *Watcher) logFailure(err error) {
 	w.mu.Lock()
 	first := !w.failing
 	w.failing = true
 	w.mu.Unlock()
 	if first {
-		w.log.Fail(eventListUnread, err, nil)
+		w.log.Fail(eventListReadFailed, err, nil)
 	}
 }
 
-func equal(a, b []core.Instance) bool {
+// equalLists reports whether a and b hold the same instances in the same order.
+func equalLists(a, b []core.Instance) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/process/instances/watcher_test.go
+++ b/process/instances/watcher_test.go
@@ -14,7 +14,7 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// fakeList is the platform's list; a nil list is an outage.
+// fakeList is a fake of the platform's list; a nil list simulates an outage.
 type fakeList struct{ list []core.Instance }
 
 func (f *fakeList) List(context.Context, string) ([]core.Instance, string, error) {
@@ -24,7 +24,8 @@
 	return f.list, "tag", nil
 }
 
-func named(ids ...string) []core.Instance {
+// agentsNamed returns agents with these ids.
+func agentsNamed(ids ...string) []core.Instance {
 	list := []core.Instance{}
 	for _, id := range ids {
 		list = append(list, core.Instance{ID: id, Role: core.RoleAgent})
@@ -32,7 +33,8 @@
 	return list
 }
 
-func ids(list []core.Instance) []string {
+// sortedIDs returns the ids of the instances of list in sorted order.
+func sortedIDs(list []core.Instance) []string {
 	var names []string
 	for _, in := range list {
 		names = append(names, in.ID)
@@ -42,48 +44,48 @@
 }
 
 func TestWatcher(t *testing.T) {
-	Convey("Given a watcher that has read a list of four", t, func() {
+	Convey("Given a watcher that has read a list of four instances", t, func() {
 		clock := clockwork.NewFakeClock()
-		source := &fakeList{list: named("a", "b", "c", "d")}
+		source := &fakeList{list: agentsNamed("a", "b", "c", "d")}
 		w := NewWatcher(Config{Clock: clock}, source, nil, eventlog.Discard())
 		ctx := context.Background()
-		w.read(ctx)
-		So(ids(w.All()), ShouldResemble, []string{"a", "b", "c", "d"})
+		w.refresh(ctx)
+		So(sortedIDs(w.All()), ShouldResemble, []string{"a", "b", "c", "d"})
 
-		Convey("an instance that vanishes counts for a while, and one that is back counts on", func() {
-			source.list = named("a", "b")
-			w.read(ctx)
-			So(ids(w.All()), ShouldResemble, []string{"a", "b", "c", "d"})
-			source.list = named("a", "b", "c")
+		Convey("a missing instance is kept for 60 s, and one that is listed again stays", func() {
+			source.list = agentsNamed("a", "b")
+			w.refresh(ctx)
+			So(sortedIDs(w.All()), ShouldResemble, []string{"a", "b", "c", "d"})
+			source.list = agentsNamed("a", "b", "c")
 			clock.Advance(59 * time.Second)
-			w.read(ctx)
-			So(ids(w.All()), ShouldResemble, []string{"a", "b", "c", "d"})
+			w.refresh(ctx)
+			So(sortedIDs(w.All()), ShouldResemble, []string{"a", "b", "c", "d"})
 			clock.Advance(time.Second)
-			w.read(ctx)
-			So(ids(w.All()), ShouldResemble, []string{"a", "b", "c"})
+			w.refresh(ctx)
+			So(sortedIDs(w.All()), ShouldResemble, []string{"a", "b", "c"})
 		})
-		Convey("one that was listed as leaving goes at once", func() {
-			source.list = named("a", "b", "c", "d")
+		Convey("a missing instance that was listed as leaving is removed at once", func() {
+			source.list = agentsNamed("a", "b", "c", "d")
 			source.list[3].Leaving = true
-			w.read(ctx)
-			source.list = named("a", "b", "c")
-			w.read(ctx)
-			So(ids(w.All()), ShouldResemble, []string{"a", "b", "c"})
+			w.refresh(ctx)
+			source.list = agentsNamed("a", "b", "c")
+			w.refresh(ctx)
+			So(sortedIDs(w.All()), ShouldResemble, []string{"a", "b", "c"})
 		})
-		Convey("a list that loses more than half at once is doubted for longer", func() {
-			source.list = named()
-			w.read(ctx)
+		Convey("when more than half of the list is missing at once, the missing instances are kept for 10 min", func() {
+			source.list = agentsNamed()
+			w.refresh(ctx)
 			clock.Advance(10*time.Minute - time.Second)
-			w.read(ctx)
+			w.refresh(ctx)
 			So(w.All(), ShouldHaveLength, 4)
 			clock.Advance(time.Second)
-			w.read(ctx)
+			w.refresh(ctx)
 			So(w.All(), ShouldBeEmpty)
 		})
-		Convey("an outage keeps the last list for as long as it lasts", func() {
+		Convey("the last list is kept throughout an outage of the platform", func() {
 			source.list = nil
 			clock.Advance(24 * time.Hour)
-			w.read(ctx)
+			w.refresh(ctx)
 			So(w.All(), ShouldHaveLength, 4)
 		})
 	})
