--- a/process/metrics/memory.go
+++ b/process/metrics/memory.go
@@ -9,31 +9,32 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Names of the gauges of memory.
+// Names of the memory gauges.
 const (
-	nameLive  = "process.heap.live.bytes"
-	nameStack = "process.stack.bytes"
-	nameRSS   = "process.rss.bytes"
+	nameLiveHeap = "process.heap.live.bytes"
+	nameStack    = "process.stack.bytes"
+	nameRSS      = "process.rss.bytes"
 )
 
-// statmPath holds the process's sizes in pages; the second is the resident
-// set.
+// statmPath is the file with the memory sizes of this process in pages; the
+// second field is the size of the resident set.
 const statmPath = "/proc/self/statm"
 
-// updateMemory refreshes the gauges of memory: the heap that the last garbage
-// collection found in use, the goroutines' stacks and the resident set.
+// updateMemory sets the memory gauges: the live heap as of the last garbage
+// collection, the stacks of all goroutines and the resident set.
 func updateMemory(registry gometrics.Registry) {
 	samples := []metrics.Sample{
 		{Name: "/gc/heap/live:bytes"},
 		{Name: "/memory/classes/heap/stacks:bytes"},
 	}
 	metrics.Read(samples)
-	set(registry, nameLive, int64(samples[0].Value.Uint64()))
-	set(registry, nameStack, int64(samples[1].Value.Uint64()))
-	set(registry, nameRSS, residentBytes())
+	setGauge(registry, nameLiveHeap, int64(samples[0].Value.Uint64()))
+	setGauge(registry, nameStack, int64(samples[1].Value.Uint64()))
+	setGauge(registry, nameRSS, residentBytes())
 }
 
-// residentBytes returns the size of the resident set; 0 where it is not known.
+// residentBytes returns the size of the resident set in bytes, or 0 if it cannot
+// be read.
 func residentBytes() int64 {
 	raw, err := os.ReadFile(statmPath)
 	if err != nil {
--- a/process/metrics/metrics.go
+++ b/process/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics shows the process's go-metrics registry over HTTP as JSON,
-// together with the memory and processor time that the process has used.
+// Package metrics serves a go-metrics registry over HTTP as JSON, with gauges for
+// the memory and processor time of the process, and the process's profiles.
 package metrics
 
 import (
@@ -22,31 +22,34 @@
 	nameMaxRSS     = "process.rss.max.bytes"
 )
 
-// Handler returns the registry's values as JSON.
+// Handler returns a handler that updates the process gauges in registry and
+// answers with the values of registry as JSON.
 func Handler(registry gometrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		update(registry)
+		updateGauges(registry)
 		w.Header().Set("Content-Type", "application/json")
 		gometrics.WriteJSONOnce(registry, w)
 	})
 }
 
-// update refreshes the process gauges.
-func update(registry gometrics.Registry) {
+// updateGauges sets the process gauges in registry.
+func updateGauges(registry gometrics.Registry) {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	set(registry, nameHeap, int64(mem.HeapAlloc))
-	set(registry, nameGoroutines, int64(runtime.NumGoroutine()))
+	setGauge(registry, nameHeap, int64(mem.HeapAlloc))
+	setGauge(registry, nameGoroutines, int64(runtime.NumGoroutine()))
 	updateMemory(registry)
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return
 	}
 	cpu := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
-	set(registry, nameCPU, cpu.Microseconds())
-	set(registry, nameMaxRSS, usage.Maxrss*1024)
+	setGauge(registry, nameCPU, cpu.Microseconds())
+	setGauge(registry, nameMaxRSS, usage.Maxrss*1024)
 }
 
-func set(registry gometrics.Registry, name string, value int64) {
+// setGauge sets the gauge with this name in registry, and adds the gauge if it is
+// not there yet.
+func setGauge(registry gometrics.Registry, name string, value int64) {
 	gometrics.GetOrRegisterGauge(name, registry).Update(value)
 }
--- a/process/metrics/profile.go
+++ b/process/metrics/profile.go
@@ -8,8 +8,8 @@
 // ProfilePath is the HTTP path below which the process's profiles are served.
 const ProfilePath = "/internal/debug/pprof/"
 
-// ProfileHandler serves the profiles of net/http/pprof below ProfilePath. The
-// caller checks the peer's token.
+// ProfileHandler returns a handler that serves the profiles of net/http/pprof
+// below ProfilePath. It does not check the peer token; the caller must.
 func ProfileHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(ProfilePath+"profile", pprof.Profile)
