--- a/process/pause/pause.go
+++ b/process/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause notices that this process was stopped for a while, so that
-// what it knew before can be confirmed before it is acted on.
+// Package pause detects that this process was suspended for a while, so that
+// state from before the pause can be confirmed before it is used.
 package pause
 
 import (
@@ -13,34 +13,36 @@
 )
 
 const (
-	// tick is the time between two marks.
-	tick = 100 * time.Millisecond
-	// Threshold is the gap between two marks that counts as a pause.
+	// sampleInterval is the time between two samples of the clock.
+	sampleInterval = 100 * time.Millisecond
+	// Threshold is the shortest time between two samples that counts as a
+	// pause.
 	Threshold = time.Second
 )
 
 var eventPaused = eventlog.Define(610, "process-paused", logrus.WarnLevel,
-	"This process did not run for a while; it confirms its configuration before new work.")
+	"This process did not run for a while; it confirms its configuration before it takes new work.")
 
-// Detector counts the pauses of this process.
+// Detector samples the clock and counts the pauses of this process. It is safe
+// for concurrent use.
 type Detector struct {
 	log     *eventlog.Logger
 	started time.Time
 
 	mu sync.Mutex
-	// marked is the time of the newest mark, since started.
-	marked time.Duration
-	pauses int64
+	// lastSample is the time from started to the last sample.
+	lastSample time.Duration
+	pauses     int64
 }
 
-// New returns a Detector that has been marked now.
+// New returns a Detector whose first sample is the current time.
 func New(log *eventlog.Logger) *Detector {
 	return &Detector{log: log, started: time.Now()}
 }
 
-// Run marks the time until ctx ends.
+// Run samples the clock at each sampleInterval until ctx ends. It returns nil.
 func (d *Detector) Run(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -52,24 +54,25 @@
 	}
 }
 
-// Pauses marks the time and returns how many pauses there have been, with one
-// that ended just now, before Run noticed it. The mark and the count change
-// together: a second caller must not see the new mark with the old count.
+// Pauses samples the clock and returns the number of pauses so far. The number
+// includes a pause that has just ended and that Run has not detected yet.
 func (d *Detector) Pauses() int64 {
-	gap, pauses := d.mark()
+	gap, pauses := d.sample()
 	if gap >= Threshold {
 		d.log.Event(eventPaused, eventlog.Fields{"seconds": gap.Seconds()})
 	}
 	return pauses
 }
 
-// mark returns the time since the mark before and the number of pauses.
-func (d *Detector) mark() (time.Duration, int64) {
+// sample samples the clock and returns the time since the sample before and the
+// number of pauses. Time and number change under one lock: a concurrent caller
+// must not see the new sample with the old number.
+func (d *Detector) sample() (time.Duration, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Since(d.started)
-	gap := now - d.marked
-	d.marked = now
+	gap := now - d.lastSample
+	d.lastSample = now
 	if gap >= Threshold {
 		d.pauses++
 	}
--- a/process/pause/pause_test.go
+++ b/process/pause/pause_test.go
@@ -11,7 +11,7 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// writerFunc is called with each log line.
+// writerFunc is an io.Writer that calls the function for each log line.
 type writerFunc func()
 
 func (f writerFunc) Write(p []byte) (int, error) {
@@ -20,28 +20,28 @@
 }
 
 func TestDetector(t *testing.T) {
-	Convey("Given a process that was stopped for two seconds", t, func() {
-		stopped := func(w io.Writer) *Detector {
+	Convey("Given a process that was suspended for two seconds", t, func() {
+		suspended := func(w io.Writer) *Detector {
 			d := New(eventlog.New(w, logrus.InfoLevel, "lots-1"))
 			d.started = d.started.Add(-2 * Threshold)
 			return d
 		}
 
 		Convey("the pause is counted once", func() {
-			d := stopped(io.Discard)
+			d := suspended(io.Discard)
 			So(d.Pauses(), ShouldEqual, 1)
 			So(d.Pauses(), ShouldEqual, 1)
 		})
-		Convey("who asks while another task logs the pause hears of it too", func() {
+		Convey("a caller that reads the count while another goroutine logs the pause gets the new count", func() {
 			seen := make(chan int64, 1)
 			var d *Detector
-			d = stopped(writerFunc(func() {
-				asked := make(chan struct{})
+			d = suspended(writerFunc(func() {
+				started := make(chan struct{})
 				go func() {
-					close(asked)
+					close(started)
 					seen <- d.Pauses()
 				}()
-				<-asked
+				<-started
 				select {
 				case n := <-seen:
 					seen <- n
