--- a/process/platform/http.go
+++ b/process/platform/http.go
@@ -18,9 +18,9 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// ErrRefused says that the platform refused the call as wrong, for example
-// because of its token or size: the call had no effect and repeating it is of
-// no use.
+// ErrRefused is returned when the platform rejects a call as invalid, for example
+// because of its token or size. The call had no effect, and repeating it would
+// fail again.
 var ErrRefused = errors.New("platform refused the call")
 
 // Defaults of Config.
@@ -32,7 +32,7 @@
 	maxIdlePerHost       = 32
 )
 
-// Largest answers that are read, in bytes.
+// Size limits of responses, in bytes.
 const (
 	maxRowBytes    = 64 << 10
 	maxListBytes   = 64 << 20
@@ -40,21 +40,22 @@
 	maxErrorBytes  = 4 << 10
 )
 
-// Config says how to reach the platform.
+// Config holds the settings of the HTTP adapters.
 type Config struct {
 	// Addr is the platform's "ip:port".
 	Addr string
 	// Token authenticates this process to the platform, as a bearer token.
 	Token string
-	// Timeout bounds one call of the table or the instance list. Default 2 s.
+	// Timeout bounds each call to the table or the instance list. Default 2 s.
 	Timeout time.Duration
-	// ObjectTimeout bounds one call of an object store. Default 60 s.
+	// ObjectTimeout bounds each call to an object store. Default 60 s.
 	ObjectTimeout time.Duration
-	// Metrics counts the calls; nil means metrics.DefaultRegistry.
+	// Metrics is the registry of the counters of calls and bytes; nil means
+	// metrics.DefaultRegistry.
 	Metrics metrics.Registry
 }
 
-// applyDefaults fills in what is not set.
+// applyDefaults sets the fields that are not set to their defaults.
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.Timeout, defaultTimeout)
 	core.SetDefault(&c.ObjectTimeout, defaultObjectTimeout)
@@ -63,8 +64,8 @@
 	}
 }
 
-// NewHTTP returns adapters that speak plain HTTP to the platform at
-// config.Addr. They share one pool of connections.
+// NewHTTP returns adapters that use the platform at config.Addr over plain HTTP.
+// They share one connection pool.
 func NewHTTP(config Config) *Platform {
 	config.applyDefaults()
 	c := newClient(config)
@@ -76,7 +77,8 @@
 	}
 }
 
-// client sends calls to the platform and classifies what comes back.
+// client sends requests to the platform and maps their results to the errors of
+// this package.
 type client struct {
 	addr   string
 	token  string
@@ -107,125 +109,133 @@
 	}
 }
 
-// noRedirect makes a redirect an answer of its own, which is refused.
+// noRedirect does not follow redirects: statusError maps their status to
+// ErrRefused.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// call is one HTTP exchange with the platform.
-type call struct {
+// request is a request to the platform.
+type request struct {
+	// step names the operation in errors.
 	step   string
 	method string
-	// path is not escaped yet.
-	path     string
-	query    url.Values
-	header   http.Header
-	body     []byte
+	// path is the unescaped URL path.
+	path   string
+	query  url.Values
+	header http.Header
+	body   []byte
+	// maxBytes is the largest size of the response's body.
 	maxBytes int64
 }
 
-// answer is a platform's answer that has been read to its end.
-type answer struct {
+// response is a response of the platform with its whole body.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// writes reports whether the call may change something.
-func (c call) writes() bool { return c.method != http.MethodGet }
+// isWrite reports whether the request may change data of the platform.
+func (c request) isWrite() bool { return c.method != http.MethodGet }
 
-// do sends a call and reads the whole answer. Errors wrap one of the errors
-// of this package with the step and the platform's address.
-func (c *client) do(ctx context.Context, timeout time.Duration, req call) (answer, error) {
+// do sends a request, reads the whole response and updates the metrics. It returns
+// an error of this package wrapped in a core.StepError with the step and the
+// platform's address.
+func (c *client) do(ctx context.Context, timeout time.Duration, req request) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c.count(req)
-	ans, err := c.exchange(ctx, req)
+	c.countRequest(req)
+	resp, err := c.roundTrip(ctx, req)
 	if err != nil {
 		c.failed.Inc(1)
-		return answer{}, core.Step(req.step, c.addr, err)
+		return response{}, core.Step(req.step, c.addr, err)
 	}
-	c.bytes.Inc(int64(len(req.body) + len(ans.body)))
-	return ans, core.Step(req.step, c.addr, statusError(req, ans))
+	c.bytes.Inc(int64(len(req.body) + len(resp.body)))
+	return resp, core.Step(req.step, c.addr, statusError(req, resp))
 }
 
-// count counts a call as a read or a write.
-func (c *client) count(req call) {
-	if req.writes() {
+// countRequest counts a request as a read or a write.
+func (c *client) countRequest(req request) {
+	if req.isWrite() {
 		c.writes.Inc(1)
 		return
 	}
 	c.reads.Inc(1)
 }
 
-// exchange sends the request and reads the answer.
-func (c *client) exchange(ctx context.Context, req call) (answer, error) {
+// roundTrip sends a request and reads the whole response. It returns ErrRefused,
+// ErrUnavailable or ErrUnknownOutcome if there is no whole response.
+func (c *client) roundTrip(ctx context.Context, req request) (response, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteHeaders: func() { sent.Store(true) },
 	})
-	r, err := c.request(ctx, req)
+	httpReq, err := c.newHTTPRequest(ctx, req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	resp, err := c.http.Do(r)
+	httpResp, err := c.http.Do(httpReq)
 	if err != nil {
-		return answer{}, transportError(req, sent.Load(), err)
+		return response{}, transportError(req, sent.Load(), err)
 	}
-	defer resp.Body.Close()
-	body, err := readAll(resp, req.maxBytes)
+	defer httpResp.Body.Close()
+	body, err := readBody(httpResp, req.maxBytes)
 	if err != nil {
-		return answer{}, transportError(req, true, err)
+		return response{}, transportError(req, true, err)
 	}
-	return answer{status: resp.StatusCode, header: resp.Header, body: body}, nil
+	return response{status: httpResp.StatusCode, header: httpResp.Header, body: body}, nil
 }
 
-// request builds the HTTP request of a call.
-func (c *client) request(ctx context.Context, req call) (*http.Request, error) {
+// newHTTPRequest returns req as a request of package net/http.
+func (c *client) newHTTPRequest(ctx context.Context, req request) (*http.Request, error) {
 	target := url.URL{Scheme: "http", Host: c.addr, Path: req.path, RawQuery: req.query.Encode()}
-	r, err := http.NewRequestWithContext(ctx, req.method, target.String(), bytes.NewReader(req.body))
+	httpReq, err := http.NewRequestWithContext(ctx, req.method, target.String(), bytes.NewReader(req.body))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrRefused, err)
 	}
 	for name, values := range req.header {
-		r.Header[name] = values
+		httpReq.Header[name] = values
 	}
 	if c.token != "" {
-		r.Header.Set("Authorization", "Bearer "+c.token)
+		httpReq.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	return r, nil
+	return httpReq, nil
 }
 
-// readAll reads an answer's body of at most limit bytes.
-func readAll(resp *http.Response, limit int64) ([]byte, error) {
-	if resp.StatusCode >= http.StatusBadRequest {
+// readBody reads the body of a response. It returns an error if the body is longer
+// than limit bytes, or than maxErrorBytes in an error response.
+func readBody(httpResp *http.Response, limit int64) ([]byte, error) {
+	if httpResp.StatusCode >= http.StatusBadRequest {
 		limit = maxErrorBytes
 	}
-	if resp.ContentLength > limit {
-		return nil, errors.Errorf("answer of %d bytes, more than %d", resp.ContentLength, limit)
+	if httpResp.ContentLength > limit {
+		return nil, errors.Errorf("response body has %d bytes, limit is %d", httpResp.ContentLength, limit)
 	}
-	if resp.ContentLength >= 0 {
-		body := make([]byte, resp.ContentLength)
-		_, err := io.ReadFull(resp.Body, body)
+	if httpResp.ContentLength >= 0 {
+		body := make([]byte, httpResp.ContentLength)
+		_, err := io.ReadFull(httpResp.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
+	body, err := io.ReadAll(io.LimitReader(httpResp.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
-		err = errors.Errorf("answer of more than %d bytes", limit)
+		err = errors.Errorf("response body is longer than the limit of %d bytes", limit)
 	}
 	return body, err
 }
 
-// transportError classifies a failure without a whole answer. A read has no
-// effect, and neither has a write whose headers were never sent.
-func transportError(req call, sent bool, err error) error {
-	if req.writes() && sent {
+// transportError returns the error for a request without a whole response:
+// ErrUnknownOutcome for a write whose headers were sent, and otherwise
+// ErrUnavailable, since neither a read nor a write without headers has an effect.
+func transportError(req request, sent bool, err error) error {
+	if req.isWrite() && sent {
 		return fmt.Errorf("%w: %v", ErrUnknownOutcome, err)
 	}
 	return fmt.Errorf("%w: %v", ErrUnavailable, err)
 }
 
-// statusError maps an answer's status to an error; nil for a success.
-func statusError(req call, ans answer) error {
-	switch s := ans.status; {
+// statusError maps the status of the response to req to an error, or to nil if the
+// request succeeded.
+func statusError(req request, resp response) error {
+	switch s := resp.status; {
 	case s >= 200 && s < 300:
 		return nil
 	case s == http.StatusNotModified:
@@ -233,24 +243,24 @@
 	case s == http.StatusNotFound:
 		return ErrNotFound
 	case s == http.StatusConflict, s == http.StatusPreconditionFailed:
-		return fmt.Errorf("%w: %s", ErrConflict, detail(ans))
+		return fmt.Errorf("%w: %s", ErrConflict, errorText(resp))
 	case s == http.StatusServiceUnavailable, s == http.StatusTooManyRequests:
 		return fmt.Errorf("%w: status %d", ErrUnavailable, s)
-	case s >= 500 && req.writes():
+	case s >= 500 && req.isWrite():
 		return fmt.Errorf("%w: status %d", ErrUnknownOutcome, s)
 	case s >= 500:
 		return fmt.Errorf("%w: status %d", ErrUnavailable, s)
 	default:
-		return fmt.Errorf("%w: status %d: %s", ErrRefused, s, detail(ans))
+		return fmt.Errorf("%w: status %d: %s", ErrRefused, s, errorText(resp))
 	}
 }
 
-// detail returns the start of an error answer's body.
-func detail(ans answer) string {
-	const most = 200
-	body := bytes.TrimSpace(ans.body)
-	if len(body) > most {
-		body = body[:most]
+// errorText returns the start of the body of an error response.
+func errorText(resp response) string {
+	const maxBytes = 200
+	body := bytes.TrimSpace(resp.body)
+	if len(body) > maxBytes {
+		body = body[:maxBytes]
 	}
 	return string(body)
 }
--- a/process/platform/httpinstances.go
+++ b/process/platform/httpinstances.go
@@ -13,17 +13,18 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// gzipEncoding names the compression that the list may come in: every process
-// reads it again at each change, and most of it repeats.
+// gzipEncoding is the content encoding that List accepts. Compression pays off
+// because every process reads the whole list at each change and its content is
+// repetitive.
 const gzipEncoding = "gzip"
 
 // InstanceList is the body of the platform's instance list.
 type InstanceList struct {
-	// Instances are sorted by id.
+	// Instances holds the instances sorted by id.
 	Instances []core.Instance `json:"instances"`
 }
 
-// httpInstances is the platform's instance list over HTTP.
+// httpInstances implements Instances over HTTP.
 type httpInstances struct {
 	client  *client
 	timeout time.Duration
@@ -31,7 +32,7 @@
 
 // List implements Instances. The tag is the list's ETag.
 func (i *httpInstances) List(ctx context.Context, tag string) ([]core.Instance, string, error) {
-	req := call{
+	req := request{
 		step:     "list instances",
 		method:   http.MethodGet,
 		path:     "/instances",
@@ -41,22 +42,22 @@
 	if tag != "" {
 		req.header.Set("If-None-Match", tag)
 	}
-	ans, err := i.client.do(ctx, i.timeout, req)
+	resp, err := i.client.do(ctx, i.timeout, req)
 	if err != nil {
 		return nil, tag, err
 	}
-	list, err := decodeList(ans)
+	list, err := decodeList(resp)
 	if err != nil {
 		return nil, tag, core.Step(req.step, i.client.addr, fmt.Errorf("%w: %v", ErrUnavailable, err))
 	}
-	return list.Instances, ans.header.Get("ETag"), nil
+	return list.Instances, resp.header.Get("ETag"), nil
 }
 
-// decodeList decodes a list, which the platform may have compressed.
-func decodeList(ans answer) (InstanceList, error) {
+// decodeList decodes the instance list in a response, which may be compressed.
+func decodeList(resp response) (InstanceList, error) {
 	var list InstanceList
-	var body io.Reader = bytes.NewReader(ans.body)
-	if ans.header.Get("Content-Encoding") == gzipEncoding {
+	var body io.Reader = bytes.NewReader(resp.body)
+	if resp.header.Get("Content-Encoding") == gzipEncoding {
 		unzipped, err := gzip.NewReader(body)
 		if err != nil {
 			return list, err
--- a/process/platform/httpobjects.go
+++ b/process/platform/httpobjects.go
@@ -11,9 +11,10 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// httpObjects is one of the platform's object stores over HTTP.
+// httpObjects implements Objects over HTTP.
 type httpObjects struct {
-	client  *client
+	client *client
+	// prefix is the URL path of the store, before the names of objects.
 	prefix  string
 	timeout time.Duration
 }
@@ -23,7 +24,7 @@
 	if length == 0 {
 		return nil, nil
 	}
-	req := call{
+	req := request{
 		step:     "read object " + name,
 		method:   http.MethodGet,
 		path:     o.prefix + name,
@@ -31,22 +32,22 @@
 		maxBytes: maxObjectBytes,
 	}
 	if offset > 0 || length > 0 {
-		req.header.Set("Range", byteRange(offset, length))
+		req.header.Set("Range", rangeHeader(offset, length))
 	}
-	ans, err := o.client.do(ctx, o.timeout, req)
+	resp, err := o.client.do(ctx, o.timeout, req)
 	if err != nil {
 		return nil, err
 	}
-	if ans.status == http.StatusPartialContent {
-		return ans.body, nil
+	if resp.status == http.StatusPartialContent {
+		return resp.body, nil
 	}
-	body, err := cut(ans.body, offset, length)
+	body, err := sliceRange(resp.body, offset, length)
 	return body, core.Step(req.step, o.client.addr, err)
 }
 
 // Put implements Objects.
 func (o *httpObjects) Put(ctx context.Context, name string, body []byte) error {
-	_, err := o.client.do(ctx, o.timeout, call{
+	_, err := o.client.do(ctx, o.timeout, request{
 		step:     "write object " + name,
 		method:   http.MethodPut,
 		path:     o.prefix + name,
@@ -57,19 +58,21 @@
 	return err
 }
 
-// byteRange returns the Range header for length bytes from offset; length -1
-// means to the end.
-func byteRange(offset, length int64) string {
+// rangeHeader returns the value of the Range header for length bytes from offset;
+// a negative length means to the end.
+func rangeHeader(offset, length int64) string {
 	if length < 0 {
 		return fmt.Sprintf("bytes=%d-", offset)
 	}
 	return fmt.Sprintf("bytes=%d-%d", offset, offset+length-1)
 }
 
-// cut takes the asked range out of a body that came whole.
-func cut(body []byte, offset, length int64) ([]byte, error) {
+// sliceRange returns length bytes of body from offset; a negative length means to
+// the end. It serves range requests that the platform answers with the whole
+// object.
+func sliceRange(body []byte, offset, length int64) ([]byte, error) {
 	if offset > int64(len(body)) {
-		return nil, fmt.Errorf("%w: offset %d beyond %d bytes", ErrRefused, offset, len(body))
+		return nil, fmt.Errorf("%w: offset %d is beyond the object's %d bytes", ErrRefused, offset, len(body))
 	}
 	body = body[offset:]
 	if length >= 0 && length < int64(len(body)) {
@@ -78,10 +81,11 @@
 	return body, nil
 }
 
-// Delete removes an object; one that does not exist is no error. It is not
-// part of Objects: only the configuration's history removes what it wrote.
+// Delete deletes an object. It returns nil if the object does not exist. Objects
+// does not include Delete, because only the history of the configuration deletes
+// objects that it wrote.
 func (o *httpObjects) Delete(ctx context.Context, name string) error {
-	_, err := o.client.do(ctx, o.timeout, call{
+	_, err := o.client.do(ctx, o.timeout, request{
 		step:     "delete object " + name,
 		method:   http.MethodDelete,
 		path:     o.prefix + name,
--- a/process/platform/httptable.go
+++ b/process/platform/httptable.go
@@ -13,25 +13,25 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Paths of the table over HTTP.
+// URL paths of the table.
 const (
 	rowsPath   = "/table/rows"
 	commitPath = "/table/commit"
 )
 
-// RowList is the body of an answer to a listing of rows.
+// RowList is the body of the response to a list request.
 type RowList struct {
-	// Rows are in key order.
+	// Rows holds the rows sorted by key.
 	Rows []Row `json:"rows"`
 }
 
-// CommitRequest is the body of a commit.
+// CommitRequest is the body of a commit request.
 type CommitRequest struct {
-	// Writes are applied together or not at all.
+	// Writes holds the writes; all of them are applied or none.
 	Writes []Write `json:"writes"`
 }
 
-// httpTable is the platform's table over HTTP. A row's revision is its ETag.
+// httpTable implements Table over HTTP. The ETag of a row is its revision.
 type httpTable struct {
 	client  *client
 	timeout time.Duration
@@ -39,7 +39,7 @@
 
 // Get implements Table.
 func (t *httpTable) Get(ctx context.Context, key string, known uint64) (Row, error) {
-	req := call{
+	req := request{
 		step:     "read row " + key,
 		method:   http.MethodGet,
 		path:     rowsPath + "/" + key,
@@ -49,32 +49,32 @@
 	if known != 0 {
 		req.header.Set("If-None-Match", ETag(known))
 	}
-	ans, err := t.client.do(ctx, t.timeout, req)
+	resp, err := t.client.do(ctx, t.timeout, req)
 	if err != nil {
 		return Row{}, err
 	}
-	revision, err := ParseETag(ans.header.Get("ETag"))
+	revision, err := ParseETag(resp.header.Get("ETag"))
 	if err != nil {
 		return Row{}, core.Step(req.step, t.client.addr, fmt.Errorf("%w: %v", ErrUnavailable, err))
 	}
-	return Row{Key: key, Value: ans.body, Revision: revision}, nil
+	return Row{Key: key, Value: resp.body, Revision: revision}, nil
 }
 
 // List implements Table.
 func (t *httpTable) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
-	req := call{
+	req := request{
 		step:     "list rows " + prefix,
 		method:   http.MethodGet,
 		path:     rowsPath,
 		query:    url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}},
 		maxBytes: maxListBytes,
 	}
-	ans, err := t.client.do(ctx, t.timeout, req)
+	resp, err := t.client.do(ctx, t.timeout, req)
 	if err != nil {
 		return nil, err
 	}
 	var list RowList
-	if err := json.Unmarshal(ans.body, &list); err != nil {
+	if err := json.Unmarshal(resp.body, &list); err != nil {
 		return nil, core.Step(req.step, t.client.addr, fmt.Errorf("%w: %v", ErrUnavailable, err))
 	}
 	return list.Rows, nil
@@ -86,7 +86,7 @@
 	if err != nil {
 		return core.Step("commit", t.client.addr, fmt.Errorf("%w: %v", ErrRefused, err))
 	}
-	_, err = t.client.do(ctx, t.timeout, call{
+	_, err = t.client.do(ctx, t.timeout, request{
 		step:     "commit",
 		method:   http.MethodPost,
 		path:     commitPath,
@@ -97,10 +97,10 @@
 	return err
 }
 
-// ETag returns the entity tag of a row's revision.
+// ETag returns the entity tag of a row with this revision.
 func ETag(revision uint64) string { return strconv.Quote(strconv.FormatUint(revision, 10)) }
 
-// ParseETag returns the revision in an entity tag.
+// ParseETag returns the revision of the row with this entity tag.
 func ParseETag(tag string) (uint64, error) {
 	return strconv.ParseUint(strings.Trim(tag, `"`), 10, 64)
 }
--- a/process/platform/platform.go
+++ b/process/platform/platform.go
@@ -1,6 +1,7 @@
-// Package platform declares what the system needs of the platform that runs
-// it: a transactional table, an object store, a rate-limited weight store and
-// a lagging list of instances. HTTP adapters for each are in http.go.
+// Package platform declares the interfaces to the platform that runs the system: a
+// transactional table, an object store, a rate-limited store of model weights, and
+// a list of instances that lags behind their real state. NewHTTP returns the HTTP
+// adapters that implement them.
 package platform
 
 import (
@@ -11,83 +12,88 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Errors that every adapter returns, wrapped with step and peer.
+// Errors of the adapters. They are returned wrapped in a core.StepError.
 var (
-	// ErrNotFound says that a row or object does not exist.
+	// ErrNotFound is returned when a row or object does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrConflict says that a condition of a commit did not hold; nothing
-	// was written.
+	// ErrConflict is returned when a condition of a commit does not hold.
+	// Nothing was written.
 	ErrConflict = errors.New("conflict")
-	// ErrUnavailable says that the platform refused or could not be reached
-	// before it did anything: the call had no effect.
+	// ErrUnavailable is returned when the platform is unreachable or cannot
+	// serve the call. The call had no effect.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrUnknownOutcome says that the answer was lost: a write may or may
-	// not have taken effect.
+	// ErrUnknownOutcome is returned when a write may or may not have taken
+	// effect, because its response was lost or reported an internal error.
 	ErrUnknownOutcome = errors.New("outcome unknown")
-	// ErrNotModified says that a conditional read found nothing newer.
+	// ErrNotModified is returned when a conditional read finds that the data
+	// has not changed.
 	ErrNotModified = errors.New("not modified")
 )
 
-// Row is one row of the table.
+// Row is a row of the table.
 type Row struct {
-	// Key is the row's name, for example "config/head".
+	// Key identifies the row, for example "config/head".
 	Key string `json:"key"`
 	// Value is the row's content, at most 64 KiB.
 	Value []byte `json:"value"`
-	// Revision counts the writes to this row, from 1; 0 means absent.
+	// Revision is the number of writes to this row so far; 0 means that the
+	// row does not exist.
 	Revision uint64 `json:"revision"`
 }
 
-// Write is one conditional write of a commit.
+// Write is a conditional or unconditional write of a commit.
 type Write struct {
-	// Key names the row.
+	// Key identifies the row.
 	Key string `json:"key"`
-	// Value is the new content; nil with Delete set.
+	// Value is the new content; nil if Delete is true.
 	Value []byte `json:"value,omitempty"`
 	// Delete removes the row.
 	Delete bool `json:"delete,omitempty"`
-	// If, when set, is the revision the row must have now; 0 demands that
-	// the row is absent. When nil the write is unconditional.
+	// If is the revision that the row must have for the commit to succeed; 0
+	// means that the row must not exist. Nil makes the write unconditional.
 	If *uint64 `json:"if,omitempty"`
 }
 
-// IfRevision returns a condition for Write.If.
+// IfRevision returns the value of Write.If that requires revision n.
 func IfRevision(n uint64) *uint64 { return &n }
 
 // Table is the platform's transactional table.
 type Table interface {
-	// Get reads a row. known is the revision the caller holds: when the row
-	// still has it, Get returns ErrNotModified. Pass 0 to read always.
+	// Get reads a row. known is the revision that the caller already has:
+	// Get returns ErrNotModified if the row still has it. With known 0, Get
+	// always reads the row.
 	Get(ctx context.Context, key string, known uint64) (Row, error)
 	// List reads up to limit rows whose keys start with prefix and sort
 	// after the key after, in key order.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies all writes at once or none of them. It returns
-	// ErrConflict when a condition fails, ErrUnavailable when nothing was
-	// done, and ErrUnknownOutcome when the answer was lost.
+	// Commit applies all writes atomically or none of them. It returns
+	// ErrConflict if a condition does not hold, ErrUnavailable if nothing was
+	// written, and ErrUnknownOutcome if the writes may have been applied.
 	Commit(ctx context.Context, writes []Write) error
 }
 
-// Objects is an object store: the platform's general one, or the weight
-// store. Objects are immutable once put.
+// Objects is an object store: the platform's general one or the store of model
+// weights. Stored objects are immutable.
 type Objects interface {
 	// Get reads length bytes from offset; length -1 reads to the end.
 	Get(ctx context.Context, name string, offset, length int64) ([]byte, error)
-	// Put stores an object. Putting the same body again is harmless.
+	// Put stores an object. Storing the same body again has no effect.
 	Put(ctx context.Context, name string, body []byte) error
 }
 
-// Instances is the platform's list of live and leaving instances. It lags.
+// Instances is the platform's list of live and leaving instances, which lags
+// behind their real state.
 type Instances interface {
-	// List returns the instances and a tag. When tag equals the one the
-	// caller passes, List returns ErrNotModified.
+	// List returns the instances and the tag of the list. It returns
+	// ErrNotModified if tag is the tag of the current list.
 	List(ctx context.Context, tag string) ([]core.Instance, string, error)
 }
 
-// Platform bundles the adapters that a process uses.
+// Platform holds the adapters to the services of the platform.
 type Platform struct {
-	Table     Table
-	Objects   Objects
+	Table   Table
+	Objects Objects
+	// Weights is the store of model weights.
 	Weights   Objects
 	Instances Instances
 }
