--- a/process/settings/values.go
+++ b/process/settings/values.go
@@ -1,6 +1,6 @@
-// Package settings holds the types of values that come from flags and
-// environment variables. Parsing never fails at once: each value keeps its
-// problem, so that a command can report every wrong setting together.
+// Package settings holds value types and checks for flags and environment
+// variables. A value type stores a parse error instead of returning it, so that a
+// command can report all invalid settings together.
 package settings
 
 import (
@@ -15,17 +15,17 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Problem is one wrong setting.
+// Problem is the error of an invalid or missing setting.
 type Problem struct {
-	// Name is the flag's name with its dashes.
+	// Name is the name of the flag with its leading dashes, or of the setting.
 	Name string
-	// Value is what was given.
+	// Value is the given value; empty if the setting is missing.
 	Value string
-	// Allowed says what is allowed.
+	// Allowed describes the allowed values.
 	Allowed string
 }
 
-// Error implements error.
+// Error returns the name, the value and the allowed values as text.
 func (p Problem) Error() string {
 	if p.Value == "" {
 		return fmt.Sprintf("%s is missing: want %s", p.Name, p.Allowed)
@@ -33,17 +33,18 @@
 	return fmt.Sprintf("%s=%q: want %s", p.Name, p.Value, p.Allowed)
 }
 
-// Problems collects the problems of a set of settings.
+// Problems collects the errors of a set of settings.
 type Problems []error
 
-// Add adds err unless it is nil.
+// Add appends err unless it is nil.
 func (p *Problems) Add(err error) {
 	if err != nil {
 		*p = append(*p, err)
 	}
 }
 
-// Err returns all problems as one error, one a line, or nil.
+// Err returns one error with a line for each collected error, or nil if there is
+// none.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
@@ -55,24 +56,26 @@
 	return errors.New("wrong settings:\n  " + strings.Join(lines, "\n  "))
 }
 
-// Int is a whole number.
+// Int is an integer setting.
 type Int struct {
 	raw   string
 	value int
 	err   error
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler; it never fails.
+// UnmarshalText implements encoding.TextUnmarshaler. It always returns nil; Check
+// reports a parse error.
 func (v *Int) UnmarshalText(text []byte) error {
 	v.raw = string(text)
 	v.value, v.err = strconv.Atoi(v.raw)
 	return nil
 }
 
-// Value returns the number.
+// Value returns the parsed number.
 func (v Int) Value() int { return v.value }
 
-// Check returns a Problem unless the number lies within the bounds.
+// Check returns a Problem for the setting name unless the number was parsed and
+// lies between low and high, both included.
 func (v Int) Check(name string, low, high int) error {
 	if v.err != nil || v.value < low || v.value > high {
 		return Problem{Name: name, Value: v.raw, Allowed: fmt.Sprintf("a whole number from %d to %d", low, high)}
@@ -80,24 +83,26 @@
 	return nil
 }
 
-// Duration is a length of time such as 500ms or 5s.
+// Duration is a duration setting such as 500ms or 5s.
 type Duration struct {
 	raw   string
 	value time.Duration
 	err   error
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler; it never fails.
+// UnmarshalText implements encoding.TextUnmarshaler. It always returns nil; Check
+// reports a parse error.
 func (v *Duration) UnmarshalText(text []byte) error {
 	v.raw = string(text)
 	v.value, v.err = time.ParseDuration(v.raw)
 	return nil
 }
 
-// Value returns the duration.
+// Value returns the parsed duration.
 func (v Duration) Value() time.Duration { return v.value }
 
-// Check returns a Problem unless the duration lies within the bounds.
+// Check returns a Problem for the setting name unless the duration was parsed and
+// lies between low and high, both included.
 func (v Duration) Check(name string, low, high time.Duration) error {
 	if v.err != nil || v.value < low || v.value > high {
 		return Problem{Name: name, Value: v.raw, Allowed: fmt.Sprintf("a duration from %s to %s", low, high)}
@@ -105,9 +110,10 @@
 	return nil
 }
 
-// CheckAddr returns a Problem unless addr is "ip:port" with an IP number.
+// CheckAddr returns a Problem for the setting name unless addr is "ip:port" with
+// an IP address and a port that is not 0.
 func CheckAddr(name, addr string) error {
-	allowed := "an IP number and a port, such as 127.0.0.1:7000"
+	allowed := "an IP address and a port, such as 127.0.0.1:7000"
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || net.ParseIP(host) == nil {
 		return Problem{Name: name, Value: addr, Allowed: allowed}
@@ -118,8 +124,8 @@
 	return nil
 }
 
-// CheckName returns a Problem unless value is a name of letters, digits,
-// dots, dashes and underscores, at most 63 long.
+// CheckName returns a Problem for the setting name unless value consists of 1 to
+// 63 letters, digits, dots, dashes and underscores.
 func CheckName(name, value string) error {
 	const allowed = "a name of 1 to 63 letters, digits, '.', '-' or '_'"
 	valid := len(value) > 0 && len(value) <= 63
@@ -134,11 +140,11 @@
 	return nil
 }
 
-// minTokenBytes is the least length of a secret token.
+// minTokenBytes is the minimum length of a secret token, in bytes.
 const minTokenBytes = 8
 
-// CheckToken returns a Problem, which does not show the secret, unless value
-// is at least 8 bytes long.
+// CheckToken returns a Problem for the setting name unless value is at least 8
+// bytes long. The Problem does not contain the secret.
 func CheckToken(name, value string) error {
 	if len(value) >= minTokenBytes {
 		return nil
@@ -150,21 +156,22 @@
 	return Problem{Name: name, Value: shown, Allowed: "a secret of at least 8 characters"}
 }
 
-// ParseSeed parses "ID@IP:PORT/DATACENTRE/REGION", an entry instance that is
-// known before any list of instances could be read.
+// ParseSeed returns the entry instance that text describes in the form
+// "ID@IP:PORT/DATACENTRE/REGION", or a Problem for the setting name. Seeds are
+// used until the list of instances has been read.
 func ParseSeed(name, text string) (core.Instance, error) {
-	bad := Problem{Name: name, Value: text, Allowed: "ID@IP:PORT/DATACENTRE/REGION"}
+	invalid := Problem{Name: name, Value: text, Allowed: "ID@IP:PORT/DATACENTRE/REGION"}
 	id, rest, ok := strings.Cut(text, "@")
 	if !ok {
-		return core.Instance{}, bad
+		return core.Instance{}, invalid
 	}
 	parts := strings.Split(rest, "/")
 	if len(parts) != 3 {
-		return core.Instance{}, bad
+		return core.Instance{}, invalid
 	}
 	in := core.Instance{ID: id, Role: core.RoleEntry, Addr: parts[0], DataCentre: parts[1], Region: parts[2]}
 	if CheckAddr(name, in.Addr) != nil || CheckName(name, id) != nil || in.DataCentre == "" || in.Region == "" {
-		return core.Instance{}, bad
+		return core.Instance{}, invalid
 	}
 	return in, nil
 }
--- a/process/settings/values_test.go
+++ b/process/settings/values_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestProblemsAreReportedTogether(t *testing.T) {
-	Convey("Given wrong values of several kinds", t, func() {
+	Convey("Given invalid values of several types", t, func() {
 		var number Int
 		So(number.UnmarshalText([]byte("many")), ShouldBeNil)
 		var wait Duration
@@ -22,7 +22,7 @@
 		_, err := ParseSeed("--entries", "e1@127.0.0.1:7000/palermo")
 		problems.Add(err)
 
-		Convey("each is named with its value and what is allowed", func() {
+		Convey("the error lists each setting with its value and the allowed values", func() {
 			text := problems.Err().Error()
 			So(text, ShouldContainSubstring, `--limit="many": want a whole number from 1 to 10`)
 			So(text, ShouldContainSubstring, `--wait="1h": want a duration from 0s to 1m0s`)
@@ -32,7 +32,7 @@
 			So(text, ShouldContainSubstring, `--entries="e1@127.0.0.1:7000/palermo"`)
 		})
 	})
-	Convey("Right values give no problem", t, func() {
+	Convey("Valid values give no error", t, func() {
 		in, err := ParseSeed("--entries", "e1@127.0.0.1:7000/palermo/west")
 		So(err, ShouldBeNil)
 		So(in.Addr, ShouldEqual, "127.0.0.1:7000")
