--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -38,42 +38,44 @@
 	EngineAddr string
 	// Service names the plain service; empty for an engine.
 	Service string
-	// HealthPath is the service's health check.
+	// HealthPath is the URL path of the service's health check.
 	HealthPath string
-	// LeaveNotice is how long entry instances are given to hear that this
-	// agent leaves.
+	// LeaveNotice is the time between the announcement that this agent leaves
+	// and the start of the drain, in which the entry instances receive the
+	// announcement.
 	LeaveNotice time.Duration
-	// StoreBytes bounds the weights kept in memory, in bytes.
+	// StoreBytes is the largest size of the weights kept in memory, in bytes.
 	StoreBytes int64
-	// Spread is the settings of spreading; Self, Token and Peers are filled
-	// in.
+	// Spread holds the settings of the distribution of weights among agents.
+	// RunAgent sets Self, Token and Peers.
 	Spread spread.Config
-	// Homes is the settings of registration; Self, Incarnation, Service,
-	// PeerToken and Heartbeat are filled in.
+	// Homes holds the settings of the registration with entry instances.
+	// RunAgent sets Self, Incarnation, Service, PeerToken and Heartbeat.
 	Homes homes.Config
 }
 
-// agent is the assembled agent.
+// agent holds the parts of an agent.
 type agent struct {
-	cfg         AgentConfig
-	log         *eventlog.Logger
-	incarnation string
-	holder      *confstore.Holder
-	watcher     *instances.Watcher
-	engine      *engine.HTTP
-	monitor     *engine.Monitor
-	gate        *admission.Gate
-	handler     *serve.Handler
-	work        *work.Server
-	homes       *homes.Homes
-	detector    *pause.Detector
-	fresh       *freshness.Gate
-	// swarm and orders are nil beside a plain service.
+	cfg AgentConfig
+	log *eventlog.Logger
+	// incarnation is an id of this run of the process.
+	incarnation   string
+	holder        *confstore.Holder
+	watcher       *instances.Watcher
+	engine        *engine.HTTP
+	monitor       *engine.Monitor
+	limiter       *admission.Gate
+	handler       *serve.Handler
+	work          *work.Server
+	homes         *homes.Homes
+	pauseDetector *pause.Detector
+	freshnessGate *freshness.Gate
+	// swarm and orders are nil if the backend server is a plain service.
 	swarm  *spread.Swarm
 	orders *orders.Controller
 }
 
-// RunAgent runs an agent until a signal ends it.
+// RunAgent runs an agent until SIGTERM or SIGINT.
 func RunAgent(cfg AgentConfig, log *eventlog.Logger) error {
 	a := newAgent(cfg, log)
 	server, err := httpserver.Listen(cfg.Listen, a.routes())
@@ -85,9 +87,9 @@
 	addRunner(&g, a.watcher.Run)
 	addRunner(&g, a.monitor.Run)
 	addRunner(&g, a.homes.Run)
-	addRunner(&g, a.detector.Run)
-	addRunner(&g, a.configure)
-	addRunner(&g, a.followEngine)
+	addRunner(&g, a.pauseDetector.Run)
+	addRunner(&g, a.followDeclaredLimits)
+	addRunner(&g, a.watchEngineRestarts)
 	if a.orders != nil {
 		addRunner(&g, a.orders.Run)
 		defer a.swarm.Close()
@@ -99,52 +101,55 @@
 	return g.Run()
 }
 
-// newAgent assembles the parts.
+// newAgent creates the parts of an agent and connects them.
 func newAgent(cfg AgentConfig, log *eventlog.Logger) *agent {
 	clock := clockwork.NewRealClock()
-	plat := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
+	adapters := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
 	a := &agent{cfg: cfg, log: log, incarnation: uuid.NewString(), holder: confstore.NewHolder()}
 	a.holder.LogTo(log)
-	a.detector = pause.New(log)
-	a.watcher = a.newWatcher(plat)
-	a.engine = newEngine(cfg)
+	a.pauseDetector = pause.New(log)
+	a.watcher = a.newWatcher(adapters)
+	a.engine = newEngineClient(cfg)
 	a.monitor = engine.NewMonitor(a.engine, 0, log, clock)
-	a.gate = admission.New(admission.Config{Log: log}, clock)
+	a.limiter = admission.New(admission.Config{Log: log}, clock)
 
 	hub := confsync.NewHub(confsync.HolderSource{Holder: a.holder}, log)
-	a.fresh = freshness.New(a.detector, a.holder.Age, hub.Ask)
-	hub.VouchWhen(a.fresh.Vouch)
+	a.freshnessGate = freshness.New(a.pauseDetector, a.holder.Age, hub.Ask)
+	hub.VouchWhen(a.freshnessGate.Vouch)
 	a.handler = serve.New(serve.Config{
 		Self:        cfg.Self,
 		Incarnation: a.incarnation,
 		Service:     cfg.Service,
-		Confirmed:   a.confirmed,
-		Distrust:    a.distrust,
-	}, a.holder, a.gate, a.engine, a.status, log, clock)
+		Confirmed:   a.lastConfirmed,
+		Distrust:    a.onWrongVersion,
+	}, a.holder, a.limiter, a.engine, a.engineStatus, log, clock)
 	a.work = work.NewServer(a.handler, log)
 	a.homes = a.newHomes(hub)
 	if cfg.Service == "" {
-		a.swarm = a.newSwarm(plat, clock)
-		a.orders = a.newOrders(plat, clock)
+		a.swarm = a.newSwarm(adapters, clock)
+		a.orders = a.newOrders(adapters, clock)
 	}
 	return a
 }
 
-func (a *agent) newWatcher(plat *platform.Platform) *instances.Watcher {
+// newWatcher returns the watcher of the platform's list of instances.
+func (a *agent) newWatcher(adapters *platform.Platform) *instances.Watcher {
 	entries := func() []core.Instance { return a.watcher.Role(core.RoleEntry) }
 	return instances.NewWatcher(
 		instances.Config{Interval: a.cfg.ListInterval, Seeds: a.cfg.Seeds},
-		plat.Instances, members.Ask(entries, a.cfg.Self, a.cfg.PeerToken), a.log)
+		adapters.Instances, members.Ask(entries, a.cfg.Self, a.cfg.PeerToken), a.log)
 }
 
-// newEngine returns the client of what stands beside the agent.
-func newEngine(cfg AgentConfig) *engine.HTTP {
+// newEngineClient returns the client of the backend server beside the agent, which
+// is an engine or a plain service.
+func newEngineClient(cfg AgentConfig) *engine.HTTP {
 	if cfg.Service == "" {
 		return engine.NewHTTP(cfg.EngineAddr, cfg.PeerToken)
 	}
 	return engine.NewServiceHTTP(cfg.EngineAddr, cfg.HealthPath)
 }
 
+// newHomes returns the part that registers the agent with entry instances.
 func (a *agent) newHomes(hub *confsync.Hub) *homes.Homes {
 	cfg := a.cfg.Homes
 	cfg.Self = a.cfg.Self
@@ -155,15 +160,18 @@
 	return homes.New(cfg, a.watcher, hub, a.report, a.log)
 }
 
-func (a *agent) newSwarm(plat *platform.Platform, clock clockwork.Clock) *spread.Swarm {
+// newSwarm returns the part that distributes weights among agents.
+func (a *agent) newSwarm(adapters *platform.Platform, clock clockwork.Clock) *spread.Swarm {
 	cfg := a.cfg.Spread
 	cfg.Self = a.cfg.Self
 	cfg.Token = a.cfg.PeerToken
 	cfg.Peers = func(d core.Digest) []spread.Peer { return a.orders.Needers(d) }
-	return spread.NewFetcher(cfg, spread.NewStore(a.cfg.StoreBytes), plat.Weights, a.log, clock)
+	return spread.NewFetcher(cfg, spread.NewStore(a.cfg.StoreBytes), adapters.Weights, a.log, clock)
 }
 
-func (a *agent) newOrders(plat *platform.Platform, clock clockwork.Clock) *orders.Controller {
+// newOrders returns the controller that orders the engine to load and unload
+// versions.
+func (a *agent) newOrders(adapters *platform.Platform, clock clockwork.Clock) *orders.Controller {
 	return orders.New(orders.Config{
 		Self:        a.cfg.Self,
 		Incarnation: a.incarnation,
@@ -176,40 +184,42 @@
 		Engine:      a.engine,
 		Reports:     a.monitor,
 		Drainer:     versionDrainer{handler: a.handler},
-		RegionShare: a.shareRegion,
-		Table:       plat.Table,
+		RegionShare: a.setRegionRate,
+		Table:       adapters.Table,
 		Log:         a.log,
 		Clock:       clock,
 	})
 }
 
-// shareRegion follows the declared budget of the link between regions, unless
-// the settings give this agent one of its own.
-func (a *agent) shareRegion(bytesPerSecond int64) {
+// setRegionRate sets this agent's rate limit on the link between regions, which
+// follows from the declared budget. A limit in the settings takes precedence.
+func (a *agent) setRegionRate(bytesPerSecond int64) {
 	if a.cfg.Spread.RegionBytesPerSecond == 0 {
 		a.swarm.SetRegionRate(bytesPerSecond)
 	}
 }
 
-// distrust has a version ordered again that the engine did not answer from.
-func (a *agent) distrust(version core.Digest) {
+// onWrongVersion makes the controller order a version again that the engine
+// reports as loaded although it answered a call from another version.
+func (a *agent) onWrongVersion(version core.Digest) {
 	if a.orders != nil {
 		a.orders.Distrust(version)
 	}
 }
 
-// versionDrainer drains one version at the agent's handler.
+// versionDrainer implements orders.Drainer with the agent's handler.
 type versionDrainer struct{ handler *serve.Handler }
 
-// Drain implements orders.Drainer.
+// Drain refuses new calls of a version and waits until its running calls have
+// ended.
 func (d versionDrainer) Drain(ctx context.Context, digest core.Digest) error {
 	return d.handler.DrainVersion(ctx, digest)
 }
 
-// Resume implements orders.Drainer.
+// Resume ends the refusal of new calls of a version.
 func (d versionDrainer) Resume(digest core.Digest) { d.handler.ResumeVersion(digest) }
 
-// routes returns everything that the agent serves.
+// routes returns the HTTP handler of all paths that the agent serves.
 func (a *agent) routes() http.Handler {
 	peers := http.NewServeMux()
 	peers.Handle(work.Path, a.work)
@@ -224,16 +234,17 @@
 	mux.Handle("/internal/", httpserver.RequirePeer(a.cfg.PeerToken, peers))
 	mux.Handle(metrics.Path, httpserver.RequirePeer(a.cfg.PeerToken, metrics.Handler(gometrics.DefaultRegistry)))
 	mux.HandleFunc(healthPath, serveHealth)
-	mux.Handle(readyPath, serveReady(a.ready))
+	mux.Handle(readyPath, serveReady(a.notReadyReason))
 	return mux
 }
 
-// ready says why the agent takes no work; empty when it does.
-func (a *agent) ready() string {
+// notReadyReason returns why the agent takes no work, or an empty string if it
+// does.
+func (a *agent) notReadyReason() string {
 	if a.handler.Leaving() {
 		return "leaving"
 	}
-	if _, ok := a.status(); !ok {
+	if _, ok := a.engineStatus(); !ok {
 		return "the engine does not answer"
 	}
 	if a.homes.Registered() == 0 {
@@ -242,32 +253,33 @@
 	return ""
 }
 
-// status returns the engine's newest report while it answers.
-func (a *agent) status() (engine.Status, bool) {
+// engineStatus returns the last status of the engine, and false while the engine
+// does not answer.
+func (a *agent) engineStatus() (engine.Status, bool) {
 	s, _, ok := a.monitor.Status()
 	return s, ok
 }
 
-// confirmed returns the time at which the configuration was known to be the
-// newest, as serve.Config.Confirmed wants it.
-func (a *agent) confirmed() time.Time {
-	if a.fresh.Fresh() {
+// lastConfirmed returns the current time while the configuration may be acted on,
+// and otherwise the zero time, which makes the handler refuse new calls.
+func (a *agent) lastConfirmed() time.Time {
+	if a.freshnessGate.Fresh() {
 		return time.Now()
 	}
 	return time.Time{}
 }
 
-// report returns the agent's account of its backend server.
+// report returns the state of the backend server, for entry instances.
 func (a *agent) report() frame.Report {
-	load := a.gate.Load()
+	load := a.limiter.Load()
 	r := frame.Report{
-		State:    a.gate.State(),
+		State:    a.limiter.State(),
 		Limit:    load.Limit,
 		InFlight: load.InFlight,
 		Queued:   load.Queued,
 		Config:   a.holder.Current().Number,
 	}
-	status, ok := a.status()
+	status, ok := a.engineStatus()
 	if ok {
 		r.Loaded = status.Loaded
 	}
@@ -280,23 +292,23 @@
 	return r
 }
 
-// configure follows the declared limits of the backend server until ctx ends.
-// A server that comes back into service may have turned cold meanwhile and
-// starts again at its cold limit.
-func (a *agent) configure(ctx context.Context) error {
-	for wasOut := false; ; {
+// followDeclaredLimits passes the declared limits of the backend server to the
+// limiter until ctx ends. When the server returns to service, the limiter starts
+// again at the cold limit, since the server may have turned cold meanwhile.
+func (a *agent) followDeclaredLimits(ctx context.Context) error {
+	for wasOutOfService := false; ; {
 		changed := a.holder.Changed()
 		set := a.holder.Current().Set
-		srv := set.BackendServers[a.cfg.Self.ID]
-		if srv != nil {
-			a.gate.Configure(srv.Limit, srv.ColdLimit)
+		server := set.BackendServers[a.cfg.Self.ID]
+		if server != nil {
+			a.limiter.Configure(server.Limit, server.ColdLimit)
 		}
 		dc := set.DataCentres[a.cfg.Self.DataCentre]
-		out := srv != nil && srv.Leaving || dc != nil && dc.Out
-		if wasOut && !out {
-			a.gate.Reset()
+		outOfService := server != nil && server.Leaving || dc != nil && dc.Out
+		if wasOutOfService && !outOfService {
+			a.limiter.Reset()
 		}
-		wasOut = out
+		wasOutOfService = outOfService
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -305,12 +317,13 @@
 	}
 }
 
-// followEngine makes the limit cold again when the engine has started anew,
-// also while no call comes that would show it, until ctx ends.
-func (a *agent) followEngine(ctx context.Context) error {
+// watchEngineRestarts passes the engine's boot id to the handler, which resets the
+// limiter to the cold limit after a restart of the engine, until ctx ends. It
+// detects a restart also when no calls arrive.
+func (a *agent) watchEngineRestarts(ctx context.Context) error {
 	for {
 		changed := a.monitor.Changed()
-		if status, ok := a.status(); ok {
+		if status, ok := a.engineStatus(); ok {
 			a.handler.NoteBoot(status.Boot)
 		}
 		select {
@@ -321,7 +334,8 @@
 	}
 }
 
-// drain announces that the agent leaves and lets its work in flight end.
+// drain announces that the agent leaves and waits until its work in flight has
+// ended, for at most cfg.DrainTimeout.
 func (a *agent) drain() {
 	a.handler.Leave()
 	a.log.Event(eventDraining, nil)
@@ -329,7 +343,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), a.cfg.DrainTimeout)
 	defer cancel()
 	if err := a.handler.Drain(ctx); err != nil {
-		a.log.Fail(eventCutOff, err, nil)
+		a.log.Fail(eventDrainTimedOut, err, nil)
 	}
 	a.work.Close()
 	a.log.Event(eventDrained, nil)
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon assembles the two daemons, the entry instance and the agent,
-// from the library. It holds no decisions of its own.
+// Package daemon builds the two daemons, the entry instance and the agent, from
+// the other packages and runs them. Decisions are made in those packages.
 package daemon
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -33,51 +33,52 @@
 
 var (
 	eventStarted = eventlog.Define(603, "process-started", logrus.InfoLevel,
-		"The process listens and runs.")
+		"The process has started and listens on its address.")
 	eventDraining = eventlog.Define(604, "process-draining", logrus.InfoLevel,
-		"The process was asked to end: it is not ready any more and lets its work in flight end.")
+		"The process received a signal to stop: it reports that it is not ready and waits for its work in flight.")
 	eventDrained = eventlog.Define(605, "process-drained", logrus.InfoLevel,
-		"The work in flight has ended; the process ends.")
-	eventCutOff = eventlog.Define(606, "drain-timed-out", logrus.WarnLevel,
-		"Work was still in flight when the time for it was over; it is cut.")
+		"The work in flight has ended; the process exits.")
+	eventDrainTimedOut = eventlog.Define(606, "drain-timed-out", logrus.WarnLevel,
+		"Work was still in flight at the drain timeout; it is aborted.")
 )
 
 // EntryConfig holds the settings of an entry instance.
 type EntryConfig struct {
 	Common
-	// Operators may use the operators' HTTP.
+	// Operators are the operators who may use the operators' HTTP API.
 	Operators []ops.Operator
-	// BalancerLag is how long the platform's balancer may still send calls
-	// after this instance has said that it is not ready.
+	// BalancerLag is how long the platform's load balancer may continue to
+	// send calls after this instance has reported that it is not ready.
 	BalancerLag time.Duration
-	// Relay and Routing are the settings of those parts; Self is filled in.
+	// Relay and Routing hold the settings of the relay and of routing.
+	// RunEntry sets the field Self of both.
 	Relay   relay.Config
 	Routing routing.Config
 }
 
-// entry is the assembled entry instance.
+// entry holds the parts of an entry instance.
 type entry struct {
-	cfg      EntryConfig
-	log      *eventlog.Logger
-	holder   *confstore.Holder
-	reg      *registry.Registry
-	pool     *work.Pool
-	watcher  *instances.Watcher
-	follower *confstore.Follower
-	keeper   *once.Keeper
-	relay    *relay.Relay
-	listener *registry.Listener
-	detector *pause.Detector
-	fresh    *freshness.Gate
-	ops      *ops.Server
-	server   *httpserver.Server
-	draining atomic.Bool
+	cfg           EntryConfig
+	log           *eventlog.Logger
+	holder        *confstore.Holder
+	agentRegistry *registry.Registry
+	pool          *work.Pool
+	watcher       *instances.Watcher
+	follower      *confstore.Follower
+	onceRecords   *once.Keeper
+	relay         *relay.Relay
+	agentListener *registry.Listener
+	pauseDetector *pause.Detector
+	freshnessGate *freshness.Gate
+	ops           *ops.Server
+	server        *httpserver.Server
+	draining      atomic.Bool
 }
 
-// RunEntry runs an entry instance until a signal ends it.
+// RunEntry runs an entry instance until SIGTERM or SIGINT.
 func RunEntry(cfg EntryConfig, log *eventlog.Logger) error {
 	e := newEntry(cfg, log)
-	server, err := httpserver.Listen(cfg.Listen, e.handler())
+	server, err := httpserver.Listen(cfg.Listen, e.routes())
 	if err != nil {
 		return err
 	}
@@ -87,76 +88,78 @@
 	g.Add(server.Run, func(error) { stopServer(server) })
 	addRunner(&g, e.watcher.Run)
 	addRunner(&g, e.follower.Run)
-	addRunner(&g, e.keeper.Run)
-	addRunner(&g, e.detector.Run)
+	addRunner(&g, e.onceRecords.Run)
+	addRunner(&g, e.pauseDetector.Run)
 	addSignals(&g, e.drain)
 	log.Event(eventStarted, eventlog.Fields{"role": cfg.Self.Role, "addr": server.Addr()})
 	return g.Run()
 }
 
-// newEntry assembles the parts.
+// newEntry creates the parts of an entry instance and connects them.
 func newEntry(cfg EntryConfig, log *eventlog.Logger) *entry {
 	clock := clockwork.NewRealClock()
-	plat := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
+	adapters := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
 	cfg.Relay.Self = cfg.Self
 	cfg.Routing.Self = cfg.Self
 
-	e := &entry{cfg: cfg, log: log, holder: confstore.NewHolder(), reg: registry.New()}
+	e := &entry{cfg: cfg, log: log, holder: confstore.NewHolder(), agentRegistry: registry.New()}
 	e.holder.LogTo(log)
 	e.pool = work.NewPool(work.PoolConfig{PeerToken: cfg.PeerToken})
-	e.detector = pause.New(log)
+	e.pauseDetector = pause.New(log)
 	entries := func() []core.Instance { return e.watcher.Role(core.RoleEntry) }
 	e.watcher = instances.NewWatcher(
 		instances.Config{Interval: cfg.ListInterval, Seeds: cfg.Seeds},
-		plat.Instances, members.Ask(entries, cfg.Self, cfg.PeerToken), log)
-	e.follower = confstore.NewFollower(confstore.FollowerConfig{}, plat.Table, plat.Objects, e.holder, log, clock)
-	e.keeper = once.New(once.Config{Entry: cfg.Self.ID}, plat.Table, plat.Objects, log, clock)
-	picker := routing.New(cfg.Routing, e.reg, e.holder, log, clock)
-	e.relay = relay.New(cfg.Relay, e.holder, picker, e.pool, e.keeper, log, clock)
+		adapters.Instances, members.Ask(entries, cfg.Self, cfg.PeerToken), log)
+	e.follower = confstore.NewFollower(confstore.FollowerConfig{}, adapters.Table, adapters.Objects, e.holder, log, clock)
+	e.onceRecords = once.New(once.Config{Entry: cfg.Self.ID}, adapters.Table, adapters.Objects, log, clock)
+	picker := routing.New(cfg.Routing, e.agentRegistry, e.holder, log, clock)
+	e.relay = relay.New(cfg.Relay, e.holder, picker, e.pool, e.onceRecords, log, clock)
 
 	source := confsync.HolderSource{Holder: e.holder}
 	hub := confsync.NewHub(source, log)
-	listen := registry.ListenerConfig{Self: cfg.Self, Heartbeat: cfg.Heartbeat}
-	e.listener = registry.NewListener(listen, e.reg, hub, source, e.pool.Forget, log)
-	e.fresh = freshness.New(e.detector, e.holder.Age, hub.Ask)
-	hub.VouchWhen(e.fresh.Vouch)
+	listenerConfig := registry.ListenerConfig{Self: cfg.Self, Heartbeat: cfg.Heartbeat}
+	e.agentListener = registry.NewListener(listenerConfig, e.agentRegistry, hub, source, e.pool.Forget, log)
+	e.freshnessGate = freshness.New(e.pauseDetector, e.holder.Age, hub.Ask)
+	hub.VouchWhen(e.freshnessGate.Vouch)
 	e.ops = ops.New(
-		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, Live: e.watcher.All, Weights: plat.Weights},
-		confstore.NewPublisher(plat.Table, plat.Objects, clock), e.holder, e.reg.All, log)
+		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, Live: e.watcher.All, Weights: adapters.Weights},
+		confstore.NewPublisher(adapters.Table, adapters.Objects, clock), e.holder, e.agentRegistry.All, log)
 	return e
 }
 
-// handler returns everything that the instance serves.
-func (e *entry) handler() http.Handler {
+// routes returns the HTTP handler of all paths that the entry instance serves.
+func (e *entry) routes() http.Handler {
 	callers := echo.New()
 	callers.Use(e.requireFresh)
 	e.relay.Register(callers)
 	e.ops.Register(callers.Group(""))
 
 	peers := http.NewServeMux()
-	peers.Handle(registry.Path, e.listener)
+	peers.Handle(registry.Path, e.agentListener)
 	peers.Handle(metrics.ProfilePath, metrics.ProfileHandler())
-	peers.Handle(members.Path, members.NewServer(e.watcher, e.reg))
+	peers.Handle(members.Path, members.NewServer(e.watcher, e.agentRegistry))
 
 	mux := http.NewServeMux()
 	mux.Handle("/internal/", httpserver.RequirePeer(e.cfg.PeerToken, peers))
 	mux.Handle(metrics.Path, httpserver.RequirePeer(e.cfg.PeerToken, metrics.Handler(gometrics.DefaultRegistry)))
 	mux.HandleFunc(healthPath, serveHealth)
-	mux.Handle(readyPath, serveReady(e.ready))
+	mux.Handle(readyPath, serveReady(e.notReadyReason))
 	mux.Handle("/", callers)
 	return mux
 }
 
-// requireFresh holds calls back until the configuration may be acted on.
+// requireFresh is middleware that delays each call until the configuration may be
+// acted on.
 func (e *entry) requireFresh(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		e.fresh.Wait(c.Request().Context().Done())
+		e.freshnessGate.Wait(c.Request().Context().Done())
 		return next(c)
 	}
 }
 
-// ready says why the instance must not get calls; empty when it may.
-func (e *entry) ready() string {
+// notReadyReason returns why the instance must not get calls, or an empty string
+// if it may.
+func (e *entry) notReadyReason() string {
 	switch {
 	case e.draining.Load():
 		return "draining"
@@ -167,7 +170,9 @@
 	}
 }
 
-// drain lets the balancer and the calls in flight end.
+// drain reports that the instance is not ready, waits for cfg.BalancerLag until
+// the load balancer sends no more calls, and then waits until the calls in flight
+// have ended, for at most cfg.DrainTimeout.
 func (e *entry) drain() {
 	e.draining.Store(true)
 	e.log.Event(eventDraining, nil)
@@ -175,12 +180,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), e.cfg.DrainTimeout)
 	defer cancel()
 	if err := e.relay.Drain(ctx); err != nil {
-		e.log.Fail(eventCutOff, err, nil)
+		e.log.Fail(eventDrainTimedOut, err, nil)
 		return
 	}
-	// Answers that have ended may still be on their way to callers.
+	// Responses of completed calls may still be on their way to callers.
 	_ = e.server.Shutdown(ctx)
-	e.listener.Close()
+	e.agentListener.Close()
 	e.pool.Close()
 	e.log.Event(eventDrained, nil)
 }
--- a/daemon/group.go
+++ b/daemon/group.go
@@ -12,24 +12,26 @@
 	"github.com/rattanway/rattanway/process/httpserver"
 )
 
-// addRunner adds a function that runs until its context ends.
-func addRunner(g *run.Group, fn func(context.Context) error) {
+// addRunner adds an actor to the group that calls runner. The context of runner
+// ends when the group stops.
+func addRunner(g *run.Group, runner func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g.Add(func() error { return fn(ctx) }, func(error) { cancel() })
+	g.Add(func() error { return runner(ctx) }, func(error) { cancel() })
 }
 
-// stopTimeout bounds the end of the listener once the work has drained.
+// stopTimeout bounds the shutdown of the HTTP server after the work in flight has
+// ended.
 const stopTimeout = 5 * time.Second
 
-// stopServer ends a listener.
+// stopServer shuts an HTTP server down within stopTimeout.
 func stopServer(server *httpserver.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = server.Shutdown(ctx)
 }
 
-// addSignals adds an actor that ends the group after SIGTERM or SIGINT, once
-// drain has returned.
+// addSignals adds an actor to the group that calls drain at SIGTERM or SIGINT and
+// stops the group once drain has returned.
 func addSignals(g *run.Group, drain func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/daemon/health.go
+++ b/daemon/health.go
@@ -5,22 +5,22 @@
 	"net/http"
 )
 
-// Paths of health and readiness, which need no token.
+// URL paths of the health and readiness checks, which need no token.
 const (
 	healthPath = "/healthz"
 	readyPath  = "/readyz"
 )
 
-// serveHealth says that the process runs.
+// serveHealth answers with status 200 while the process runs.
 func serveHealth(w http.ResponseWriter, _ *http.Request) {
 	_, _ = fmt.Fprintln(w, "ok")
 }
 
-// serveReady says whether the process may get work. why returns the reason
-// against it, or an empty string.
-func serveReady(why func() string) http.Handler {
+// serveReady returns the handler of the readiness check: status 200 if
+// notReadyReason returns an empty string, and otherwise status 503 with the reason.
+func serveReady(notReadyReason func() string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if reason := why(); reason != "" {
+		if reason := notReadyReason(); reason != "" {
 			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
