--- a/daemon/hosted/agent.go
+++ b/daemon/hosted/agent.go
@@ -24,55 +24,60 @@
 )
 
 const (
-	// storeBytes bounds the weights in memory: a copy is 2.4 MB, and two may
-	// be there at once.
+	// storeBytes is the largest size of the weights in memory: a copy takes
+	// 2.4 MB, and two copies may be in memory at once.
 	storeBytes = 16 << 20
-	// linkShare is the part of the machine's link that weights may use; live
-	// answers pass over the same link.
+	// linkShare is the share of the machine's link that the distribution of
+	// weights may use; responses to requests use the same link.
 	linkShare = 0.95
-	// firstChange and lastMargin place the servers' changes to new weights:
-	// from the age at which pieces have usually arrived to shortly before
-	// older weights are no longer used.
-	firstChange = 2200 * time.Millisecond
-	lastMargin  = 1050 * time.Millisecond
-	// agentGarbagePercent keeps the heap small: an agent allocates little, and
-	// at this growth it takes 0.6 % of a core (0.5 % at 40 %).
-	agentGarbagePercent = 12
+	// firstLoadAge is the age of a version at which the first backend server
+	// loads it: by then its chunks have usually arrived.
+	firstLoadAge = 2200 * time.Millisecond
+	// lastLoadMargin is the time between the start of the load on the last
+	// backend server and the point from which older versions are no longer
+	// used.
+	lastLoadMargin = 1050 * time.Millisecond
+	// agentGCPercent is the GOGC value of the agent. It keeps the heap small:
+	// an agent allocates little and uses 0.6 % of a core at this value (0.5 %
+	// at 40).
+	agentGCPercent = 12
 )
 
-// Bounds of the swarm on links of a few megabits a second, within a version's
-// time of 8 s.
+// Settings of the swarm for links of a few megabits per second, over which a new
+// version must arrive and be loaded within 8 s.
 const (
-	pieceWait     = 400 * time.Millisecond
-	pieceMargin   = 400 * time.Millisecond
-	pieceStall    = time.Second
-	peerSuspect   = 2 * time.Second
-	pieceRetry    = 100 * time.Millisecond
-	pieceFlight   = 30 * time.Second
-	piecesAtOnce  = 6
-	ownedAtOnce   = 6
-	uploadsAtOnce = 3
+	longPollTimeout   = 400 * time.Millisecond
+	responseMargin    = 400 * time.Millisecond
+	stallTimeout      = time.Second
+	peerSuspectPeriod = 2 * time.Second
+	chunkRetryPause   = 100 * time.Millisecond
+	chunkFetchTimeout = 30 * time.Second
+	maxPeerFetches    = 6
+	maxOwnedFetches   = 6
+	uploadSlots       = 3
 )
 
-// agent is the assembled agent.
+// agent holds the parts of an agent.
 type agent struct {
-	settings platform.Settings
-	log      *eventlog.Logger
-	clock    clockwork.Clock
-	loader   *loading.Loader
-	swarm    *spread.Swarm
-	links    *fleet.Links
-	registry gometrics.Registry
+	settings         platform.Settings
+	log              *eventlog.Logger
+	clock            clockwork.Clock
+	loader           *loading.Loader
+	swarm            *spread.Swarm
+	entryConnections *fleet.Links
+	metricsRegistry  gometrics.Registry
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// fleets holds the last message of each connected entry instance by its
+	// address.
 	fleets map[string]frame.Fleet
-	// agents is the newest list of agents.
+	// agents is the last list of agents that was not empty.
 	agents []spread.Peer
 }
 
-// RunAgent runs an agent until a signal ends it.
+// RunAgent runs an agent until SIGTERM or SIGINT.
 func RunAgent(o Options) error {
-	debug.SetGCPercent(agentGarbagePercent)
+	debug.SetGCPercent(agentGCPercent)
 	settings, err := platform.ReadSettings(o.SettingsPath)
 	if err == nil {
 		err = settings.CheckAgent()
@@ -87,40 +92,42 @@
 	return a.run(o)
 }
 
-// newAgent assembles the parts.
+// newAgent creates the parts of an agent and connects them.
 func newAgent(s platform.Settings, o Options, log *eventlog.Logger) *agent {
 	clock := clockwork.NewRealClock()
-	a := &agent{settings: s, log: log, clock: clock, registry: gometrics.NewRegistry(), fleets: map[string]frame.Fleet{}}
+	a := &agent{settings: s, log: log, clock: clock, metricsRegistry: gometrics.NewRegistry(), fleets: map[string]frame.Fleet{}}
 	self := core.Instance{
 		ID: s.Name, Role: core.RoleAgent, Addr: net.JoinHostPort(s.IP, strconv.Itoa(s.Ports[0])),
 		DataCentre: s.DataCentre, Region: s.Region,
 	}
 	origin := platform.NewOrigin()
-	pieces := loading.NewPieces(origin)
-	link := int64(s.Limits.LinkMbps * 1e6 / 8 * linkShare)
+	originChunks := loading.NewPieces(origin)
+	linkBytesPerSecond := int64(s.Limits.LinkMbps * 1e6 / 8 * linkShare)
 	a.swarm = spread.NewFetcher(spread.Config{
-		Self: self, Token: o.Token, UploadBytesPerSecond: link, OneOriginCopy: true,
-		Parallel: piecesAtOnce, OriginParallel: ownedAtOnce, UploadSlots: uploadsAtOnce,
-		Wait: pieceWait, AnswerMargin: pieceMargin, Stall: pieceStall, Suspect: peerSuspect,
-		RetryPause: pieceRetry, FlightTimeout: pieceFlight, Metrics: a.registry,
+		Self: self, Token: o.Token, UploadBytesPerSecond: linkBytesPerSecond, OneOriginCopy: true,
+		Parallel: maxPeerFetches, OriginParallel: maxOwnedFetches, UploadSlots: uploadSlots,
+		Wait: longPollTimeout, AnswerMargin: responseMargin, Stall: stallTimeout, Suspect: peerSuspectPeriod,
+		RetryPause: chunkRetryPause, FlightTimeout: chunkFetchTimeout, Metrics: a.metricsRegistry,
 		Peers: func(core.Digest) []spread.Peer { return a.loader.Sources() },
-	}, spread.NewStore(storeBytes), pieces, log, clock)
-	a.links = fleet.NewLinks(fleet.LinksConfig{
+	}, spread.NewStore(storeBytes), originChunks, log, clock)
+	a.entryConnections = fleet.NewLinks(fleet.LinksConfig{
 		Hello: frame.AgentHello{Self: self, Server: s.Server}, Token: o.Token,
-		Declared: a.declared, Entries: s.Entries, Fleet: a.hear, Log: log, Clock: clock,
+		Declared: a.declaredVersions, Entries: s.Entries, Fleet: a.onFleet, Log: log, Clock: clock,
 	})
 	a.loader = loading.New(loading.Config{
-		Self: s.Name, Token: o.Token, Server: platform.NewModelServer(s.Server), Origin: origin, Pieces: pieces,
-		Swarm:   a.swarm,
-		Turns:   loading.Turns{First: firstChange, Last: weightsTime(&s) - lastMargin},
-		Publish: func(st loading.State) { a.links.Publish(frame.AgentState{Weights: st.Weights, Loading: st.Loading}) },
-		Client:  &http.Client{Transport: &http.Transport{DialContext: dial.Context, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second}},
-		Log:     log, Clock: clock,
+		Self: s.Name, Token: o.Token, Server: platform.NewModelServer(s.Server), Origin: origin, Pieces: originChunks,
+		Swarm: a.swarm,
+		Turns: loading.Turns{First: firstLoadAge, Last: weightsDueAfter(&s) - lastLoadMargin},
+		Publish: func(state loading.State) {
+			a.entryConnections.Publish(frame.AgentState{Weights: state.Weights, Loading: state.Loading})
+		},
+		Client: &http.Client{Transport: &http.Transport{DialContext: dial.Context, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second}},
+		Log:    log, Clock: clock,
 	})
 	return a
 }
 
-// run works until a signal ends it.
+// run serves peers and loads weights until SIGTERM or SIGINT.
 func (a *agent) run(o Options) error {
 	var g run.Group
 	mux := http.NewServeMux()
@@ -128,22 +135,22 @@
 	mux.Handle(spread.ChunkPath, weights)
 	mux.Handle(spread.ManifestPath, weights)
 	mux.Handle("GET "+loading.DigestsPath+"{model}/{version}", httpserver.RequirePeer(o.Token, a.loader.DigestsHandler()))
-	if err := addServer(&g, a.links.Self().Addr, mux); err != nil {
+	if err := addServer(&g, a.entryConnections.Self().Addr, mux); err != nil {
 		return err
 	}
-	if err := addMetrics(&g, a.settings.IP, o.MetricsPort, a.registry); err != nil {
+	if err := addMetrics(&g, a.settings.IP, o.MetricsPort, a.metricsRegistry); err != nil {
 		return err
 	}
-	files, err := followSettings(o.SettingsPath, a.log, func(platform.Settings) {})
+	watcher, err := newSettingsWatcher(o.SettingsPath, a.log, func(platform.Settings) {})
 	if err != nil {
 		return err
 	}
-	addRunner(&g, files.Run)
-	addRunner(&g, a.links.Run)
+	addRunner(&g, watcher.Run)
+	addRunner(&g, a.entryConnections.Run)
 	addRunner(&g, a.loader.Run)
-	addStop(&g, a.log, func() {})
+	addSignals(&g, a.log, func() {})
 	a.log.Event(eventStarted, eventlog.Fields{
-		"role": core.RoleAgent, "addr": a.links.Self().Addr, "server": a.settings.Server,
+		"role": core.RoleAgent, "addr": a.entryConnections.Self().Addr, "server": a.settings.Server,
 		"dataCentre": a.settings.DataCentre,
 	})
 	err = g.Run()
@@ -151,8 +158,9 @@
 	return err
 }
 
-// declared returns the versions that the agent has heard of, with their ages.
-func (a *agent) declared() []frame.WantedWeights {
+// declaredVersions returns the declared versions that the agent knows, with the
+// time since each was declared.
+func (a *agent) declaredVersions() []frame.WantedWeights {
 	now := a.clock.Now()
 	var all []frame.WantedWeights
 	for _, w := range a.loader.Declared() {
@@ -164,21 +172,22 @@
 	return all
 }
 
-// hear takes in what an entry instance says of the fleet; nil when it is gone.
-func (a *agent) hear(entry string, f *frame.Fleet) {
+// onFleet handles a message with the wanted versions and the agents from the entry
+// instance at entryAddr. A nil message means that the connection has ended.
+func (a *agent) onFleet(entryAddr string, f *frame.Fleet) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if f == nil {
-		delete(a.fleets, entry)
+		delete(a.fleets, entryAddr)
 		return
 	}
-	a.fleets[entry] = *f
-	a.loader.SetTarget(a.target())
+	a.fleets[entryAddr] = *f
+	a.loader.SetTarget(a.buildTarget())
 }
 
-// target joins what all entry instances say: the newest versions and all
-// agents; a.mu is held.
-func (a *agent) target() loading.Target {
+// buildTarget merges the last messages of all connected entry instances into the
+// newest version of each model and the list of all agents. The caller holds a.mu.
+func (a *agent) buildTarget() loading.Target {
 	t := loading.Target{Wanted: map[string]loading.Wanted{}, Holders: map[string]bool{}}
 	now := a.clock.Now()
 	seen := map[string]bool{}
@@ -186,47 +195,50 @@
 	for _, f := range a.fleets {
 		for _, w := range f.Weights {
 			newest = max(newest, w.Version)
-			a.want(&t, w, now)
+			a.addWanted(&t, w, now)
 		}
 	}
 	for _, f := range a.fleets {
 		if f.Origin != "" {
 			t.Origin = f.Origin
 		}
-		current := false
+		hasNewest := false
 		for _, w := range f.Weights {
-			current = current || w.Version == newest
+			hasNewest = hasNewest || w.Version == newest
 		}
 		for _, other := range f.Agents {
 			if !seen[other.Instance.ID] {
 				seen[other.Instance.ID] = true
 				t.Agents = append(t.Agents, other.Instance)
 			}
-			if other.Holds && current {
+			if other.Holds && hasNewest {
 				t.Holders[other.Instance.ID] = true
 			}
 		}
 	}
 	if len(t.Agents) == 0 {
-		// No entry instance sends the list just now; without one the agent
-		// would take itself for the owner of every piece.
+		// At the moment no entry instance sends the list. The last list is
+		// kept: with an empty list the agent would treat itself as the owner
+		// of every chunk.
 		t.Agents = a.agents
 	}
 	a.agents = t.Agents
 	return t
 }
 
-// want adds a version of the own service.
-func (a *agent) want(t *loading.Target, w frame.WantedWeights, now time.Time) {
+// addWanted adds w to the versions of t if it belongs to this agent's service and
+// is newer than the version of the same model in t. For equal versions it keeps
+// the earlier time of declaration.
+func (a *agent) addWanted(t *loading.Target, w frame.WantedWeights, now time.Time) {
 	if a.settings.Service != "" && w.Service != a.settings.Service {
 		return
 	}
-	known := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
+	declaredAt := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
 	old, ok := t.Wanted[w.Model]
-	if ok && (old.Version > w.Version || old.Version == w.Version && old.Known.Before(known)) {
+	if ok && (old.Version > w.Version || old.Version == w.Version && old.Known.Before(declaredAt)) {
 		return
 	}
 	t.Wanted[w.Model] = loading.Wanted{
-		Model: w.Model, Version: w.Version, Known: known, Chunks: w.Chunks, ChunkBytes: w.ChunkBytes,
+		Model: w.Model, Version: w.Version, Known: declaredAt, Chunks: w.Chunks, ChunkBytes: w.ChunkBytes,
 	}
 }
--- a/daemon/hosted/common.go
+++ b/daemon/hosted/common.go
@@ -18,12 +18,13 @@
 )
 
 const (
-	// settingsEvery is the time between two looks at the settings file, which
-	// may change without a signal.
-	settingsEvery = time.Second
-	// stopMargin is left of the time between SIGTERM and SIGKILL.
+	// settingsPollInterval is the time between two checks of the settings
+	// file, which may change without a signal.
+	settingsPollInterval = time.Second
+	// stopMargin is how long before SIGKILL a process must have stopped.
 	stopMargin = 500 * time.Millisecond
-	// defaultStopGrace is assumed when the settings give none.
+	// defaultStopGrace is the time from SIGTERM to SIGKILL if the settings
+	// contain none.
 	defaultStopGrace = 8 * time.Second
 )
 
@@ -31,34 +32,34 @@
 	eventStarted = eventlog.Define(620, "hosted-started", logrus.InfoLevel,
 		"A process on the users' platform has started; fields give its settings.")
 	eventStopping = eventlog.Define(621, "hosted-stopping", logrus.InfoLevel,
-		"The process was asked to stop; it takes no new connections soon and ends what is running.")
+		"The process received a signal to stop; it soon accepts no new connections and completes the running requests.")
 	eventStopped = eventlog.Define(622, "hosted-stopped", logrus.InfoLevel,
-		"The process ends; fields give the requests that were still running.")
-	eventReloaded = eventlog.Define(623, "hosted-settings", logrus.InfoLevel,
-		"The settings file was read again; a file that is wrong is left unused.")
+		"The process exits; the field, on entry instances, gives the number of requests that were still running.")
+	eventSettingsReloaded = eventlog.Define(623, "hosted-settings", logrus.InfoLevel,
+		"The settings file was read again; an invalid file is not applied.")
 	eventReady = eventlog.Define(624, "hosted-ready", logrus.InfoLevel,
-		"This entry instance changed whether it takes new connections.")
+		"This entry instance started or stopped reporting that it is ready for new connections.")
 	eventEntries = eventlog.Define(625, "hosted-entries", logrus.InfoLevel,
-		"This entry instance has written its address to the store and read those of the others.")
-	eventServer = eventlog.Define(626, "hosted-server-error", logrus.WarnLevel,
-		"The HTTP server reports an error on a connection.")
+		"This entry instance has written its address to the store and read the addresses of the others.")
+	eventServerError = eventlog.Define(626, "hosted-server-error", logrus.WarnLevel,
+		"The HTTP server for clients reported an error on a connection.")
 )
 
-// Options are the settings that come from the command line.
+// Options holds the settings from the command line.
 type Options struct {
-	// SettingsPath is the platform's settings file.
+	// SettingsPath is the path of the settings file that the platform writes.
 	SettingsPath string
-	// Token authenticates our processes to each other.
+	// Token authenticates the processes of this system to each other.
 	Token string
-	// MetricsPort is where the metrics are served; 0 for nowhere.
+	// MetricsPort is the port that serves the metrics; 0 disables them.
 	MetricsPort int
-	// Level is the least level that is logged.
+	// Level is the lowest level that is logged.
 	Level logrus.Level
-	// Out takes the log.
+	// Out receives the log lines.
 	Out io.Writer
 }
 
-// stopGrace is how long a process may take to stop.
+// stopGrace returns how long a process may take to stop after SIGTERM.
 func stopGrace(s *platform.Settings) time.Duration {
 	grace := time.Duration(s.Bounds.StopGraceS * float64(time.Second))
 	if grace <= 0 {
@@ -67,14 +68,16 @@
 	return max(time.Second, grace-stopMargin)
 }
 
-// addRunner adds a part that runs until its context ends.
-func addRunner(g *run.Group, f func(context.Context) error) {
+// addRunner adds an actor to the group that calls runner. The context of runner
+// ends when the group stops.
+func addRunner(g *run.Group, runner func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
+	g.Add(func() error { return runner(ctx) }, func(error) { cancel() })
 }
 
-// addStop adds the wait for SIGTERM or SIGINT; stop then ends what is running.
-func addStop(g *run.Group, log *eventlog.Logger, stop func()) {
+// addSignals adds an actor to the group that calls drain at SIGTERM or SIGINT and
+// stops the group once drain has returned.
+func addSignals(g *run.Group, log *eventlog.Logger, drain func()) {
 	done := make(chan struct{})
 	g.Add(func() error {
 		signals := make(chan os.Signal, 1)
@@ -83,65 +86,68 @@
 		select {
 		case s := <-signals:
 			log.Event(eventStopping, eventlog.Fields{"signal": s.String()})
-			stop()
+			drain()
 		case <-done:
 		}
 		return nil
 	}, func(error) { close(done) })
 }
 
-// follower reads the settings file again when it changes.
-type follower struct {
-	path   string
-	log    *eventlog.Logger
-	before []byte
-	apply  func(platform.Settings)
+// settingsWatcher reads the settings file again when it changes.
+type settingsWatcher struct {
+	path string
+	log  *eventlog.Logger
+	// content is the content of the file at the last read.
+	content []byte
+	apply   func(platform.Settings)
 }
 
-// followSettings returns a follower of the file at path, which has been read.
-func followSettings(path string, log *eventlog.Logger, apply func(platform.Settings)) (*follower, error) {
+// newSettingsWatcher returns a settingsWatcher of the file at path. The current
+// content counts as applied already.
+func newSettingsWatcher(path string, log *eventlog.Logger, apply func(platform.Settings)) (*settingsWatcher, error) {
 	raw, err := os.ReadFile(path)
-	return &follower{path: path, log: log, before: raw, apply: apply}, core.Step("read settings", "", err)
+	return &settingsWatcher{path: path, log: log, content: raw, apply: apply}, core.Step("read settings", "", err)
 }
 
-// Run looks at the file on SIGHUP and now and then until ctx ends.
-func (f *follower) Run(ctx context.Context) error {
+// Run checks the file on SIGHUP and at each settingsPollInterval until ctx ends.
+func (w *settingsWatcher) Run(ctx context.Context) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-signals:
-			f.look("signal")
+			w.reload("signal")
 		case <-ticker.C:
-			f.look("file changed")
+			w.reload("file changed")
 		}
 	}
 }
 
-// look reads the file and applies it if it changed and is right.
-func (f *follower) look(why string) {
-	raw, err := os.ReadFile(f.path)
+// reload reads the file and applies it if it has changed and is valid. cause is
+// logged.
+func (w *settingsWatcher) reload(cause string) {
+	raw, err := os.ReadFile(w.path)
 	if err != nil {
-		f.log.Fail(eventReloaded, err, eventlog.Fields{"why": why, "applied": false})
+		w.log.Fail(eventSettingsReloaded, err, eventlog.Fields{"why": cause, "applied": false})
 		return
 	}
-	if bytes.Equal(raw, f.before) {
-		if why == "signal" {
-			f.log.Event(eventReloaded, eventlog.Fields{"why": why, "changed": false})
+	if bytes.Equal(raw, w.content) {
+		if cause == "signal" {
+			w.log.Event(eventSettingsReloaded, eventlog.Fields{"why": cause, "changed": false})
 		}
 		return
 	}
-	f.before = raw
-	s, err := platform.ReadSettings(f.path)
+	w.content = raw
+	s, err := platform.ReadSettings(w.path)
 	if err != nil {
-		f.log.Fail(eventReloaded, err, eventlog.Fields{"why": why, "applied": false})
+		w.log.Fail(eventSettingsReloaded, err, eventlog.Fields{"why": cause, "applied": false})
 		return
 	}
-	f.apply(s)
-	f.log.Event(eventReloaded, eventlog.Fields{"why": why, "changed": true, "applied": true})
+	w.apply(s)
+	w.log.Event(eventSettingsReloaded, eventlog.Fields{"why": cause, "changed": true, "applied": true})
 }
--- a/daemon/hosted/doc.go
+++ b/daemon/hosted/doc.go
@@ -1,4 +1,5 @@
-// Package hosted assembles the two daemons as they run on the users' platform:
-// an entry instance that reaches the backend servers directly, and the agent
-// beside a model server. It holds no decisions of its own.
+// Package hosted builds the two daemons in the form that runs on the users'
+// platform: an entry instance that connects to the backend servers directly, and
+// an agent beside a backend server that loads model weights. Decisions on requests
+// and weights are made in other packages.
 package hosted
--- a/daemon/hosted/entry.go
+++ b/daemon/hosted/entry.go
@@ -25,47 +25,52 @@
 )
 
 const (
-	// weightsMargin is the part of the time that declared weights have in
-	// which older ones are no longer used: a request that is sent begins
-	// within it.
+	// weightsMargin is how long before the due time of declared weights the
+	// entry instance stops using older ones: a request that was sent just
+	// before starts within this margin.
 	weightsMargin = 900 * time.Millisecond
-	// patience is the share of a request's objective that it may wait for a
-	// place: a refusal is free up to an eighth.
-	patience = 0.11
-	// listenFor is how long new connections are taken after SIGTERM: the
-	// balancer asks once a second and stops after two answers.
-	listenFor = 2500 * time.Millisecond
-	// entryGarbagePercent keeps the heap small: at this growth an entry
-	// instance takes 4.7 % of a core under load (4.3 % at 100 %).
-	entryGarbagePercent = 30
-	// entriesEvery is the pause between two tries to write the own address.
-	entriesEvery = 500 * time.Millisecond
+	// maxWaitShare is the share of a request's first-byte objective that the
+	// request may wait for a free slot: a refusal has no cost within an
+	// eighth of the objective.
+	maxWaitShare = 0.11
+	// acceptAfterSignal is how long new connections are accepted after
+	// SIGTERM: the load balancer checks readiness once a second and sends no
+	// more connections after two failed checks.
+	acceptAfterSignal = 2500 * time.Millisecond
+	// entryGCPercent is the GOGC value of the entry instance. It keeps the
+	// heap small: an entry instance uses 4.7 % of a core under load at this
+	// value (4.3 % at 100).
+	entryGCPercent = 30
+	// announceRetryPause is the pause between two attempts to write the own
+	// address to the store.
+	announceRetryPause = 500 * time.Millisecond
 )
 
-// entry is the assembled entry instance.
+// entry holds the parts of an entry instance.
 type entry struct {
-	settings  platform.Settings
-	options   Options
-	log       *eventlog.Logger
-	clock     clockwork.Clock
-	store     *platform.Store
-	holder    *catalog.Holder
-	declared  *catalog.Follower
-	servers   *catalog.Follower
-	desk      *dispatch.Desk
-	pool      *backend.Pool
-	exchange  *exchange.Exchange
-	hub       *fleet.Hub
-	handler   *forward.Handler
-	registry  gometrics.Registry
-	stopping  atomic.Bool
-	wasReady  atomic.Bool
-	clientSrv *http.Server
+	settings         platform.Settings
+	options          Options
+	log              *eventlog.Logger
+	clock            clockwork.Clock
+	store            *platform.Store
+	holder           *catalog.Holder
+	declaredFollower *catalog.Follower
+	serversFollower  *catalog.Follower
+	scheduler        *dispatch.Desk
+	pool             *backend.Pool
+	exchange         *exchange.Exchange
+	fleetHub         *fleet.Hub
+	handler          *forward.Handler
+	metricsRegistry  gometrics.Registry
+	stopping         atomic.Bool
+	// lastReady is the last reported readiness.
+	lastReady    atomic.Bool
+	clientServer *http.Server
 }
 
-// RunEntry runs an entry instance until a signal ends it.
+// RunEntry runs an entry instance until SIGTERM or SIGINT.
 func RunEntry(o Options) error {
-	debug.SetGCPercent(entryGarbagePercent)
+	debug.SetGCPercent(entryGCPercent)
 	settings, err := platform.ReadSettings(o.SettingsPath)
 	if err == nil {
 		err = settings.CheckEntry()
@@ -79,82 +84,84 @@
 	return e.run()
 }
 
-// newEntry assembles the parts.
+// newEntry creates the parts of an entry instance and connects them.
 func newEntry(s platform.Settings, o Options, log *eventlog.Logger) *entry {
 	clock := clockwork.NewRealClock()
 	e := &entry{
 		settings: s, options: o, log: log, clock: clock,
 		store: platform.NewStore(s.Store.Addr), holder: catalog.NewHolder(log),
-		pool: backend.NewPool(clock), registry: gometrics.NewRegistry(),
+		pool: backend.NewPool(clock), metricsRegistry: gometrics.NewRegistry(),
 	}
-	e.declared = catalog.NewFollower(catalog.TableDeclared, e.store, e.holder, log, clock)
-	e.servers = catalog.NewFollower(catalog.TableServers, e.store, e.holder, log, clock)
-	e.desk = dispatch.NewDesk(dispatch.Config{
+	e.declaredFollower = catalog.NewFollower(catalog.TableDeclared, e.store, e.holder, log, clock)
+	e.serversFollower = catalog.NewFollower(catalog.TableServers, e.store, e.holder, log, clock)
+	e.scheduler = dispatch.NewDesk(dispatch.Config{
 		DataCentre: s.DataCentre, Regions: s.Regions,
 		Repeats: dispatch.RepeatLimits{
 			Ratio: s.Bounds.RepeatRatio, Slack: s.Bounds.RepeatSlack,
 			Window: time.Duration(s.Bounds.RepeatWindowS * float64(time.Second)),
 		},
-		WeightsDue: weightsTime(&s) - weightsMargin,
-		Patience:   patience,
+		WeightsDue: weightsDueAfter(&s) - weightsMargin,
+		Patience:   maxWaitShare,
 	}, e.holder, clock)
 	e.exchange = exchange.New(exchange.Config{
 		Self: core.Instance{
 			ID: s.Name, Role: core.RoleEntry, Addr: s.Listen.Peers, DataCentre: s.DataCentre, Region: s.Region,
 		},
-		Token: o.Token, Holder: e.holder, Declared: e.declared, Servers: e.servers, Loads: e.desk, Log: log, Clock: clock,
+		Token: o.Token, Holder: e.holder, Declared: e.declaredFollower, Servers: e.serversFollower, Loads: e.scheduler, Log: log, Clock: clock,
 	})
-	e.hub = fleet.NewHub(fleet.HubConfig{
-		DataCentre: s.DataCentre, Holder: e.holder, Agent: e.desk.Agent, Entries: e.exchange.Known, Log: log, Clock: clock,
+	e.fleetHub = fleet.NewHub(fleet.HubConfig{
+		DataCentre: s.DataCentre, Holder: e.holder, Agent: e.scheduler.Agent, Entries: e.exchange.Known, Log: log, Clock: clock,
 	})
 	e.handler = forward.New(forward.Config{
-		Headers: platform.Headers(), Holder: e.holder, Desk: e.desk, Pool: e.pool,
-		Log: log, Clock: clock, Metrics: e.registry,
+		Headers: platform.Headers(), Holder: e.holder, Desk: e.scheduler, Pool: e.pool,
+		Log: log, Clock: clock, Metrics: e.metricsRegistry,
 	})
 	return e
 }
 
-// weightsTime is the time within which declared weights must be in force.
-func weightsTime(s *platform.Settings) time.Duration {
+// weightsDueAfter returns the time after the declaration of new weights from which
+// no request may start on older ones.
+func weightsDueAfter(s *platform.Settings) time.Duration {
 	return time.Duration(s.Bounds.WeightsMs * float64(time.Millisecond))
 }
 
-// run serves until a signal ends it.
+// run serves requests until SIGTERM or SIGINT.
 func (e *entry) run() error {
 	var g run.Group
-	clients, err := net.Listen("tcp", e.settings.Listen.Clients)
+	clientListener, err := net.Listen("tcp", e.settings.Listen.Clients)
 	if err != nil {
 		return core.Step("listen for clients", e.settings.Listen.Clients, err)
 	}
-	e.clientSrv = e.newClientServer()
-	ended := make(chan struct{})
+	e.clientServer = e.newClientServer()
+	stopped := make(chan struct{})
 	g.Add(func() error {
-		err := served(e.clientSrv.Serve(clients))
+		err := serveError(e.clientServer.Serve(clientListener))
 		if err == nil {
-			// The listener is closed; what runs is answered before the end.
-			<-ended
+			// The listener is closed; the running requests are completed
+			// before the group stops.
+			<-stopped
 		}
 		return err
 	}, func(error) {
-		close(ended)
-		_ = e.clientSrv.Close()
+		close(stopped)
+		_ = e.clientServer.Close()
 	})
-	if err := e.addInternal(&g); err != nil {
+	if err := e.addInternalServers(&g); err != nil {
 		return err
 	}
-	files, err := followSettings(e.options.SettingsPath, e.log, e.reload)
+	watcher, err := newSettingsWatcher(e.options.SettingsPath, e.log, e.applySettings)
 	if err != nil {
 		return err
 	}
-	addRunner(&g, files.Run)
-	addRunner(&g, e.declared.Run)
-	addRunner(&g, e.servers.Run)
+	addRunner(&g, watcher.Run)
+	addRunner(&g, e.declaredFollower.Run)
+	addRunner(&g, e.serversFollower.Run)
 	addRunner(&g, e.pool.Run)
-	addRunner(&g, e.desk.Run)
+	addRunner(&g, e.scheduler.Run)
 	addRunner(&g, e.exchange.Run)
-	addRunner(&g, e.announce)
-	addRunner(&g, e.follow)
-	addStop(&g, e.log, e.drain)
+	addRunner(&g, e.announceAddress)
+	addRunner(&g, e.removeUnlistedServers)
+	addSignals(&g, e.log, e.drain)
 	e.log.Event(eventStarted, eventlog.Fields{
 		"role": core.RoleEntry, "clients": e.settings.Listen.Clients, "peers": e.settings.Listen.Peers,
 		"dataCentre": e.settings.DataCentre, "store": e.settings.Store.Addr,
@@ -167,54 +174,55 @@
 	return err
 }
 
-// served turns the end of a server that was closed into success.
-func served(err error) error {
+// serveError returns the error of a server's Serve, or nil if the server was
+// closed.
+func serveError(err error) error {
 	if err == http.ErrServerClosed {
 		return nil
 	}
 	return core.Step("serve clients", "", err)
 }
 
-// Bounds of clients' connections. The operators' limits are smaller; what they
-// do not name is bounded by these.
+// Limits of client connections. Limits that operators declare are smaller; these
+// apply where operators declare none.
 const (
 	clientHeaderTimeout = 5 * time.Second
 	clientIdleTimeout   = 30 * time.Second
 	clientHeaderBytes   = 64 << 10
 )
 
-// newClientServer returns the server of clients' requests.
+// newClientServer returns the HTTP server for requests of clients.
 func (e *entry) newClientServer() *http.Server {
 	return &http.Server{
 		Handler:           e.handler,
 		ReadHeaderTimeout: clientHeaderTimeout,
 		IdleTimeout:       clientIdleTimeout,
 		MaxHeaderBytes:    clientHeaderBytes,
-		ErrorLog:          httpErrors(e.log),
+		ErrorLog:          newErrorLog(e.log),
 	}
 }
 
-// addInternal adds the listeners for the balancer, for our own processes and
-// for the metrics.
-func (e *entry) addInternal(g *run.Group) error {
-	ready := http.NewServeMux()
-	ready.HandleFunc("GET "+platform.ReadyPath, e.answerReady)
+// addInternalServers adds the HTTP servers for the load balancer, for the other
+// processes of this system and for the metrics.
+func (e *entry) addInternalServers(g *run.Group) error {
+	readiness := http.NewServeMux()
+	readiness.HandleFunc("GET "+platform.ReadyPath, e.serveReady)
 	peers := http.NewServeMux()
 	peers.Handle(exchange.Path, httpserver.RequirePeer(e.options.Token, e.exchange))
-	peers.Handle(fleet.Path, httpserver.RequirePeer(e.options.Token, e.hub))
-	if err := addServer(g, e.settings.Listen.Ready, ready); err != nil {
+	peers.Handle(fleet.Path, httpserver.RequirePeer(e.options.Token, e.fleetHub))
+	if err := addServer(g, e.settings.Listen.Ready, readiness); err != nil {
 		return err
 	}
 	if err := addServer(g, e.settings.Listen.Peers, peers); err != nil {
 		return err
 	}
-	return addMetrics(g, e.settings.IP, e.options.MetricsPort, e.registry)
+	return addMetrics(g, e.settings.IP, e.options.MetricsPort, e.metricsRegistry)
 }
 
-// answerReady tells the balancer whether new connections are taken.
-func (e *entry) answerReady(w http.ResponseWriter, _ *http.Request) {
+// serveReady answers the readiness check of the load balancer.
+func (e *entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	ready := e.holder.Current().Complete() && !e.stopping.Load()
-	if e.wasReady.Swap(ready) != ready {
+	if e.lastReady.Swap(ready) != ready {
 		e.log.Event(eventReady, eventlog.Fields{"ready": ready, "stopping": e.stopping.Load()})
 	}
 	if !ready {
@@ -222,12 +230,14 @@
 	}
 }
 
-// announce writes the own address to the store and reads those of the others.
-func (e *entry) announce(ctx context.Context) error {
+// announceAddress writes the own address to the store and reads the addresses of
+// the other entry instances. It repeats both until they succeed, and returns when
+// ctx ends.
+func (e *entry) announceAddress(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := e.store.Put(ctx, catalog.TableEntries, e.settings.Name, []byte(e.settings.Listen.Peers))
 		if err == nil {
-			err = e.findEntries(ctx)
+			err = e.readEntries(ctx)
 		}
 		if err == nil {
 			break
@@ -235,15 +245,15 @@
 		e.log.Fail(eventEntries, err, eventlog.Fields{})
 		select {
 		case <-ctx.Done():
-		case <-e.clock.After(entriesEvery):
+		case <-e.clock.After(announceRetryPause):
 		}
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// findEntries reads the addresses of the other entry instances.
-func (e *entry) findEntries(ctx context.Context) error {
+// readEntries reads the addresses of the entry instances from the store.
+func (e *entry) readEntries(ctx context.Context) error {
 	rows, _, err := e.store.List(ctx, catalog.TableEntries)
 	if err != nil {
 		return err
@@ -255,11 +265,12 @@
 	return nil
 }
 
-// follow tells the desk of changes until ctx ends.
-func (e *entry) follow(ctx context.Context) error {
+// removeUnlistedServers removes servers that are no longer listed from the
+// scheduler after each change of the catalogue, until ctx ends.
+func (e *entry) removeUnlistedServers(ctx context.Context) error {
 	for {
 		changed := e.holder.Changed()
-		e.desk.Forget()
+		e.scheduler.Forget()
 		select {
 		case <-ctx.Done():
 			return nil
@@ -268,18 +279,18 @@
 	}
 }
 
-// reload applies a changed settings file.
-func (e *entry) reload(s platform.Settings) {
+// applySettings applies the settings of a changed settings file.
+func (e *entry) applySettings(s platform.Settings) {
 	e.store.SetAddr(s.Store.Addr)
 	for _, addr := range s.Entries {
 		e.exchange.Learn(addr)
 	}
 }
 
-// drain ends the process without cutting a request.
+// drain reports that the instance is not ready and completes the running requests.
 func (e *entry) drain() {
 	e.stopping.Store(true)
-	err := stopClients(e.clock, e.handler, e.clientSrv, stopGrace(&e.settings))
+	err := shutDownClients(e.clock, e.handler, e.clientServer, stopGrace(&e.settings))
 	if err != nil {
 		e.log.Fail(eventStopped, err, eventlog.Fields{"running": e.handler.Active()})
 	}
--- a/daemon/hosted/servers.go
+++ b/daemon/hosted/servers.go
@@ -17,25 +17,27 @@
 	"github.com/rattanway/rattanway/process/metrics"
 )
 
-// shutdownTime bounds the end of the internal listeners.
-const shutdownTime = 200 * time.Millisecond
+// shutdownTimeout bounds the shutdown of each internal HTTP server.
+const shutdownTimeout = 200 * time.Millisecond
 
-// addServer adds an HTTP listener.
+// addServer adds an actor to the group that serves handler on addr.
 func addServer(g *run.Group, addr string, handler http.Handler) error {
 	server, err := httpserver.Listen(addr, handler)
 	if err != nil {
 		return err
 	}
 	g.Add(server.Run, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		// Connections of our own processes stay open; they are cut here.
+		// Other processes of this system keep their connections open; those
+		// are closed at the timeout.
 		_ = server.Shutdown(ctx)
 	})
 	return nil
 }
 
-// addMetrics adds the listener for metrics unless port is 0.
+// addMetrics adds an actor to the group that serves the metrics of registry on
+// port, unless port is 0.
 func addMetrics(g *run.Group, ip string, port int, registry gometrics.Registry) error {
 	if port == 0 {
 		return nil
@@ -45,14 +47,16 @@
 	return addServer(g, net.JoinHostPort(ip, strconv.Itoa(port)), mux)
 }
 
-// httpErrors returns a standard logger that writes to the event log.
-func httpErrors(l *eventlog.Logger) *log.Logger { return log.New(errorLines{l}, "", 0) }
+// newErrorLog returns the error log of an HTTP server, which writes each line as an
+// event.
+func newErrorLog(l *eventlog.Logger) *log.Logger { return log.New(errorLogWriter{l}, "", 0) }
 
-// errorLines takes the lines of a standard logger.
-type errorLines struct{ log *eventlog.Logger }
+// errorLogWriter is the output of a standard logger. It writes each line as an
+// event.
+type errorLogWriter struct{ log *eventlog.Logger }
 
-// Write implements io.Writer.
-func (e errorLines) Write(line []byte) (int, error) {
-	e.log.Event(eventServer, eventlog.Fields{"error": strings.TrimSpace(string(line))})
+// Write writes line as an event. It returns no error.
+func (w errorLogWriter) Write(line []byte) (int, error) {
+	w.log.Event(eventServerError, eventlog.Fields{"error": strings.TrimSpace(string(line))})
 	return len(line), nil
 }
--- a/daemon/hosted/stop.go
+++ b/daemon/hosted/stop.go
@@ -7,23 +7,26 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// drainer answers requests and can be told that the process stops.
+// drainer is a handler of client requests.
 type drainer interface {
+	// Drain makes each further response close its connection.
 	Drain()
 }
 
-// shutter stops taking connections and waits for the requests that are running.
-type shutter interface {
+// shutdowner is an HTTP server.
+type shutdowner interface {
+	// Shutdown closes the listener and waits for the running requests.
 	Shutdown(ctx context.Context) error
 }
 
-// stopClients answers a planned stop under load: connections are taken until
-// the balancer has heard of the stop, then no longer, although clients that
-// have no other entry instance may still be coming; what runs is answered.
-func stopClients(clock clockwork.Clock, handler drainer, server shutter, grace time.Duration) error {
+// shutDownClients stops the server for clients within grace. It accepts new
+// connections until the load balancer has detected that the instance is not ready,
+// and then none, although clients without another entry instance may still try to
+// connect. It waits for the running requests.
+func shutDownClients(clock clockwork.Clock, handler drainer, server shutdowner, grace time.Duration) error {
 	handler.Drain()
-	clock.Sleep(listenFor)
-	ctx, cancel := clockwork.WithTimeout(context.Background(), clock, grace-listenFor)
+	clock.Sleep(acceptAfterSignal)
+	ctx, cancel := clockwork.WithTimeout(context.Background(), clock, grace-acceptAfterSignal)
 	defer cancel()
 	return server.Shutdown(ctx)
 }
