--- a/cmd/rattanway-node/main.go
+++ b/cmd/rattanway-node/main.go
@@ -1,6 +1,6 @@
-// Command rattanway-node runs the daemons on the users' platform. It is kept
-// apart from command rattanway so that the agents, which run on small machines,
-// carry neither the operators' commands nor the benchmarks.
+// Command rattanway-node runs the daemons on the users' platform. It is a separate
+// command from rattanway because agents run on small machines: its binary contains
+// neither the operators' commands nor the benchmarks.
 package main
 
 import (
@@ -16,15 +16,16 @@
 	"github.com/rattanway/rattanway/process/settings"
 )
 
-// flags are the settings of both daemons.
+// flags holds the command-line flags of both daemons.
 type flags struct {
-	Settings string       `help:"The platform's settings file." env:"${settingsVariable}" required:""`
-	Token    string       `help:"Secret with which our processes authenticate to each other." env:"RATTANWAY_PEER_TOKEN" required:""`
-	Metrics  settings.Int `help:"Port of the metrics; 0 for none." default:"0" env:"RATTANWAY_METRICS_PORT"`
-	LogLevel string       `help:"Least level that is logged." enum:"debug,info,warning,error" default:"info" env:"RATTANWAY_LOG_LEVEL"`
+	Settings string       `help:"Path of the settings file that the platform writes." env:"${settingsVariable}" required:""`
+	Token    string       `help:"Shared secret that authenticates the daemons to each other." env:"RATTANWAY_PEER_TOKEN" required:""`
+	Metrics  settings.Int `help:"Port that serves the metrics; 0 disables them." default:"0" env:"RATTANWAY_METRICS_PORT"`
+	LogLevel string       `help:"Lowest level that is logged." enum:"debug,info,warning,error" default:"info" env:"RATTANWAY_LOG_LEVEL"`
 }
 
-// options checks the flags and names every wrong one at once.
+// options returns the options of a daemon, or one error that lists all invalid
+// flags.
 func (f *flags) options() (hosted.Options, error) {
 	var problems settings.Problems
 	problems.Add(f.Metrics.Check("--metrics", 0, 65535))
@@ -36,19 +37,20 @@
 	}, problems.Err()
 }
 
-// entryCmd runs an entry instance.
+// entryCmd is the command that runs an entry instance.
 type entryCmd struct{ flags }
 
-// Run implements the command.
-func (c *entryCmd) Run() error { return start(&c.flags, hosted.RunEntry) }
+// Run runs an entry instance until SIGTERM or SIGINT.
+func (c *entryCmd) Run() error { return runDaemon(&c.flags, hosted.RunEntry) }
 
-// agentCmd runs the agent beside a model server.
+// agentCmd is the command that runs an agent beside a backend server.
 type agentCmd struct{ flags }
 
-// Run implements the command.
-func (c *agentCmd) Run() error { return start(&c.flags, hosted.RunAgent) }
+// Run runs an agent until SIGTERM or SIGINT.
+func (c *agentCmd) Run() error { return runDaemon(&c.flags, hosted.RunAgent) }
 
-func start(f *flags, daemon func(hosted.Options) error) error {
+// runDaemon checks the flags and runs daemon with them.
+func runDaemon(f *flags, daemon func(hosted.Options) error) error {
 	options, err := f.options()
 	if err != nil {
 		return errors.Wrap(err, "command line")
@@ -57,11 +59,11 @@
 }
 
 func main() {
-	var grammar struct {
+	var commands struct {
 		Entry entryCmd `cmd:"" help:"Run an entry instance."`
-		Agent agentCmd `cmd:"" help:"Run the agent beside a model server."`
+		Agent agentCmd `cmd:"" help:"Run the agent beside a backend server."`
 	}
-	ctx := kong.Parse(&grammar,
+	ctx := kong.Parse(&commands,
 		kong.Name("rattanway-node"),
 		kong.Description("Runs the daemons of rattanway on the users' platform."),
 		kong.Vars{"settingsVariable": platform.SettingsPathVariable},
--- a/cmd/rattanway/main.go
+++ b/cmd/rattanway/main.go
@@ -1,5 +1,5 @@
-// Command rattanway is the one binary of the system; package cli holds its
-// commands.
+// Command rattanway runs the daemons, the operators' commands, the benchmarks and
+// the stand-ins of this system. Package cli implements its subcommands.
 package main
 
 import (
