--- a/cli/agent.go
+++ b/cli/agent.go
@@ -8,6 +8,7 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
+// Units and limits of the agent's settings.
 const (
 	mebibyte     = 1 << 20
 	maxStoreMiB  = 4 << 20
@@ -20,22 +21,22 @@
 	Engine       string            `help:"Address of the engine or plain service beside the agent, ip:port." env:"RATTANWAY_ENGINE"`
 	Service      string            `help:"Name of the plain service; empty for a model engine." env:"RATTANWAY_SERVICE"`
 	HealthPath   string            `help:"Path of the plain service's health check." default:"/healthz" env:"RATTANWAY_HEALTH_PATH"`
-	LeaveNotice  settings.Duration `help:"Time given to entry instances to hear that this agent leaves." default:"1s" env:"RATTANWAY_LEAVE_NOTICE"`
+	LeaveNotice  settings.Duration `help:"How long the agent waits at shutdown after announcing to the entry instances that it leaves." default:"1s" env:"RATTANWAY_LEAVE_NOTICE"`
 	StoreMiB     settings.Int      `name:"store-mib" help:"Memory for weights, in MiB." default:"1024" env:"RATTANWAY_STORE_MIB"`
 	OriginRegion string            `help:"Region of the weight store; empty when not known." env:"RATTANWAY_ORIGIN_REGION"`
-	Upload       settings.Int      `name:"upload-kib" help:"Most that weights may send over this machine's link, in KiB/s; 0 for no limit." default:"0" env:"RATTANWAY_UPLOAD_KIB"`
-	Download     settings.Int      `name:"download-kib" help:"Most that weights may receive over this machine's link, in KiB/s; 0 for no limit." default:"0" env:"RATTANWAY_DOWNLOAD_KIB"`
-	RegionLink   settings.Int      `name:"region-kib" help:"Budget of the link to other regions for the weights of all agents of this region together, in KiB/s; 0 for what the declarations give." default:"0" env:"RATTANWAY_REGION_KIB"`
-	Origin       settings.Int      `name:"origin-kib" help:"Budget of the weight store's link for all agents together, in KiB/s: no agent draws more, and the agents take turns by it; 0 for no limit and no turns." default:"0" env:"RATTANWAY_ORIGIN_KIB"`
-	MaxLocal     settings.Int      `help:"Most entry instances of the own data centre to register with." default:"64" env:"RATTANWAY_MAX_LOCAL"`
-	PerRemote    settings.Int      `help:"Entry instances of each other data centre to register with." default:"2" env:"RATTANWAY_PER_REMOTE"`
+	Upload       settings.Int      `name:"upload-kib" help:"Limit for weights sent over this machine's link, in KiB/s; 0 for no limit." default:"0" env:"RATTANWAY_UPLOAD_KIB"`
+	Download     settings.Int      `name:"download-kib" help:"Limit for weights received over this machine's link, in KiB/s; 0 for no limit." default:"0" env:"RATTANWAY_DOWNLOAD_KIB"`
+	RegionLink   settings.Int      `name:"region-kib" help:"Limit of the link to other regions for the weights of all agents of this region together, in KiB/s; 0 for the limit in the declarations." default:"0" env:"RATTANWAY_REGION_KIB"`
+	Origin       settings.Int      `name:"origin-kib" help:"Limit of the weight store's link for all agents together, in KiB/s: no agent reads faster, and the agents take turns within it; 0 for no limit and no turns." default:"0" env:"RATTANWAY_ORIGIN_KIB"`
+	MaxLocal     settings.Int      `help:"Largest number of entry instances in the agent's data centre to register with." default:"64" env:"RATTANWAY_MAX_LOCAL"`
+	PerRemote    settings.Int      `help:"Number of entry instances in each other data centre to register with." default:"2" env:"RATTANWAY_PER_REMOTE"`
 }
 
 // Run implements the command.
 func (c *AgentCmd) Run() error {
 	var problems settings.Problems
 	cfg := daemon.AgentConfig{
-		Common:      c.common(core.RoleAgent, &problems),
+		Common:      c.commonConfig(core.RoleAgent, &problems),
 		EngineAddr:  c.Engine,
 		Service:     c.Service,
 		HealthPath:  c.HealthPath,
@@ -43,23 +44,24 @@
 		StoreBytes:  int64(c.StoreMiB.Value()) * mebibyte,
 		Spread: spread.Config{
 			OriginRegion:           c.OriginRegion,
-			UploadBytesPerSecond:   kib(c.Upload),
-			DownloadBytesPerSecond: kib(c.Download),
-			RegionBytesPerSecond:   kib(c.RegionLink),
-			OriginBytesPerSecond:   kib(c.Origin),
+			UploadBytesPerSecond:   bytesFromKiB(c.Upload),
+			DownloadBytesPerSecond: bytesFromKiB(c.Download),
+			RegionBytesPerSecond:   bytesFromKiB(c.RegionLink),
+			OriginBytesPerSecond:   bytesFromKiB(c.Origin),
 		},
 		Homes: homes.Config{MaxLocal: c.MaxLocal.Value(), PerRemote: c.PerRemote.Value()},
 	}
-	c.check(&problems)
-	log := c.logger(&problems)
+	c.checkSettings(&problems)
+	log := c.newLogger(&problems)
 	if err := problems.Err(); err != nil {
 		return usageError{err}
 	}
 	return daemon.RunAgent(cfg, log)
 }
 
-// check adds the problems of the agent's own settings.
-func (c *AgentCmd) check(problems *settings.Problems) {
+// checkSettings validates the settings that only the agent has and adds every
+// wrong one to problems.
+func (c *AgentCmd) checkSettings(problems *settings.Problems) {
 	problems.Add(settings.CheckAddr("--engine", c.Engine))
 	if c.Service != "" {
 		problems.Add(settings.CheckName("--service", c.Service))
@@ -74,5 +76,5 @@
 	problems.Add(c.PerRemote.Check("--per-remote", 1, 1000))
 }
 
-// kib returns a number of KiB in bytes.
-func kib(v settings.Int) int64 { return int64(v.Value()) << 10 }
+// bytesFromKiB converts a setting in KiB to bytes.
+func bytesFromKiB(v settings.Int) int64 { return int64(v.Value()) << 10 }
--- a/cli/apply.go
+++ b/cli/apply.go
@@ -8,9 +8,9 @@
 // ApplyCmd puts a folder of declarations in force.
 type ApplyCmd struct {
 	operatorFlags
-	causeFlags
+	changeMetadataFlags
 	Folder string  `arg:"" help:"Folder of YAML declarations." type:"existingdir"`
-	Base   *uint64 `help:"Version that the change was made for, as plan prints it; default is the newest."`
+	Base   *uint64 `help:"Version on which the change is based, as plan prints it; default is the newest."`
 }
 
 // Run implements the command.
@@ -23,24 +23,25 @@
 	if err != nil {
 		return err
 	}
-	base, err := c.base(client)
+	base, err := c.baseVersion(client)
 	if err != nil {
 		return err
 	}
-	cause := c.cause()
-	accepted, err := client.Apply(background(), ops.ApplyRequest{Cause: cause, Base: &base, Files: files})
+	metadata := c.changeMetadata()
+	accepted, err := client.Apply(commandContext(), ops.ApplyRequest{Cause: metadata, Base: &base, Files: files})
 	if err != nil {
-		return opsError(repeatFlags(cause, &base), err)
+		return changeError(repeatFlags(metadata, &base), err)
 	}
-	return printAccepted(s, cause, accepted)
+	return printAccepted(s, metadata, accepted)
 }
 
-// base returns the given base, or the newest version.
-func (c *ApplyCmd) base(client *ops.Client) (uint64, error) {
+// baseVersion returns the version of --base, or the newest version without it.
+// It returns 0 if there is no version yet.
+func (c *ApplyCmd) baseVersion(client *ops.Client) (uint64, error) {
 	if c.Base != nil {
 		return *c.Base, nil
 	}
-	history, err := client.History(background(), 1)
+	history, err := client.History(commandContext(), 1)
 	if err != nil || len(history.Entries) == 0 {
 		return 0, err
 	}
--- a/cli/ask.go
+++ b/cli/ask.go
@@ -13,22 +13,23 @@
 	"github.com/go-faster/errors"
 )
 
-// AskCmd sends one chat call and prints the answer as it comes.
+// AskCmd sends one chat call and prints the answer as it arrives.
 type AskCmd struct {
 	Entry  string        `help:"Address of an entry instance, ip:port." default:"127.0.0.1:7101" env:"RATTANWAY_ENTRY"`
 	Key    string        `help:"The client account's key." env:"RATTANWAY_KEY"`
-	Model  string        `help:"Model to ask."`
-	Tokens int           `help:"Most tokens to generate." default:"16"`
-	Retry  time.Duration `help:"How long to try again while the answer is a refusal." default:"0s"`
+	Model  string        `help:"Model to call."`
+	Tokens int           `help:"Largest number of tokens to generate." default:"16"`
+	Retry  time.Duration `help:"How long to retry while the call is refused or the connection fails." default:"0s"`
 	Prompt string        `arg:"" help:"The prompt."`
 }
 
-// chatMessage and chatCall are the call's body.
+// chatMessage is one message of a chatCall.
 type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
+// chatCall is the request body of a chat call.
 type chatCall struct {
 	Model     string        `json:"model"`
 	Stream    bool          `json:"stream"`
@@ -36,7 +37,7 @@
 	Messages  []chatMessage `json:"messages"`
 }
 
-// chatChunk is one event of the answer.
+// chatChunk is one event of a streamed answer.
 type chatChunk struct {
 	Choices []struct {
 		Delta struct {
@@ -45,23 +46,24 @@
 	} `json:"choices"`
 }
 
-// errRefused marks a refusal, which may be tried again.
+// errRefused is returned when the call was refused or got no response; the call
+// may be retried.
 var errRefused = errors.New("refused")
 
 // Run implements the command.
 func (c *AskCmd) Run(s *streams) error {
 	deadline := time.Now().Add(c.Retry)
 	for {
-		err := c.ask(s.Out)
+		err := c.sendCall(s.Out)
 		if !errors.Is(err, errRefused) || time.Now().After(deadline) {
 			return err
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(pollInterval)
 	}
 }
 
-// ask makes the call once.
-func (c *AskCmd) ask(out io.Writer) error {
+// sendCall makes the call once and prints the answer to out.
+func (c *AskCmd) sendCall(out io.Writer) error {
 	body, err := json.Marshal(chatCall{
 		Model: c.Model, Stream: true, MaxTokens: c.Tokens,
 		Messages: []chatMessage{{Role: "user", Content: c.Prompt}},
@@ -84,22 +86,22 @@
 		problem, _ := io.ReadAll(io.LimitReader(resp.Body, mebibyte))
 		return errors.Wrapf(errRefused, "status %d: %s", resp.StatusCode, bytes.TrimSpace(problem))
 	}
-	return printEvents(out, resp.Body)
+	return printAnswer(out, resp.Body)
 }
 
-// printEvents prints the text of the events, and fails unless the last one
-// says that the answer is whole.
-func printEvents(out io.Writer, body io.Reader) error {
-	whole := false
-	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, mebibyte)
-	for lines.Scan() {
-		data, ok := strings.CutPrefix(lines.Text(), "data: ")
+// printAnswer prints the text of the streamed events. It returns an error
+// unless the stream contains the [DONE] event that marks a complete answer.
+func printAnswer(out io.Writer, body io.Reader) error {
+	complete := false
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(nil, mebibyte)
+	for scanner.Scan() {
+		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			whole = true
+			complete = true
 			continue
 		}
 		var chunk chatChunk
@@ -111,11 +113,11 @@
 		}
 	}
 	_, _ = fmt.Fprintln(out)
-	if err := lines.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return errors.Wrap(err, "answer")
 	}
-	if !whole {
-		return errors.New("the answer broke off")
+	if !complete {
+		return errors.New("the answer ended before [DONE]")
 	}
 	return nil
 }
--- a/cli/bench_requests.go
+++ b/cli/bench_requests.go
@@ -12,12 +12,12 @@
 	"github.com/rattanway/rattanway/bench/requests"
 )
 
-// BenchRequestsCmd drives entry instances with a scenario.
+// BenchRequestsCmd sends the load of a scenario to entry instances.
 type BenchRequestsCmd struct {
 	Scenario string   `arg:"" help:"YAML file of the scenario." type:"existingfile"`
-	Entries  []string `help:"Addresses of entry instances, ip:port, in place of the scenario's." env:"RATTANWAY_BENCH_ENTRIES"`
-	Services []string `help:"Addresses of service stand-ins, ip:port, in place of the scenario's." env:"RATTANWAY_BENCH_SERVICES"`
-	JSON     bool     `name:"json" help:"Print the result as JSON in place of a table."`
+	Entries  []string `help:"Addresses of entry instances, ip:port, instead of those in the scenario." env:"RATTANWAY_BENCH_ENTRIES"`
+	Services []string `help:"Addresses of service stand-ins, ip:port, instead of those in the scenario." env:"RATTANWAY_BENCH_SERVICES"`
+	JSON     bool     `name:"json" help:"Print the result as JSON instead of a table."`
 }
 
 // Run implements the command.
@@ -36,14 +36,14 @@
 		result.WriteTable(s.Out)
 		return nil
 	}
-	enc := json.NewEncoder(s.Out)
-	enc.SetIndent("", "  ")
-	return enc.Encode(result)
+	encoder := json.NewEncoder(s.Out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(result)
 }
 
-// BenchHistoryCmd checks the history of a run of once-only calls.
+// BenchHistoryCmd checks a recorded history of once-only calls.
 type BenchHistoryCmd struct {
-	File string `arg:"" help:"History, one JSON line for each execution and answer." type:"existingfile"`
+	File string `arg:"" help:"History file with one JSON line for each execution and answer." type:"existingfile"`
 }
 
 // Run implements the command.
@@ -61,7 +61,7 @@
 		return err
 	}
 	if n := len(result.Violations); n > 0 {
-		return errors.Errorf("%d violations", n)
+		return errors.Errorf("the history has %d violations", n)
 	}
 	return nil
 }
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli is the command line: it parses and checks settings and starts
-// the daemons and the operators' commands. One file holds one command.
+// Package cli implements the command line: it parses and validates settings,
+// starts the daemons and runs the operators' commands. Most commands have a
+// file of their own.
 package cli
 
 import (
@@ -11,47 +12,47 @@
 	"github.com/go-faster/errors"
 )
 
-// Exit codes of the command.
+// Exit codes of the process.
 const (
-	// ExitOK says that the command did what it was asked.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailed says that the command was understood and failed.
+	// ExitFailed means that the arguments were valid and the command failed.
 	ExitFailed = 1
-	// ExitUsage says that a setting or argument was wrong; nothing was done.
+	// ExitUsage means that a setting or argument was wrong; nothing was done.
 	ExitUsage = 2
-	// ExitConflict says that another operator's change came first.
+	// ExitConflict means that another operator changed the configuration first.
 	ExitConflict = 3
 )
 
-// commands is the grammar of the command line.
+// commands declares every command for the kong parser.
 type commands struct {
 	Version VersionCmd `cmd:"" help:"Print the version of this build."`
 	Entry   EntryCmd   `cmd:"" help:"Run an entry instance."`
 	Agent   AgentCmd   `cmd:"" help:"Run the agent beside a backend server."`
-	Publish PublishCmd `cmd:"" help:"Cut a model into chunks, store them, and print the manifest digest."`
+	Publish PublishCmd `cmd:"" help:"Split a model into chunks, store them, and print the manifest digest."`
 	Check   CheckCmd   `cmd:"" help:"Validate a folder of declarations offline."`
 	Plan    PlanCmd    `cmd:"" help:"Show what a folder of declarations would change."`
 	Apply   ApplyCmd   `cmd:"" help:"Put a folder of declarations in force."`
 	History HistoryCmd `cmd:"" help:"Show who changed what and when."`
-	Replay  ReplayCmd  `cmd:"" help:"Print the documents of a past version."`
+	Replay  ReplayCmd  `cmd:"" help:"Print the declarations of a past version."`
 	Revert  RevertCmd  `cmd:"" help:"Put the content of an old version in force as a new version."`
-	Drain   DrainCmd   `cmd:"" help:"Take a data centre out, or ask a backend server to leave."`
+	Drain   DrainCmd   `cmd:"" help:"Take a data centre out of service, or mark a backend server as leaving."`
 	Return  ReturnCmd  `cmd:"" help:"Undo a drain."`
-	Status  StatusCmd  `cmd:"" help:"Show what is in force where."`
-	Ask     AskCmd     `cmd:"" help:"Send one chat call and print the answer as it comes."`
+	Status  StatusCmd  `cmd:"" help:"Show the configuration in force and the state of the backend servers."`
+	Ask     AskCmd     `cmd:"" help:"Send one chat call and print the answer as it arrives."`
 	Wait    WaitCmd    `cmd:"" help:"Wait until processes are ready."`
-	Trace   TraceCmd   `cmd:"" help:"Tell from logs what happened to a version or a call."`
-	Standin StandinCmd `cmd:"" help:"Small stand-ins for tests and the quick start."`
+	Trace   TraceCmd   `cmd:"" help:"Show from logs what happened to a version or a call."`
+	Standin StandinCmd `cmd:"" help:"Run stand-ins of external systems for tests and the quick start."`
 	Bench   BenchCmd   `cmd:"" help:"Run a benchmark."`
 }
 
-// streams are where commands write.
+// streams holds the output streams of a command.
 type streams struct {
 	Out io.Writer
 	Err io.Writer
 }
 
-// VersionCmd prints the build's version.
+// VersionCmd prints the version of this build.
 type VersionCmd struct{}
 
 // Run implements the command.
@@ -60,13 +61,13 @@
 	return err
 }
 
-// Main runs the command line with args and returns the exit code.
+// Main parses args, runs the command and returns the exit code.
 func Main(args []string) int {
 	var grammar commands
 	s := &streams{Out: os.Stdout, Err: os.Stderr}
 	parser, err := kong.New(&grammar,
 		kong.Name("rattanway"),
-		kong.Description("Spreads model weights to many instances while live requests keep flowing."),
+		kong.Description("Distributes model weights to many instances while requests are being served."),
 		kong.Bind(s),
 		kong.UsageOnError(),
 	)
@@ -82,7 +83,8 @@
 	return exitCode(ctx.Run())
 }
 
-// exitCode prints err and maps it to an exit code.
+// exitCode prints err, if any, to standard error and returns the exit code
+// for it.
 func exitCode(err error) int {
 	if err == nil {
 		return ExitOK
--- a/cli/daemonflags.go
+++ b/cli/daemonflags.go
@@ -12,32 +12,33 @@
 	"github.com/rattanway/rattanway/process/settings"
 )
 
-// Bounds of settings.
+// Limits of duration settings.
 const (
 	minInterval = 100 * time.Millisecond
 	maxInterval = time.Minute
-	maxDrain    = time.Hour
+	maxDuration = time.Hour
 )
 
-// daemonFlags are the settings that both daemons have.
+// daemonFlags holds the settings that the entry and agent commands share.
 type daemonFlags struct {
-	ID            string            `help:"Name of this instance; an agent's is its backend server's." env:"RATTANWAY_ID"`
+	ID            string            `help:"Name of this instance; an agent has the name of its backend server." env:"RATTANWAY_ID"`
 	Listen        string            `help:"Address to listen on, ip:port." env:"RATTANWAY_LISTEN"`
-	Advertise     string            `help:"Address at which others reach this instance, ip:port; default is --listen." env:"RATTANWAY_ADVERTISE"`
+	Advertise     string            `help:"Address at which other instances reach this one, ip:port; default is --listen." env:"RATTANWAY_ADVERTISE"`
 	DataCentre    string            `help:"Data centre of this instance." env:"RATTANWAY_DATA_CENTRE"`
 	Region        string            `help:"Region of the data centre." env:"RATTANWAY_REGION"`
-	PeerToken     string            `help:"Secret shared by our processes, at least 8 characters." env:"RATTANWAY_PEER_TOKEN"`
+	PeerToken     string            `help:"Secret shared by all entry instances and agents, at least 8 characters." env:"RATTANWAY_PEER_TOKEN"`
 	Platform      string            `help:"Address of the platform, ip:port." env:"RATTANWAY_PLATFORM"`
 	PlatformToken string            `help:"Bearer token for the platform; empty for none." env:"RATTANWAY_PLATFORM_TOKEN"`
-	Entries       []string          `help:"Entry instances known from the start, ID@IP:PORT/DATACENTRE/REGION, separated by commas." env:"RATTANWAY_ENTRIES"`
+	Entries       []string          `help:"Entry instances known at the start, ID@IP:PORT/DATACENTRE/REGION, separated by commas." env:"RATTANWAY_ENTRIES"`
 	ListInterval  settings.Duration `help:"Time between two reads of the platform's instance list." default:"2s" env:"RATTANWAY_LIST_INTERVAL"`
-	Heartbeat     settings.Duration `help:"Longest time between two reports of an agent; agents lengthen it in proportion when entry instances hear more than 60 of them." default:"5s" env:"RATTANWAY_HEARTBEAT"`
-	DrainTimeout  settings.Duration `help:"Longest wait for work in flight at the end." default:"2m" env:"RATTANWAY_DRAIN_TIMEOUT"`
-	LogLevel      string            `help:"Least level of events to write: debug, info, warning, error." default:"info" env:"RATTANWAY_LOG_LEVEL"`
+	Heartbeat     settings.Duration `help:"Longest interval between two reports of an agent; agents lengthen it in proportion when an entry instance receives reports from more than 60 of them." default:"5s" env:"RATTANWAY_HEARTBEAT"`
+	DrainTimeout  settings.Duration `help:"Longest wait for work in flight at shutdown." default:"2m" env:"RATTANWAY_DRAIN_TIMEOUT"`
+	LogLevel      string            `help:"Lowest level of events to log: debug, info, warning, error." default:"info" env:"RATTANWAY_LOG_LEVEL"`
 }
 
-// common checks the settings, adds their problems and returns what they say.
-func (f *daemonFlags) common(role core.Role, problems *settings.Problems) daemon.Common {
+// commonConfig validates the settings, adds every wrong one to problems and
+// returns the configuration that both daemons share.
+func (f *daemonFlags) commonConfig(role core.Role, problems *settings.Problems) daemon.Common {
 	if f.Advertise == "" {
 		f.Advertise = f.Listen
 	}
@@ -50,7 +51,7 @@
 	problems.Add(settings.CheckAddr("--platform", f.Platform))
 	problems.Add(f.ListInterval.Check("--list-interval", minInterval, maxInterval))
 	problems.Add(f.Heartbeat.Check("--heartbeat", minInterval, maxInterval))
-	problems.Add(f.DrainTimeout.Check("--drain-timeout", 0, maxDrain))
+	problems.Add(f.DrainTimeout.Check("--drain-timeout", 0, maxDuration))
 	return daemon.Common{
 		Self: core.Instance{
 			ID: f.ID, Role: role, Addr: f.Advertise, DataCentre: f.DataCentre, Region: f.Region,
@@ -59,25 +60,28 @@
 		PeerToken:     f.PeerToken,
 		PlatformAddr:  f.Platform,
 		PlatformToken: f.PlatformToken,
-		Seeds:         f.seeds(problems),
+		Seeds:         f.parseSeeds(problems),
 		ListInterval:  f.ListInterval.Value(),
 		Heartbeat:     f.Heartbeat.Value(),
 		DrainTimeout:  f.DrainTimeout.Value(),
 	}
 }
 
-func (f *daemonFlags) seeds(problems *settings.Problems) []core.Instance {
+// parseSeeds returns the entry instances of --entries and adds every invalid
+// one to problems.
+func (f *daemonFlags) parseSeeds(problems *settings.Problems) []core.Instance {
 	var seeds []core.Instance
 	for _, text := range f.Entries {
-		seed, err := settings.ParseSeed("--entries", text)
+		instance, err := settings.ParseSeed("--entries", text)
 		problems.Add(err)
-		seeds = append(seeds, seed)
+		seeds = append(seeds, instance)
 	}
 	return seeds
 }
 
-// logger returns the process's event log, which goes to standard error.
-func (f *daemonFlags) logger(problems *settings.Problems) *eventlog.Logger {
+// newLogger returns the event log of the process, which is written to standard
+// error.
+func (f *daemonFlags) newLogger(problems *settings.Problems) *eventlog.Logger {
 	level, err := logrus.ParseLevel(f.LogLevel)
 	if err != nil {
 		problems.Add(settings.Problem{Name: "--log-level", Value: f.LogLevel, Allowed: "debug, info, warning or error"})
--- a/cli/docs_test.go
+++ b/cli/docs_test.go
@@ -12,9 +12,9 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// checkPage compares a page under docs with what the code says. Run the test
-// with -update to write the page anew.
-func checkPage(t *testing.T, name, body string) {
+// assertPage compares a page in docs with the body generated from the code. The
+// flag -update writes the page instead.
+func assertPage(t *testing.T, name, body string) {
 	t.Helper()
 	g := goldie.New(t, goldie.WithFixtureDir("../docs"), goldie.WithNameSuffix(".md"))
 	g.Assert(t, name, []byte(body))
@@ -34,7 +34,7 @@
 		meaning = strings.ToUpper(meaning[:1]) + meaning[1:] + "."
 		fmt.Fprintf(&page, "| %d | %s | %s | %s |\n", e.Number, e.Name, e.Level, meaning)
 	}
-	checkPage(t, "EVENTS", page.String())
+	assertPage(t, "EVENTS", page.String())
 }
 
 func TestSettingsPage(t *testing.T) {
@@ -49,26 +49,26 @@
 		"reports every wrong setting at once and then does nothing. Exit codes: 0 done,\n" +
 		"1 failed, 2 wrong settings or arguments, 3 another operator's change came first.\n" +
 		"This page is made from the command line itself: `go test ./cli -update`.\n")
-	for _, leaf := range parser.Model.Leaves(true) {
-		fmt.Fprintf(&page, "\n## %s\n\n%s\n", leaf.FullPath(), leaf.Help)
-		writeFlags(&page, leaf)
+	for _, command := range parser.Model.Leaves(true) {
+		fmt.Fprintf(&page, "\n## %s\n\n%s\n", command.FullPath(), command.Help)
+		writeFlags(&page, command)
 	}
-	checkPage(t, "SETTINGS", page.String())
+	assertPage(t, "SETTINGS", page.String())
 }
 
-// writeFlags writes the table of a command's flags.
-func writeFlags(page *bytes.Buffer, leaf *kong.Node) {
-	if len(leaf.Flags) == 0 {
+// writeFlags writes a Markdown table of the command's flags.
+func writeFlags(page *bytes.Buffer, command *kong.Node) {
+	if len(command.Flags) == 0 {
 		return
 	}
 	page.WriteString("\n| flag | environment | default | meaning |\n|---|---|---|---|\n")
-	for _, f := range leaf.Flags {
-		fmt.Fprintf(page, "| `--%s` | %s | %s | %s |\n", f.Name, code(strings.Join(f.Envs, ", ")), code(f.Default), f.Help)
+	for _, f := range command.Flags {
+		fmt.Fprintf(page, "| `--%s` | %s | %s | %s |\n", f.Name, codeSpan(strings.Join(f.Envs, ", ")), codeSpan(f.Default), f.Help)
 	}
 }
 
-// code sets text in code type, or leaves a cell empty.
-func code(text string) string {
+// codeSpan returns text as a Markdown code span, or "" if it is empty.
+func codeSpan(text string) string {
 	if text == "" {
 		return ""
 	}
--- a/cli/drain.go
+++ b/cli/drain.go
@@ -2,51 +2,53 @@
 
 import "github.com/rattanway/rattanway/request/ops"
 
-// objectFlags name what is drained or returned.
-type objectFlags struct {
+// drainTarget holds the arguments that name the data centre or backend server
+// to drain or return.
+type drainTarget struct {
 	Kind string `arg:"" enum:"datacentre,backendserver" help:"datacentre or backendserver."`
 	Name string `arg:"" help:"Name of the data centre or backend server."`
 }
 
-// DrainCmd takes a data centre out or asks a backend server to leave.
+// DrainCmd takes a data centre out of service or marks a backend server as
+// leaving.
 type DrainCmd struct {
 	operatorFlags
-	causeFlags
-	objectFlags
+	changeMetadataFlags
+	drainTarget
 }
 
 // Run implements the command.
 func (c *DrainCmd) Run(s *streams) error {
-	return setService(s, c.operatorFlags, c.causeFlags, c.objectFlags, true)
+	return drainOrReturn(s, c.operatorFlags, c.changeMetadataFlags, c.drainTarget, true)
 }
 
 // ReturnCmd undoes a drain.
 type ReturnCmd struct {
 	operatorFlags
-	causeFlags
-	objectFlags
+	changeMetadataFlags
+	drainTarget
 }
 
 // Run implements the command.
 func (c *ReturnCmd) Run(s *streams) error {
-	return setService(s, c.operatorFlags, c.causeFlags, c.objectFlags, false)
+	return drainOrReturn(s, c.operatorFlags, c.changeMetadataFlags, c.drainTarget, false)
 }
 
-// setService drains or returns one object.
-func setService(s *streams, operator operatorFlags, flags causeFlags, object objectFlags, drain bool) error {
+// drainOrReturn drains the target, or returns it to service if drain is false.
+func drainOrReturn(s *streams, operator operatorFlags, flags changeMetadataFlags, target drainTarget, drain bool) error {
 	client, err := operator.client()
 	if err != nil {
 		return err
 	}
-	cause := flags.cause()
-	set := client.SetBackendServerLeaving
-	if object.Kind == "datacentre" {
-		set = client.SetDataCentreOut
+	metadata := flags.changeMetadata()
+	setDrained := client.SetBackendServerLeaving
+	if target.Kind == "datacentre" {
+		setDrained = client.SetDataCentreOut
 	}
 	var accepted ops.Accepted
-	accepted, err = set(background(), object.Name, drain, cause)
+	accepted, err = setDrained(commandContext(), target.Name, drain, metadata)
 	if err != nil {
-		return opsError(repeatFlags(cause, nil), err)
+		return changeError(repeatFlags(metadata, nil), err)
 	}
-	return printAccepted(s, cause, accepted)
+	return printAccepted(s, metadata, accepted)
 }
--- a/cli/entry.go
+++ b/cli/entry.go
@@ -12,21 +12,21 @@
 // EntryCmd runs an entry instance.
 type EntryCmd struct {
 	daemonFlags
-	Operators         []string          `help:"Operators' tokens, NAME=TOKEN or TOKEN, separated by commas." env:"RATTANWAY_OPERATORS"`
-	BalancerLag       settings.Duration `help:"How long the balancer may send calls after this instance is not ready." default:"3s" env:"RATTANWAY_BALANCER_LAG"`
+	Operators         []string          `help:"Tokens of operators, NAME=TOKEN or TOKEN, separated by commas." env:"RATTANWAY_OPERATORS"`
+	BalancerLag       settings.Duration `help:"Longest time for which the load balancer still sends calls after this instance stops being ready." default:"3s" env:"RATTANWAY_BALANCER_LAG"`
 	Deadline          settings.Duration `help:"Longest time that a call may take." default:"2m" env:"RATTANWAY_DEADLINE"`
-	FirstTokenTimeout settings.Duration `help:"Longest wait for the first piece of a streamed answer." default:"10s" env:"RATTANWAY_FIRST_TOKEN_TIMEOUT"`
-	StallTimeout      settings.Duration `help:"Longest wait between two pieces of an answer." default:"3s" env:"RATTANWAY_STALL_TIMEOUT"`
+	FirstTokenTimeout settings.Duration `help:"Longest wait for the first part of a streamed answer." default:"10s" env:"RATTANWAY_FIRST_TOKEN_TIMEOUT"`
+	StallTimeout      settings.Duration `help:"Longest wait between two parts of an answer." default:"3s" env:"RATTANWAY_STALL_TIMEOUT"`
 	Policy            string            `help:"Routing policy: two-choices, least-loaded, round-robin, random." default:"two-choices" env:"RATTANWAY_POLICY"`
-	PrefixAffinity    bool              `help:"Send calls whose prompts begin alike to the same server while its load allows." default:"true" negatable:"" env:"RATTANWAY_PREFIX_AFFINITY"`
+	PrefixAffinity    bool              `help:"Send calls whose prompts share a prefix to the same backend server while its load allows." default:"true" negatable:"" env:"RATTANWAY_PREFIX_AFFINITY"`
 }
 
 // Run implements the command.
 func (c *EntryCmd) Run() error {
 	var problems settings.Problems
 	cfg := daemon.EntryConfig{
-		Common:      c.common(core.RoleEntry, &problems),
-		Operators:   c.operators(&problems),
+		Common:      c.commonConfig(core.RoleEntry, &problems),
+		Operators:   c.parseOperators(&problems),
 		BalancerLag: c.BalancerLag.Value(),
 		Relay: relay.Config{
 			DefaultDeadline:   c.Deadline.Value(),
@@ -36,29 +36,32 @@
 		Routing: routing.Config{Policy: routing.Policy(c.Policy), PrefixAffinity: c.PrefixAffinity},
 	}
 	problems.Add(c.BalancerLag.Check("--balancer-lag", 0, maxInterval))
-	problems.Add(c.Deadline.Check("--deadline", minInterval, maxDrain))
-	problems.Add(c.FirstTokenTimeout.Check("--first-token-timeout", minInterval, maxDrain))
-	problems.Add(c.StallTimeout.Check("--stall-timeout", minInterval, maxDrain))
+	problems.Add(c.Deadline.Check("--deadline", minInterval, maxDuration))
+	problems.Add(c.FirstTokenTimeout.Check("--first-token-timeout", minInterval, maxDuration))
+	problems.Add(c.StallTimeout.Check("--stall-timeout", minInterval, maxDuration))
 	problems.Add(c.checkPolicy())
-	log := c.logger(&problems)
+	log := c.newLogger(&problems)
 	if err := problems.Err(); err != nil {
 		return usageError{err}
 	}
 	return daemon.RunEntry(cfg, log)
 }
 
-func (c *EntryCmd) operators(problems *settings.Problems) []ops.Operator {
-	var all []ops.Operator
+// parseOperators returns the operators of --operators and adds every invalid
+// one to problems. The messages do not contain the tokens.
+func (c *EntryCmd) parseOperators(problems *settings.Problems) []ops.Operator {
+	var operators []ops.Operator
 	for _, text := range c.Operators {
 		operator, err := ops.ParseOperator(text)
 		if err != nil {
 			problems.Add(settings.Problem{Name: "--operators", Value: "(hidden)", Allowed: "NAME=TOKEN or TOKEN"})
 		}
-		all = append(all, operator)
+		operators = append(operators, operator)
 	}
-	return all
+	return operators
 }
 
+// checkPolicy returns an error if the routing policy is unknown.
 func (c *EntryCmd) checkPolicy() error {
 	switch routing.Policy(c.Policy) {
 	case routing.PolicyTwoChoices, routing.PolicyLeastLoaded, routing.PolicyRoundRobin, routing.PolicyRandom:
--- a/cli/history.go
+++ b/cli/history.go
@@ -9,10 +9,10 @@
 	"github.com/rattanway/rattanway/process/settings"
 )
 
-// maxHistory is the most versions that history shows.
+// maxHistory is the largest number of versions that history shows.
 const maxHistory = 1000
 
-// HistoryCmd shows who changed what and when.
+// HistoryCmd lists the configuration versions with author, time and reason.
 type HistoryCmd struct {
 	operatorFlags
 	Limit settings.Int `help:"Number of versions to show, the newest first." default:"20"`
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	history, err := client.History(background(), c.Limit.Value())
+	history, err := client.History(commandContext(), c.Limit.Value())
 	if err != nil {
 		return err
 	}
--- a/cli/ops.go
+++ b/cli/ops.go
@@ -13,13 +13,14 @@
 	"github.com/rattanway/rattanway/request/ops"
 )
 
-// operatorFlags say which entry instance an operator's command calls.
+// operatorFlags holds the entry instance that an operator's command calls and
+// the operator's token.
 type operatorFlags struct {
 	Entry string `help:"Entry instance to call, ip:port." required:"" env:"RATTANWAY_ENTRY"`
 	Token string `help:"Operator's token." required:"" env:"RATTANWAY_OPERATOR_TOKEN"`
 }
 
-// client checks the flags and returns a client.
+// client validates the flags and returns a client for the entry instance.
 func (f operatorFlags) client() (*ops.Client, error) {
 	var problems settings.Problems
 	problems.Add(settings.CheckAddr("--entry", f.Entry))
@@ -30,26 +31,27 @@
 	return ops.NewClient(f.Entry, f.Token), nil
 }
 
-// causeFlags say who makes a change and why.
-type causeFlags struct {
-	Author   string `help:"Who makes the change; default is the user's name." env:"RATTANWAY_AUTHOR"`
+// changeMetadataFlags holds who makes a change, why, and the change id.
+type changeMetadataFlags struct {
+	Author   string `help:"Who makes the change; default is the name of the current user." env:"RATTANWAY_AUTHOR"`
 	Reason   string `help:"Why the change is made." required:""`
 	ChangeID string `help:"Identifies the change: repeating a command with the same id has no further effect. Default is a new id, which is printed."`
 }
 
-// cause fills in what is not given.
-func (f causeFlags) cause() ops.Cause {
-	cause := ops.Cause{Author: f.Author, Reason: f.Reason, ChangeID: f.ChangeID}
-	if cause.ChangeID == "" {
-		cause.ChangeID = uuid.NewString()
+// changeMetadata returns the metadata of the change. A missing change id is
+// generated, and the default author is the name of the current user.
+func (f changeMetadataFlags) changeMetadata() ops.Cause {
+	metadata := ops.Cause{Author: f.Author, Reason: f.Reason, ChangeID: f.ChangeID}
+	if metadata.ChangeID == "" {
+		metadata.ChangeID = uuid.NewString()
 	}
-	if cause.Author == "" {
-		cause.Author = userName()
+	if metadata.Author == "" {
+		metadata.Author = userName()
 	}
-	return cause
+	return metadata
 }
 
-// userName returns the name of the user who runs the command.
+// userName returns the name of the current user, or "" if it is unknown.
 func userName() string {
 	if u, err := user.Current(); err == nil && u.Username != "" {
 		return u.Username
@@ -57,62 +59,66 @@
 	return os.Getenv("USER")
 }
 
-// usageError is a wrong setting or argument.
+// usageError reports a wrong setting or argument.
 type usageError struct{ error }
 
-// ExitCode returns the exit code of the command.
+// ExitCode returns the exit code of the process.
 func (usageError) ExitCode() int { return ExitUsage }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.error }
 
-// conflictError is a change that came too late.
+// conflictError reports that a change is based on a version that is no longer
+// the newest.
 type conflictError struct{ error }
 
-// ExitCode returns the exit code of the command.
+// ExitCode returns the exit code of the process.
 func (conflictError) ExitCode() int { return ExitConflict }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e conflictError) Unwrap() error { return e.error }
 
-// opsError marks conflicts, and tells how to repeat a change whose outcome is
-// unknown: with the flags of repeat it takes effect once.
-func opsError(repeat string, err error) error {
+// changeError converts an error of a change request for the command line. A
+// conflict gets its own exit code. If the outcome of the change is unknown, the
+// message names the flags with which the command can be repeated so that the
+// change takes effect only once.
+func changeError(flags string, err error) error {
 	if err == nil {
 		return nil
 	}
 	var problem *ops.Problem
 	if !errors.As(err, &problem) {
-		return errors.Wrapf(err, "no answer; repeat the command with %s", repeat)
+		return errors.Wrapf(err, "no answer received; repeat the command with %s", flags)
 	}
 	switch problem.Type {
 	case ops.TypeConflict:
 		return conflictError{err}
 	case ops.TypeUnknown:
-		return errors.Wrapf(err, "repeat the command with %s", repeat)
+		return errors.Wrapf(err, "repeat the command with %s", flags)
 	default:
 		return err
 	}
 }
 
-// repeatFlags returns the flags with which a change is repeated.
-func repeatFlags(cause ops.Cause, base *uint64) string {
+// repeatFlags returns the flags that make a repeated command apply the same
+// change.
+func repeatFlags(metadata ops.Cause, base *uint64) string {
 	if base == nil {
-		return "--change-id " + cause.ChangeID
+		return "--change-id " + metadata.ChangeID
 	}
-	return fmt.Sprintf("--change-id %s --base %d", cause.ChangeID, *base)
+	return fmt.Sprintf("--change-id %s --base %d", metadata.ChangeID, *base)
 }
 
-// printAccepted prints what became of a change.
-func printAccepted(s *streams, cause ops.Cause, a ops.Accepted) error {
+// printAccepted prints the version that a change resulted in.
+func printAccepted(s *streams, metadata ops.Cause, a ops.Accepted) error {
 	if a.Unchanged {
 		_, err := fmt.Fprintf(s.Out, "nothing to change: version %d (%s) is in force\n", a.Number, a.Digest.Short())
 		return err
 	}
-	_, err := fmt.Fprintf(s.Out, "accepted as version %d (%s), change id %s\n", a.Number, a.Digest.Short(), cause.ChangeID)
+	_, err := fmt.Fprintf(s.Out, "accepted as version %d (%s), change id %s\n", a.Number, a.Digest.Short(), metadata.ChangeID)
 	return err
 }
 
-// background is the context of operators' commands; the client bounds each
-// call.
-func background() context.Context { return context.Background() }
+// commandContext returns the context of the operators' commands. It has no
+// deadline because the client bounds each call.
+func commandContext() context.Context { return context.Background() }
--- a/cli/plan.go
+++ b/cli/plan.go
@@ -23,14 +23,14 @@
 	if err != nil {
 		return err
 	}
-	plan, err := client.Plan(background(), ops.PlanRequest{Files: files})
+	plan, err := client.Plan(commandContext(), ops.PlanRequest{Files: files})
 	if err != nil {
 		return err
 	}
 	return printPlan(s, plan)
 }
 
-// printPlan prints a plan as a readable diff.
+// printPlan prints the changes, their effects and the base version.
 func printPlan(s *streams, plan ops.PlanAnswer) error {
 	fmt.Fprintf(s.Out, "compared with version %d: %d changes\n", plan.Base, len(plan.Changes))
 	for _, c := range plan.Changes {
--- a/cli/publish.go
+++ b/cli/publish.go
@@ -14,19 +14,19 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// PublishCmd cuts a model's files into chunks and stores them.
+// PublishCmd splits a model's files into chunks and stores them.
 type PublishCmd struct {
 	Folder        string        `arg:"" help:"Folder with the model's files." type:"existingdir"`
 	Platform      string        `help:"Address of the platform, ip:port." env:"RATTANWAY_PLATFORM"`
 	PlatformToken string        `help:"Bearer token for the platform; empty for none." env:"RATTANWAY_PLATFORM_TOKEN"`
 	ChunkBytes    settings.Int  `help:"Size of a chunk in bytes." default:"4194304" env:"RATTANWAY_CHUNK_BYTES"`
-	Base          string        `help:"Manifest digest that an adapter builds on; empty for a full model."`
-	Timeout       time.Duration `help:"Longest time for the whole." default:"30m"`
+	Base          string        `help:"Manifest digest of the model on which an adapter is based; empty for a full model."`
+	Timeout       time.Duration `help:"Longest time for the whole command." default:"30m"`
 }
 
 // Run implements the command. It prints the manifest's digest.
 func (c *PublishCmd) Run(s *streams) error {
-	base, err := c.check()
+	base, err := c.checkSettings()
 	if err != nil {
 		return usageError{err}
 	}
@@ -41,8 +41,9 @@
 	return err
 }
 
-// check reports every wrong setting and returns the base.
-func (c *PublishCmd) check() (core.Digest, error) {
+// checkSettings returns the digest of the base model, and an error that lists
+// every wrong setting.
+func (c *PublishCmd) checkSettings() (core.Digest, error) {
 	const maxChunkBytes = 64 << 20
 	var problems settings.Problems
 	problems.Add(settings.CheckAddr("--platform", c.Platform))
--- a/cli/replay.go
+++ b/cli/replay.go
@@ -1,6 +1,6 @@
 package cli
 
-// ReplayCmd prints the documents of a past version.
+// ReplayCmd prints the declarations of a past version.
 type ReplayCmd struct {
 	operatorFlags
 	Number uint64 `arg:"" help:"Number of the version."`
@@ -12,7 +12,7 @@
 	if err != nil {
 		return err
 	}
-	body, err := client.Snapshot(background(), c.Number)
+	body, err := client.Snapshot(commandContext(), c.Number)
 	if err != nil {
 		return err
 	}
--- a/cli/revert.go
+++ b/cli/revert.go
@@ -5,9 +5,9 @@
 // RevertCmd puts the content of an old version in force as a new version.
 type RevertCmd struct {
 	operatorFlags
-	causeFlags
+	changeMetadataFlags
 	Number uint64  `arg:"" help:"Number of the old version."`
-	Base   *uint64 `help:"Version that the change was made for; default is the newest."`
+	Base   *uint64 `help:"Version on which the change is based; default is the newest."`
 }
 
 // Run implements the command.
@@ -16,10 +16,10 @@
 	if err != nil {
 		return err
 	}
-	cause := c.cause()
-	accepted, err := client.Revert(background(), ops.RevertRequest{Cause: cause, Base: c.Base, Number: c.Number})
+	metadata := c.changeMetadata()
+	accepted, err := client.Revert(commandContext(), ops.RevertRequest{Cause: metadata, Base: c.Base, Number: c.Number})
 	if err != nil {
-		return opsError(repeatFlags(cause, c.Base), err)
+		return changeError(repeatFlags(metadata, c.Base), err)
 	}
-	return printAccepted(s, cause, accepted)
+	return printAccepted(s, metadata, accepted)
 }
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -1,8 +1,9 @@
 package cli
 
-// StandinCmd groups the stand-ins for what the system meets at its users'.
+// StandinCmd groups the stand-ins of the external systems that instances
+// connect to in production.
 type StandinCmd struct {
-	Platform StandinPlatformCmd `cmd:"" help:"Run a stand-in for the platform's table, objects, weights and instance list."`
+	Platform StandinPlatformCmd `cmd:"" help:"Run a stand-in of the platform: its table, object store, weight store and instance list."`
 	Engine   StandinEngineCmd   `cmd:"" help:"Run a stand-in of a model engine."`
 	Service  StandinServiceCmd  `cmd:"" help:"Run a stand-in of a plain service."`
 }
--- a/cli/standin_engine.go
+++ b/cli/standin_engine.go
@@ -12,35 +12,36 @@
 // StandinEngineCmd runs the engine stand-in.
 type StandinEngineCmd struct {
 	Listen      string        `help:"Address to listen on, ip:port." default:"127.0.0.1:7300" env:"RATTANWAY_STANDIN_ENGINE_LISTEN"`
-	Slots       int           `help:"Calls that run at once; others wait." default:"32" env:"RATTANWAY_STANDIN_ENGINE_SLOTS"`
-	WarmLimit   int           `help:"Calls borne at full speed when warm; 0 for as many as slots." default:"0" env:"RATTANWAY_STANDIN_ENGINE_WARM_LIMIT"`
-	ColdLimit   int           `help:"Calls borne at full speed just after a start." default:"4" env:"RATTANWAY_STANDIN_ENGINE_COLD_LIMIT"`
-	WarmPerCall float64       `help:"Calls more that are borne after each finished call." default:"1" env:"RATTANWAY_STANDIN_ENGINE_WARM_PER_CALL"`
+	Slots       int           `help:"Largest number of concurrent calls; further calls wait." default:"32" env:"RATTANWAY_STANDIN_ENGINE_SLOTS"`
+	WarmLimit   int           `help:"Number of concurrent calls that run at full speed when the engine is warm; 0 for the number of slots." default:"0" env:"RATTANWAY_STANDIN_ENGINE_WARM_LIMIT"`
+	ColdLimit   int           `help:"Number of concurrent calls that run at full speed just after a start." default:"4" env:"RATTANWAY_STANDIN_ENGINE_COLD_LIMIT"`
+	WarmPerCall float64       `help:"Number of further concurrent calls at full speed after each finished call." default:"1" env:"RATTANWAY_STANDIN_ENGINE_WARM_PER_CALL"`
 	WarmAfter   time.Duration `help:"Time after which an engine without calls is warm; 0 for never." default:"0s" env:"RATTANWAY_STANDIN_ENGINE_WARM_AFTER"`
 	FirstToken  time.Duration `help:"Time to the first token." default:"50ms" env:"RATTANWAY_STANDIN_ENGINE_FIRST_TOKEN"`
 	PerToken    time.Duration `help:"Time between tokens." default:"5ms" env:"RATTANWAY_STANDIN_ENGINE_PER_TOKEN"`
 	LoadTime    time.Duration `help:"Time that loading takes once the weights are read." default:"1s" env:"RATTANWAY_STANDIN_ENGINE_LOAD_TIME"`
-	ReportLag   time.Duration `help:"Age of the reports that the engine gives." default:"0s" env:"RATTANWAY_STANDIN_ENGINE_REPORT_LAG"`
+	ReportLag   time.Duration `help:"Age of the status reports that the engine returns." default:"0s" env:"RATTANWAY_STANDIN_ENGINE_REPORT_LAG"`
 	Fencing     bool          `help:"Refuse orders with an old fencing number." default:"true" negatable:"" env:"RATTANWAY_STANDIN_ENGINE_FENCING"`
-	PeerToken   string        `help:"Token sent when weights are read from the agent." env:"RATTANWAY_PEER_TOKEN"`
+	PeerToken   string        `help:"Token that the engine sends when it reads weights from the agent." env:"RATTANWAY_PEER_TOKEN"`
 }
 
-// Validate implements kong's check of settings and reports all wrong ones.
+// Validate is called by kong after parsing. It returns an error that lists every
+// wrong setting.
 func (c *StandinEngineCmd) Validate() error {
-	var wrong []error
+	var problems []error
 	if c.Slots < 1 {
-		wrong = append(wrong, errors.Errorf("--slots=%d: want 1 or more", c.Slots))
+		problems = append(problems, errors.Errorf("--slots=%d: want 1 or more", c.Slots))
 	}
 	if c.WarmLimit < 0 {
-		wrong = append(wrong, errors.Errorf("--warm-limit=%d: want 0 or more", c.WarmLimit))
+		problems = append(problems, errors.Errorf("--warm-limit=%d: want 0 or more", c.WarmLimit))
 	}
 	if c.ColdLimit < 1 {
-		wrong = append(wrong, errors.Errorf("--cold-limit=%d: want 1 or more", c.ColdLimit))
+		problems = append(problems, errors.Errorf("--cold-limit=%d: want 1 or more", c.ColdLimit))
 	}
 	if c.WarmPerCall <= 0 {
-		wrong = append(wrong, errors.Errorf("--warm-per-call=%g: want more than 0", c.WarmPerCall))
+		problems = append(problems, errors.Errorf("--warm-per-call=%g: want more than 0", c.WarmPerCall))
 	}
-	return errors.Join(wrong...)
+	return errors.Join(problems...)
 }
 
 // Run implements the command.
--- a/cli/standin_platform.go
+++ b/cli/standin_platform.go
@@ -13,15 +13,15 @@
 	"github.com/rattanway/rattanway/standin/platform"
 )
 
-// minLag is the least lag of the instance list.
-const minLag = 10 * time.Millisecond
+// minListLag is the smallest allowed lag of the instance list.
+const minListLag = 10 * time.Millisecond
 
 // StandinPlatformCmd runs the platform stand-in.
 type StandinPlatformCmd struct {
 	Listen               string            `help:"Address to listen on, ip:port." default:"127.0.0.1:7000" env:"RATTANWAY_STANDIN_PLATFORM_LISTEN"`
-	Lag                  settings.Duration `help:"How far the instance list runs behind." default:"500ms" env:"RATTANWAY_STANDIN_PLATFORM_LAG"`
+	Lag                  settings.Duration `help:"Delay with which changes appear in the instance list." default:"500ms" env:"RATTANWAY_STANDIN_PLATFORM_LAG"`
 	Instances            string            `help:"JSON file with an array of instances." type:"existingfile" optional:"" env:"RATTANWAY_STANDIN_PLATFORM_INSTANCES"`
-	Token                string            `help:"Bearer token that callers must send; empty admits all." env:"RATTANWAY_PLATFORM_TOKEN"`
+	Token                string            `help:"Bearer token that callers must send; empty to admit every caller." env:"RATTANWAY_PLATFORM_TOKEN"`
 	WeightBytesPerSecond settings.Int      `help:"Bandwidth of the weight store in bytes per second; 0 for no limit." default:"0" env:"RATTANWAY_STANDIN_PLATFORM_WEIGHT_BYTES_PER_SECOND"`
 }
 
@@ -29,7 +29,7 @@
 func (c *StandinPlatformCmd) Run() error {
 	var problems settings.Problems
 	problems.Add(settings.CheckAddr("--listen", c.Listen))
-	problems.Add(c.Lag.Check("--lag", minLag, maxInterval))
+	problems.Add(c.Lag.Check("--lag", minListLag, maxInterval))
 	problems.Add(c.WeightBytesPerSecond.Check("--weight-bytes-per-second", 0, math.MaxInt))
 	if err := problems.Err(); err != nil {
 		return usageError{err}
@@ -47,16 +47,17 @@
 	return serveStandin(c.Listen, server, server.Run)
 }
 
-// readInstances reads the file of instances, if one is given.
+// readInstances reads the instances from the file of --instances. Without the
+// flag it returns none.
 func (c *StandinPlatformCmd) readInstances() ([]core.Instance, error) {
 	if c.Instances == "" {
 		return nil, nil
 	}
-	body, err := os.ReadFile(c.Instances)
+	content, err := os.ReadFile(c.Instances)
 	if err != nil {
 		return nil, errors.Wrap(err, "instances")
 	}
-	instances, err := platform.ParseInstances(body)
+	instances, err := platform.ParseInstances(content)
 	if err != nil {
 		return nil, errors.Wrapf(err, "instances %s", c.Instances)
 	}
--- a/cli/standin_serve.go
+++ b/cli/standin_serve.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// standinHeaderTimeout bounds the reading of a request's header.
+	// standinHeaderTimeout bounds the time to read the headers of a request.
 	standinHeaderTimeout = 5 * time.Second
-	// standinStopTimeout bounds the wait for calls in flight at the end.
+	// standinStopTimeout bounds the wait for requests in flight at shutdown.
 	standinStopTimeout = 30 * time.Second
 )
 
-// serveStandin serves handler on the address, beside the background tasks,
-// until a signal arrives, and then lets the calls in flight end.
+// serveStandin serves handler at the address and runs the background tasks
+// until SIGINT or SIGTERM arrives, and then waits for the requests in flight.
 func serveStandin(address string, handler http.Handler, background ...func(context.Context) error) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -39,8 +39,8 @@
 	}
 	group.Add(run.SignalHandler(context.Background(), os.Interrupt, syscall.SIGTERM))
 	err = group.Run()
-	var signalled *run.SignalError
-	if errors.As(err, &signalled) {
+	var signalError *run.SignalError
+	if errors.As(err, &signalError) {
 		return nil
 	}
 	return err
--- a/cli/standin_service.go
+++ b/cli/standin_service.go
@@ -8,7 +8,7 @@
 	"github.com/rattanway/rattanway/standin/service"
 )
 
-// StandinServiceCmd runs the plain service stand-in.
+// StandinServiceCmd runs the stand-in of a plain service.
 type StandinServiceCmd struct {
 	Listen string        `help:"Address to listen on, ip:port." default:"127.0.0.1:7400" env:"RATTANWAY_STANDIN_SERVICE_LISTEN"`
 	Name   string        `help:"Name of the service." default:"lots" env:"RATTANWAY_STANDIN_SERVICE_NAME"`
@@ -17,6 +17,6 @@
 
 // Run implements the command.
 func (c *StandinServiceCmd) Run() error {
-	s := service.New(service.Config{Name: c.Name, Delay: c.Delay}, clockwork.NewRealClock())
-	return serveStandin(c.Listen, s.Handler())
+	standin := service.New(service.Config{Name: c.Name, Delay: c.Delay}, clockwork.NewRealClock())
+	return serveStandin(c.Listen, standin.Handler())
 }
--- a/cli/status.go
+++ b/cli/status.go
@@ -10,7 +10,8 @@
 	"github.com/rattanway/rattanway/request/ops"
 )
 
-// StatusCmd shows what is in force where, as one entry instance sees it.
+// StatusCmd shows the configuration in force and the state of the backend
+// servers as known to one entry instance.
 type StatusCmd struct {
 	operatorFlags
 }
@@ -21,25 +22,26 @@
 	if err != nil {
 		return err
 	}
-	status, err := client.Status(background())
+	status, err := client.Status(commandContext())
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(s.Out, "%s: version %d (%s) in force, %s\n",
-		status.Instance.ID, status.Config, status.Digest.Short(), confirmation(status.ConfirmedMillis))
+		status.Instance.ID, status.Config, status.Digest.Short(), confirmationText(status.ConfirmedMillis))
 	printServers(s, status.Servers)
 	return nil
 }
 
-// confirmation tells when a configuration was last confirmed.
-func confirmation(millis int64) string {
+// confirmationText describes how long ago the configuration was last confirmed;
+// a negative time means never.
+func confirmationText(millis int64) string {
 	if millis < 0 {
 		return "not confirmed yet"
 	}
 	return fmt.Sprintf("confirmed %d ms ago", millis)
 }
 
-// printServers prints a table of backend servers.
+// printServers prints a table of the backend servers.
 func printServers(s *streams, servers []ops.ServerStatus) {
 	table := tablewriter.NewWriter(s.Out)
 	table.SetHeader([]string{"backend server", "data centre", "state", "in flight", "limit", "version", "loaded"})
--- a/cli/trace_request.go
+++ b/cli/trace_request.go
@@ -15,21 +15,22 @@
 	"github.com/go-faster/errors"
 	"github.com/olekukonko/tablewriter"
 
-	// The daemons on the users' platform define events of their own.
+	// Imported for the events that only rattanway-node defines.
 	_ "github.com/rattanway/rattanway/daemon/hosted"
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// errNotTraced says that no line of the logs is about the call.
-var errNotTraced = errors.New("no line of the logs names this request")
+// errRequestNotFound is returned when no line of the logs names the request.
+var errRequestNotFound = errors.New("no line of the logs names this request")
 
-// TraceRequestCmd tells every decision on one call.
+// TraceRequestCmd shows every decision about one call.
 type TraceRequestCmd struct {
-	ID  string   `arg:"" help:"Request id, as the answer's X-Request-Id names it."`
-	Log []string `required:"" help:"Log files of entry instances and agents; - reads standard input."`
+	ID  string   `arg:"" help:"Request id, as in the X-Request-Id header of the answer."`
+	Log []string `required:"" help:"Log files of entry instances and agents; - for standard input."`
 }
 
-// logLine is one line of a log.
+// logLine is one event of a log. fields holds the fields that have no member of
+// their own.
 type logLine struct {
 	at      time.Time
 	process string
@@ -38,28 +39,28 @@
 	fields  map[string]any
 }
 
-// Run implements the command. Lines about the keyed call that the request
-// belongs to are told as well, as they may come from other submissions.
+// Run implements the command. It also prints the lines about the keyed call that
+// the request belongs to, which may come from other submissions of that call.
 func (c *TraceRequestCmd) Run(s *streams) error {
 	all, err := readLogs(c.Log)
 	if err != nil {
 		return err
 	}
-	lines := linesOf(all, c.ID)
+	lines := linesAbout(all, c.ID)
 	if len(lines) == 0 {
-		return errNotTraced
+		return errRequestNotFound
 	}
 	writeTrace(s.Out, lines)
 	return nil
 }
 
-// readLogs reads every line that names a request or a keyed call.
+// readLogs reads every event of the logs, ordered by time.
 func readLogs(paths []string) ([]logLine, error) {
 	var all []logLine
 	for _, path := range paths {
 		lines, err := readLog(path)
 		if err != nil {
-			return nil, errors.Wrapf(err, "log %s", path)
+			return nil, errors.Wrapf(err, "read log %s", path)
 		}
 		all = append(all, lines...)
 	}
@@ -67,6 +68,7 @@
 	return all, nil
 }
 
+// readLog reads the events of one log; the path "-" means standard input.
 func readLog(path string) ([]logLine, error) {
 	if path == "-" {
 		return parseLog(os.Stdin)
@@ -79,7 +81,8 @@
 	return parseLog(file)
 }
 
-// parseLog passes over lines that are not events, such as a panic's.
+// parseLog reads the events of a log and skips lines that are not events, such
+// as the output of a panic.
 func parseLog(r io.Reader) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(r)
@@ -92,6 +95,7 @@
 	return lines, scanner.Err()
 }
 
+// parseLogLine parses one line and reports whether it is an event.
 func parseLogLine(raw []byte) (logLine, bool) {
 	fields := map[string]any{}
 	if json.Unmarshal(raw, &fields) != nil {
@@ -106,15 +110,15 @@
 	l.process, _ = fields["process"].(string)
 	at, _ := fields["time"].(string)
 	l.at, _ = time.Parse(time.RFC3339Nano, at)
-	for _, shown := range []string{"event", "msg", "process", "time", "level"} {
-		delete(fields, shown)
+	for _, name := range []string{"event", "msg", "process", "time", "level"} {
+		delete(fields, name)
 	}
 	return l, true
 }
 
-// row names the keyed call that a line is about, or "". Entry instances call
-// it row, agents key.
-func (l logLine) row() string {
+// keyedCall returns the name of the keyed call that the line is about, or "".
+// Entry instances log it in the field row, agents in the field key.
+func (l logLine) keyedCall() string {
 	for _, name := range []string{"row", "key"} {
 		if text, ok := l.fields[name].(string); ok {
 			return text
@@ -123,21 +127,22 @@
 	return ""
 }
 
-// linesOf returns the lines about the request and its keyed call.
-func linesOf(all []logLine, id string) []logLine {
-	rows := map[string]bool{}
+// linesAbout returns the lines about the request with the id and about its
+// keyed call. It modifies the slice all.
+func linesAbout(all []logLine, id string) []logLine {
+	keyedCalls := map[string]bool{}
 	for _, l := range all {
-		if l.fields["request"] == id && l.row() != "" {
-			rows[l.row()] = true
+		if l.fields["request"] == id && l.keyedCall() != "" {
+			keyedCalls[l.keyedCall()] = true
 		}
 	}
 	return slices.DeleteFunc(all, func(l logLine) bool {
-		return l.fields["request"] != id && !rows[l.row()]
+		return l.fields["request"] != id && !keyedCalls[l.keyedCall()]
 	})
 }
 
-// writeTrace writes the lines, times counted from the first one, and what the
-// events mean.
+// writeTrace prints a table of the lines, with times relative to the first one,
+// and the meaning of every event in it.
 func writeTrace(w io.Writer, lines []logLine) {
 	meanings := map[int]string{}
 	for _, e := range eventlog.Catalogue() {
@@ -148,28 +153,28 @@
 	table.SetAutoFormatHeaders(false)
 	table.SetBorder(false)
 	table.SetHeader([]string{"ms", "process", "event", "details"})
-	seen := map[int]bool{}
+	numbers := map[int]bool{}
 	for _, l := range lines {
-		seen[l.event] = true
+		numbers[l.event] = true
 		ms := float64(l.at.Sub(lines[0].at).Microseconds()) / 1000
-		table.Append([]string{fmt.Sprintf("%.3f", ms), l.process, fmt.Sprintf("%d %s", l.event, l.name), details(l.fields)})
+		table.Append([]string{fmt.Sprintf("%.3f", ms), l.process, fmt.Sprintf("%d %s", l.event, l.name), formatFields(l.fields)})
 	}
 	fmt.Fprintf(w, "from %s\n", lines[0].at.Format(time.RFC3339Nano))
 	table.Render()
-	for _, n := range slices.Sorted(maps.Keys(seen)) {
+	for _, n := range slices.Sorted(maps.Keys(numbers)) {
 		fmt.Fprintf(w, "%d: %s\n", n, meanings[n])
 	}
 }
 
-// details writes the other fields in the order of their names.
-func details(fields map[string]any) string {
-	var parts []string
+// formatFields returns the fields as name=value, ordered by name.
+func formatFields(fields map[string]any) string {
+	var pairs []string
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		value, err := json.Marshal(fields[name])
 		if err != nil {
 			continue
 		}
-		parts = append(parts, name+"="+strings.Trim(string(value), `"`))
+		pairs = append(pairs, name+"="+strings.Trim(string(value), `"`))
 	}
-	return strings.Join(parts, " ")
+	return strings.Join(pairs, " ")
 }
--- a/cli/trace_version.go
+++ b/cli/trace_version.go
@@ -15,13 +15,13 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// TraceCmd groups the commands that read what happened out of logs.
+// TraceCmd groups the commands that reconstruct what happened from logs.
 type TraceCmd struct {
-	Version TraceVersionCmd `cmd:"" help:"Tell where every chunk of a version came from, and every placement, order and report of it."`
-	Request TraceRequestCmd `cmd:"" help:"Tell every decision on one call."`
+	Version TraceVersionCmd `cmd:"" help:"Show the source of every chunk of a version, and every placement, order and report of the version."`
+	Request TraceRequestCmd `cmd:"" help:"Show every decision about one call."`
 }
 
-// TraceVersionCmd tells the story of one version from the agents' logs.
+// TraceVersionCmd shows the events of one version from the logs of agents.
 type TraceVersionCmd struct {
 	Digest string   `arg:"" help:"Manifest digest of the version, as rattanway publish printed it."`
 	Log    []string `help:"Log files of agents; may be given several times." required:"" type:"existingfile"`
@@ -31,14 +31,15 @@
 // maxLogLine bounds one line of a log, in bytes.
 const maxLogLine = 4 << 20
 
-// weightEvents are the numbers of the events about weights.
+// Numbers of the events about weights.
 const (
-	firstWeightEvent = 300
-	lastWeightEvent  = 399
-	chunkEvent       = 301
+	firstWeightEvent  = 300
+	lastWeightEvent   = 399
+	chunkFetchedEvent = 301
 )
 
-// weightLine is a line of an agent's log about weights.
+// weightLine is a line of an agent's log about weights. raw holds all of its
+// fields.
 type weightLine struct {
 	Time     time.Time   `json:"time"`
 	Process  string      `json:"process"`
@@ -58,24 +59,24 @@
 
 // Run implements the command.
 func (c *TraceVersionCmd) Run(s *streams) error {
-	d, err := core.ParseDigest(c.Digest)
+	digest, err := core.ParseDigest(c.Digest)
 	if err != nil {
 		return usageError{err}
 	}
 	var lines []weightLine
 	for _, path := range c.Log {
-		found, err := readWeightLines(path, d)
+		matching, err := readWeightLines(path, digest)
 		if err != nil {
 			return core.Step("read log", path, err)
 		}
-		lines = append(lines, found...)
+		lines = append(lines, matching...)
 	}
 	if len(lines) == 0 {
-		return errors.Errorf("no event of version %s in %d log files", d.Short(), len(c.Log))
+		return errors.Errorf("no event of version %s in %d log files", digest.Short(), len(c.Log))
 	}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time.Before(lines[j].Time) })
 	for _, l := range lines {
-		if l.Event == chunkEvent && !c.Chunks {
+		if l.Event == chunkFetchedEvent && !c.Chunks {
 			continue
 		}
 		if _, err := fmt.Fprintln(s.Out, l.String()); err != nil {
@@ -85,8 +86,8 @@
 	return writeSources(s.Out, lines)
 }
 
-// readWeightLines returns the lines of one log that are about version d.
-func readWeightLines(path string, d core.Digest) ([]weightLine, error) {
+// readWeightLines returns the lines of one log about the version with the digest.
+func readWeightLines(path string, digest core.Digest) ([]weightLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -96,9 +97,9 @@
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
-		// Lines that are not events, such as a panic, are passed over.
+		// Lines that are not events, such as the output of a panic, are skipped.
 		var l weightLine
-		if json.Unmarshal(scanner.Bytes(), &l) != nil || !l.about(d) {
+		if json.Unmarshal(scanner.Bytes(), &l) != nil || !l.isAbout(digest) {
 			continue
 		}
 		if err := json.Unmarshal(scanner.Bytes(), &l.raw); err != nil {
@@ -109,39 +110,39 @@
 	return lines, scanner.Err()
 }
 
-// about reports whether a line is about version d.
-func (l weightLine) about(d core.Digest) bool {
+// isAbout reports whether the line is about the version with the digest.
+func (l weightLine) isAbout(digest core.Digest) bool {
 	if l.Event < firstWeightEvent || l.Event > lastWeightEvent {
 		return false
 	}
-	if l.Version == d {
+	if l.Version == digest {
 		return true
 	}
-	for _, w := range l.Wanted {
-		if strings.Contains(w, string(d)) {
+	for _, wanted := range l.Wanted {
+		if strings.Contains(wanted, string(digest)) {
 			return true
 		}
 	}
 	return false
 }
 
-// agent returns the name of the agent that wrote the line.
-func (l weightLine) agent() string {
+// agentName returns the name of the agent that wrote the line.
+func (l weightLine) agentName() string {
 	if l.Agent != "" {
 		return l.Agent
 	}
 	return l.Process
 }
 
-// String returns the line as it is printed.
+// String formats the line for printing.
 func (l weightLine) String() string {
-	head := fmt.Sprintf("%s %-12s %d %s", l.Time.Format("15:04:05.000"), l.agent(), l.Event, l.Name)
-	if l.Event == chunkEvent {
-		kind := "chunk"
+	prefix := fmt.Sprintf("%s %-12s %d %s", l.Time.Format("15:04:05.000"), l.agentName(), l.Event, l.Name)
+	if l.Event == chunkFetchedEvent {
+		object := "chunk"
 		if l.Manifest {
-			kind = "manifest"
+			object = "manifest"
 		}
-		return fmt.Sprintf("%s %s %s from %s, %d bytes in %d ms", head, kind, l.Chunk.Short(), l.From, l.Bytes, l.Millis)
+		return fmt.Sprintf("%s %s %s from %s, %d bytes in %d ms", prefix, object, l.Chunk.Short(), l.From, l.Bytes, l.Millis)
 	}
 	var fields []string
 	for name, value := range l.raw {
@@ -152,40 +153,41 @@
 		fields = append(fields, fmt.Sprintf("%s=%v", name, value))
 	}
 	sort.Strings(fields)
-	return head + " " + strings.Join(fields, " ")
+	return prefix + " " + strings.Join(fields, " ")
 }
 
-// writeSources prints how much each agent got from whom.
+// writeSources prints how many objects and bytes each agent got from each
+// source.
 func writeSources(out io.Writer, lines []weightLine) error {
-	type way struct{ agent, from string }
-	bytes, chunks := map[way]int64{}, map[way]int{}
-	var ways []way
-	var origin int64
+	type transfer struct{ agent, from string }
+	bytes, chunks := map[transfer]int64{}, map[transfer]int{}
+	var transfers []transfer
+	var originBytes int64
 	for _, l := range lines {
-		if l.Event != chunkEvent {
+		if l.Event != chunkFetchedEvent {
 			continue
 		}
-		w := way{l.agent(), l.From}
-		if chunks[w] == 0 {
-			ways = append(ways, w)
+		t := transfer{l.agentName(), l.From}
+		if chunks[t] == 0 {
+			transfers = append(transfers, t)
 		}
-		chunks[w]++
-		bytes[w] += l.Bytes
+		chunks[t]++
+		bytes[t] += l.Bytes
 		if l.From == "origin" {
-			origin += l.Bytes
+			originBytes += l.Bytes
 		}
 	}
-	sort.Slice(ways, func(i, j int) bool {
-		if ways[i].agent != ways[j].agent {
-			return ways[i].agent < ways[j].agent
+	sort.Slice(transfers, func(i, j int) bool {
+		if transfers[i].agent != transfers[j].agent {
+			return transfers[i].agent < transfers[j].agent
 		}
-		return ways[i].from < ways[j].from
+		return transfers[i].from < transfers[j].from
 	})
-	for _, w := range ways {
-		if _, err := fmt.Fprintf(out, "%s got %d objects, %d bytes from %s\n", w.agent, chunks[w], bytes[w], w.from); err != nil {
+	for _, t := range transfers {
+		if _, err := fmt.Fprintf(out, "%s got %d objects, %d bytes from %s\n", t.agent, chunks[t], bytes[t], t.from); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(out, "the origin sent %d verified bytes of this version\n", origin)
+	_, err := fmt.Fprintf(out, "the origin sent %d verified bytes of this version\n", originBytes)
 	return err
 }
--- a/cli/wait.go
+++ b/cli/wait.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// waitPoll is the time between two looks.
-	waitPoll = 50 * time.Millisecond
-	// waitCall bounds one look.
-	waitCall = 2 * time.Second
+	// pollInterval is the time between two attempts.
+	pollInterval = 50 * time.Millisecond
+	// probeTimeout bounds one readiness request.
+	probeTimeout = 2 * time.Second
 )
 
-// WaitCmd waits until processes answer at a path.
+// WaitCmd waits until every address answers a path with status 200.
 type WaitCmd struct {
 	Path    string        `help:"Path that must answer with status 200." default:"/readyz"`
 	Timeout time.Duration `help:"Longest wait." default:"30s"`
@@ -23,21 +23,21 @@
 
 // Run implements the command.
 func (c *WaitCmd) Run() error {
-	client := &http.Client{Timeout: waitCall}
+	client := &http.Client{Timeout: probeTimeout}
 	deadline := time.Now().Add(c.Timeout)
 	for _, addr := range c.Addrs {
-		for !answers(client, "http://"+addr+c.Path) {
+		for !isReady(client, "http://"+addr+c.Path) {
 			if time.Now().After(deadline) {
 				return errors.Errorf("%s is not ready after %s", addr, c.Timeout)
 			}
-			time.Sleep(waitPoll)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// answers reports whether url answers with status 200.
-func answers(client *http.Client, url string) bool {
+// isReady reports whether a GET request to url returns status 200.
+func isReady(client *http.Client, url string) bool {
 	resp, err := client.Get(url)
 	if err != nil {
 		return false
