--- a/bench/history/history.go
+++ b/bench/history/history.go
@@ -1,11 +1,11 @@
-// Package history writes what happened to once-only calls as JSON lines, and
-// checks such a history offline.
+// Package history records the executions and answers of once-only calls as JSON
+// lines, and checks a recorded history offline.
 //
-// The rules concern one call at a time: they count executions and compare
-// bytes, and need no search for an order of concurrent operations. So the
-// checker is one pass over the lines in place of a linearizability checker
-// such as porcupine, whose cost grows with the number of operations that
-// overlap, and each violation names its call.
+// Each rule concerns a single call: it counts executions or compares bytes, and
+// needs no search for a valid order of concurrent operations. The checker is
+// therefore a single pass over the lines and not a linearizability checker such
+// as porcupine, whose cost grows with the number of overlapping operations.
+// Each violation names its call.
 package history
 
 import (
@@ -22,43 +22,48 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Kind says what a Line records.
+// Kind is the kind of event that a Line records.
 type Kind string
 
-// The kinds of lines.
+// Kinds of lines.
 const (
-	// KindRun is one execution of a call at a backend server.
+	// KindRun means that a backend server executed a call.
 	KindRun Kind = "run"
-	// KindAnswer is what a submission of a call was answered with.
+	// KindAnswer means that a submission of a call received an answer, or that
+	// its connection broke.
 	KindAnswer Kind = "answer"
 )
 
-// Line is one line of a history.
+// Line is one line of a history: an execution or an answer.
 type Line struct {
-	// At is the time in nanoseconds since the start of the history.
+	// At is the time of the event, in nanoseconds since the start of the
+	// history.
 	At int64 `json:"at"`
-	// Sent is when the submission was sent, in the same unit.
+	// Sent is the time at which the submission was sent, in nanoseconds since
+	// the start of the history. It is set for answers.
 	Sent int64 `json:"sent,omitempty"`
-	// Kind says which of the fields below are set.
+	// Kind determines which of the fields below are set.
 	Kind Kind `json:"kind"`
-	// Call identifies the call; every submission with one key is one call.
+	// Call identifies the call; all submissions with the same idempotency key
+	// belong to one call.
 	Call string `json:"call"`
 	// Submission is the request id of the submission.
 	Submission string `json:"submission,omitempty"`
-	// Entry names the entry instance that was asked.
+	// Entry is the name of the entry instance that received the submission.
 	Entry string `json:"entry,omitempty"`
-	// Server and Incarnation name the agent that ran the call.
+	// Server and Incarnation identify the agent that ran the call.
 	Server      string `json:"server,omitempty"`
 	Incarnation string `json:"incarnation,omitempty"`
-	// Status is the HTTP status; 0 when the connection broke.
+	// Status is the HTTP status of the answer, or 0 if the connection broke.
 	Status int `json:"status,omitempty"`
-	// Outcome is the word of a refusal.
+	// Outcome is the outcome that a refusal reports; empty for other answers.
 	Outcome core.Refusal `json:"outcome,omitempty"`
-	// Body is the digest of the answer's body, or of the executed result.
+	// Body is the digest of the body of the answer, or of the result of the
+	// execution.
 	Body core.Digest `json:"body,omitempty"`
 }
 
-// Writer writes a history. It is safe for concurrent use.
+// Writer writes a history to an io.Writer. It is safe for concurrent use.
 type Writer struct {
 	mu    sync.Mutex
 	out   *json.Encoder
@@ -66,7 +71,7 @@
 	err   error
 }
 
-// NewWriter returns a Writer to w.
+// NewWriter returns a Writer that writes to w. The history starts now.
 func NewWriter(w io.Writer) *Writer {
 	return &Writer{out: json.NewEncoder(w), start: time.Now()}
 }
@@ -74,7 +79,8 @@
 // Now returns the time in nanoseconds since the start of the history.
 func (w *Writer) Now() int64 { return time.Since(w.start).Nanoseconds() }
 
-// Add writes one line with the time of the call of Add.
+// Add sets the time of l to the current time and writes l. Err returns a
+// failure to write.
 func (w *Writer) Add(l Line) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,105 +90,110 @@
 	}
 }
 
-// Err returns the first error of writing.
+// Err returns the first error that occurred while writing, or nil.
 func (w *Writer) Err() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.err
 }
 
-// Result counts what a history shows.
+// Result holds the counts and violations of a checked history.
 type Result struct {
-	// Calls, Runs and Answers count calls, executions and submissions.
+	// Calls, Runs and Answers are the numbers of calls, of their executions and
+	// of their submissions.
 	Calls   int `json:"calls"`
 	Runs    int `json:"runs"`
 	Answers int `json:"answers"`
-	// Whole, NotRun, Unknown and Broken count submissions by their answer.
+	// Whole, NotRun, Unknown and Broken count submissions by their answer: a
+	// whole answer, a "not-run" refusal, any other refusal, or a broken
+	// connection.
 	Whole   int `json:"whole"`
 	NotRun  int `json:"notRun"`
 	Unknown int `json:"unknown"`
 	Broken  int `json:"broken"`
-	// Violations describes every broken rule.
+	// Violations describes every violation of a rule.
 	Violations []string `json:"violations"`
 }
 
-// callHistory is what the lines say of one call.
+// callHistory holds the lines of one call.
 type callHistory struct {
 	runs    []Line
 	answers []Line
 }
 
-// Check reads a history and checks that each call ran at most once, that all
-// whole answers to a call are the bytes that its execution gave, and that
-// "not-run" is true: the submission itself did not run, and no other one of
-// the same call had run when it was sent. (One that runs at the same time may
-// take effect after it.)
+// Check reads a history and checks three rules: each call ran at most once;
+// every whole answer to a call has the bytes that its execution returned; and a
+// "not-run" answer is true, which means that the submission itself did not run
+// and that no other submission of the call had run when it was sent. Another
+// submission in flight at the same time may still run after that answer.
 func Check(r io.Reader) (Result, error) {
 	calls := map[string]*callHistory{}
-	res := Result{Violations: []string{}}
+	result := Result{Violations: []string{}}
 	scanner := bufio.NewScanner(r)
-	for n := 1; scanner.Scan(); n++ {
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
 		var l Line
 		if err := json.Unmarshal(scanner.Bytes(), &l); err != nil {
-			return res, errors.Wrapf(err, "line %d", n)
+			return result, errors.Wrapf(err, "line %d", lineNumber)
 		}
 		h := calls[l.Call]
 		if h == nil {
 			h = &callHistory{}
 			calls[l.Call] = h
 		}
-		h.add(l, &res)
+		h.add(l, &result)
 	}
 	if err := scanner.Err(); err != nil {
-		return res, errors.Wrap(err, "read history")
+		return result, errors.Wrap(err, "read history")
 	}
-	res.Calls = len(calls)
+	result.Calls = len(calls)
 	for id, h := range calls {
-		for _, v := range h.violations() {
-			res.Violations = append(res.Violations, id+": "+v)
+		for _, violation := range h.findViolations() {
+			result.Violations = append(result.Violations, id+": "+violation)
 		}
 	}
-	sort.Strings(res.Violations)
-	return res, nil
+	sort.Strings(result.Violations)
+	return result, nil
 }
 
-func (h *callHistory) add(l Line, res *Result) {
+// add stores a line of the call and counts it in result.
+func (h *callHistory) add(l Line, result *Result) {
 	if l.Kind == KindRun {
 		h.runs = append(h.runs, l)
-		res.Runs++
+		result.Runs++
 		return
 	}
 	h.answers = append(h.answers, l)
-	res.Answers++
+	result.Answers++
 	switch {
 	case l.Status == 0:
-		res.Broken++
+		result.Broken++
 	case l.Outcome == core.RefusalNotRun:
-		res.NotRun++
+		result.NotRun++
 	case l.Outcome != "":
-		res.Unknown++
+		result.Unknown++
 	default:
-		res.Whole++
+		result.Whole++
 	}
 }
 
-func (h *callHistory) violations() []string {
-	var found []string
+// findViolations returns a description of every rule that the call violates.
+func (h *callHistory) findViolations() []string {
+	var violations []string
 	if len(h.runs) > 1 {
-		found = append(found, fmt.Sprintf("ran %d times", len(h.runs)))
+		violations = append(violations, fmt.Sprintf("ran %d times", len(h.runs)))
 	}
-	for _, a := range h.answers {
+	for _, answer := range h.answers {
 		switch {
-		case a.Status == 0 || (a.Outcome != "" && a.Outcome != core.RefusalNotRun):
-		case a.Outcome == core.RefusalNotRun:
-			if len(h.runs) > 0 && (h.runs[0].At < a.Sent || h.runs[0].Submission == a.Submission) {
-				found = append(found, "submission "+a.Submission+" was told not-run although the call had run")
+		case answer.Status == 0 || (answer.Outcome != "" && answer.Outcome != core.RefusalNotRun):
+		case answer.Outcome == core.RefusalNotRun:
+			if len(h.runs) > 0 && (h.runs[0].At < answer.Sent || h.runs[0].Submission == answer.Submission) {
+				violations = append(violations, "submission "+answer.Submission+" was answered not-run although the call had run")
 			}
 		case len(h.runs) == 0:
-			found = append(found, "submission "+a.Submission+" was answered without an execution")
-		case a.Body != h.runs[0].Body:
-			found = append(found, "submission "+a.Submission+" got other bytes than the execution gave")
+			violations = append(violations, "submission "+answer.Submission+" was answered without an execution")
+		case answer.Body != h.runs[0].Body:
+			violations = append(violations, "submission "+answer.Submission+" was answered with other bytes than the execution returned")
 		}
 	}
-	return found
+	return violations
 }
