--- a/bench/requests/caller.go
+++ b/bench/requests/caller.go
@@ -17,52 +17,56 @@
 	"github.com/rattanway/rattanway/standin/engine"
 )
 
-// Word says what became of a call.
+// Word is the outcome of a call. The outcome of a refused call is the one that
+// the refusal reports.
 type Word string
 
-// What becomes of calls. A refusal has its own outcome as its word.
+// Outcomes of calls that were not refused.
 const (
-	// WordWhole says that the whole and right answer came.
+	// WordWhole means that the complete and correct answer was received.
 	WordWhole Word = "whole"
-	// WordWrong says that an answer that looked whole was not the right one.
+	// WordWrong means that an answer ended normally but was not the correct
+	// one.
 	WordWrong Word = "wrong"
-	// WordDoubled says that the right answer came with more after it, or
-	// that a once-only call ran more than once.
+	// WordDoubled means that the answer was longer than the correct one, as
+	// when a part of it is sent twice.
 	WordDoubled Word = "doubled"
-	// WordCut says that an answer broke off visibly.
+	// WordCut means that the answer ended with an error after it had begun.
 	WordCut Word = "cut"
-	// WordLost says that the connection broke before an answer began.
+	// WordLost means that no answer was received: no entry instance was ready,
+	// or the connection failed.
 	WordLost Word = "lost"
 )
 
-// maxSubmissions bounds the submissions of one keyed call.
+// maxSubmissions is the largest number of submissions of one keyed call.
 const maxSubmissions = 4
 
-// resubmitPause is the time before a keyed call is submitted again.
+// resubmitPause is the time between two submissions of a keyed call.
 const resubmitPause = 200 * time.Millisecond
 
-// outcome is what became of one call.
-type outcome struct {
-	word Word
-	// first and total are the times to the first byte and the end, counted
-	// from the planned arrival.
-	first, total time.Duration
-	tokens       int
-	// detail describes a call that was not whole.
+// callResult is the result of one call.
+type callResult struct {
+	outcome Word
+	// firstByte and total are the times from the planned arrival to the first
+	// byte and to the end of the answer.
+	firstByte, total time.Duration
+	tokens           int
+	// detail describes a call whose answer was not whole.
 	detail string
 }
 
-// chunk is the part of an answer that is compared.
-type chunk struct {
+// completionAnswer is the part of a completion, or of one event of a streamed
+// completion, that is compared.
+type completionAnswer struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 }
 
-// caller makes calls at the entry instances in turn.
+// caller makes calls to the entry instances in turn.
 type caller struct {
 	entries []string
-	healthy *health
+	health  *healthChecker
 	timeout time.Duration
 	client  *http.Client
 }
@@ -77,177 +81,185 @@
 	}
 	return &caller{
 		entries: s.Entries,
-		healthy: newHealth(s.Entries, s.Transport),
+		health:  newHealthChecker(s.Entries, s.Transport),
 		timeout: s.Timeout,
 		client:  &http.Client{Transport: transport},
 	}
 }
 
-// call makes a planned call; turn chooses the first entry instance.
-func (c *caller) call(p planned, turn int, arrival time.Time) outcome {
-	out := outcome{}
-	for try := range maxSubmissions {
-		out = c.submit(p, turn+try, arrival)
-		if !p.keyed || out.word == WordWhole || out.word == WordWrong {
+// call makes a planned call. A keyed call is submitted up to maxSubmissions times
+// until a whole or wrong answer arrives. The first submission goes to the entry
+// instance at index, each further one to the next entry instance.
+func (c *caller) call(call plannedCall, index int, arrival time.Time) callResult {
+	result := callResult{}
+	for attempt := range maxSubmissions {
+		result = c.submit(call, index+attempt, arrival)
+		if !call.keyed || result.outcome == WordWhole || result.outcome == WordWrong {
 			break
 		}
 		time.Sleep(resubmitPause)
 	}
-	out.total = time.Since(arrival)
-	return out
+	result.total = time.Since(arrival)
+	return result
 }
 
-// submit makes one submission. Like a balancer, it passes over an entry
-// instance that is not ready or accepts no connection.
-func (c *caller) submit(p planned, turn int, arrival time.Time) outcome {
+// submit makes one submission, first to the entry instance at index. Like a load
+// balancer, it skips entry instances that are not ready or refuse the connection.
+func (c *caller) submit(call plannedCall, index int, arrival time.Time) callResult {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
-	out := outcome{word: WordLost, detail: "no entry instance is ready"}
+	result := callResult{outcome: WordLost, detail: "no entry instance is ready"}
 	for n := range c.entries {
-		entry := c.entries[(turn+n)%len(c.entries)]
-		if !c.healthy.ready(entry) {
+		entry := c.entries[(index+n)%len(c.entries)]
+		if !c.health.isReady(entry) {
 			continue
 		}
-		resp, err := c.client.Do(c.request(ctx, p, entry))
-		var op *net.OpError
-		if errors.As(err, &op) && op.Op == "dial" {
-			out = outcome{word: WordLost, detail: err.Error()}
+		resp, err := c.client.Do(c.request(ctx, call, entry))
+		var opError *net.OpError
+		if errors.As(err, &opError) && opError.Op == "dial" {
+			result = callResult{outcome: WordLost, detail: err.Error()}
 			continue
 		}
 		if err != nil {
-			return outcome{word: WordLost, detail: err.Error()}
+			return callResult{outcome: WordLost, detail: err.Error()}
 		}
 		defer resp.Body.Close()
-		out := outcome{first: time.Since(arrival)}
-		c.judge(p, resp, arrival, &out)
-		return out
+		result := callResult{firstByte: time.Since(arrival)}
+		c.checkAnswer(call, resp, arrival, &result)
+		return result
 	}
-	return out
+	return result
 }
 
-func (c *caller) request(ctx context.Context, p planned, entry string) *http.Request {
+// request builds the HTTP request of a call to an entry instance.
+func (c *caller) request(ctx context.Context, call plannedCall, entry string) *http.Request {
 	path := "/v1/completions"
-	if p.once {
-		path = p.account.OncePath
+	if call.once {
+		path = call.account.OncePath
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(p.body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(call.body))
 	if err != nil {
-		panic(err) // the addresses have been checked
+		panic(err) // only an address or path that makes no valid URL fails here
 	}
-	req.Header.Set("Authorization", "Bearer "+p.account.Key)
+	req.Header.Set("Authorization", "Bearer "+call.account.Key)
 	req.Header.Set("Content-Type", "application/json")
-	if p.keyed {
-		req.Header.Set(core.HeaderIdempotencyKey, p.id)
+	if call.keyed {
+		req.Header.Set(core.HeaderIdempotencyKey, call.id)
 	}
 	return req
 }
 
-// judge reads the answer and compares it with the one that must come.
-func (c *caller) judge(p planned, resp *http.Response, arrival time.Time, out *outcome) {
+// checkAnswer reads the answer, compares it with the expected one and sets the
+// outcome in result.
+func (c *caller) checkAnswer(call plannedCall, resp *http.Response, arrival time.Time, result *callResult) {
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "application/problem+json") {
 		var problem struct {
 			Outcome core.Refusal `json:"outcome"`
 			Detail  string       `json:"detail"`
 		}
 		if err := json.NewDecoder(resp.Body).Decode(&problem); err != nil {
-			out.word, out.detail = WordCut, err.Error()
+			result.outcome, result.detail = WordCut, err.Error()
 			return
 		}
-		out.word, out.detail = Word(problem.Outcome), problem.Detail
+		result.outcome, result.detail = Word(problem.Outcome), problem.Detail
 		return
 	}
-	if p.once {
-		judgeOnce(p, resp, out)
+	if call.once {
+		checkOnceAnswer(call, resp, result)
 		return
 	}
-	read := readWhole
-	if p.stream {
-		read = readStream
+	read := readDocument
+	if call.stream {
+		read = readEventStream
 	}
-	text, err := read(resp.Body, func() { out.first = time.Since(arrival) })
+	text, err := read(resp.Body, func() { result.firstByte = time.Since(arrival) })
 	if err != nil {
-		out.word, out.detail = WordCut, err.Error()
+		result.outcome, result.detail = WordCut, err.Error()
 		return
 	}
-	want, err := engine.Expected(core.Digest(resp.Header.Get(core.HeaderDigest)), p.body)
-	out.tokens = len(strings.Fields(text))
+	expected, err := engine.Expected(core.Digest(resp.Header.Get(core.HeaderDigest)), call.body)
+	result.tokens = len(strings.Fields(text))
 	switch {
-	case err == nil && text == want:
-		out.word = WordWhole
-	case err == nil && len(text) > len(want):
-		out.word, out.detail = WordDoubled, resp.Header.Get(core.HeaderRequestID)
+	case err == nil && text == expected:
+		result.outcome = WordWhole
+	case err == nil && len(text) > len(expected):
+		result.outcome, result.detail = WordDoubled, resp.Header.Get(core.HeaderRequestID)
 	default:
-		out.word, out.detail = WordWrong, resp.Header.Get(core.HeaderRequestID)
+		result.outcome, result.detail = WordWrong, resp.Header.Get(core.HeaderRequestID)
 	}
 }
 
-// judgeOnce checks that the answer names the call.
-func judgeOnce(p planned, resp *http.Response, out *outcome) {
+// checkOnceAnswer reads the answer to a once-only call, checks that it contains
+// the id of the call and sets the outcome in result.
+func checkOnceAnswer(call plannedCall, resp *http.Response, result *callResult) {
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		out.word, out.detail = WordCut, err.Error()
+		result.outcome, result.detail = WordCut, err.Error()
 		return
 	}
-	var result onceCall
-	if json.Unmarshal(raw, &result) != nil || result.ID != p.id {
-		out.word, out.detail = WordWrong, string(raw)
+	var answer onceCall
+	if json.Unmarshal(raw, &answer) != nil || answer.ID != call.id {
+		result.outcome, result.detail = WordWrong, string(raw)
 		return
 	}
-	out.word = WordWhole
+	result.outcome = WordWhole
 }
 
-// readWhole reads an answer in one document.
-func readWhole(body io.Reader, first func()) (string, error) {
+// readDocument reads an answer that is a single JSON document and returns its
+// text. It calls first once the answer has been read.
+func readDocument(body io.Reader, first func()) (string, error) {
 	raw, err := io.ReadAll(body)
 	if err != nil {
 		return "", err
 	}
 	first()
-	return textOf(raw)
+	return completionText(raw)
 }
 
-// readStream reads a stream of events up to its [DONE].
-func readStream(body io.Reader, first func()) (string, error) {
+// readEventStream reads a stream of events and returns its text. It calls first
+// when the first event arrives. Without a final [DONE] it returns an empty text.
+func readEventStream(body io.Reader, first func()) (string, error) {
 	var text strings.Builder
-	begun, done := false, false
-	lines := bufio.NewScanner(body)
-	for lines.Scan() {
-		data, ok := strings.CutPrefix(lines.Text(), "data: ")
+	started, done := false, false
+	scanner := bufio.NewScanner(body)
+	for scanner.Scan() {
+		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		switch {
-		case strings.HasPrefix(lines.Text(), "event: error"):
-			return "", errors.New("error event")
+		case strings.HasPrefix(scanner.Text(), "event: error"):
+			return "", errors.New("the stream ended with an error event")
 		case !ok:
 			continue
 		case data == "[DONE]":
 			done = true
 			continue
 		}
-		if !begun {
+		if !started {
 			first()
-			begun = true
+			started = true
 		}
-		piece, err := textOf([]byte(data))
+		piece, err := completionText([]byte(data))
 		if err != nil {
 			return "", err
 		}
 		text.WriteString(piece)
 	}
-	if err := lines.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return "", err
 	}
 	if !done {
-		return "", nil // ended as though whole: the text will not compare
+		return "", nil // no [DONE] although the stream ended normally: the empty text counts as wrong
 	}
 	return text.String(), nil
 }
 
-func textOf(raw []byte) (string, error) {
-	var c chunk
+// completionText returns the text of the first choice.
+func completionText(raw []byte) (string, error) {
+	var c completionAnswer
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return "", errors.Wrap(err, "answer")
 	}
 	if len(c.Choices) == 0 {
-		return "", errors.New("answer without choices")
+		return "", errors.New("the answer has no choices")
 	}
 	return c.Choices[0].Text, nil
 }
--- a/bench/requests/health.go
+++ b/bench/requests/health.go
@@ -8,43 +8,47 @@
 )
 
 const (
-	// healthEvery is the time between two health checks.
-	healthEvery = 500 * time.Millisecond
-	// healthTimeout bounds one health check.
+	// healthInterval is the time between two health checks.
+	healthInterval = 500 * time.Millisecond
+	// healthTimeout is the timeout of one health check.
 	healthTimeout = time.Second
-	// readyPath is where an entry instance says whether it takes calls.
+	// readyPath is the path at which an entry instance returns status 200 while
+	// it accepts calls.
 	readyPath = "/readyz"
 )
 
-// health stands for the health checks of the platform's balancer.
-type health struct {
+// healthChecker imitates the health checks of the platform's load balancer.
+type healthChecker struct {
 	mu        sync.Mutex
-	down      map[string]bool
-	addr      []string
+	notReady  map[string]bool // by address
+	addrs     []string
 	transport http.RoundTripper
 }
 
-func newHealth(addr []string, transport http.RoundTripper) *health {
-	return &health{down: map[string]bool{}, addr: addr, transport: transport}
+func newHealthChecker(addrs []string, transport http.RoundTripper) *healthChecker {
+	return &healthChecker{notReady: map[string]bool{}, addrs: addrs, transport: transport}
 }
 
-// ready reports whether the last check of the entry instance succeeded.
-func (h *health) ready(addr string) bool {
+// isReady reports whether the last check of the entry instance succeeded. An
+// entry instance counts as ready before its first check.
+func (h *healthChecker) isReady(addr string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.down[addr]
+	return !h.notReady[addr]
 }
 
-// run checks every entry instance until ctx ends.
-func (h *health) run(ctx context.Context) {
-	var checks sync.WaitGroup
-	for _, addr := range h.addr {
-		checks.Go(func() { h.watch(ctx, addr) })
+// run checks every entry instance until ctx is done.
+func (h *healthChecker) run(ctx context.Context) {
+	var group sync.WaitGroup
+	for _, addr := range h.addrs {
+		group.Go(func() { h.checkRepeatedly(ctx, addr) })
 	}
-	checks.Wait()
+	group.Wait()
 }
 
-func (h *health) watch(ctx context.Context, addr string) {
+// checkRepeatedly checks one entry instance every healthInterval until ctx is
+// done.
+func (h *healthChecker) checkRepeatedly(ctx context.Context, addr string) {
 	client := &http.Client{Timeout: healthTimeout, Transport: h.transport}
 	for ctx.Err() == nil {
 		resp, err := client.Get("http://" + addr + readyPath)
@@ -52,11 +56,11 @@
 			_ = resp.Body.Close()
 		}
 		h.mu.Lock()
-		h.down[addr] = err != nil || resp.StatusCode != http.StatusOK
+		h.notReady[addr] = err != nil || resp.StatusCode != http.StatusOK
 		h.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(healthEvery):
+		case <-time.After(healthInterval):
 		}
 	}
 }
--- a/bench/requests/plan.go
+++ b/bench/requests/plan.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// planned is one call of the plan.
-type planned struct {
+// plannedCall is a call with its arrival time and content.
+type plannedCall struct {
 	account *Account
-	// at is the arrival, from the start of the run.
-	at time.Duration
-	// id identifies the call.
+	// arrival is the time from the start of the run to the call.
+	arrival time.Duration
+	// id identifies the call in the whole run.
 	id string
-	// body is the request's body.
+	// body is the body of the request.
 	body []byte
-	// stream, once and keyed say what kind of call it is.
+	// stream marks a streamed model call, once a once-only call, and keyed a
+	// once-only call with an idempotency key.
 	stream, once, keyed bool
 }
 
-// completionCall is the body of a model call.
+// completionCall is the request body of a model call.
 type completionCall struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -30,66 +31,71 @@
 	Stream    bool   `json:"stream"`
 }
 
-// onceCall is the body of a once-only call; the stand-in counts by its id.
+// onceCall is the request body of a once-only call. The service stand-in counts
+// the executions of each ID.
 type onceCall struct {
 	ID string `json:"id"`
 }
 
-// plan draws every call of the run from the scenario's seed.
-func plan(s *Scenario) []planned {
-	var all []planned
+// planCalls returns every call of the run in order of arrival. The calls depend
+// only on the scenario and its seed.
+func planCalls(s *Scenario) []plannedCall {
+	var calls []plannedCall
 	for i := range s.Accounts {
 		rng := rand.New(rand.NewPCG(s.Seed, uint64(i)))
-		all = append(all, s.planAccount(&s.Accounts[i], rng)...)
+		calls = append(calls, s.planAccount(&s.Accounts[i], rng)...)
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].at < all[j].at })
-	return all
+	sort.SliceStable(calls, func(i, j int) bool { return calls[i].arrival < calls[j].arrival })
+	return calls
 }
 
-func (s *Scenario) planAccount(a *Account, rng *rand.Rand) []planned {
-	var calls []planned
-	at := time.Duration(0)
+// planAccount returns the calls of one account, generated with rng.
+func (s *Scenario) planAccount(a *Account, rng *rand.Rand) []plannedCall {
+	var calls []plannedCall
+	arrival := time.Duration(0)
 	for {
-		at += time.Duration(rng.ExpFloat64() / a.Rate * float64(time.Second))
-		if at >= s.Duration {
+		arrival += time.Duration(rng.ExpFloat64() / a.Rate * float64(time.Second))
+		if arrival >= s.Duration {
 			return calls
 		}
-		p := planned{account: a, at: at, id: fmt.Sprintf("%s-%s-%d", s.Name, a.Name, len(calls))}
-		p.draw(rng)
-		calls = append(calls, p)
+		call := plannedCall{account: a, arrival: arrival, id: fmt.Sprintf("%s-%s-%d", s.Name, a.Name, len(calls))}
+		call.generate(rng)
+		calls = append(calls, call)
 	}
 }
 
-// draw chooses the kind and content of the call.
-func (p *planned) draw(rng *rand.Rand) {
-	a := p.account
-	p.once = rng.Float64() < a.Once
-	p.keyed = p.once && rng.Float64() < a.Keyed
-	p.stream = !p.once && rng.Float64() < a.Stream
-	var content any = onceCall{ID: p.id}
-	if !p.once {
-		content = completionCall{
-			Model: a.Model, Prompt: p.prompt(rng), MaxTokens: a.Tokens.draw(rng), Stream: p.stream,
+// generate chooses the kind and the content of the call at random.
+func (call *plannedCall) generate(rng *rand.Rand) {
+	a := call.account
+	call.once = rng.Float64() < a.Once
+	call.keyed = call.once && rng.Float64() < a.Keyed
+	call.stream = !call.once && rng.Float64() < a.Stream
+	var request any = onceCall{ID: call.id}
+	if !call.once {
+		request = completionCall{
+			Model: a.Model, Prompt: call.prompt(rng), MaxTokens: a.Tokens.random(rng), Stream: call.stream,
 		}
 	}
-	body, err := json.Marshal(content)
+	body, err := json.Marshal(request)
 	if err != nil {
-		panic(err) // the types above can always be encoded
+		panic(err) // impossible: both types can be encoded
 	}
-	p.body = body
+	call.body = body
 }
 
-// prompt returns a shared prefix, if any, and words of its own.
-func (p *planned) prompt(rng *rand.Rand) string {
-	var b strings.Builder
-	if n := p.account.Prefixes; n > 0 {
-		b.WriteString(strings.Repeat(fmt.Sprintf("prefix-%d ", rng.IntN(n)), 32))
+// prompt returns a prompt that begins with one of the shared prefixes, if the
+// account has any, and continues with the call id and random words.
+func (call *plannedCall) prompt(rng *rand.Rand) string {
+	var prompt strings.Builder
+	if n := call.account.Prefixes; n > 0 {
+		prompt.WriteString(strings.Repeat(fmt.Sprintf("prefix-%d ", rng.IntN(n)), 32))
 	}
-	fmt.Fprintf(&b, "%s ", p.id)
-	for range p.account.PromptWords.draw(rng) {
-		fmt.Fprintf(&b, "word%d ", rng.IntN(1000))
+	fmt.Fprintf(&prompt, "%s ", call.id)
+	for range call.account.PromptWords.random(rng) {
+		fmt.Fprintf(&prompt, "word%d ", rng.IntN(1000))
 	}
-	return b.String()
+	return prompt.String()
 }
 
-func (r Range) draw(rng *rand.Rand) int { return r.Min + rng.IntN(r.Max-r.Min+1) }
+// random returns a random number in the range.
+func (r Range) random(rng *rand.Rand) int { return r.Min + rng.IntN(r.Max-r.Min+1) }
--- a/bench/requests/requests_test.go
+++ b/bench/requests/requests_test.go
@@ -19,15 +19,15 @@
 const testDigest = core.Digest("sha256:test")
 
 func TestScenarioFile(t *testing.T) {
-	Convey("The example is valid, and its plan depends on the seed alone", t, func() {
+	Convey("The example scenario is valid, and its calls depend on the seed only", t, func() {
 		s, err := Load("../../examples/requests.yaml", nil, nil)
 		So(err, ShouldBeNil)
-		first, second := plan(s), plan(s)
+		first, second := planCalls(s), planCalls(s)
 		So(first, ShouldResemble, second)
 		s.Seed++
-		So(plan(s), ShouldNotResemble, first)
+		So(planCalls(s), ShouldNotResemble, first)
 	})
-	Convey("Everything wrong is reported at once", t, func() {
+	Convey("Check reports every problem of a scenario at once", t, func() {
 		err := (&Scenario{Accounts: []Account{{Name: "a", Once: 0.5}}}).Check()
 		for _, part := range []string{"duration", "entries", "rate", "tokens", "oncePath", "model"} {
 			So(err.Error(), ShouldContainSubstring, part)
@@ -35,9 +35,9 @@
 	})
 }
 
-// answerer answers streamed calls with the text that edit makes of the right
-// one, and with [DONE] if done is set.
-func answerer(edit func(string) string, done bool) http.Handler {
+// answerHandler answers streamed calls with the correct text changed by edit,
+// followed by [DONE] if done is set.
+func answerHandler(edit func(string) string, done bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == readyPath {
 			return
@@ -54,22 +54,22 @@
 	})
 }
 
-func TestAnswersAreJudged(t *testing.T) {
-	whole := func(s string) string { return s }
+func TestAnswersAreClassified(t *testing.T) {
+	unedited := func(s string) string { return s }
 	cases := []struct {
-		what string
+		name string
 		edit func(string) string
 		done bool
 		want Word
 	}{
-		{"the right answer", whole, true, WordWhole},
-		{"an answer that ends early as though whole", whole, false, WordWrong},
-		{"an answer that lacks a token", func(s string) string { return s[9:] }, true, WordWrong},
-		{"an answer with a token twice", func(s string) string { return s[:9] + s }, true, WordDoubled},
+		{"the correct answer", unedited, true, WordWhole},
+		{"an answer that ends without [DONE]", unedited, false, WordWrong},
+		{"an answer without its first token", func(s string) string { return s[9:] }, true, WordWrong},
+		{"an answer with its first token sent twice", func(s string) string { return s[:9] + s }, true, WordDoubled},
 	}
-	Convey("Answers are told apart", t, func() {
+	Convey("Each answer gets the outcome that matches its text", t, func() {
 		for _, c := range cases {
-			server := httptest.NewServer(answerer(c.edit, c.done))
+			server := httptest.NewServer(answerHandler(c.edit, c.done))
 			r, err := Run(context.Background(), &Scenario{
 				Name: "judge", Seed: 5, Duration: 100 * time.Millisecond, Entries: []string{server.Listener.Addr().String()},
 				Accounts: []Account{{Name: "a", Rate: 100, Model: "m", Stream: 1, Tokens: Range{Min: 4, Max: 4}}},
@@ -77,7 +77,7 @@
 			server.Close()
 			So(err, ShouldBeNil)
 			So(r.All.Calls, ShouldBeGreaterThan, 0)
-			SoMsg(c.what, r.All.Words[c.want], ShouldEqual, r.All.Calls)
+			SoMsg(c.name, r.All.Words[c.want], ShouldEqual, r.All.Calls)
 		}
 	})
 }
--- a/bench/requests/run.go
+++ b/bench/requests/run.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// maxLatency is the largest latency that is told apart, in microseconds.
-	maxLatency = int64(10 * time.Minute / time.Microsecond)
-	// maxDetails bounds the details kept for each account.
+	// maxLatencyMicros is the largest latency that a histogram can record, in
+	// microseconds.
+	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
+	// maxDetails is the largest number of details kept for each account.
 	maxDetails = 20
-	// defaultTimeout bounds one call.
+	// defaultTimeout is the timeout of one submission.
 	defaultTimeout = time.Minute
 )
 
-// Latency holds quantiles in milliseconds.
+// Latency holds quantiles of a latency in milliseconds.
 type Latency struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -28,25 +29,28 @@
 	Max float64 `json:"max"`
 }
 
-// Counts is the result of one account, or of all.
+// Counts is the result of one account, or of all accounts together.
 type Counts struct {
 	// Calls is the number of calls made.
 	Calls int `json:"calls"`
-	// Words counts calls by what became of them.
+	// Words is the number of calls by outcome.
 	Words map[Word]int `json:"words"`
-	// Tokens counts the tokens of whole answers.
+	// Tokens is the number of tokens in whole answers.
 	Tokens int `json:"tokens"`
-	// GoodputPerSecond is whole answers per second of the run.
+	// GoodputPerSecond is the number of whole answers per second of the run.
 	GoodputPerSecond float64 `json:"goodputPerSecond"`
-	// FirstToken and Total are the latencies of whole answers, the first of
-	// streamed ones only; Refusal is that of refusals.
+	// FirstToken is the time from the planned arrival to the first byte of whole
+	// streamed answers.
 	FirstToken Latency `json:"firstToken"`
-	Total      Latency `json:"total"`
-	Refusal    Latency `json:"refusal"`
-	// Details describes some of the calls that were not whole.
+	// Total is the time from the planned arrival to the end of whole answers.
+	Total Latency `json:"total"`
+	// Refusal is the time from the planned arrival to the first byte of every
+	// answer that was not whole; a call without an answer counts as 0.
+	Refusal Latency `json:"refusal"`
+	// Details describes the first calls whose answers were not whole.
 	Details []string `json:"details,omitempty"`
 
-	first, total, refusal *hdrhistogram.Histogram
+	firstByte, total, refusal *hdrhistogram.Histogram
 }
 
 // Result is the result of a run.
@@ -54,40 +58,43 @@
 	Scenario string  `json:"scenario"`
 	Seed     uint64  `json:"seed"`
 	Seconds  float64 `json:"seconds"`
-	// MaxInFlight is the largest number of calls that ran at once.
+	// MaxInFlight is the largest number of calls in flight at the same time.
 	MaxInFlight int                `json:"maxInFlight"`
 	All         *Counts            `json:"all"`
 	Accounts    map[string]*Counts `json:"accounts"`
-	// Executions counts the executions that the plain services report for
-	// once-only calls of this run; Doubled those beyond the first of a call.
+	// Executions is the number of executions that the plain services report
+	// for the once-only calls of this run.
 	Executions int `json:"executions"`
-	Doubled    int `json:"doubled"`
-	// FalseNotRun counts calls whose last word was not-run and that ran.
+	// Doubled is the number of executions beyond the first one of each call.
+	Doubled int `json:"doubled"`
+	// FalseNotRun is the number of once-only calls whose last outcome was
+	// not-run although they were executed.
 	FalseNotRun int `json:"falseNotRun"`
 }
 
 func newCounts() *Counts {
 	return &Counts{
-		Words:   map[Word]int{},
-		first:   hdrhistogram.New(1, maxLatency, 3),
-		total:   hdrhistogram.New(1, maxLatency, 3),
-		refusal: hdrhistogram.New(1, maxLatency, 3),
+		Words:     map[Word]int{},
+		firstByte: hdrhistogram.New(1, maxLatencyMicros, 3),
+		total:     hdrhistogram.New(1, maxLatencyMicros, 3),
+		refusal:   hdrhistogram.New(1, maxLatencyMicros, 3),
 	}
 }
 
-// run is a run in progress.
-type run struct {
+// benchRun is the state of a run in progress.
+type benchRun struct {
 	scenario *Scenario
 	caller   *caller
 
 	mu       sync.Mutex
 	inFlight int
 	result   *Result
-	words    map[string]Word
+	// onceOutcomes holds the outcome of each once-only call by call id.
+	onceOutcomes map[string]Word
 }
 
-// Run makes every call of the scenario and waits for the last answer. Ending
-// ctx stops further arrivals.
+// Run makes every call of the scenario and waits for the last answer. When ctx is
+// cancelled, no further calls are started.
 func Run(ctx context.Context, s *Scenario) (*Result, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -95,17 +102,17 @@
 	if s.Timeout == 0 {
 		s.Timeout = defaultTimeout
 	}
-	r := &run{scenario: s, caller: newCaller(s), words: map[string]Word{}, result: &Result{
+	r := &benchRun{scenario: s, caller: newCaller(s), onceOutcomes: map[string]Word{}, result: &Result{
 		Scenario: s.Name, Seed: s.Seed, All: newCounts(), Accounts: map[string]*Counts{},
 	}}
 	defer r.caller.client.CloseIdleConnections()
 	for _, a := range s.Accounts {
 		r.result.Accounts[a.Name] = newCounts()
 	}
-	checking, stop := context.WithCancel(ctx)
-	defer stop()
-	go r.caller.healthy.run(checking)
-	r.drive(ctx)
+	healthCtx, stopHealth := context.WithCancel(ctx)
+	defer stopHealth()
+	go r.caller.health.run(healthCtx)
+	r.startCalls(ctx)
 	if err := r.countExecutions(ctx); err != nil {
 		return nil, err
 	}
@@ -113,13 +120,13 @@
 	return r.result, nil
 }
 
-// drive lets the calls arrive at their planned times, however many are still
-// running.
-func (r *run) drive(ctx context.Context) {
+// startCalls starts each call at its planned arrival time, however many calls
+// are still in flight, and waits for the last answer.
+func (r *benchRun) startCalls(ctx context.Context) {
 	var calls sync.WaitGroup
 	start := time.Now()
-	for n, p := range plan(r.scenario) {
-		arrival := start.Add(p.at)
+	for n, call := range planCalls(r.scenario) {
+		arrival := start.Add(call.arrival)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Until(arrival)):
@@ -127,50 +134,54 @@
 		if ctx.Err() != nil {
 			break
 		}
-		r.begin()
-		calls.Go(func() { r.note(p, r.caller.call(p, n, arrival)) })
+		r.callStarted()
+		calls.Go(func() { r.callFinished(call, r.caller.call(call, n, arrival)) })
 	}
 	r.result.Seconds = time.Since(start).Seconds()
 	calls.Wait()
 }
 
-func (r *run) begin() {
+// callStarted counts a call in flight.
+func (r *benchRun) callStarted() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight++
 	r.result.MaxInFlight = max(r.result.MaxInFlight, r.inFlight)
 }
 
-func (r *run) note(p planned, out outcome) {
+// callFinished records the result of a call.
+func (r *benchRun) callFinished(call plannedCall, result callResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight--
-	if p.once {
-		r.words[p.id] = out.word
+	if call.once {
+		r.onceOutcomes[call.id] = result.outcome
 	}
-	r.result.All.add(p, out)
-	r.result.Accounts[p.account.Name].add(p, out)
+	r.result.All.record(call, result)
+	r.result.Accounts[call.account.Name].record(call, result)
 }
 
-func (c *Counts) add(p planned, out outcome) {
+// record adds the result of a call.
+func (c *Counts) record(call plannedCall, result callResult) {
 	c.Calls++
-	c.Words[out.word]++
-	if out.word != WordWhole {
-		_ = c.refusal.RecordValue(out.first.Microseconds())
+	c.Words[result.outcome]++
+	if result.outcome != WordWhole {
+		_ = c.refusal.RecordValue(result.firstByte.Microseconds())
 		if len(c.Details) < maxDetails {
-			c.Details = append(c.Details, p.id+": "+string(out.word)+": "+out.detail)
+			c.Details = append(c.Details, call.id+": "+string(result.outcome)+": "+result.detail)
 		}
 		return
 	}
-	c.Tokens += out.tokens
-	_ = c.total.RecordValue(out.total.Microseconds())
-	if p.stream {
-		_ = c.first.RecordValue(out.first.Microseconds())
+	c.Tokens += result.tokens
+	_ = c.total.RecordValue(result.total.Microseconds())
+	if call.stream {
+		_ = c.firstByte.RecordValue(result.firstByte.Microseconds())
 	}
 }
 
-// countExecutions compares the services' counters with the answers.
-func (r *run) countExecutions(ctx context.Context) error {
+// countExecutions reads the execution counters of the plain services and compares
+// them with the outcomes of the once-only calls.
+func (r *benchRun) countExecutions(ctx context.Context) error {
 	executions := map[string]int{}
 	for _, addr := range r.scenario.Services {
 		counters, err := readCounters(ctx, addr)
@@ -181,17 +192,19 @@
 			executions[id] += n
 		}
 	}
-	for id, word := range r.words {
+	for id, outcome := range r.onceOutcomes {
 		n := executions[id]
 		r.result.Executions += n
 		r.result.Doubled += max(0, n-1)
-		if word == Word("not-run") && n > 0 {
+		if outcome == Word("not-run") && n > 0 {
 			r.result.FalseNotRun++
 		}
 	}
 	return nil
 }
 
+// readCounters returns the number of executions by call id at the service stand-in
+// at addr.
 func readCounters(ctx context.Context, addr string) (map[string]int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/service/counters", nil)
 	if err != nil {
@@ -209,27 +222,29 @@
 	return counters, nil
 }
 
-// finish turns the histograms into quantiles.
-func (r *run) finish() {
+// finish computes the quantiles and the goodput of every account.
+func (r *benchRun) finish() {
 	r.result.All.finish(r.result.Seconds)
 	for _, c := range r.result.Accounts {
 		c.finish(r.result.Seconds)
 	}
 }
 
+// finish computes the quantiles and, from the length of the run, the goodput.
 func (c *Counts) finish(seconds float64) {
 	c.GoodputPerSecond = float64(c.Words[WordWhole]) / seconds
-	c.FirstToken = quantiles(c.first)
+	c.FirstToken = quantiles(c.firstByte)
 	c.Total = quantiles(c.total)
 	c.Refusal = quantiles(c.refusal)
 }
 
+// quantiles converts a histogram in microseconds to quantiles in milliseconds.
 func quantiles(h *hdrhistogram.Histogram) Latency {
-	millis := func(micros int64) float64 { return float64(micros) / 1000 }
+	toMillis := func(micros int64) float64 { return float64(micros) / 1000 }
 	return Latency{
-		P50: millis(h.ValueAtQuantile(50)),
-		P95: millis(h.ValueAtQuantile(95)),
-		P99: millis(h.ValueAtQuantile(99)),
-		Max: millis(h.Max()),
+		P50: toMillis(h.ValueAtQuantile(50)),
+		P95: toMillis(h.ValueAtQuantile(95)),
+		P99: toMillis(h.ValueAtQuantile(99)),
+		Max: toMillis(h.Max()),
 	}
 }
--- a/bench/requests/scenario.go
+++ b/bench/requests/scenario.go
@@ -1,6 +1,6 @@
-// Package requests drives entry instances with an open-loop load described by
-// a scenario file, and counts for every call whether its answer was whole,
-// refused, wrong, cut or doubled.
+// Package requests sends an open-loop load, described by a scenario file, to
+// entry instances, and counts the outcomes of the calls: whole, refused, wrong,
+// cut, lost or doubled.
 package requests
 
 import (
@@ -13,25 +13,26 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Scenario describes one run.
+// Scenario describes the load of one run.
 type Scenario struct {
-	// Name is repeated in the result.
+	// Name is copied to the result and is a part of each call id.
 	Name string `yaml:"name"`
-	// Seed fixes arrivals, prompts and lengths.
+	// Seed determines the random arrivals, prompts and lengths.
 	Seed uint64 `yaml:"seed"`
-	// Duration is the time in which calls arrive.
+	// Duration is the time during which calls are started.
 	Duration time.Duration `yaml:"duration"`
-	// Timeout bounds one call; default 60 s.
+	// Timeout is the timeout of one submission; default 60 s.
 	Timeout time.Duration `yaml:"timeout"`
-	// Entries are the addresses ("ip:port") of the entry instances, which
-	// take calls in turn, as behind a balancer.
+	// Entries are the addresses ("ip:port") of the entry instances. Calls go
+	// to them in turn, as from a load balancer.
 	Entries []string `yaml:"entries"`
-	// Services are the addresses of stand-ins of plain services, whose
-	// counters tell how often each once-only call ran.
+	// Services are the addresses ("ip:port") of the stand-ins of plain services.
+	// They count the executions of each once-only call.
 	Services []string `yaml:"services"`
-	// Accounts are the callers.
+	// Accounts are the client accounts that make calls.
 	Accounts []Account `yaml:"accounts"`
-	// Transport reaches the entry instances; nil means over the network.
+	// Transport sends the requests to the entry instances; nil means an HTTP
+	// transport over the network.
 	Transport http.RoundTripper `yaml:"-"`
 }
 
@@ -43,42 +44,43 @@
 	Key string `yaml:"key"`
 	// Rate is the mean number of calls per second; arrivals are Poisson.
 	Rate float64 `yaml:"rate"`
-	// Model is asked by model calls.
+	// Model is the model that model calls name.
 	Model string `yaml:"model"`
 	// Tokens is the range of answer lengths, in tokens.
 	Tokens Range `yaml:"tokens"`
 	// PromptWords is the range of prompt lengths, in words.
 	PromptWords Range `yaml:"promptWords"`
-	// Prefixes is the number of prompt prefixes that calls share; 0 for none.
+	// Prefixes is the number of different prompt prefixes that the calls share;
+	// 0 for prompts without a shared prefix.
 	Prefixes int `yaml:"prefixes"`
-	// Stream is the share of model calls that are streamed, 0 to 1.
+	// Stream is the share of streamed calls among the model calls, 0 to 1.
 	Stream float64 `yaml:"stream"`
-	// Once is the share of calls that are once-only calls, 0 to 1.
+	// Once is the share of once-only calls among all calls, 0 to 1.
 	Once float64 `yaml:"once"`
-	// Keyed is the share of those that carry a key, 0 to 1; they are
-	// resubmitted when they are not answered.
+	// Keyed is the share of calls with an idempotency key among the once-only
+	// calls, 0 to 1. A keyed call is submitted again if its answer is not whole.
 	Keyed float64 `yaml:"keyed"`
 	// OncePath is the path of once-only calls, such as /services/lots/lots.
 	OncePath string `yaml:"oncePath"`
 }
 
-// Range is a range of whole numbers, both ends included.
+// Range is a range of integers that includes both Min and Max.
 type Range struct {
 	Min int `yaml:"min"`
 	Max int `yaml:"max"`
 }
 
-// Load reads a scenario from a YAML file and reports everything wrong in it.
-// Entries and services replace those of the file unless they are empty.
+// Load reads and checks a scenario from a YAML file. Unless they are empty,
+// entries and services replace the ones in the file.
 func Load(path string, entries, services []string) (*Scenario, error) {
-	raw, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "scenario")
 	}
 	var s Scenario
-	dec := yaml.NewDecoder(bytes.NewReader(raw))
-	dec.KnownFields(true)
-	if err := dec.Decode(&s); err != nil {
+	decoder := yaml.NewDecoder(bytes.NewReader(content))
+	decoder.KnownFields(true)
+	if err := decoder.Decode(&s); err != nil {
 		return nil, errors.Wrapf(err, "scenario %s", path)
 	}
 	if len(entries) > 0 {
@@ -93,40 +95,41 @@
 	return &s, nil
 }
 
-// Check reports everything wrong in the scenario at once.
+// Check returns an error that lists every problem of the scenario.
 func (s *Scenario) Check() error {
-	var wrong []error
+	var problems []error
 	if s.Duration <= 0 {
-		wrong = append(wrong, errors.New("duration: want more than 0"))
+		problems = append(problems, errors.New("duration: want more than 0"))
 	}
 	if len(s.Entries) == 0 {
-		wrong = append(wrong, errors.New("entries: want at least one"))
+		problems = append(problems, errors.New("entries: want at least one"))
 	}
 	if len(s.Accounts) == 0 {
-		wrong = append(wrong, errors.New("accounts: want at least one"))
+		problems = append(problems, errors.New("accounts: want at least one"))
 	}
 	for _, a := range s.Accounts {
-		wrong = append(wrong, a.check())
+		problems = append(problems, a.check())
 	}
-	return errors.Join(wrong...)
+	return errors.Join(problems...)
 }
 
+// check returns an error that lists every problem of the account.
 func (a *Account) check() error {
-	var wrong []error
+	var problems []error
 	if a.Rate <= 0 {
-		wrong = append(wrong, errors.Errorf("account %s: rate: want more than 0", a.Name))
+		problems = append(problems, errors.Errorf("account %s: rate: want more than 0", a.Name))
 	}
 	if a.Tokens.Min < 1 || a.Tokens.Max < a.Tokens.Min {
-		wrong = append(wrong, errors.Errorf("account %s: tokens: want 1 <= min <= max", a.Name))
+		problems = append(problems, errors.Errorf("account %s: tokens: want 1 <= min <= max", a.Name))
 	}
 	if a.PromptWords.Min < 0 || a.PromptWords.Max < a.PromptWords.Min {
-		wrong = append(wrong, errors.Errorf("account %s: promptWords: want 0 <= min <= max", a.Name))
+		problems = append(problems, errors.Errorf("account %s: promptWords: want 0 <= min <= max", a.Name))
 	}
 	if a.Once > 0 && a.OncePath == "" {
-		wrong = append(wrong, errors.Errorf("account %s: oncePath: wanted with once", a.Name))
+		problems = append(problems, errors.Errorf("account %s: oncePath: required with once above 0", a.Name))
 	}
 	if a.Once < 1 && a.Model == "" {
-		wrong = append(wrong, errors.Errorf("account %s: model: wanted with once below 1", a.Name))
+		problems = append(problems, errors.Errorf("account %s: model: required with once below 1", a.Name))
 	}
-	return errors.Join(wrong...)
+	return errors.Join(problems...)
 }
--- a/bench/requests/table.go
+++ b/bench/requests/table.go
@@ -10,7 +10,8 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// WriteTable writes a short table of the result, a row for each account.
+// WriteTable writes the result as a table with a row for each account and one
+// for all accounts.
 func (r *Result) WriteTable(w io.Writer) {
 	fmt.Fprintf(w, "%s: seed %d, %.1f s, at most %d in flight; once-only: %d executions, %d doubled, %d false not-run\n",
 		r.Scenario, r.Seed, r.Seconds, r.MaxInFlight, r.Executions, r.Doubled, r.FalseNotRun)
@@ -25,13 +26,14 @@
 	table.Render()
 }
 
+// row returns the table row of an account.
 func (c *Counts) row(name string) []string {
 	row := []string{name, strconv.Itoa(c.Calls)}
-	for _, word := range []Word{WordWhole, "not-run", "unknown", "incomplete", WordWrong, WordCut, WordLost, WordDoubled} {
-		row = append(row, strconv.Itoa(c.Words[word]))
+	for _, outcome := range []Word{WordWhole, "not-run", "unknown", "incomplete", WordWrong, WordCut, WordLost, WordDoubled} {
+		row = append(row, strconv.Itoa(c.Words[outcome]))
 	}
-	for _, v := range []float64{c.FirstToken.P50, c.FirstToken.P95, c.Refusal.P95, c.GoodputPerSecond} {
-		row = append(row, strconv.FormatFloat(v, 'f', 1, 64))
+	for _, value := range []float64{c.FirstToken.P50, c.FirstToken.P95, c.Refusal.P95, c.GoodputPerSecond} {
+		row = append(row, strconv.FormatFloat(value, 'f', 1, 64))
 	}
 	return row
 }
