--- a/bench/spread/bench.go
+++ b/bench/spread/bench.go
@@ -1,6 +1,7 @@
-// Package spread measures how a version spreads over many real agents on the
-// loopback address, with a token bucket for each link, beside other ways of
-// spreading in the same run.
+// Package spread measures how fast a version is distributed to many agents over
+// loopback connections. It runs the real distribution code with a token bucket
+// for each simulated link, and compares it with alternative ways of distribution
+// in the same run.
 package spread
 
 import (
@@ -17,55 +18,61 @@
 
 // Options are the settings of a run.
 type Options struct {
-	// Agents lists the numbers of agents to measure in one region.
+	// Agents lists the numbers of agents in one region to measure with.
 	Agents []int
 	// CopyBytes is the size of the version, in bytes.
 	CopyBytes int64
-	// Chunks is the number of chunks it is cut into.
+	// Chunks is the number of chunks of the version.
 	Chunks int
-	// CopyTime is how long one copy takes over a machine's link.
+	// CopyTime is the time that one copy of the version takes over the link of a
+	// machine. It determines the bandwidth of every link.
 	CopyTime time.Duration
-	// OthersCopyTime is the same for the ways measured beside it.
+	// OthersCopyTime is the same for the alternative ways of distribution.
 	OthersCopyTime time.Duration
 	// DataCentres is the number of data centres in each region.
 	DataCentres int
-	// Wait is how long an agent holds a peer's request open; an answer or a
-	// byte that is later than twice this is a stall.
+	// Wait is how long an agent holds a peer's request open. An answer or a
+	// byte that takes more than twice as long is a stall.
 	Wait time.Duration
-	// Parallel, UploadSlots and Fanout are those of spread.Config.
+	// Parallel, UploadSlots and Fanout are the fields of the same name in
+	// spread.Config of version/spread.
 	Parallel, UploadSlots, Fanout int
-	// Others adds the other ways, Faults the runs with faults.
+	// Others adds runs of the alternative ways of distribution, Faults adds
+	// runs with faults.
 	Others, Faults bool
-	// Log takes the agents' events; nil discards them.
+	// Log receives the events of the agents; nil discards them.
 	Log *eventlog.Logger
 }
 
-// machineRate returns the bytes per second of a machine's link.
+// machineRate returns the bandwidth of a machine's link in bytes per second.
 func (o Options) machineRate() int64 { return int64(float64(o.CopyBytes) / o.CopyTime.Seconds()) }
 
-// Row is the outcome of one run. Bytes are in copies of the version, times in
-// units of one copy over a machine's link.
+// Row is the result of one run. Bytes are in copies of the version, times in
+// units of Options.CopyTime.
 type Row struct {
+	// Way is the name of the way of distribution.
 	Way     string
 	Agents  int
 	Regions int
 	Fault   string
-	// Time is until the last replica, Origin what the origin sent, Link what
-	// crossed between the regions, MaxSent the most any machine sent.
+	// Time is the time until the last agent had the version, Origin the bytes
+	// that the origin sent, Link the bytes that crossed between regions, and
+	// MaxSent the largest number of bytes that one machine sent.
 	Time, Origin, Link, MaxSent float64
 }
 
-// faultAt is when a fault happens, in units of one copy.
-const faultAt = 0.1
+// faultDelayCopies is the time from the start of a run to its fault, in units of
+// Options.CopyTime.
+const faultDelayCopies = 0.1
 
-// Run measures everything that opt asks for and writes each row as it is
-// known, then the table.
+// Run makes the runs that opt selects. It writes each row as soon as its run is
+// done, and the table of all rows at the end.
 func Run(out io.Writer, opt Options) ([]Row, error) {
 	if opt.Log == nil {
 		opt.Log = eventlog.Discard()
 	}
 	var rows []Row
-	add := func(row Row, err error) error {
+	addRow := func(row Row, err error) error {
 		if err != nil {
 			return err
 		}
@@ -74,115 +81,118 @@
 		return err
 	}
 	for _, n := range opt.Agents {
-		if err := add(runSwarm(opt, n, 1, "")); err != nil {
+		if err := addRow(runSwarm(opt, n, 1, "")); err != nil {
 			return rows, err
 		}
 	}
 	last := opt.Agents[len(opt.Agents)-1]
-	if err := add(runSwarm(opt, min(64, last), 2, "")); err != nil {
+	if err := addRow(runSwarm(opt, min(64, last), 2, "")); err != nil {
 		return rows, err
 	}
 	if opt.Faults {
 		for _, fault := range []string{faultKilled, faultStalled, faultCorrupt, faultAll} {
-			if err := add(runSwarm(opt, min(64, last), 1, fault)); err != nil {
+			if err := addRow(runSwarm(opt, min(64, last), 1, fault)); err != nil {
 				return rows, err
 			}
 		}
 	}
 	if opt.Others {
-		if err := runOthers(opt, add); err != nil {
+		if err := runAlternatives(opt, addRow); err != nil {
 			return rows, err
 		}
 	}
-	return rows, write(out, rows)
+	return rows, writeTable(out, rows)
 }
 
-// runOthers measures the ways that were weighed against ours.
-func runOthers(opt Options, add func(Row, error) error) error {
+// runAlternatives measures the alternative ways of distribution: every agent
+// reads from the origin, a chain, and a binary tree.
+func runAlternatives(opt Options, addRow func(Row, error) error) error {
 	opt.CopyTime = opt.OthersCopyTime
 	for _, n := range opt.Agents {
-		if err := add(runOriginOnly(opt, n)); err != nil {
+		if err := addRow(runOriginOnly(opt, n)); err != nil {
 			return err
 		}
-		if err := add(runTree(opt, "chain", n, 1)); err != nil {
+		if err := addRow(runTree(opt, "chain", n, 1)); err != nil {
 			return err
 		}
-		if err := add(runTree(opt, "binary tree", n, 2)); err != nil {
+		if err := addRow(runTree(opt, "binary tree", n, 2)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// The faults of a run.
+// Kinds of faults, as they are shown in Row.Fault, and the share of the chunks
+// that faultCorrupt corrupts.
 const (
-	faultKilled  = "one owner killed"
-	faultStalled = "one owner stalled"
-	faultCorrupt = "1% of chunks corrupted"
-	faultAll     = "all three at once"
-	corruptShare = 0.01
+	faultKilled         = "one owner killed"
+	faultStalled        = "one owner stalled"
+	faultCorrupt        = "1% of chunks corrupted"
+	faultAll            = "all three at once"
+	corruptedChunkShare = 0.01
 )
 
-// runSwarm measures n agents over regions.
+// runSwarm measures the real distribution code with n agents spread over the
+// number of regions.
 func runSwarm(opt Options, n, regions int, fault string) (Row, error) {
-	s, err := newScene(opt, n, regions)
+	t, err := newTestbed(opt, n, regions)
 	if err != nil {
 		return Row{}, err
 	}
-	defer s.close()
+	defer t.close()
 	if fault == faultCorrupt || fault == faultAll {
-		s.origin.corrupt = corruptShare
+		t.origin.corruptProbability = corruptedChunkShare
 	}
-	timer := time.AfterFunc(time.Duration(faultAt*float64(opt.CopyTime)), func() { s.strike(fault) })
+	timer := time.AfterFunc(time.Duration(faultDelayCopies*float64(opt.CopyTime)), func() { t.injectFaults(fault) })
 	defer timer.Stop()
 	row := Row{Way: "scatter and gather", Agents: n, Regions: regions, Fault: fault}
-	row.Time, err = s.fetchAll(s.peers)
-	return s.measure(row), err
+	row.Time, err = t.fetchAll(t.peers)
+	return t.withTraffic(row), err
 }
 
-// runOriginOnly measures n agents that each draw the whole from the origin.
+// runOriginOnly measures n agents that each read every chunk from the origin.
 func runOriginOnly(opt Options, n int) (Row, error) {
-	s, err := newScene(opt, n, 1)
+	t, err := newTestbed(opt, n, 1)
 	if err != nil {
 		return Row{}, err
 	}
-	defer s.close()
+	defer t.close()
 	row := Row{Way: "origin only", Agents: n, Regions: 1}
-	row.Time, err = s.fetchAll(func() []spread.Peer { return nil })
-	return s.measure(row), err
+	row.Time, err = t.fetchAll(func() []spread.Peer { return nil })
+	return t.withTraffic(row), err
 }
 
 // fetchAll fetches the version at every agent and returns the time until the
-// last agent that was not hit by a fault had it, in units of one copy.
-func (s *scene) fetchAll(peers func() []spread.Peer) (float64, error) {
+// last agent without a fault had it, in units of Options.CopyTime.
+func (t *testbed) fetchAll(peers func() []spread.Peer) (float64, error) {
 	start := time.Now()
-	group, ctx := errgroup.WithContext(s.ctx)
-	for _, a := range s.agents {
+	group, ctx := errgroup.WithContext(t.ctx)
+	for _, a := range t.agents {
 		group.Go(func() error {
-			_, err := a.swarm.Fetch(ctx, s.version, peers)
-			if a.frozen.Load() {
+			_, err := a.swarm.Fetch(ctx, t.version, peers)
+			if a.unresponsive.Load() {
 				return nil
 			}
 			return err
 		})
 	}
 	err := group.Wait()
-	return time.Since(start).Seconds() / s.opt.CopyTime.Seconds(), err
+	return time.Since(start).Seconds() / t.opt.CopyTime.Seconds(), err
 }
 
-// measure fills in the bytes of a row.
-func (s *scene) measure(row Row) Row {
-	size := float64(s.opt.CopyBytes)
-	row.Origin = float64(s.origin.drawn.Load()) / size
-	row.Link = float64(s.crossed.Load()) / size
-	for _, a := range s.agents {
-		row.MaxSent = max(row.MaxSent, float64(a.sent.Load())/size)
+// withTraffic returns row with the traffic of the run in copies of the version.
+func (t *testbed) withTraffic(row Row) Row {
+	size := float64(t.opt.CopyBytes)
+	row.Origin = float64(t.origin.sentBytes.Load()) / size
+	row.Link = float64(t.crossRegionBytes.Load()) / size
+	for _, a := range t.agents {
+		row.MaxSent = max(row.MaxSent, float64(a.sentBytes.Load())/size)
 	}
 	return row
 }
 
-// write prints the rows as a table with the aims.
-func write(out io.Writer, rows []Row) error {
+// writeTable prints the rows as a table, followed by the targets.
+func writeTable(out io.Writer, rows []Row) error {
 	table := tablewriter.NewWriter(out)
 	table.SetHeader([]string{"way", "agents", "regions", "fault", "time", "origin", "link", "max sent"})
 	table.SetAutoFormatHeaders(false)
--- a/bench/spread/origin.go
+++ b/bench/spread/origin.go
@@ -9,22 +9,24 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// origin is a weight store in memory behind one link.
+// origin is an in-memory weight store behind a link of limited bandwidth.
 type origin struct {
-	objects map[string][]byte
-	link    *spread.Link
-	drawn   atomic.Int64
-	// corrupt is the share of answers that are corrupted, 0 to 1.
-	corrupt float64
+	objects   map[string][]byte
+	link      *spread.Link
+	sentBytes atomic.Int64
+	// corruptProbability is the probability that Get returns a corrupted body,
+	// 0 to 1.
+	corruptProbability float64
 }
 
-// Put implements platform.Objects; it is called before any Get.
+// Put implements platform.Objects. It must not be called at the same time as Get.
 func (o *origin) Put(_ context.Context, name string, body []byte) error {
 	o.objects[name] = body
 	return nil
 }
 
-// Get implements platform.Objects within the budget of the origin's link.
+// Get implements platform.Objects. It waits for the bandwidth of the origin's
+// link and returns the whole object whatever the range.
 func (o *origin) Get(ctx context.Context, name string, _, _ int64) ([]byte, error) {
 	body, ok := o.objects[name]
 	if !ok {
@@ -33,35 +35,36 @@
 	if err := o.link.Wait(ctx, int64(len(body))); err != nil {
 		return nil, err
 	}
-	o.drawn.Add(int64(len(body)))
-	return corrupted(body, o.corrupt), nil
+	o.sentBytes.Add(int64(len(body)))
+	return maybeCorrupt(body, o.corruptProbability), nil
 }
 
-// remote is the origin as the agents of another region see it: behind the
-// link between the regions.
-type remote struct {
+// remoteOrigin is the origin for the agents of another region: its data also
+// passes the link between the regions.
+type remoteOrigin struct {
 	*origin
-	link    *spread.Link
-	crossed *atomic.Int64
+	link             *spread.Link
+	crossRegionBytes *atomic.Int64
 }
 
-// Get implements platform.Objects.
-func (r *remote) Get(ctx context.Context, name string, offset, length int64) ([]byte, error) {
+// Get implements platform.Objects. It also waits for the bandwidth of the link
+// between the regions.
+func (r *remoteOrigin) Get(ctx context.Context, name string, offset, length int64) ([]byte, error) {
 	body, err := r.origin.Get(ctx, name, offset, length)
 	if err != nil {
 		return nil, err
 	}
-	r.crossed.Add(int64(len(body)))
+	r.crossRegionBytes.Add(int64(len(body)))
 	return body, r.link.Wait(ctx, int64(len(body)))
 }
 
-// corrupted returns body, or with the given probability a copy with one byte
-// changed.
-func corrupted(body []byte, share float64) []byte {
-	if len(body) == 0 || rand.Float64() >= share {
+// maybeCorrupt returns body, or with the given probability a copy in which one
+// byte is changed.
+func maybeCorrupt(body []byte, probability float64) []byte {
+	if len(body) == 0 || rand.Float64() >= probability {
 		return body
 	}
-	bad := append([]byte{}, body...)
-	bad[rand.IntN(len(bad))] ^= 0xff
-	return bad
+	corrupted := append([]byte{}, body...)
+	corrupted[rand.IntN(len(corrupted))] ^= 0xff
+	return corrupted
 }
--- a/bench/spread/relay.go
+++ b/bench/spread/relay.go
@@ -15,22 +15,22 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// relayParallel is the number of chunks that a relay asks for at once.
-const relayParallel = 4
+// relayConcurrency is the number of chunks that a relay requests at once.
+const relayConcurrency = 4
 
-// relay is a machine of a chain or tree: it reads every chunk from its parent,
-// the root from the origin, and passes them on as they arrive.
+// relay is a machine of a chain or tree. It reads every chunk from its parent, or
+// from the origin if it is the root, and serves each chunk as soon as it arrives.
 type relay struct {
-	chunks   []manifest.Chunk
-	bodies   [][]byte
-	arrived  []chan struct{}
-	parent   string
-	origin   *origin
-	up, down *spread.Link
-	server   *http.Server
+	chunks                     []manifest.Chunk
+	bodies                     [][]byte
+	arrived                    []chan struct{} // closed when the chunk with this index is in bodies
+	parent                     string          // address; empty for the root
+	origin                     *origin
+	uploadLimit, downloadLimit *spread.Link
+	server                     *http.Server
 }
 
-// ServeHTTP gives chunk number N of "/N" once it is there.
+// ServeHTTP answers a request for "/N" with chunk number N once it has arrived.
 func (r *relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	i, err := strconv.Atoi(req.URL.Path[1:])
 	if err != nil || i >= len(r.chunks) {
@@ -42,14 +42,14 @@
 	case <-req.Context().Done():
 		return
 	}
-	if r.up.Wait(req.Context(), r.chunks[i].Size) != nil {
+	if r.uploadLimit.Wait(req.Context(), r.chunks[i].Size) != nil {
 		return
 	}
 	_, _ = w.Write(r.bodies[i])
 }
 
-// read gets chunk i from the parent or the origin.
-func (r *relay) read(ctx context.Context, i int) ([]byte, error) {
+// fetchChunk reads chunk i from the parent or the origin.
+func (r *relay) fetchChunk(ctx context.Context, i int) ([]byte, error) {
 	if r.parent == "" {
 		return r.origin.Get(ctx, manifest.ChunkName(r.chunks[i].Digest), 0, -1)
 	}
@@ -65,20 +65,20 @@
 	return io.ReadAll(resp.Body)
 }
 
-// fetch reads all chunks in order.
-func (r *relay) fetch(ctx context.Context) error {
+// fetchAll reads all chunks, relayConcurrency at a time.
+func (r *relay) fetchAll(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(relayParallel)
-	for i, c := range r.chunks {
+	group.SetLimit(relayConcurrency)
+	for i, chunk := range r.chunks {
 		group.Go(func() error {
-			body, err := r.read(ctx, i)
+			body, err := r.fetchChunk(ctx, i)
 			if err != nil {
 				return err
 			}
-			if !c.Digest.Matches(body) {
-				return errors.New("corrupt chunk")
+			if !chunk.Digest.Matches(body) {
+				return errors.New("the chunk does not match its digest")
 			}
-			if err := r.down.Wait(ctx, c.Size); err != nil {
+			if err := r.downloadLimit.Wait(ctx, chunk.Size); err != nil {
 				return err
 			}
 			r.bodies[i] = body
@@ -89,15 +89,15 @@
 	return group.Wait()
 }
 
-// runTree measures a tree of n machines with the given fan-out in one region;
-// fan-out 1 is a chain.
+// runTree measures a tree of n relays with the given fan-out in one region. A
+// fan-out of 1 makes a chain.
 func runTree(opt Options, name string, n, fanout int) (Row, error) {
-	s, err := newScene(opt, 0, 1)
+	t, err := newTestbed(opt, 0, 1)
 	if err != nil {
 		return Row{}, err
 	}
-	defer s.close()
-	chunks := s.manifest.Chunks()
+	defer t.close()
+	chunks := t.manifest.Chunks()
 	var relays []*relay
 	for i := range n {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,7 +106,7 @@
 		}
 		r := &relay{
 			chunks: chunks, bodies: make([][]byte, len(chunks)), arrived: make([]chan struct{}, len(chunks)),
-			origin: s.origin, up: spread.NewLink(opt.machineRate()), down: spread.NewLink(opt.machineRate()),
+			origin: t.origin, uploadLimit: spread.NewLink(opt.machineRate()), downloadLimit: spread.NewLink(opt.machineRate()),
 		}
 		for j := range r.arrived {
 			r.arrived[j] = make(chan struct{})
@@ -120,13 +120,13 @@
 		relays = append(relays, r)
 	}
 	start := time.Now()
-	group, ctx := errgroup.WithContext(s.ctx)
+	group, ctx := errgroup.WithContext(t.ctx)
 	for _, r := range relays {
-		group.Go(func() error { return r.fetch(ctx) })
+		group.Go(func() error { return r.fetchAll(ctx) })
 	}
 	err = group.Wait()
 	row := Row{Way: name, Agents: n, Regions: 1, Time: time.Since(start).Seconds() / opt.CopyTime.Seconds()}
-	row.Origin = float64(s.origin.drawn.Load()) / float64(opt.CopyBytes)
+	row.Origin = float64(t.origin.sentBytes.Load()) / float64(opt.CopyBytes)
 	row.MaxSent = float64(min(fanout, n-1))
 	return row, err
 }
--- a/bench/spread/scene.go
+++ b/bench/spread/scene.go
@@ -22,61 +22,70 @@
 )
 
 const (
+	// benchToken is the peer token of the agents.
 	benchToken = "bench"
-	// storeFactor is the chunk memory of an agent, in copies.
-	storeFactor = 2
-	// originShare and linkShare are the links of the origin and between two
-	// regions, in units of a machine's link.
-	originShare = 2
-	linkShare   = 1
-	// idleConnections keeps 128 agents in one process below its open files.
+	// storeCopies is the size of an agent's chunk store, in copies of the
+	// version.
+	storeCopies = 2
+	// originLinkFactor and regionLinkFactor are the bandwidths of the origin's
+	// link and of the link between regions, in units of a machine's link.
+	originLinkFactor = 2
+	regionLinkFactor = 1
+	// idleConnections limits the idle connections of each agent, so that 128
+	// agents in one process stay below its limit of open files.
 	idleConnections = 24
 )
 
-// scene is one run: an origin, its links and the agents.
-type scene struct {
-	opt      Options
-	origin   *origin
-	version  core.Digest
-	manifest *manifest.Manifest
-	agents   []*agent
-	crossed  atomic.Int64
-	link     *spread.Link
-	ctx      context.Context
-	cancel   context.CancelFunc
+// testbed holds the origin, the links and the agents of one run.
+type testbed struct {
+	opt              Options
+	origin           *origin
+	version          core.Digest
+	manifest         *manifest.Manifest
+	agents           []*agent
+	crossRegionBytes atomic.Int64
+	link             *spread.Link // the link between regions
+	ctx              context.Context
+	cancel           context.CancelFunc
 }
 
-// agent is one machine: a real Swarm behind a real server, or a relay.
+// agent is one machine: a Swarm and its HTTP server.
 type agent struct {
-	self    core.Instance
-	swarm   *spread.Swarm
-	server  *http.Server
-	sent    atomic.Int64
-	stalled chan struct{}
-	frozen  atomic.Bool
-	out     bool
+	self      core.Instance
+	swarm     *spread.Swarm
+	server    *http.Server
+	sentBytes atomic.Int64
+	// killed is closed when the agent is killed; it ends the requests that are
+	// held open.
+	killed chan struct{}
+	// unresponsive means that the agent holds every request open and does not
+	// answer it.
+	unresponsive atomic.Bool
+	// failed means that a fault has hit the agent.
+	failed bool
 }
 
-// newScene publishes a version and starts n agents over regions.
-func newScene(opt Options, n, regions int) (*scene, error) {
+// newTestbed publishes a version and starts n agents, distributed over the number
+// of regions.
+func newTestbed(opt Options, n, regions int) (*testbed, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &scene{opt: opt, ctx: ctx, cancel: cancel, link: spread.NewLink(linkShare * opt.machineRate())}
-	s.origin = &origin{objects: map[string][]byte{}, link: spread.NewLink(originShare * opt.machineRate())}
-	if err := s.publish(); err != nil {
+	t := &testbed{opt: opt, ctx: ctx, cancel: cancel, link: spread.NewLink(regionLinkFactor * opt.machineRate())}
+	t.origin = &origin{objects: map[string][]byte{}, link: spread.NewLink(originLinkFactor * opt.machineRate())}
+	if err := t.publish(); err != nil {
 		return nil, err
 	}
 	for i := range n {
-		if err := s.add(i, regions); err != nil {
-			s.close()
+		if err := t.startAgent(i, regions); err != nil {
+			t.close()
 			return nil, err
 		}
 	}
-	return s, nil
+	return t, nil
 }
 
-// publish stores a version of random-looking bytes.
-func (s *scene) publish() error {
-	content := make([]byte, s.opt.CopyBytes)
+// publish stores a version of pseudo-random bytes at the origin.
+func (t *testbed) publish() error {
+	content := make([]byte, t.opt.CopyBytes)
 	state := uint64(1)
 	for i := range content {
 		state = state*6364136223846793005 + 1442695040888963407
@@ -84,124 +93,129 @@
 	}
 	fsys := fstest.MapFS{"weights": {Data: content}}
 	var err error
-	s.manifest, s.version, err = manifest.Publish(s.ctx, s.origin, fsys, s.opt.CopyBytes/int64(s.opt.Chunks), "")
+	t.manifest, t.version, err = manifest.Publish(t.ctx, t.origin, fsys, t.opt.CopyBytes/int64(t.opt.Chunks), "")
 	return err
 }
 
-// add starts the server of agent i.
-func (s *scene) add(i, regions int) error {
+// startAgent creates agent i and starts its server.
+func (t *testbed) startAgent(i, regions int) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	region := i % regions
-	dc := i / regions % s.opt.DataCentres
-	a := &agent{stalled: make(chan struct{})}
+	dataCentre := i / regions % t.opt.DataCentres
+	a := &agent{killed: make(chan struct{})}
 	a.self = core.Instance{
 		ID: fmt.Sprintf("agent%03d", i), Role: core.RoleAgent, Addr: listener.Addr().String(),
-		Region: fmt.Sprintf("region%d", region), DataCentre: fmt.Sprintf("dc%d-%d", region, dc),
+		Region: fmt.Sprintf("region%d", region), DataCentre: fmt.Sprintf("dc%d-%d", region, dataCentre),
 	}
-	var store platform.Objects = s.origin
+	var store platform.Objects = t.origin
 	if region != 0 {
-		store = &remote{origin: s.origin, link: s.link, crossed: &s.crossed}
+		store = &remoteOrigin{origin: t.origin, link: t.link, crossRegionBytes: &t.crossRegionBytes}
 	}
 	a.swarm = spread.NewFetcher(spread.Config{
 		Self:                   a.self,
 		Token:                  benchToken,
-		UploadBytesPerSecond:   s.opt.machineRate(),
-		DownloadBytesPerSecond: s.opt.machineRate(),
+		UploadBytesPerSecond:   t.opt.machineRate(),
+		DownloadBytesPerSecond: t.opt.machineRate(),
 		OriginRegion:           "region0",
-		RegionBytesPerSecond:   linkShare * s.opt.machineRate(),
-		OriginBytesPerSecond:   originShare * s.opt.machineRate(),
-		Parallel:               s.opt.Parallel,
-		UploadSlots:            s.opt.UploadSlots,
-		Fanout:                 s.opt.Fanout,
+		RegionBytesPerSecond:   regionLinkFactor * t.opt.machineRate(),
+		OriginBytesPerSecond:   originLinkFactor * t.opt.machineRate(),
+		Parallel:               t.opt.Parallel,
+		UploadSlots:            t.opt.UploadSlots,
+		Fanout:                 t.opt.Fanout,
 		IdleConnections:        idleConnections,
-		Wait:                   s.opt.Wait,
-		AnswerMargin:           s.opt.Wait,
-		Stall:                  s.opt.Wait,
-		Peers:                  func(core.Digest) []spread.Peer { return s.peers() },
+		Wait:                   t.opt.Wait,
+		AnswerMargin:           t.opt.Wait,
+		Stall:                  t.opt.Wait,
+		Peers:                  func(core.Digest) []spread.Peer { return t.peers() },
 		Metrics:                metrics.NewRegistry(),
-	}, spread.NewStore(storeFactor*s.opt.CopyBytes), store, s.opt.Log.With(eventlog.Fields{"agent": a.self.ID}), clockwork.NewRealClock())
-	a.server = &http.Server{Handler: s.watch(a, spread.Handler(a.swarm, benchToken)), ReadHeaderTimeout: time.Minute, ErrorLog: log.New(io.Discard, "", 0)}
-	s.agents = append(s.agents, a)
+	}, spread.NewStore(storeCopies*t.opt.CopyBytes), store, t.opt.Log.With(eventlog.Fields{"agent": a.self.ID}), clockwork.NewRealClock())
+	a.server = &http.Server{Handler: t.instrument(a, spread.Handler(a.swarm, benchToken)), ReadHeaderTimeout: time.Minute, ErrorLog: log.New(io.Discard, "", 0)}
+	t.agents = append(t.agents, a)
 	go func() { _ = a.server.Serve(listener) }()
 	return nil
 }
 
-// peers returns every agent, as the live list does: also those that died.
-func (s *scene) peers() []core.Instance {
-	var all []core.Instance
-	for _, a := range s.agents {
-		all = append(all, a.self)
+// peers returns every agent. As in the platform's list, agents that were killed
+// remain in it.
+func (t *testbed) peers() []core.Instance {
+	var instances []core.Instance
+	for _, a := range t.agents {
+		instances = append(instances, a.self)
 	}
-	return all
+	return instances
 }
 
-// watch counts what an agent sends, and stalls or corrupts it.
-func (s *scene) watch(a *agent, next http.Handler) http.Handler {
+// instrument wraps the handler of an agent: it counts the bytes sent, corrupts
+// some of them, and holds requests open while the agent is unresponsive.
+func (t *testbed) instrument(a *agent, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if a.frozen.Load() {
+		if a.unresponsive.Load() {
 			select {
-			case <-a.stalled:
+			case <-a.killed:
 			case <-r.Context().Done():
 			}
 			return
 		}
-		out := &watched{ResponseWriter: w, scene: s, agent: a}
+		out := &instrumentedWriter{ResponseWriter: w, testbed: t, agent: a}
 		from := r.Header.Get("X-Peer-Region")
-		out.crosses = from != "" && from != a.self.Region
+		out.crossesRegions = from != "" && from != a.self.Region
 		next.ServeHTTP(out, r)
 	})
 }
 
-// watched is an answer whose bytes are counted.
-type watched struct {
+// instrumentedWriter counts the bytes of an answer and corrupts some of them.
+type instrumentedWriter struct {
 	http.ResponseWriter
-	scene   *scene
-	agent   *agent
-	crosses bool
+	testbed        *testbed
+	agent          *agent
+	crossesRegions bool
 }
 
-// Unwrap gives http.ResponseController the answer below.
-func (w *watched) Unwrap() http.ResponseWriter { return w.ResponseWriter }
-
-// Write implements io.Writer.
-func (w *watched) Write(p []byte) (int, error) {
-	pieces := float64(w.scene.opt.CopyBytes/int64(w.scene.opt.Chunks)) / float64(len(p))
-	n, err := w.ResponseWriter.Write(corrupted(p, w.scene.origin.corrupt/max(1, pieces)))
-	w.agent.sent.Add(int64(n))
-	if w.crosses {
-		w.scene.crossed.Add(int64(n))
+// Unwrap returns the wrapped writer for http.ResponseController.
+func (w *instrumentedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+
+// Write implements http.ResponseWriter. A chunk takes several writes, so the
+// corruption probability of a chunk is divided among them.
+func (w *instrumentedWriter) Write(p []byte) (int, error) {
+	writesPerChunk := float64(w.testbed.opt.CopyBytes/int64(w.testbed.opt.Chunks)) / float64(len(p))
+	n, err := w.ResponseWriter.Write(maybeCorrupt(p, w.testbed.origin.corruptProbability/max(1, writesPerChunk)))
+	w.agent.sentBytes.Add(int64(n))
+	if w.crossesRegions {
+		w.testbed.crossRegionBytes.Add(int64(n))
 	}
 	return n, err
 }
 
-// strike carries out the faults that hit agents.
-func (s *scene) strike(fault string) {
+// injectFaults applies the faults that disable agents. Corrupted chunks are
+// produced by origin and instrumentedWriter.
+func (t *testbed) injectFaults(fault string) {
 	if fault == faultKilled || fault == faultAll {
-		s.fault(s.agents[0], true)
+		t.disableAgent(t.agents[0], true)
 	}
 	if fault == faultStalled || fault == faultAll {
-		s.fault(s.agents[1], false)
+		t.disableAgent(t.agents[1], false)
 	}
 }
 
-// fault hits an agent: it is killed, or its side of every link stalls.
-func (s *scene) fault(a *agent, kill bool) {
-	a.out = true
-	a.frozen.Store(true)
+// disableAgent kills an agent or, if kill is false, makes it hold every request
+// open without an answer.
+func (t *testbed) disableAgent(a *agent, kill bool) {
+	a.failed = true
+	a.unresponsive.Store(true)
 	a.swarm.Close()
 	if kill {
-		close(a.stalled)
+		close(a.killed)
 		_ = a.server.Close()
 	}
 }
 
-// close ends every agent.
-func (s *scene) close() {
-	s.cancel()
-	for _, a := range s.agents {
+// close cancels the run and stops every agent.
+func (t *testbed) close() {
+	t.cancel()
+	for _, a := range t.agents {
 		a.swarm.Close()
 		_ = a.server.Close()
 	}
