--- a/bench/control/agent.go
+++ b/bench/control/agent.go
@@ -6,48 +6,49 @@
 	"github.com/rattanway/rattanway/connection/registry"
 )
 
-// measureAgent measures the agent under test with each number of homes.
-func (f *fleet) measureAgent(ctx context.Context, r *Report) error {
-	number := Homes(defaultMaxLocal, defaultPerRemote)
-	homes := float64(number)
-	reports := reportsPerSecond(number, heartbeatAtTarget(AgentsPerEntry(targetServers, number)))
+// measureAgent measures the agent under test with each number of home entry
+// instances.
+func (t *testbed) measureAgent(ctx context.Context, r *Report) error {
+	targetHomes := Homes(defaultMaxLocal, defaultPerRemote)
+	target := float64(targetHomes)
+	reports := reportsPerSecond(targetHomes, heartbeatAtTarget(AgentsPerEntry(targetServers, targetHomes)))
 	const x = "home"
-	memory := newSeries("agent: live memory", x, "KiB", homes, LimitMemory/kib)
-	rss := newSeries("agent: resident set", x, "KiB", homes, LimitMemory/kib)
-	cpu := newSeries("agent: CPU in steady state", x, "% of a core", homes, LimitCPU*percent)
-	wire := newSeries("agent: registrations in steady state", "report/s", "B/s", reports, LimitWire)
-	changeCPU := newSeries("agent: CPU for a change", x, "ms", homes, 0)
-	changeWire := newSeries("agent: registrations for a change", x, "B", homes, 0)
-	r.Series = append(r.Series, memory, rss, cpu, wire, changeCPU, changeWire)
+	memory := newSeries("agent: live memory", x, "KiB", target, LimitMemory/kib)
+	rss := newSeries("agent: resident set", x, "KiB", target, LimitMemory/kib)
+	cpu := newSeries("agent: CPU in steady state", x, "% of a core", target, LimitCPU*percent)
+	reportTraffic := newSeries("agent: registrations in steady state", "report/s", "B/s", reports, LimitWire)
+	changeCPU := newSeries("agent: CPU for a change", x, "ms", target, 0)
+	changeTraffic := newSeries("agent: registrations for a change", x, "B", target, 0)
+	r.Series = append(r.Series, memory, rss, cpu, reportTraffic, changeCPU, changeTraffic)
 
-	p := probe{addr: f.opt.AgentAddr, token: f.opt.PeerToken}
+	agentProbe := probe{addr: t.opt.AgentAddr, token: t.opt.PeerToken}
 	var registrations traffic
 	started := 0
-	for _, n := range f.opt.Homes {
-		if err := f.entries(ctx, n-started, started, &registrations); err != nil {
+	for _, n := range t.opt.Homes {
+		if err := t.startEntries(ctx, n-started, started, &registrations); err != nil {
 			return err
 		}
 		started = n
-		if err := wait(ctx, f.opt.Settle); err != nil {
+		if err := sleep(ctx, t.opt.Settle); err != nil {
 			return err
 		}
-		steady, err := measure(ctx, p, f.opt.Window, &registrations)
+		steady, err := measureWindow(ctx, agentProbe, t.opt.Window, &registrations)
 		if err != nil {
 			return err
 		}
-		// The entry instance under test is a home as well; its traffic is
-		// not counted.
-		known := float64(n + 1)
-		memory.add(known, steady.from.memory()/kib)
-		rss.add(known, steady.to.rss/kib)
-		cpu.add(known, percent*cores(steady.from, steady.to))
-		wire.add(reportsPerSecond(n, registry.DefaultHeartbeat), steady.wire[0]/steady.seconds())
-		changed, err := f.measureChanges(ctx, p, &registrations)
+		// The entry instance under test is one more home. Its traffic is not
+		// counted.
+		homeCount := float64(n + 1)
+		memory.add(homeCount, steady.from.memory()/kib)
+		rss.add(homeCount, steady.to.rssBytes/kib)
+		cpu.add(homeCount, percent*cpuCores(steady.from, steady.to))
+		reportTraffic.add(reportsPerSecond(n, registry.DefaultHeartbeat), steady.traffic[0]/steady.seconds())
+		changed, err := t.measureChanges(ctx, agentProbe, &registrations)
 		if err != nil {
 			return err
 		}
-		changeCPU.add(known, changed.extraCPU(steady)/changesPerWindow*1e3)
-		changeWire.add(float64(n), changed.extraWire(steady)/changesPerWindow)
+		changeCPU.add(homeCount, changed.extraCPU(steady)/changesPerWindow*1e3)
+		changeTraffic.add(float64(n), changed.extraTraffic(steady)/changesPerWindow)
 	}
 	return nil
 }
--- a/bench/control/bench.go
+++ b/bench/control/bench.go
@@ -1,8 +1,8 @@
-// Package control measures what the control path takes of a node: memory,
-// processor time and traffic, each at several sizes, with a line through the
-// points. It measures daemons that run as processes of their own through
-// their metrics, and stands for everything around them: the platform, agents
-// and entry instances.
+// Package control measures the memory, processor time and traffic that the
+// control path takes in an entry instance and in an agent, each at several sizes,
+// and fits a line to the points. The two daemons run as separate processes and
+// are measured through their metrics; the benchmark provides the platform and all
+// other agents and entry instances.
 package control
 
 import (
@@ -13,64 +13,67 @@
 	"github.com/rattanway/rattanway/connection/homes"
 )
 
-// The caps of package homes that the target's figures assume.
+// Limits of package homes for which the figures at the target are computed.
 const (
 	defaultMaxLocal  = homes.DefaultMaxLocal
 	defaultPerRemote = homes.DefaultPerRemote
 )
 
-// Options are the settings of a run.
+// Options are the settings of a run of the control benchmark.
 type Options struct {
-	// EntryID and EntryAddr are the entry instance under test.
+	// EntryID and EntryAddr are the id and the "ip:port" of the entry instance
+	// under test.
 	EntryID, EntryAddr string
-	// AgentID and AgentAddr are the agent under test.
+	// AgentID and AgentAddr are the id and the "ip:port" of the agent under
+	// test.
 	AgentID, AgentAddr string
-	// EntryPlatform and AgentPlatform are the "ip:port" at which the entry
-	// instance and the agent look for the platform.
+	// EntryPlatform and AgentPlatform are the "ip:port" that the entry instance
+	// and the agent use for the platform. The benchmark listens there.
 	EntryPlatform, AgentPlatform string
-	// PeerToken authenticates our processes to each other.
+	// PeerToken authenticates entry instances and agents to each other.
 	PeerToken string
-	// Agents lists the numbers of agents at the entry instance.
+	// Agents lists the numbers of agents to register with the entry instance.
 	Agents []int
-	// Homes lists the numbers of homes of the agent.
+	// Homes lists the numbers of home entry instances of the agent.
 	Homes []int
-	// Servers lists the numbers of declared servers.
+	// Servers lists the numbers of declared backend servers.
 	Servers []int
-	// Listed lists the numbers of listed instances.
+	// Listed lists the numbers of instances in the platform's list.
 	Listed []int
-	// Tokens lists the lengths of calls.
+	// Tokens lists the lengths of calls, in tokens.
 	Tokens []int
-	// Declared is the number of declared servers where it does not vary.
+	// Declared is the number of declared backend servers in the measurements
+	// that do not vary it.
 	Declared int
-	// Streams is the number of calls at once.
+	// Streams is the number of concurrent calls.
 	Streams int
-	// PerToken is the engine's time between two tokens.
+	// PerToken is the time between two tokens of the engine.
 	PerToken time.Duration
 	// Window is the length of a measurement in steady state.
 	Window time.Duration
-	// Settle is the wait before a measurement.
+	// Settle is the time to wait before a measurement.
 	Settle time.Duration
-	// Spacing is the time between two changes of the configuration.
+	// Spacing is the time between two configuration changes.
 	Spacing time.Duration
-	// JSON prints the report as JSON.
+	// JSON selects JSON for the report instead of tables.
 	JSON bool
 }
 
-// Run measures and prints the report.
+// Run makes all measurements, prints the report to out and returns it.
 func Run(ctx context.Context, out io.Writer, opt Options) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f, err := newFleet(ctx, opt)
+	t, err := newTestbed(ctx, opt)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	if _, err := f.apply(ctx, f.declared(opt.Declared)); err != nil {
+	defer t.Close()
+	if _, err := t.apply(ctx, t.declaredSet(opt.Declared)); err != nil {
 		return nil, err
 	}
 	r := &Report{}
 	for _, step := range []func(context.Context, *Report) error{
-		f.measureEntry, f.measureAgent, f.measureDeclared, f.measureListed, f.measureCalls, f.measurePlans,
+		t.measureEntry, t.measureAgent, t.measureDeclared, t.measureListed, t.measureCalls, t.measurePlans,
 	} {
 		if err := step(ctx, r); err != nil {
 			return r, err
@@ -79,6 +82,6 @@
 	if err := measureChunks(r); err != nil {
 		return r, err
 	}
-	r.finish()
+	r.fitLines()
 	return r, r.write(out, opt.JSON)
 }
--- a/bench/control/chunks.go
+++ b/bench/control/chunks.go
@@ -12,18 +12,18 @@
 	"github.com/rattanway/rattanway/version/placement"
 )
 
-// modelGiB is the size of a large model's weights.
-const modelGiB = 140
+// largeModelGiB is the size of the weights of a large model.
+const largeModelGiB = 140
 
-// measureChunks measures the bookkeeping of chunks: a manifest's encoding, and
-// its memory together with the list of its distinct chunks.
+// measureChunks measures the size of an encoded manifest, and the memory of the
+// decoded manifest together with the list of its distinct chunks.
 func measureChunks(r *Report) error {
 	const x = "GiB of weights"
-	encoded := newSeries("weights: manifest", x, "KiB", modelGiB, 0)
-	held := newSeries("weights: memory of a manifest", x, "KiB", modelGiB, LimitMemory/kib)
+	encoded := newSeries("weights: manifest", x, "KiB", largeModelGiB, 0)
+	held := newSeries("weights: memory of a manifest", x, "KiB", largeModelGiB, LimitMemory/kib)
 	r.Series = append(r.Series, encoded, held)
-	for _, gib := range []int{1, 4, 16, 64, modelGiB} {
-		body, digest, err := encodedManifest(gib)
+	for _, gib := range []int{1, 4, 16, 64, largeModelGiB} {
+		body, digest, err := encodeManifest(gib)
 		if err != nil {
 			return err
 		}
@@ -43,18 +43,19 @@
 	return nil
 }
 
-// encodedManifest returns the encoding of a manifest of one file.
-func encodedManifest(gib int) ([]byte, core.Digest, error) {
+// encodeManifest returns an encoded manifest, with its digest, of one file of that
+// many GiB.
+func encodeManifest(gib int) ([]byte, core.Digest, error) {
 	chunks := make([]manifest.Chunk, gib<<30/manifest.DefaultChunkBytes)
 	for i := range chunks {
-		chunks[i] = manifest.Chunk{Digest: core.DigestOf([]byte(serverName(i))), Size: manifest.DefaultChunkBytes}
+		chunks[i] = manifest.Chunk{Digest: core.DigestOf([]byte(backendServerName(i))), Size: manifest.DefaultChunkBytes}
 	}
 	m := &manifest.Manifest{Files: []manifest.File{{Path: "weights", Size: int64(gib) << 30, Chunks: chunks}}}
 	return m.Encode()
 }
 
-// liveHeap returns this process's heap after garbage collections, of which
-// pooled buffers outlive two, in bytes.
+// liveHeap returns the live heap of this process in bytes. It runs the garbage
+// collector three times because pooled buffers survive two collections.
 func liveHeap() float64 {
 	for range 3 {
 		runtime.GC()
@@ -67,43 +68,46 @@
 const (
 	// targetInstances is the number of instances that receive new weights.
 	targetInstances = 1_300
-	// planModels is the number of models that they are shared out to.
+	// planModels is the number of models among which these instances are
+	// divided.
 	planModels = 20
-	// planSlots is the number of versions that a server holds.
+	// planSlots is the number of versions that a backend server can hold.
 	planSlots = 3
-	// planRuns is the number of plans timed.
+	// planRuns is the number of placement plans that are timed.
 	planRuns = 5
 )
 
-// measurePlans measures how long an agent takes to work out the placement of
+// measurePlans measures the time that an agent takes to compute the placement of
 // every version.
-func (f *fleet) measurePlans(_ context.Context, r *Report) error {
-	s := newSeries("agent: CPU for a placement plan", "server", "ms", targetServers, 0)
-	r.Series = append(r.Series, s)
+func (t *testbed) measurePlans(_ context.Context, r *Report) error {
+	series := newSeries("agent: CPU for a placement plan", "server", "ms", targetServers, 0)
+	r.Series = append(r.Series, series)
 	for _, n := range []int{100, 300, targetServers} {
-		set := f.planned(n)
-		live := liveServers(set)
-		begun := time.Now()
+		set := t.setWithModels(n)
+		live := liveAgents(set)
+		start := time.Now()
 		for range planRuns {
 			placement.Compute(set, live)
 		}
-		s.add(float64(n), time.Since(begun).Seconds()*1e3/planRuns)
+		series.add(float64(n), time.Since(start).Seconds()*1e3/planRuns)
 	}
 	return nil
 }
 
-// liveServers returns an agent for each declared server.
-func liveServers(set *declare.Set) []core.Instance {
+// liveAgents returns an agent for each declared backend server.
+func liveAgents(set *declare.Set) []core.Instance {
 	var live []core.Instance
 	for name, server := range set.BackendServers {
-		live = append(live, core.Instance{ID: name, Role: core.RoleAgent, Addr: nowhere, DataCentre: server.DataCentre, Region: region})
+		live = append(live, core.Instance{ID: name, Role: core.RoleAgent, Addr: unusedAddr, DataCentre: server.DataCentre, Region: region})
 	}
 	return live
 }
 
-// planned returns a set whose models together fill their share of the servers.
-func (f *fleet) planned(servers int) *declare.Set {
-	set := f.declared(servers)
+// setWithModels returns declarations with that many backend servers and planModels
+// models. The replicas of all models together are targetInstances, scaled to the
+// number of servers.
+func (t *testbed) setWithModels(servers int) *declare.Set {
+	set := t.declaredSet(servers)
 	for _, server := range set.BackendServers {
 		server.Slots = planSlots
 	}
--- a/bench/control/client.go
+++ b/bench/control/client.go
@@ -17,14 +17,14 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxConns bounds the client's idle connections.
+// maxConns is the largest number of idle connections of the client.
 const maxConns = 4096
 
-// client makes streaming calls and takes the times of their events.
+// client makes streamed calls and records when their tokens arrive.
 type client struct {
 	http *http.Client
-	// number makes each prompt different, so that no prefix is cached.
-	number atomic.Int64
+	// promptNumber makes each prompt different, so that no prefix is cached.
+	promptNumber atomic.Int64
 }
 
 func newClient() *client {
@@ -33,40 +33,41 @@
 	}}}
 }
 
-// timings are the times of one stream.
-type timings struct {
-	first time.Duration
-	gaps  []time.Duration
+// streamTimes holds the time to the first token of a stream and the times between
+// its tokens.
+type streamTimes struct {
+	firstToken time.Duration
+	gaps       []time.Duration
 }
 
-// stream makes one call and reads its answer to the end.
-func (c *client) stream(ctx context.Context, addr string, tokens int) (timings, error) {
+// makeCall makes one call and reads its answer to the end.
+func (c *client) makeCall(ctx context.Context, addr string, tokens int) (streamTimes, error) {
 	req, err := c.request(ctx, addr, tokens)
 	if err != nil {
-		return timings{}, err
+		return streamTimes{}, err
 	}
-	begun := time.Now()
+	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return timings{}, core.Step("call", addr, err)
+		return streamTimes{}, core.Step("call", addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		detail, _ := io.ReadAll(io.LimitReader(resp.Body, kib))
-		return timings{}, core.Step("call", addr, errors.Errorf("status %d: %s", resp.StatusCode, detail))
+		return streamTimes{}, core.Step("call", addr, errors.Errorf("status %d: %s", resp.StatusCode, detail))
 	}
-	t, err := readEvents(resp.Body, begun)
-	if err == nil && len(t.gaps) != tokens-1 {
-		err = errors.Errorf("%d tokens, want %d", len(t.gaps)+1, tokens)
+	times, err := readEvents(resp.Body, start)
+	if err == nil && len(times.gaps) != tokens-1 {
+		err = errors.Errorf("%d tokens, want %d", len(times.gaps)+1, tokens)
 	}
-	return t, core.Step("call", addr, err)
+	return times, core.Step("call", addr, err)
 }
 
-// request builds a chat call with a prompt of its own.
+// request builds a chat call with a unique prompt.
 func (c *client) request(ctx context.Context, addr string, tokens int) (*http.Request, error) {
 	body, err := json.Marshal(map[string]any{
 		"model": modelName, "stream": true, "max_tokens": tokens,
-		"messages": []map[string]string{{"role": "user", "content": fmt.Sprintf("label %d", c.number.Add(1))}},
+		"messages": []map[string]string{{"role": "user", "content": fmt.Sprintf("label %d", c.promptNumber.Add(1))}},
 	})
 	if err != nil {
 		return nil, err
@@ -80,51 +81,52 @@
 	return req, nil
 }
 
-// readEvents takes the time of each token's event.
-func readEvents(body io.Reader, begun time.Time) (timings, error) {
-	var t timings
+// readEvents reads an answer to its end and returns the times of its tokens.
+func readEvents(body io.Reader, start time.Time) (streamTimes, error) {
+	var times streamTimes
 	var last time.Time
-	whole := false
-	lines := bufio.NewReader(body)
+	done := false
+	reader := bufio.NewReader(body)
 	for {
-		line, err := lines.ReadSlice('\n')
-		if errors.Is(err, io.EOF) && whole {
-			return t, nil
+		line, err := reader.ReadSlice('\n')
+		if errors.Is(err, io.EOF) && done {
+			return times, nil
 		}
 		if err != nil {
-			return t, err
+			return times, err
 		}
 		now := time.Now()
 		switch {
 		case bytes.HasPrefix(line, []byte("data: [DONE]")):
-			whole = true
+			done = true
 		case !bytes.HasPrefix(line, []byte("data: ")):
 		case last.IsZero():
-			t.first = now.Sub(begun)
+			times.firstToken = now.Sub(start)
 			last = now
 		default:
-			t.gaps = append(t.gaps, now.Sub(last))
+			times.gaps = append(times.gaps, now.Sub(last))
 			last = now
 		}
 	}
 }
 
-// streams makes calls on n streams at once, one after another on each, and
-// returns the times of all. The streams begin evenly over the time spread.
-func (c *client) streams(ctx context.Context, addr string, n, tokens, calls int, spread time.Duration) ([]timings, error) {
-	all := make([]timings, n*calls)
+// runStreams runs n concurrent streams, each of which makes the given number of
+// calls one after another, and returns the times of all calls. The starts of the
+// streams are distributed evenly over startSpread.
+func (c *client) runStreams(ctx context.Context, addr string, n, tokens, calls int, startSpread time.Duration) ([]streamTimes, error) {
+	all := make([]streamTimes, n*calls)
 	group, ctx := errgroup.WithContext(ctx)
 	for i := range n {
 		group.Go(func() error {
-			if err := wait(ctx, spread*time.Duration(i)/time.Duration(n)); err != nil {
+			if err := sleep(ctx, startSpread*time.Duration(i)/time.Duration(n)); err != nil {
 				return err
 			}
 			for j := range calls {
-				t, err := c.stream(ctx, addr, tokens)
+				times, err := c.makeCall(ctx, addr, tokens)
 				if err != nil {
 					return err
 				}
-				all[i*calls+j] = t
+				all[i*calls+j] = times
 			}
 			return nil
 		})
@@ -132,10 +134,10 @@
 	return all, group.Wait()
 }
 
-// ready waits until the model answers through the entry instance.
-func (c *client) ready(ctx context.Context, addr string) error {
-	return until(ctx, "the model answers", func() bool {
-		_, err := c.stream(ctx, addr, 1)
+// waitUntilReady waits until the model answers through the entry instance.
+func (c *client) waitUntilReady(ctx context.Context, addr string) error {
+	return waitUntil(ctx, "the model answers", func() bool {
+		_, err := c.makeCall(ctx, addr, 1)
 		return err == nil
 	})
 }
--- a/bench/control/fit.go
+++ b/bench/control/fit.go
@@ -6,7 +6,7 @@
 type Point struct {
 	// X is the size, for example the number of registered agents.
 	X float64 `json:"x"`
-	// Y is what was measured at that size.
+	// Y is the value measured at that size.
 	Y float64 `json:"y"`
 }
 
@@ -20,8 +20,8 @@
 	Residual float64 `json:"residual"`
 }
 
-// Fit returns the line with the least squared distance from the points. With
-// fewer than two different x it is the level line through their mean.
+// Fit returns the least squares line through the points. If all points have the
+// same X, it is the horizontal line through their mean.
 func Fit(points []Point) Line {
 	if len(points) == 0 {
 		return Line{}
@@ -49,6 +49,7 @@
 // At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Base + l.Slope*x }
 
+// means returns the mean X and the mean Y of the points.
 func means(points []Point) (x, y float64) {
 	for _, p := range points {
 		x += p.X
--- a/bench/control/fleet.go
+++ b/bench/control/fleet.go
@@ -23,119 +23,126 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// Names in the fleet's declarations.
+// Names and values in the declarations of the testbed.
 const (
-	modelName   = "herbs"
-	accountName = "erbe"
-	accountKey  = "bench-key"
-	region      = "lab"
-	ownCentre   = "lab-1"
-	farCentre   = "lab-2"
-	// nowhere is the address of instances that nobody calls.
-	nowhere = "127.0.0.1:9"
-	// engineLimit is the declared limit of the agent under test.
+	modelName        = "herbs"
+	accountName      = "erbe"
+	accountKey       = "bench-key"
+	region           = "lab"
+	localDataCentre  = "lab-1"
+	remoteDataCentre = "lab-2"
+	// unusedAddr is the address of instances that receive no requests.
+	unusedAddr = "127.0.0.1:9"
+	// engineLimit is the declared limit of concurrent calls of the agent under
+	// test.
 	engineLimit = 512
 )
 
-// fleet is everything around the two daemons under test: the platform, and
-// real agents and entry instances in this process.
-type fleet struct {
-	opt       Options
-	log       *eventlog.Logger
-	platform  *platform.Platform
-	publisher *confstore.Publisher
-	digest    core.Digest
-	plat      *standin.Server
-	// listed are the instances in the platform's list.
+// testbed is the environment of the two daemons under test: the platform, and
+// agents and entry instances that run in this process.
+type testbed struct {
+	opt            Options
+	log            *eventlog.Logger
+	platform       *platform.Platform
+	publisher      *confstore.Publisher
+	digest         core.Digest // manifest digest of the model's version
+	platformServer *standin.Server
+	// listed holds the instances in the platform's list.
 	listed []core.Instance
-	// entryLink and agentLink are the daemons' traffic with the platform.
+	// entryLink and agentLink count the traffic of the two daemons with the
+	// platform.
 	entryLink, agentLink traffic
-	changes              int
-	close                []func()
+	// changes is the number of configuration changes made so far.
+	changes int
+	// closers are called in reverse order by Close.
+	closers []func()
 }
 
-// newFleet starts the platform, with the two daemons in its list.
-func newFleet(ctx context.Context, opt Options) (*fleet, error) {
-	f := &fleet{opt: opt, log: eventlog.Discard()}
+// newTestbed starts the platform, with the two daemons in its list, and publishes
+// the weights of the model.
+func newTestbed(ctx context.Context, opt Options) (*testbed, error) {
+	t := &testbed{opt: opt, log: eventlog.Discard()}
 	clock := clockwork.NewRealClock()
-	f.plat = standin.New(standin.Config{}, clock)
-	f.show(
-		core.Instance{ID: opt.EntryID, Role: core.RoleEntry, Addr: opt.EntryAddr, DataCentre: ownCentre, Region: region},
-		core.Instance{ID: opt.AgentID, Role: core.RoleAgent, Addr: opt.AgentAddr, DataCentre: ownCentre, Region: region},
+	t.platformServer = standin.New(standin.Config{}, clock)
+	t.addListed(
+		core.Instance{ID: opt.EntryID, Role: core.RoleEntry, Addr: opt.EntryAddr, DataCentre: localDataCentre, Region: region},
+		core.Instance{ID: opt.AgentID, Role: core.RoleAgent, Addr: opt.AgentAddr, DataCentre: localDataCentre, Region: region},
 	)
 	for _, link := range []struct {
 		addr    string
 		traffic *traffic
-	}{{opt.EntryPlatform, &f.entryLink}, {opt.AgentPlatform, &f.agentLink}} {
-		if _, err := f.serve(link.addr, f.plat, link.traffic); err != nil {
+	}{{opt.EntryPlatform, &t.entryLink}, {opt.AgentPlatform, &t.agentLink}} {
+		if _, err := t.serve(link.addr, t.platformServer, link.traffic); err != nil {
 			return nil, err
 		}
 	}
-	own, err := f.serve(ownAddr, f.plat, &traffic{})
+	platformAddr, err := t.serve(loopbackAddr, t.platformServer, &traffic{})
 	if err != nil {
 		return nil, err
 	}
-	f.platform = platform.NewHTTP(platform.Config{Addr: own})
-	f.publisher = confstore.NewPublisher(f.platform.Table, f.platform.Objects, clock)
+	t.platform = platform.NewHTTP(platform.Config{Addr: platformAddr})
+	t.publisher = confstore.NewPublisher(t.platform.Table, t.platform.Objects, clock)
 
 	files := fstest.MapFS{"weights": {Data: make([]byte, 1<<16)}}
-	_, f.digest, err = manifest.Publish(ctx, f.platform.Weights, files, manifest.DefaultChunkBytes, "")
-	return f, err
+	_, t.digest, err = manifest.Publish(ctx, t.platform.Weights, files, manifest.DefaultChunkBytes, "")
+	return t, err
 }
 
-// serve serves handler at addr and counts its traffic.
-func (f *fleet) serve(addr string, handler http.Handler, t *traffic) (string, error) {
+// serve starts a server for handler at addr that counts its traffic in counted. It
+// returns the address on which the server listens.
+func (t *testbed) serve(addr string, handler http.Handler, counted *traffic) (string, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: handler}
-	f.close = append(f.close, func() { _ = server.Close() })
-	go func() { _ = server.Serve(countedListener{Listener: listener, traffic: t}) }()
+	t.closers = append(t.closers, func() { _ = server.Close() })
+	go func() { _ = server.Serve(countingListener{Listener: listener, traffic: counted}) }()
 	return listener.Addr().String(), nil
 }
 
-// Close ends everything that the fleet started.
-func (f *fleet) Close() {
-	for i := len(f.close) - 1; i >= 0; i-- {
-		f.close[i]()
+// Close stops everything that the testbed started.
+func (t *testbed) Close() {
+	for i := len(t.closers) - 1; i >= 0; i-- {
+		t.closers[i]()
 	}
 }
 
-// declared returns a set with that many backend servers. Only the agent under
-// test may hold the model.
-func (f *fleet) declared(servers int) *declare.Set {
+// declaredSet returns declarations with that many backend servers. Only the
+// backend server of the agent under test may hold the model.
+func (t *testbed) declaredSet(servers int) *declare.Set {
 	set := declare.NewSet()
 	set.Regions[region] = &declare.Region{Name: region}
-	for _, name := range []string{ownCentre, farCentre} {
+	for _, name := range []string{localDataCentre, remoteDataCentre} {
 		set.DataCentres[name] = &declare.DataCentre{Name: name, Region: region}
 	}
-	set.Models[modelName] = &declare.Model{Name: modelName, Version: "v1", Replicas: 1, DataCentres: []string{ownCentre}}
-	set.Versions["v1"] = &declare.Version{Name: "v1", Model: modelName, Manifest: f.digest}
+	set.Models[modelName] = &declare.Model{Name: modelName, Version: "v1", Replicas: 1, DataCentres: []string{localDataCentre}}
+	set.Versions["v1"] = &declare.Version{Name: "v1", Model: modelName, Manifest: t.digest}
 	set.ClientAccounts[accountName] = &declare.ClientAccount{Name: accountName, KeyHash: core.DigestOf([]byte(accountKey))}
-	set.BackendServers[f.opt.AgentID] = &declare.BackendServer{
-		Name: f.opt.AgentID, DataCentre: ownCentre, Limit: engineLimit, ColdLimit: engineLimit, Slots: 2, Fencing: true,
+	set.BackendServers[t.opt.AgentID] = &declare.BackendServer{
+		Name: t.opt.AgentID, DataCentre: localDataCentre, Limit: engineLimit, ColdLimit: engineLimit, Slots: 2, Fencing: true,
 	}
 	for i := 1; i < servers; i++ {
-		set.BackendServers[serverName(i)] = &declare.BackendServer{
-			Name: serverName(i), DataCentre: farCentre, Limit: 16, ColdLimit: 4, Slots: 2, Fencing: true,
+		set.BackendServers[backendServerName(i)] = &declare.BackendServer{
+			Name: backendServerName(i), DataCentre: remoteDataCentre, Limit: 16, ColdLimit: 4, Slots: 2, Fencing: true,
 		}
 	}
 	return set
 }
 
-func serverName(i int) string { return fmt.Sprintf("server-%d", i) }
+// backendServerName returns the name of the declared backend server i.
+func backendServerName(i int) string { return fmt.Sprintf("server-%d", i) }
 
-// apply puts a set in force.
-func (f *fleet) apply(ctx context.Context, set *declare.Set) (uint64, error) {
-	f.changes++
-	head, err := f.publisher.Head(ctx)
+// apply publishes a set as the next version and returns its number.
+func (t *testbed) apply(ctx context.Context, set *declare.Set) (uint64, error) {
+	t.changes++
+	head, err := t.publisher.Head(ctx)
 	if err != nil {
 		return 0, err
 	}
-	snapshot, err := f.publisher.Apply(ctx, confstore.Change{
+	snapshot, err := t.publisher.Apply(ctx, confstore.Change{
 		Base: head.Number, Author: "bench", Reason: "measure",
-		ChangeID: fmt.Sprintf("change-%d", f.changes), Set: set,
+		ChangeID: fmt.Sprintf("change-%d", t.changes), Set: set,
 	})
 	if err != nil {
 		return 0, err
@@ -143,27 +150,27 @@
 	return snapshot.Number, nil
 }
 
-// touch makes a small change to a set.
-func (f *fleet) touch(set *declare.Set) {
-	server := set.BackendServers[serverName(1)]
-	server.Limit = 16 + (f.changes % 2)
+// changeLimit changes the limit of one backend server in the set.
+func (t *testbed) changeLimit(set *declare.Set) {
+	server := set.BackendServers[backendServerName(1)]
+	server.Limit = 16 + (t.changes % 2)
 }
 
-// fixed is a list of members that never changes.
-type fixed []core.Instance
+// staticMembers is a list of members that never changes.
+type staticMembers []core.Instance
 
 // All implements homes.Members.
-func (m fixed) All() []core.Instance { return m }
+func (m staticMembers) All() []core.Instance { return m }
 
 // Changed implements homes.Members.
-func (fixed) Changed() <-chan struct{} { return nil }
+func (staticMembers) Changed() <-chan struct{} { return nil }
 
-// register starts n agents that register with the entry instance at addr, and
-// waits until they have and hold the configuration. The returned function ends
-// them.
-func (f *fleet) register(ctx context.Context, addr string, n int) (stop func(), err error) {
+// startAgents starts n agents that register with the entry instance at addr, and
+// waits until each of them has received the configuration. The returned function
+// stops them.
+func (t *testbed) startAgents(ctx context.Context, addr string, n int) (stop func(), err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	members := fixed{{ID: f.opt.EntryID, Role: core.RoleEntry, Addr: addr, DataCentre: ownCentre, Region: region}}
+	members := staticMembers{{ID: t.opt.EntryID, Role: core.RoleEntry, Addr: addr, DataCentre: localDataCentre, Region: region}}
 	var holders []*confstore.Holder
 	done := make(chan struct{})
 	for i := 1; i <= n; i++ {
@@ -174,17 +181,17 @@
 				Loaded: []frame.Loaded{{Model: "other", Version: "v1", Digest: core.DigestOf(nil)}},
 			}
 		}
-		hub := confsync.NewHub(confsync.HolderSource{Holder: holder}, f.log)
-		h := homes.New(homes.Config{
+		hub := confsync.NewHub(confsync.HolderSource{Holder: holder}, t.log)
+		registrations := homes.New(homes.Config{
 			Self: core.Instance{
-				ID: serverName(i), Role: core.RoleAgent, Addr: nowhere, DataCentre: farCentre, Region: region,
+				ID: backendServerName(i), Role: core.RoleAgent, Addr: unusedAddr, DataCentre: remoteDataCentre, Region: region,
 			},
 			Incarnation: fmt.Sprintf("incarnation-%d", i),
-			PeerToken:   f.opt.PeerToken,
-		}, members, hub, report, f.log)
+			PeerToken:   t.opt.PeerToken,
+		}, members, hub, report, t.log)
 		holders = append(holders, holder)
 		go func() {
-			_ = h.Run(ctx)
+			_ = registrations.Run(ctx)
 			done <- struct{}{}
 		}()
 	}
@@ -194,7 +201,7 @@
 			<-done
 		}
 	}
-	return stop, until(ctx, "agents registered", func() bool {
+	return stop, waitUntil(ctx, "agents registered", func() bool {
 		for _, holder := range holders {
 			if holder.Current().Number == 0 {
 				return false
@@ -204,33 +211,33 @@
 	})
 }
 
-// entries starts n more entry instances that the list shows, after those
-// started before, and waits until the agent under test has registered with
-// them.
-func (f *fleet) entries(ctx context.Context, n, before int, t *traffic) error {
-	var all []*registry.Registry
+// startEntries starts n entry instances and adds them to the platform's list, and
+// waits until the agent under test has registered with them. before is the number
+// of entry instances started earlier; counted counts the traffic of the new ones.
+func (t *testbed) startEntries(ctx context.Context, n, before int, counted *traffic) error {
+	var registries []*registry.Registry
 	for i := before; i < before+n; i++ {
-		self := core.Instance{ID: fmt.Sprintf("bench-entry-%d", i), Role: core.RoleEntry, DataCentre: ownCentre, Region: region}
+		self := core.Instance{ID: fmt.Sprintf("bench-entry-%d", i), Role: core.RoleEntry, DataCentre: localDataCentre, Region: region}
 		holder := confstore.NewHolder()
 		source := confsync.HolderSource{Holder: holder}
 		reg := registry.New()
-		hub := confsync.NewHub(source, f.log)
-		listener := registry.NewListener(registry.ListenerConfig{Self: self}, reg, hub, source, nil, f.log)
+		hub := confsync.NewHub(source, t.log)
+		listener := registry.NewListener(registry.ListenerConfig{Self: self}, reg, hub, source, nil, t.log)
 		mux := http.NewServeMux()
 		mux.Handle(registry.Path, listener)
-		addr, err := f.serve(ownAddr, mux, t)
+		addr, err := t.serve(loopbackAddr, mux, counted)
 		if err != nil {
 			return err
 		}
-		f.close = append(f.close, listener.Close)
+		t.closers = append(t.closers, listener.Close)
 		self.Addr = addr
-		f.show(self)
-		follower := confstore.NewFollower(confstore.FollowerConfig{}, f.platform.Table, f.platform.Objects, holder, f.log, clockwork.NewRealClock())
+		t.addListed(self)
+		follower := confstore.NewFollower(confstore.FollowerConfig{}, t.platform.Table, t.platform.Objects, holder, t.log, clockwork.NewRealClock())
 		go func() { _ = follower.Run(ctx) }()
-		all = append(all, reg)
+		registries = append(registries, reg)
 	}
-	return until(ctx, "agent registered", func() bool {
-		for _, reg := range all {
+	return waitUntil(ctx, "agent registered", func() bool {
+		for _, reg := range registries {
 			if len(reg.All()) == 0 {
 				return false
 			}
@@ -239,35 +246,38 @@
 	})
 }
 
-// show adds instances to the platform's list. None is asked for its health,
-// which would be counted as traffic of the registrations.
-func (f *fleet) show(more ...core.Instance) {
-	f.listed = append(f.listed[:len(f.listed):len(f.listed)], more...)
-	f.plat.Show(f.listed)
+// addListed adds instances to the platform's list. The platform stand-in does not
+// check their health, because the checks would count as traffic of the
+// registrations.
+func (t *testbed) addListed(instances ...core.Instance) {
+	t.listed = append(t.listed[:len(t.listed):len(t.listed)], instances...)
+	t.platformServer.Show(t.listed)
 }
 
-// pad shows agents in the platform's list, from number from to before to.
-func (f *fleet) pad(from, to int) {
-	var all []core.Instance
+// addListedAgents adds the agents with numbers in the half-open range [from, to) to
+// the platform's list.
+func (t *testbed) addListedAgents(from, to int) {
+	var agents []core.Instance
 	for i := from; i < to; i++ {
-		all = append(all, core.Instance{
-			ID: fmt.Sprintf("listed-agent-%d", i), Role: core.RoleAgent, Addr: nowhere, DataCentre: farCentre, Region: region,
+		agents = append(agents, core.Instance{
+			ID: fmt.Sprintf("listed-agent-%d", i), Role: core.RoleAgent, Addr: unusedAddr, DataCentre: remoteDataCentre, Region: region,
 		})
 	}
-	f.show(all...)
+	t.addListed(agents...)
 }
 
-// until waits for a condition.
-func until(ctx context.Context, what string, ok func() bool) error {
+// waitUntil waits until condition returns true. The error of a timeout contains the
+// description.
+func waitUntil(ctx context.Context, description string, condition func() bool) error {
 	const (
-		look  = 20 * time.Millisecond
-		bound = 30 * time.Second
+		pollInterval = 20 * time.Millisecond
+		timeout      = 30 * time.Second
 	)
-	ctx, cancel := context.WithTimeout(ctx, bound)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	for !ok() {
-		if err := wait(ctx, look); err != nil {
-			return core.Step("wait until "+what, "", err)
+	for !condition() {
+		if err := sleep(ctx, pollInterval); err != nil {
+			return core.Step("wait until "+description, "", err)
 		}
 	}
 	return nil
--- a/bench/control/latency.go
+++ b/bench/control/latency.go
@@ -10,106 +10,111 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// The aims for what an entry instance and an agent add to a call.
+// Targets for the median and the 99th percentile of the latency that an entry
+// instance and an agent together add to a call.
 const (
-	aimMedian = 500 * time.Microsecond
-	aimTail   = 2 * time.Millisecond
+	maxAddedMedian = 500 * time.Microsecond
+	maxAddedP99    = 2 * time.Millisecond
 )
 
-// Range of the histograms.
+// Range, in nanoseconds, and precision of the histograms.
 const (
 	histogramMin    = int64(time.Microsecond)
 	histogramMax    = int64(time.Minute)
 	histogramDigits = 3
 )
 
-// LatencyOptions are the settings of a run of Latency.
+// LatencyOptions are the settings of a run of the latency benchmark.
 type LatencyOptions struct {
-	// Options give the daemons' addresses.
+	// Options holds the daemons under test and the load.
 	Options
-	// EngineAddr is the engine's "ip:port", for direct calls.
+	// EngineAddr is the "ip:port" of the engine, for direct calls.
 	EngineAddr string
-	// Rounds is the number of rounds of each way, in turn.
+	// Rounds is the number of measured rounds for each route. The routes take
+	// turns.
 	Rounds int
 	// Length is the number of tokens of a call.
 	Length int
-	// Burst starts the calls of a round at one instant. By default each
-	// stream makes one call after another, so that calls begin at any time.
+	// Burst starts all calls of a round at the same time. By default the starts
+	// of the streams are distributed over the length of a call, and each stream
+	// makes several calls one after another.
 	Burst bool
 }
 
-// way collects the times of calls made in one way.
-type way struct {
-	addr        string
-	first, gaps *hdrhistogram.Histogram
+// route holds the times of the calls sent to one address.
+type route struct {
+	addr             string
+	firstToken, gaps *hdrhistogram.Histogram
 }
 
-func newWay(addr string) *way {
-	return &way{
-		addr:  addr,
-		first: hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
-		gaps:  hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
+// newRoute returns a route to addr with empty histograms.
+func newRoute(addr string) *route {
+	return &route{
+		addr:       addr,
+		firstToken: hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
+		gaps:       hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
 	}
 }
 
-// Latency compares streaming calls direct to the engine with the same calls
-// through an entry instance and an agent, in turn, and prints both.
+// Latency compares streamed calls sent directly to the engine, through two plain
+// TCP proxies, and through an entry instance and an agent. The rounds of the three
+// routes alternate. It prints the quantiles of their latencies.
 func Latency(ctx context.Context, out io.Writer, opt LatencyOptions) error {
-	f, err := newFleet(ctx, opt.Options)
+	t, err := newTestbed(ctx, opt.Options)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	if _, err := f.apply(ctx, f.declared(opt.Declared)); err != nil {
+	defer t.Close()
+	if _, err := t.apply(ctx, t.declaredSet(opt.Declared)); err != nil {
 		return err
 	}
 	c := newClient()
-	if err := c.ready(ctx, opt.EntryAddr); err != nil {
+	if err := c.waitUntilReady(ctx, opt.EntryAddr); err != nil {
 		return err
 	}
-	relays, err := bareRelays(opt.EngineAddr)
+	proxyAddr, err := startProxies(opt.EngineAddr)
 	if err != nil {
 		return err
 	}
-	direct, bare, through := newWay(opt.EngineAddr), newWay(relays), newWay(opt.EntryAddr)
-	// The first round of each opens the connections and is not counted.
+	direct, proxied, relayed := newRoute(opt.EngineAddr), newRoute(proxyAddr), newRoute(opt.EntryAddr)
+	// The first round of each route opens the connections and is not recorded.
 	for round := range opt.Rounds + 1 {
-		for _, w := range []*way{direct, bare, through} {
-			all, err := opt.round(ctx, c, w.addr)
+		for _, r := range []*route{direct, proxied, relayed} {
+			calls, err := opt.runRound(ctx, c, r.addr)
 			if err != nil {
 				return err
 			}
 			if round == 0 {
 				continue
 			}
-			if err := w.record(all); err != nil {
+			if err := r.record(calls); err != nil {
 				return err
 			}
 		}
 	}
-	return writeLatency(out, direct, bare, through)
+	return writeLatency(out, direct, proxied, relayed)
 }
 
 // callsPerStream is the number of calls that a stream makes in a round.
 const callsPerStream = 3
 
-// round makes the calls of one round. Streams that do not begin at one
-// instant begin evenly over the length of a call.
-func (opt LatencyOptions) round(ctx context.Context, c *client, addr string) ([]timings, error) {
+// runRound makes the calls of one round. Without Burst the starts of the streams
+// are distributed evenly over the length of a call.
+func (opt LatencyOptions) runRound(ctx context.Context, c *client, addr string) ([]streamTimes, error) {
 	if opt.Burst {
-		return c.streams(ctx, addr, opt.Streams, opt.Length, 1, 0)
+		return c.runStreams(ctx, addr, opt.Streams, opt.Length, 1, 0)
 	}
-	return c.streams(ctx, addr, opt.Streams, opt.Length, callsPerStream, opt.PerToken*time.Duration(opt.Length))
+	return c.runStreams(ctx, addr, opt.Streams, opt.Length, callsPerStream, opt.PerToken*time.Duration(opt.Length))
 }
 
-// record takes in the times of some streams.
-func (w *way) record(all []timings) error {
-	for _, t := range all {
-		if err := w.first.RecordValue(int64(t.first)); err != nil {
+// record adds the times of the calls to the histograms.
+func (r *route) record(calls []streamTimes) error {
+	for _, times := range calls {
+		if err := r.firstToken.RecordValue(int64(times.firstToken)); err != nil {
 			return err
 		}
-		for _, gap := range t.gaps {
-			if err := w.gaps.RecordValue(max(int64(gap), histogramMin)); err != nil {
+		for _, gap := range times.gaps {
+			if err := r.gaps.RecordValue(max(int64(gap), histogramMin)); err != nil {
 				return err
 			}
 		}
@@ -117,52 +122,58 @@
 	return nil
 }
 
-// bareRelays returns the address of two relays of plain TCP in a row, in front
-// of addr: what two hops add on this machine when they do nothing else.
-func bareRelays(addr string) (string, error) {
+// startProxies starts a chain of two plain TCP proxies in front of addr and returns
+// its address. It shows the latency that two hops add on this machine when they
+// only copy bytes.
+func startProxies(addr string) (string, error) {
 	for range 2 {
-		relay, err := newTap(addr)
+		p, err := newProxy(addr)
 		if err != nil {
 			return "", err
 		}
-		addr = relay.Addr().String()
+		addr = p.Addr().String()
 	}
 	return addr, nil
 }
 
-// writeLatency prints the ways and what is added.
-func writeLatency(out io.Writer, direct, bare, through *way) error {
+// writeLatency prints the quantiles of each route and the latency that the relayed
+// route adds to the direct one.
+func writeLatency(out io.Writer, direct, proxied, relayed *route) error {
 	table := tablewriter.NewWriter(out)
 	table.SetHeader([]string{"time", "quantile", "direct ms", "bare relays ms", "through ms", "added ms", "aim ms", "met"})
 	table.SetAutoFormatHeaders(false)
 	for _, row := range []struct {
-		name                  string
-		direct, bare, through *hdrhistogram.Histogram
+		name                     string
+		direct, proxied, relayed *hdrhistogram.Histogram
 	}{
-		{"first token", direct.first, bare.first, through.first},
-		{"between tokens", direct.gaps, bare.gaps, through.gaps},
+		{"first token", direct.firstToken, proxied.firstToken, relayed.firstToken},
+		{"between tokens", direct.gaps, proxied.gaps, relayed.gaps},
 	} {
 		for _, q := range []struct {
 			quantile float64
-			aim      time.Duration
-		}{{50, aimMedian}, {99, aimTail}} {
-			table.Append(latencyRow(row.name, q.quantile, q.aim, row.direct, row.bare, row.through))
+			target   time.Duration
+		}{{50, maxAddedMedian}, {99, maxAddedP99}} {
+			table.Append(latencyRow(row.name, q.quantile, q.target, row.direct, row.proxied, row.relayed))
 		}
 	}
 	table.Render()
-	_, err := fmt.Fprintf(out, "%d streams and %d gaps each way\n", direct.first.TotalCount(), direct.gaps.TotalCount())
+	_, err := fmt.Fprintf(out, "%d streams and %d gaps each way\n", direct.firstToken.TotalCount(), direct.gaps.TotalCount())
 	return err
 }
 
-func latencyRow(name string, quantile float64, aim time.Duration, direct, bare, through *hdrhistogram.Histogram) []string {
-	d := time.Duration(direct.ValueAtQuantile(quantile))
-	b := time.Duration(bare.ValueAtQuantile(quantile))
-	t := time.Duration(through.ValueAtQuantile(quantile))
+// latencyRow returns the table row of one quantile.
+func latencyRow(name string, quantile float64, target time.Duration, direct, proxied, relayed *hdrhistogram.Histogram) []string {
+	directTime := time.Duration(direct.ValueAtQuantile(quantile))
+	proxiedTime := time.Duration(proxied.ValueAtQuantile(quantile))
+	relayedTime := time.Duration(relayed.ValueAtQuantile(quantile))
 	met := "no"
-	if t-d <= aim {
+	if relayedTime-directTime <= target {
 		met = "yes"
 	}
-	return []string{name, fmt.Sprintf("%g %%", quantile), millis(d), millis(b), millis(t), millis(t - d), millis(aim), met}
+	return []string{name, fmt.Sprintf("%g %%", quantile), formatMillis(directTime), formatMillis(proxiedTime), formatMillis(relayedTime), formatMillis(relayedTime - directTime), formatMillis(target), met}
 }
 
-func millis(d time.Duration) string { return fmt.Sprintf("%.3f", float64(d)/float64(time.Millisecond)) }
+// formatMillis returns d in milliseconds.
+func formatMillis(d time.Duration) string {
+	return fmt.Sprintf("%.3f", float64(d)/float64(time.Millisecond))
+}
--- a/bench/control/lists.go
+++ b/bench/control/lists.go
@@ -9,43 +9,44 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// measureDeclared measures both daemons with each number of declared servers.
-func (f *fleet) measureDeclared(ctx context.Context, r *Report) error {
+// measureDeclared measures the memory of both daemons, and the size of the encoded
+// configuration, with each number of declared backend servers.
+func (t *testbed) measureDeclared(ctx context.Context, r *Report) error {
 	const x = "server"
 	entry := newSeries("entry: live memory, configuration", x, "KiB", targetServers, LimitMemory/kib)
 	agent := newSeries("agent: live memory, configuration", x, "KiB", targetServers, LimitMemory/kib)
-	whole := newSeries("configuration, whole", x, "B", targetServers, 0)
+	encoded := newSeries("configuration, whole", x, "B", targetServers, 0)
 	delta := newSeries("configuration, difference", x, "B", targetServers, 0)
-	r.Series = append(r.Series, entry, agent, whole, delta)
-	for _, n := range f.opt.Servers {
-		set := f.declared(n)
-		if _, err := f.apply(ctx, set); err != nil {
+	r.Series = append(r.Series, entry, agent, encoded, delta)
+	for _, n := range t.opt.Servers {
+		set := t.declaredSet(n)
+		if _, err := t.apply(ctx, set); err != nil {
 			return err
 		}
-		if err := wait(ctx, f.opt.Settle); err != nil {
+		if err := sleep(ctx, t.opt.Settle); err != nil {
 			return err
 		}
-		if err := f.addMemory(ctx, float64(n), entry, agent); err != nil {
+		if err := t.addMemory(ctx, float64(n), entry, agent); err != nil {
 			return err
 		}
-		if err := addSizes(float64(n), set, whole, delta); err != nil {
+		if err := addSizes(float64(n), set, encoded, delta); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addSizes adds the sizes of a set and of a small change to it.
-func addSizes(x float64, set *declare.Set, whole, delta *Series) error {
+// addSizes adds the encoded sizes of a set and of a small change to it.
+func addSizes(x float64, set *declare.Set, encoded, delta *Series) error {
 	body, _, err := declare.Encode(set)
 	if err != nil {
 		return err
 	}
-	whole.add(x, float64(len(body)))
+	encoded.add(x, float64(len(body)))
 	changed := set.Clone()
-	leaving := *set.BackendServers[serverName(1)]
+	leaving := *set.BackendServers[backendServerName(1)]
 	leaving.Leaving = true
-	changed.BackendServers[serverName(1)] = &leaving
+	changed.BackendServers[backendServerName(1)] = &leaving
 	if body, err = declare.EncodeDelta(set, changed); err != nil {
 		return err
 	}
@@ -53,10 +54,10 @@
 	return nil
 }
 
-// addMemory adds the live memory of both daemons.
-func (f *fleet) addMemory(ctx context.Context, x float64, entry, agent *Series) error {
-	for addr, s := range map[string]*Series{f.opt.EntryAddr: entry, f.opt.AgentAddr: agent} {
-		u, err := probe{addr: addr, token: f.opt.PeerToken}.collect(ctx)
+// addMemory adds the live memory of both daemons to their series.
+func (t *testbed) addMemory(ctx context.Context, x float64, entry, agent *Series) error {
+	for addr, s := range map[string]*Series{t.opt.EntryAddr: entry, t.opt.AgentAddr: agent} {
+		u, err := probe{addr: addr, token: t.opt.PeerToken}.collect(ctx)
 		if err != nil {
 			return err
 		}
@@ -65,65 +66,69 @@
 	return nil
 }
 
-// measureListed measures both daemons with each number of listed instances:
-// memory, reads of the platform, and the traffic with it in steady state and
-// for one change of the list.
-func (f *fleet) measureListed(ctx context.Context, r *Report) error {
+// measureListed measures both daemons with each number of instances in the
+// platform's list: their memory, the rate at which they read from the platform,
+// and their traffic with the platform in steady state and for one change of the
+// list.
+func (t *testbed) measureListed(ctx context.Context, r *Report) error {
 	const x = "instance"
 	entry := newSeries("entry: live memory, instance list", x, "KiB", targetEntries+targetServers, LimitMemory/kib)
 	agent := newSeries("agent: live memory, instance list", x, "KiB", targetEntries+targetServers, LimitMemory/kib)
-	entryWire := newSeries("entry: platform in steady state", x, "B/s", targetEntries+targetServers, LimitWire)
-	agentWire := newSeries("agent: platform in steady state", x, "B/s", targetEntries+targetServers, LimitWire)
+	entryTraffic := newSeries("entry: platform in steady state", x, "B/s", targetEntries+targetServers, LimitWire)
+	agentTraffic := newSeries("agent: platform in steady state", x, "B/s", targetEntries+targetServers, LimitWire)
 	entryReads := newSeries("entry: platform reads", x, "1/s", targetEntries+targetServers, 0)
 	agentReads := newSeries("agent: platform reads", x, "1/s", targetEntries+targetServers, 0)
 	change := newSeries("agent: platform for a change of the list", x, "B", targetEntries+targetServers, 0)
-	r.Series = append(r.Series, entry, agent, entryWire, agentWire, entryReads, agentReads, change)
-	padded := 0
-	for _, n := range f.opt.Listed {
-		f.pad(padded, n)
-		padded = n
-		if err := wait(ctx, f.opt.Settle); err != nil {
+	r.Series = append(r.Series, entry, agent, entryTraffic, agentTraffic, entryReads, agentReads, change)
+	listedAgents := 0
+	for _, n := range t.opt.Listed {
+		t.addListedAgents(listedAgents, n)
+		listedAgents = n
+		if err := sleep(ctx, t.opt.Settle); err != nil {
 			return err
 		}
 		listed := float64(n + 2)
-		if err := f.addMemory(ctx, listed, entry, agent); err != nil {
+		if err := t.addMemory(ctx, listed, entry, agent); err != nil {
 			return err
 		}
-		steady, err := f.measureBoth(ctx, f.opt.Window)
+		steady, err := t.measureBoth(ctx, t.opt.Window)
 		if err != nil {
 			return err
 		}
-		entryWire.add(listed, steady.entry.wire[0]/steady.entry.seconds())
-		agentWire.add(listed, steady.agent.wire[0]/steady.agent.seconds())
-		entryReads.add(listed, steady.entry.reads())
-		agentReads.add(listed, steady.agent.reads())
-		f.pad(padded, padded+1)
-		padded++
-		changed, err := f.measureBoth(ctx, f.opt.Settle)
+		entryTraffic.add(listed, steady.entry.traffic[0]/steady.entry.seconds())
+		agentTraffic.add(listed, steady.agent.traffic[0]/steady.agent.seconds())
+		entryReads.add(listed, steady.entry.platformReadsPerSecond())
+		agentReads.add(listed, steady.agent.platformReadsPerSecond())
+		t.addListedAgents(listedAgents, listedAgents+1)
+		listedAgents++
+		changed, err := t.measureBoth(ctx, t.opt.Settle)
 		if err != nil {
 			return err
 		}
-		change.add(listed+1, changed.agent.extraWire(steady.agent))
+		change.add(listed+1, changed.agent.extraTraffic(steady.agent))
 	}
 	return nil
 }
 
-// both are the windows of the two daemons.
-type both struct{ entry, agent window }
+// daemonWindows holds the windows of the two daemons under test.
+type daemonWindows struct{ entry, agent window }
 
-// reads is the number of reads of the platform per second.
-func (w window) reads() float64 { return (w.to.reads - w.from.reads) / w.seconds() }
+// platformReadsPerSecond returns the number of reads from the platform per second.
+func (w window) platformReadsPerSecond() float64 {
+	return (w.to.platformReads - w.from.platformReads) / w.seconds()
+}
 
-// measureBoth measures both daemons and their traffic with the platform.
-func (f *fleet) measureBoth(ctx context.Context, d time.Duration) (both, error) {
-	var b both
+// measureBoth measures both daemons, and their traffic with the platform, over the
+// same time d.
+func (t *testbed) measureBoth(ctx context.Context, d time.Duration) (daemonWindows, error) {
+	var windows daemonWindows
 	done := make(chan error, 1)
 	go func() {
 		var err error
-		b.agent, err = measure(ctx, probe{addr: f.opt.AgentAddr, token: f.opt.PeerToken}, d, &f.agentLink)
+		windows.agent, err = measureWindow(ctx, probe{addr: t.opt.AgentAddr, token: t.opt.PeerToken}, d, &t.agentLink)
 		done <- err
 	}()
 	var err error
-	b.entry, err = measure(ctx, probe{addr: f.opt.EntryAddr, token: f.opt.PeerToken}, d, &f.entryLink)
-	return b, errors.Join(err, <-done)
+	windows.entry, err = measureWindow(ctx, probe{addr: t.opt.EntryAddr, token: t.opt.PeerToken}, d, &t.entryLink)
+	return windows, errors.Join(err, <-done)
 }
--- a/bench/control/probe.go
+++ b/bench/control/probe.go
@@ -13,23 +13,23 @@
 	"github.com/rattanway/rattanway/process/metrics"
 )
 
-// usage is what a daemon has used when it was asked.
+// usage holds the resource metrics of a daemon at one time.
 type usage struct {
-	at         time.Time
-	cpu        time.Duration
-	live       float64
-	stack      float64
-	rss        float64
-	goroutines float64
-	reads      float64
-	writes     float64
+	at             time.Time
+	cpu            time.Duration
+	heapBytes      float64
+	stackBytes     float64
+	rssBytes       float64
+	goroutines     float64
+	platformReads  float64
+	platformWrites float64
 }
 
-// memory is the memory that is in use, in bytes.
-func (u usage) memory() float64 { return u.live + u.stack }
+// memory returns the live heap and the stacks, in bytes.
+func (u usage) memory() float64 { return u.heapBytes + u.stackBytes }
 
-// cores returns the processor time per second between two usages.
-func cores(from, to usage) float64 {
+// cpuCores returns the processor time per second, in cores, between two usages.
+func cpuCores(from, to usage) float64 {
 	return (to.cpu - from.cpu).Seconds() / to.at.Sub(from.at).Seconds()
 }
 
@@ -39,19 +39,19 @@
 	token string
 }
 
-// collect makes the daemon collect its garbage and returns its usage.
+// collect makes the daemon run its garbage collector twice and returns its usage.
 func (p probe) collect(ctx context.Context) (usage, error) {
 	for range 2 {
-		if _, err := p.get(ctx, metrics.ProfilePath+"heap?gc=1"); err != nil {
+		if _, err := p.httpGet(ctx, metrics.ProfilePath+"heap?gc=1"); err != nil {
 			return usage{}, err
 		}
 	}
 	return p.read(ctx)
 }
 
-// read returns the daemon's usage.
+// read returns the usage of the daemon.
 func (p probe) read(ctx context.Context) (usage, error) {
-	body, err := p.get(ctx, metrics.Path)
+	body, err := p.httpGet(ctx, metrics.Path)
 	if err != nil {
 		return usage{}, err
 	}
@@ -63,18 +63,19 @@
 		return usage{}, core.Step("read metrics", p.addr, err)
 	}
 	return usage{
-		at:         time.Now(),
-		cpu:        time.Duration(values["process.cpu.microseconds"].Value) * time.Microsecond,
-		live:       values["process.heap.live.bytes"].Value,
-		stack:      values["process.stack.bytes"].Value,
-		rss:        values["process.rss.bytes"].Value,
-		goroutines: values["process.goroutines"].Value,
-		reads:      values["platform.reads"].Count,
-		writes:     values["platform.writes"].Count,
+		at:             time.Now(),
+		cpu:            time.Duration(values["process.cpu.microseconds"].Value) * time.Microsecond,
+		heapBytes:      values["process.heap.live.bytes"].Value,
+		stackBytes:     values["process.stack.bytes"].Value,
+		rssBytes:       values["process.rss.bytes"].Value,
+		goroutines:     values["process.goroutines"].Value,
+		platformReads:  values["platform.reads"].Count,
+		platformWrites: values["platform.writes"].Count,
 	}, nil
 }
 
-func (p probe) get(ctx context.Context, path string) ([]byte, error) {
+// httpGet returns the body of a GET request to the daemon.
+func (p probe) httpGet(ctx context.Context, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.addr+path, nil)
 	if err != nil {
 		return nil, err
@@ -92,47 +93,51 @@
 	return body, core.Step("read metrics", p.addr, err)
 }
 
-// window measures a daemon over a time, together with counted traffic.
+// window holds the usage of a daemon at the start and the end of a measurement, and
+// the bytes of traffic in between, one value for each counter.
 type window struct {
 	from, to usage
-	wire     []float64
+	traffic  []float64
 }
 
-// measure waits for the time and returns what the daemon used in it.
-func measure(ctx context.Context, p probe, d time.Duration, counted ...*traffic) (window, error) {
+// measureWindow measures the usage of the daemon, and the counted traffic, over the
+// time d.
+func measureWindow(ctx context.Context, p probe, d time.Duration, counted ...*traffic) (window, error) {
 	var w window
 	var err error
 	if w.from, err = p.collect(ctx); err != nil {
 		return w, err
 	}
-	before := wireOf(counted)
-	if err := wait(ctx, d); err != nil {
+	before := wireBytes(counted)
+	if err := sleep(ctx, d); err != nil {
 		return w, err
 	}
 	if w.to, err = p.read(ctx); err != nil {
 		return w, err
 	}
-	for i, after := range wireOf(counted) {
-		w.wire = append(w.wire, after-before[i])
+	for i, after := range wireBytes(counted) {
+		w.traffic = append(w.traffic, after-before[i])
 	}
 	return w, nil
 }
 
-// seconds is the length of the window.
+// seconds returns the length of the window in seconds.
 func (w window) seconds() float64 { return w.to.at.Sub(w.from.at).Seconds() }
 
-// cpuSeconds is the processor time used in the window, in seconds.
+// cpuSeconds returns the processor time used in the window, in seconds.
 func (w window) cpuSeconds() float64 { return (w.to.cpu - w.from.cpu).Seconds() }
 
-func wireOf(counted []*traffic) []float64 {
-	var all []float64
+// wireBytes returns the present byte count of each counter.
+func wireBytes(counted []*traffic) []float64 {
+	var bytes []float64
 	for _, t := range counted {
-		all = append(all, t.wireBytes())
+		bytes = append(bytes, t.wireBytes())
 	}
-	return all
+	return bytes
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
--- a/bench/control/series.go
+++ b/bench/control/series.go
@@ -9,54 +9,57 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// Series is one quantity measured at several sizes.
+// Series is one quantity that is measured at several sizes.
 type Series struct {
-	// Name says what was measured, and of which role.
+	// Name names the quantity and the role at which it was measured.
 	Name string `json:"name"`
-	// X and Y name the size and the quantity with their units.
+	// X is the unit of the size.
 	X string `json:"x"`
-	// Y is the measured quantity.
+	// Y is the unit of the quantity.
 	Y string `json:"y"`
-	// Points are the raw points.
+	// Points are the measured points.
 	Points []Point `json:"points"`
-	// Line is the fit.
+	// Line is the line fitted to the points.
 	Line Line `json:"line"`
-	// Target is the size at the target, and AtTarget the line's value there.
+	// Target is the size at the target.
 	Target float64 `json:"target"`
-	// AtTarget is the line's value at Target.
+	// AtTarget is the value of Line at Target.
 	AtTarget float64 `json:"atTarget"`
-	// Limit is what AtTarget must stay under; 0 for none.
+	// Limit is the upper limit of AtTarget; 0 for no limit.
 	Limit float64 `json:"limit,omitempty"`
 }
 
+// newSeries returns a series without points.
 func newSeries(name, x, y string, target, limit float64) *Series {
 	return &Series{Name: name, X: x, Y: y, Target: target, Limit: limit}
 }
 
+// add adds a measured point.
 func (s *Series) add(x, y float64) { s.Points = append(s.Points, Point{X: x, Y: y}) }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	// Series are the measured quantities.
 	Series []*Series `json:"series"`
-	// Facts are single figures.
+	// Facts are the figures that belong to no series.
 	Facts []Fact `json:"facts"`
 }
 
 // Fact is a single figure.
 type Fact struct {
-	// Name says what was measured, with its unit.
+	// Name names the quantity and its unit.
 	Name string `json:"name"`
 	// Value is the figure.
 	Value float64 `json:"value"`
 }
 
-func (r *Report) fact(name string, value float64) {
+// addFact adds a single figure to the report.
+func (r *Report) addFact(name string, value float64) {
 	r.Facts = append(r.Facts, Fact{Name: name, Value: value})
 }
 
-// finish fits the lines.
-func (r *Report) finish() {
+// fitLines fits a line to the points of each series.
+func (r *Report) fitLines() {
 	for _, s := range r.Series {
 		s.Line = Fit(s.Points)
 		s.AtTarget = s.Line.At(s.Target)
@@ -66,9 +69,9 @@
 // write prints the report as tables, or as JSON.
 func (r *Report) write(out io.Writer, asJSON bool) error {
 	if asJSON {
-		enc := json.NewEncoder(out)
-		enc.SetIndent("", "  ")
-		return enc.Encode(r)
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(r)
 	}
 	table := tablewriter.NewWriter(out)
 	table.SetHeader([]string{"quantity", "unit", "points (size:value)", "base", "slope per", "residual", "at target", "limit"})
@@ -76,32 +79,35 @@
 	table.SetAutoWrapText(false)
 	for _, s := range r.Series {
 		table.Append([]string{
-			s.Name, s.Y, pointsText(s.Points), number(s.Line.Base), number(s.Line.Slope) + " / " + s.X,
-			number(s.Line.Residual), fmt.Sprintf("%s at %s", number(s.AtTarget), number(s.Target)), limitText(s.Limit),
+			s.Name, s.Y, pointsText(s.Points), formatNumber(s.Line.Base), formatNumber(s.Line.Slope) + " / " + s.X,
+			formatNumber(s.Line.Residual), fmt.Sprintf("%s at %s", formatNumber(s.AtTarget), formatNumber(s.Target)), limitText(s.Limit),
 		})
 	}
 	table.Render()
-	for _, f := range r.Facts {
-		if _, err := fmt.Fprintf(out, "%s: %s\n", f.Name, number(f.Value)); err != nil {
+	for _, fact := range r.Facts {
+		if _, err := fmt.Fprintf(out, "%s: %s\n", fact.Name, formatNumber(fact.Value)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// pointsText returns the points as size:value, separated by spaces.
 func pointsText(points []Point) string {
-	var all []string
+	var texts []string
 	for _, p := range points {
-		all = append(all, number(p.X)+":"+number(p.Y))
+		texts = append(texts, formatNumber(p.X)+":"+formatNumber(p.Y))
 	}
-	return strings.Join(all, " ")
+	return strings.Join(texts, " ")
 }
 
-func number(v float64) string { return fmt.Sprintf("%.4g", v) }
+// formatNumber returns the value with four significant digits.
+func formatNumber(value float64) string { return fmt.Sprintf("%.4g", value) }
 
-func limitText(v float64) string {
-	if v == 0 {
+// limitText returns the limit, or "-" for no limit.
+func limitText(value float64) string {
+	if value == 0 {
 		return "-"
 	}
-	return number(v)
+	return formatNumber(value)
 }
--- a/bench/control/wire.go
+++ b/bench/control/wire.go
@@ -7,22 +7,24 @@
 	"sync/atomic"
 )
 
-// ownAddr gives the benchmark's listeners free ports at an address of their
-// own, so that no process that dials a port used before is counted.
-const ownAddr = "127.0.0.2:0"
+// loopbackAddr is the listen address for a free port of the benchmark. Its IP
+// address is used by no other process, so that the traffic of processes that still
+// dial a port from an earlier run is not counted.
+const loopbackAddr = "127.0.0.2:0"
 
-// traffic counts what passes over the connections of one kind.
+// traffic counts the bytes, and the reads and writes, of a group of connections.
 type traffic struct {
 	bytes    atomic.Int64
 	segments atomic.Int64
 }
 
-// wireBytes estimates the bytes on the wire: the payload, and for each read or
-// write a segment's headers and those of an acknowledgement.
+// wireBytes returns an estimate of the bytes on the wire: the payload and, for each
+// read or write, the headers of one segment and of its acknowledgement.
 func (t *traffic) wireBytes() float64 {
-	return float64(t.bytes.Load() + 2*headerBytes*t.segments.Load())
+	return float64(t.bytes.Load() + 2*segmentHeaderBytes*t.segments.Load())
 }
 
+// add counts a read or write of n bytes.
 func (t *traffic) add(n int) {
 	if n == 0 {
 		return
@@ -31,80 +33,81 @@
 	t.segments.Add(1)
 }
 
-// countedListener counts the traffic of every connection it accepts.
-type countedListener struct {
+// countingListener counts the traffic of every connection that it accepts.
+type countingListener struct {
 	net.Listener
 	traffic *traffic
 }
 
 // Accept implements net.Listener.
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: conn, traffic: l.traffic}, nil
+	return countingConn{Conn: conn, traffic: l.traffic}, nil
 }
 
-// countedConn counts what is read and written.
-type countedConn struct {
+// countingConn counts the bytes that are read and written.
+type countingConn struct {
 	net.Conn
 	traffic *traffic
 }
 
 // Read implements net.Conn.
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.traffic.add(n)
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.traffic.add(n)
 	return n, err
 }
 
-// tap passes connections on to another address and counts their traffic.
-type tap struct {
-	countedListener
+// proxy forwards TCP connections to another address and counts their traffic.
+type proxy struct {
+	countingListener
 	target string
 	wg     sync.WaitGroup
 }
 
-// newTap starts a tap on a free loopback port in front of target.
-func newTap(target string) (*tap, error) {
-	listener, err := net.Listen("tcp", ownAddr)
+// newProxy starts a proxy in front of target on a free loopback port.
+func newProxy(target string) (*proxy, error) {
+	listener, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		return nil, err
 	}
-	t := &tap{countedListener: countedListener{Listener: listener, traffic: &traffic{}}, target: target}
-	t.wg.Go(t.run)
-	return t, nil
+	p := &proxy{countingListener: countingListener{Listener: listener, traffic: &traffic{}}, target: target}
+	p.wg.Go(p.run)
+	return p, nil
 }
 
-func (t *tap) run() {
+// run accepts connections until the listener is closed.
+func (p *proxy) run() {
 	for {
-		conn, err := t.Accept()
+		conn, err := p.Accept()
 		if err != nil {
 			return
 		}
-		t.wg.Go(func() { t.pass(conn) })
+		p.wg.Go(func() { p.forward(conn) })
 	}
 }
 
-// pass copies both ways until one side ends.
-func (t *tap) pass(conn net.Conn) {
+// forward copies bytes in both directions until one side closes the connection.
+func (p *proxy) forward(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	far, err := net.Dial("tcp", t.target)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = far.Close() }()
+	defer func() { _ = upstream.Close() }()
 	go func() {
-		_, _ = io.Copy(far, conn)
-		_ = far.Close()
+		_, _ = io.Copy(upstream, conn)
+		_ = upstream.Close()
 	}()
-	_, _ = io.Copy(conn, far)
+	_, _ = io.Copy(conn, upstream)
 }
