--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -11,67 +11,75 @@
 	"golang.org/x/time/rate"
 )
 
-// FaultRequest changes the stand-in's faults; a field that is not given leaves
-// its fault as it is.
+// FaultRequest is the body of a request that changes the stand-in's faults. A
+// field that is not set leaves its fault unchanged.
 type FaultRequest struct {
-	// Unavailable makes the stores answer 503 before any effect.
+	// Unavailable makes the stores respond with status 503 and without any
+	// effect.
 	Unavailable *bool `json:"unavailable,omitempty"`
-	// Stores limits Unavailable and LatencyMillis to these stores: "table",
-	// "objects", "weights", "instances". Empty means all.
+	// Stores are the stores to which Unavailable and LatencyMillis apply:
+	// "table", "objects", "weights" or "instances". Empty means all.
 	Stores *[]string `json:"stores,omitempty"`
-	// LatencyMillis is added to each call, in milliseconds.
+	// LatencyMillis is the time in milliseconds by which each request is
+	// delayed.
 	LatencyMillis *int64 `json:"latencyMillis,omitempty"`
-	// LoseCommitAnswers makes the next n commits take effect without an
-	// answer: the connection is closed.
+	// LoseCommitAnswers is the number of next commits that take effect without
+	// a response; the connection is closed instead.
 	LoseCommitAnswers *int `json:"loseCommitAnswers,omitempty"`
-	// WeightBytesPerSecond limits what the weight store sends in all; 0 means
-	// no limit.
+	// WeightBytesPerSecond is the bandwidth of the weight store for all
+	// responses together; 0 means no limit.
 	WeightBytesPerSecond *int64 `json:"weightBytesPerSecond,omitempty"`
-	// Corrupt changes a byte in the next answers of an object.
+	// Corrupt changes a byte in the next responses with an object.
 	Corrupt *CorruptFault `json:"corrupt,omitempty"`
 }
 
-// CorruptFault says which answers are corrupted.
+// CorruptFault selects the responses that are corrupted.
 type CorruptFault struct {
-	// Store is "objects" or "weights"; empty means weights.
+	// Store is "objects" or "weights"; empty means "weights".
 	Store string `json:"store,omitempty"`
-	// Name is a prefix of the object's name; empty means any.
+	// Name is a prefix of the names of the objects; empty means all objects.
 	Name string `json:"name,omitempty"`
-	// Times is how many answers are corrupted.
+	// Times is the number of responses that are corrupted.
 	Times int `json:"times"`
 }
 
-// faults holds the faults that are switched on.
+// faults holds the active faults. It is safe for concurrent use.
 type faults struct {
 	mu          sync.Mutex
 	unavailable bool
-	stores      []string
-	latency     time.Duration
-	loseCommits int
-	corruption  CorruptFault
-	weights     *rate.Limiter
+	// stores are the stores to which unavailable and latency apply; empty
+	// means all.
+	stores  []string
+	latency time.Duration
+	// commitsToLose is the number of commits whose responses are still to be
+	// lost.
+	commitsToLose int
+	// corruption selects the responses that are still to be corrupted.
+	corruption    CorruptFault
+	weightLimiter *rate.Limiter
 }
 
-// newFaults returns faults that are all off, but for the weight limit.
+// newFaults returns faults of which only the bandwidth limit of the weight store
+// is active.
 func newFaults(weightBytesPerSecond int64) *faults {
-	f := &faults{weights: rate.NewLimiter(rate.Inf, pieceBytes)}
+	f := &faults{weightLimiter: rate.NewLimiter(rate.Inf, maxWriteBytes)}
 	f.limitWeights(weightBytesPerSecond)
 	return f
 }
 
-// limitWeights sets the weight store's bandwidth.
+// limitWeights sets the weight store's bandwidth; 0 or less means no limit.
 func (f *faults) limitWeights(bytesPerSecond int64) {
 	limit := rate.Limit(bytesPerSecond)
 	if bytesPerSecond <= 0 {
 		limit = rate.Inf
 	}
-	f.weights.SetLimit(limit)
+	f.weightLimiter.SetLimit(limit)
 }
 
-// waitWeights waits until n bytes may be sent.
-func (f *faults) waitWeights(ctx context.Context, n int) error { return f.weights.WaitN(ctx, n) }
+// waitWeights waits until the weight store's bandwidth allows n more bytes.
+func (f *faults) waitWeights(ctx context.Context, n int) error { return f.weightLimiter.WaitN(ctx, n) }
 
-// set applies a request.
+// set applies the fields that are set in a request.
 func (f *faults) set(r FaultRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +93,7 @@
 		f.latency = time.Duration(*r.LatencyMillis) * time.Millisecond
 	}
 	if r.LoseCommitAnswers != nil {
-		f.loseCommits = *r.LoseCommitAnswers
+		f.commitsToLose = *r.LoseCommitAnswers
 	}
 	if r.WeightBytesPerSecond != nil {
 		f.limitWeights(*r.WeightBytesPerSecond)
@@ -95,21 +103,22 @@
 	}
 }
 
-// admit waits the added latency and reports whether the store is available.
+// admit delays a request by the latency of the store and reports whether the
+// store is available.
 func (f *faults) admit(ctx context.Context, store string) bool {
 	f.mu.Lock()
-	hit := len(f.stores) == 0 || slices.Contains(f.stores, store)
+	affected := len(f.stores) == 0 || slices.Contains(f.stores, store)
 	unavailable, latency := f.unavailable, f.latency
 	f.mu.Unlock()
-	if !hit {
+	if !affected {
 		return true
 	}
-	wait(ctx, latency)
+	sleep(ctx, latency)
 	return !unavailable
 }
 
-// wait returns after d or when ctx ends.
-func wait(ctx context.Context, d time.Duration) {
+// sleep returns after d or when ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -121,19 +130,21 @@
 	}
 }
 
-// loseAnswer reports whether the answer of this commit is to be lost.
-func (f *faults) loseAnswer() bool {
+// loseResponse reports whether the response to this commit must be lost. If so,
+// it decrements the number of responses to lose.
+func (f *faults) loseResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.loseCommits == 0 {
+	if f.commitsToLose == 0 {
 		return false
 	}
-	f.loseCommits--
+	f.commitsToLose--
 	return true
 }
 
-// corrupt reports whether this answer is to be corrupted.
-func (f *faults) corrupt(store, name string) bool {
+// corruptResponse reports whether the response with this object must be corrupted.
+// If so, it decrements the number of responses to corrupt.
+func (f *faults) corruptResponse(store, name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := &f.corruption
@@ -149,7 +160,7 @@
 
 // serveFaults serves POST /faults.
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
-	if !allow(w, r, http.MethodPost) {
+	if !allowMethods(w, r, http.MethodPost) {
 		return
 	}
 	var req FaultRequest
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -18,105 +18,109 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// probeParallelism bounds the probes that run at once.
+// probeParallelism is the maximum number of concurrent health checks.
 const probeParallelism = 16
 
-// maxProbeTimeout bounds one probe.
+// maxProbeTimeout limits the time of one health check.
 const maxProbeTimeout = time.Second
 
-// instances lists the instances that answered the newest probe.
-type instances struct {
+// instanceList is the platform's list of the instances that passed their last
+// health check. It is safe for concurrent use.
+type instanceList struct {
 	client *http.Client
 
-	mu    sync.RWMutex
-	known map[string]core.Instance
-	shown []core.Instance
-	tag   int
+	mu sync.RWMutex
+	// registered holds all instances by ID, also those that are not listed.
+	registered map[string]core.Instance
+	listed     []core.Instance
+	// version counts the changes of listed.
+	version int
 }
 
-// newInstances returns a list that knows these instances and shows none.
-func newInstances(all []core.Instance) *instances {
-	i := &instances{
-		client: &http.Client{},
-		known:  map[string]core.Instance{},
-		shown:  []core.Instance{},
+// newInstanceList returns an empty list with these instances registered.
+func newInstanceList(registered []core.Instance) *instanceList {
+	l := &instanceList{
+		client:     &http.Client{},
+		registered: map[string]core.Instance{},
+		listed:     []core.Instance{},
 	}
-	for _, instance := range all {
-		i.known[instance.ID] = instance
+	for _, instance := range registered {
+		l.registered[instance.ID] = instance
 	}
-	return i
+	return l
 }
 
-// put adds or replaces an instance.
-func (i *instances) put(instance core.Instance) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.known[instance.ID] = instance
+// put registers an instance or replaces it.
+func (l *instanceList) put(instance core.Instance) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.registered[instance.ID] = instance
 }
 
-// remove takes an instance away.
-func (i *instances) remove(id string) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	delete(i.known, id)
+// remove unregisters an instance.
+func (l *instanceList) remove(id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.registered, id)
 }
 
-// setLeaving marks an instance as leaving and reports whether it is known.
-func (i *instances) setLeaving(id string) bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	instance, ok := i.known[id]
+// setLeaving marks an instance as leaving and reports whether it is registered.
+func (l *instanceList) setLeaving(id string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	instance, ok := l.registered[id]
 	if !ok {
 		return false
 	}
 	instance.Leaving = true
-	i.known[id] = instance
+	l.registered[id] = instance
 	return true
 }
 
-// probe asks every known instance for its health and replaces the listing.
-func (i *instances) probe(ctx context.Context, timeout time.Duration) {
-	all := i.all()
-	healthy := make([]bool, len(all))
+// probe checks the health of every registered instance and lists those that are
+// healthy.
+func (l *instanceList) probe(ctx context.Context, timeout time.Duration) {
+	registered := l.allRegistered()
+	healthy := make([]bool, len(registered))
 	var group errgroup.Group
 	group.SetLimit(probeParallelism)
-	for n, instance := range all {
+	for n, instance := range registered {
 		group.Go(func() error {
-			healthy[n] = i.answers(ctx, instance.Addr, min(timeout, maxProbeTimeout))
+			healthy[n] = l.isHealthy(ctx, instance.Addr, min(timeout, maxProbeTimeout))
 			return nil
 		})
 	}
 	_ = group.Wait()
 	live := []core.Instance{}
-	for n, instance := range all {
+	for n, instance := range registered {
 		if healthy[n] {
 			live = append(live, instance)
 		}
 	}
-	i.show(live)
+	l.set(live)
 }
 
-// all returns every known instance in order of id.
-func (i *instances) all() []core.Instance {
-	i.mu.RLock()
-	defer i.mu.RUnlock()
-	all := make([]core.Instance, 0, len(i.known))
-	for _, instance := range i.known {
+// allRegistered returns every registered instance in the order of their IDs.
+func (l *instanceList) allRegistered() []core.Instance {
+	l.mu.RLock()
+	defer l.mu.RUnlock()
+	all := make([]core.Instance, 0, len(l.registered))
+	for _, instance := range l.registered {
 		all = append(all, instance)
 	}
 	sort.Slice(all, func(a, b int) bool { return all[a].ID < all[b].ID })
 	return all
 }
 
-// answers reports whether the instance at addr answers its health check.
-func (i *instances) answers(ctx context.Context, addr string, timeout time.Duration) bool {
+// isHealthy reports whether the instance at addr passes its health check.
+func (l *instanceList) isHealthy(ctx context.Context, addr string, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/healthz", nil)
 	if err != nil {
 		return false
 	}
-	resp, err := i.client.Do(req)
+	resp, err := l.client.Do(req)
 	if err != nil {
 		return false
 	}
@@ -124,37 +128,37 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// show replaces the listing; the tag moves only with a change.
-func (i *instances) show(live []core.Instance) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.tag > 0 && cmp.Equal(live, i.shown) {
+// set replaces the listed instances. The version increases only if they differ.
+func (l *instanceList) set(live []core.Instance) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.version > 0 && cmp.Equal(live, l.listed) {
 		return
 	}
-	i.shown = live
-	i.tag++
+	l.listed = live
+	l.version++
 }
 
-// Show replaces the listing, for runs without Run, where no instance is asked
-// for its health.
-func (s *Server) Show(live []core.Instance) { s.instances.show(live) }
+// Show replaces the listed instances. It is for use without Run, which lists the
+// instances by their health checks.
+func (s *Server) Show(live []core.Instance) { s.instances.set(live) }
 
-// listing returns what the list shows, and its tag.
-func (i *instances) listing() ([]core.Instance, string) {
-	i.mu.RLock()
-	defer i.mu.RUnlock()
-	return i.shown, strconv.Quote(strconv.Itoa(i.tag))
+// get returns the listed instances and the ETag of the list.
+func (l *instanceList) get() ([]core.Instance, string) {
+	l.mu.RLock()
+	defer l.mu.RUnlock()
+	return l.listed, strconv.Quote(strconv.Itoa(l.version))
 }
 
 // serveInstances serves GET /instances.
 func (s *Server) serveInstances(w http.ResponseWriter, r *http.Request) {
-	if !allow(w, r, http.MethodGet) {
+	if !allowMethods(w, r, http.MethodGet) {
 		return
 	}
 	s.counters.add("instances", "reads", 1)
-	list, tag := s.instances.listing()
-	w.Header().Set("ETag", tag)
-	if r.Header.Get("If-None-Match") == tag {
+	list, etag := s.instances.get()
+	w.Header().Set("ETag", etag)
+	if r.Header.Get("If-None-Match") == etag {
 		s.counters.add("instances", "notModified", 1)
 		w.WriteHeader(http.StatusNotModified)
 		return
@@ -162,7 +166,7 @@
 	writeList(w, r, platform.InstanceList{Instances: list})
 }
 
-// writeList writes the list, compressed when the caller accepts that.
+// writeList writes the list, compressed if the client accepts gzip.
 func writeList(w http.ResponseWriter, r *http.Request, list platform.InstanceList) {
 	if r.Header.Get("Accept-Encoding") != "gzip" {
 		writeJSON(w, list)
@@ -170,16 +174,16 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Encoding", "gzip")
-	zipped := gzip.NewWriter(w)
-	// A failed write means that the caller has gone.
-	_ = json.NewEncoder(zipped).Encode(list)
-	_ = zipped.Close()
+	compressed := gzip.NewWriter(w)
+	// A write fails only if the client has closed the connection.
+	_ = json.NewEncoder(compressed).Encode(list)
+	_ = compressed.Close()
 }
 
 // serveInstance serves PUT and DELETE /instances/ID and POST
-// /instances/ID/leaving.
-func (s *Server) serveInstance(w http.ResponseWriter, r *http.Request, rest string) {
-	if id, ok := strings.CutSuffix(rest, "/leaving"); ok {
+// /instances/ID/leaving; path is the part after /instances/.
+func (s *Server) serveInstance(w http.ResponseWriter, r *http.Request, path string) {
+	if id, ok := strings.CutSuffix(path, "/leaving"); ok {
 		s.serveLeaving(w, r, id)
 		return
 	}
@@ -189,20 +193,21 @@
 		if !readJSON(w, r, maxControlBytes, &instance) {
 			return
 		}
-		instance.ID = rest
+		instance.ID = path
 		s.instances.put(instance)
 	case http.MethodDelete:
-		s.instances.remove(rest)
+		s.instances.remove(path)
 	default:
-		allow(w, r, http.MethodPut, http.MethodDelete)
+		allowMethods(w, r, http.MethodPut, http.MethodDelete)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveLeaving marks an instance as leaving.
+// serveLeaving serves POST /instances/ID/leaving, which marks an instance as
+// leaving.
 func (s *Server) serveLeaving(w http.ResponseWriter, r *http.Request, id string) {
-	if !allow(w, r, http.MethodPost) {
+	if !allowMethods(w, r, http.MethodPost) {
 		return
 	}
 	if !s.instances.setLeaving(id) {
@@ -212,7 +217,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// ParseInstances decodes a JSON array of instances, as a file holds it.
+// ParseInstances decodes a JSON array of instances.
 func ParseInstances(body []byte) ([]core.Instance, error) {
 	var all []core.Instance
 	err := json.Unmarshal(body, &all)
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -8,44 +8,46 @@
 	"time"
 )
 
-// objects is an object store in memory.
-type objects struct {
-	mu     sync.RWMutex
+// objectStore is an object store in memory. It is safe for concurrent use.
+type objectStore struct {
+	mu sync.RWMutex
+	// bodies holds the content of each object by its name.
 	bodies map[string][]byte
 }
 
-// newObjects returns an empty store.
-func newObjects() *objects { return &objects{bodies: map[string][]byte{}} }
+// newObjectStore returns an empty store.
+func newObjectStore() *objectStore { return &objectStore{bodies: map[string][]byte{}} }
 
-// get returns one object.
-func (o *objects) get(name string) ([]byte, bool) {
+// get returns the content of an object and reports whether it exists.
+func (o *objectStore) get(name string) ([]byte, bool) {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
 	body, ok := o.bodies[name]
 	return body, ok
 }
 
-// put stores an object and reports whether it did: an object that stands with
-// another body is kept.
-func (o *objects) put(name string, body []byte) bool {
+// put stores an object. It returns false and changes nothing if the object exists
+// with another content.
+func (o *objectStore) put(name string, body []byte) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if old, ok := o.bodies[name]; ok {
-		return bytes.Equal(old, body)
+	if existing, ok := o.bodies[name]; ok {
+		return bytes.Equal(existing, body)
 	}
 	o.bodies[name] = body
 	return true
 }
 
 // delete removes an object.
-func (o *objects) delete(name string) {
+func (o *objectStore) delete(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.bodies, name)
 }
 
-// serveObject serves GET, PUT and DELETE of one object.
-func (s *Server) serveObject(w http.ResponseWriter, r *http.Request, o *objects, store, name string) {
+// serveObject serves GET, PUT and DELETE of one object. store is the name of the
+// store for faults and counters.
+func (s *Server) serveObject(w http.ResponseWriter, r *http.Request, o *objectStore, store, name string) {
 	switch r.Method {
 	case http.MethodGet:
 		s.getObject(w, r, o, store, name)
@@ -56,31 +58,31 @@
 		o.delete(name)
 		w.WriteHeader(http.StatusNoContent)
 	default:
-		allow(w, r, http.MethodGet, http.MethodPut, http.MethodDelete)
+		allowMethods(w, r, http.MethodGet, http.MethodPut, http.MethodDelete)
 	}
 }
 
-// getObject answers with an object or a range of it.
-func (s *Server) getObject(w http.ResponseWriter, r *http.Request, o *objects, store, name string) {
+// getObject serves an object or a range of it.
+func (s *Server) getObject(w http.ResponseWriter, r *http.Request, o *objectStore, store, name string) {
 	s.counters.add(store, "reads", 1)
 	body, ok := o.get(name)
 	if !ok {
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
 	}
-	if s.faults.corrupt(store, name) {
-		body = corrupted(body)
+	if s.faults.corruptResponse(store, name) {
+		body = withCorruptByte(body)
 	}
-	out := &countedWriter{ResponseWriter: w, count: func(n int) { s.counters.add(store, "bytesOut", n) }}
+	out := &meteredWriter{ResponseWriter: w, count: func(n int) { s.counters.add(store, "bytesOut", n) }}
 	if store == "weights" {
-		out.wait = func(n int) error { return s.faults.waitWeights(r.Context(), n) }
+		out.throttle = func(n int) error { return s.faults.waitWeights(r.Context(), n) }
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	http.ServeContent(out, r, "", time.Time{}, bytes.NewReader(body))
 }
 
-// putObject stores an object.
-func (s *Server) putObject(w http.ResponseWriter, r *http.Request, o *objects, store, name string) {
+// putObject stores the body of a request as an object.
+func (s *Server) putObject(w http.ResponseWriter, r *http.Request, o *objectStore, store, name string) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObjectBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -95,42 +97,46 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// corrupted returns a copy of body with its middle byte changed.
-func corrupted(body []byte) []byte {
-	bad := bytes.Clone(body)
-	if len(bad) > 0 {
-		bad[len(bad)/2] ^= 0xff
+// withCorruptByte returns a copy of body whose middle byte is changed.
+func withCorruptByte(body []byte) []byte {
+	corrupt := bytes.Clone(body)
+	if len(corrupt) > 0 {
+		corrupt[len(corrupt)/2] ^= 0xff
 	}
-	return bad
+	return corrupt
 }
 
-// pieceBytes is the size of the pieces in which limited answers are sent.
-const pieceBytes = 32 << 10
+// maxWriteBytes is the size of the blocks in which responses with objects are
+// written.
+const maxWriteBytes = 32 << 10
 
-// countedWriter counts the bytes of an answer and may hold them back.
-type countedWriter struct {
+// meteredWriter counts the bytes of a response and can limit their rate.
+type meteredWriter struct {
 	http.ResponseWriter
+	// count is called with the number of bytes written.
 	count func(int)
-	wait  func(int) error
+	// throttle waits until the given number of bytes may be written; nil means
+	// no limit.
+	throttle func(int) error
 }
 
-// Write implements io.Writer in pieces.
-func (w *countedWriter) Write(p []byte) (int, error) {
-	done := 0
+// Write implements io.Writer. It writes blocks of up to maxWriteBytes.
+func (w *meteredWriter) Write(p []byte) (int, error) {
+	written := 0
 	for len(p) > 0 {
-		piece := p[:min(len(p), pieceBytes)]
-		if w.wait != nil {
-			if err := w.wait(len(piece)); err != nil {
-				return done, err
+		block := p[:min(len(p), maxWriteBytes)]
+		if w.throttle != nil {
+			if err := w.throttle(len(block)); err != nil {
+				return written, err
 			}
 		}
-		n, err := w.ResponseWriter.Write(piece)
+		n, err := w.ResponseWriter.Write(block)
 		w.count(n)
-		done += n
+		written += n
 		if err != nil {
-			return done, err
+			return written, err
 		}
 		p = p[n:]
 	}
-	return done, nil
+	return written, nil
 }
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -20,8 +20,8 @@
 
 const testToken = "secret"
 
-// start serves a stand-in and returns adapters to it.
-func start(t *testing.T, config Config) (*Server, *httptest.Server, *platform.Platform) {
+// startStandin serves a stand-in and returns the adapters that connect to it.
+func startStandin(t *testing.T, config Config) (*Server, *httptest.Server, *platform.Platform) {
 	t.Helper()
 	config.Token = testToken
 	s := New(config, clockwork.NewRealClock())
@@ -30,7 +30,8 @@
 	return s, web, adapters(web, testToken)
 }
 
-// adapters returns HTTP adapters to the server at web.
+// adapters returns the HTTP adapters of package process/platform for the server
+// web.
 func adapters(web *httptest.Server, token string) *platform.Platform {
 	return platform.NewHTTP(platform.Config{
 		Addr:    strings.TrimPrefix(web.URL, "http://"),
@@ -40,7 +41,7 @@
 	})
 }
 
-// setFaults posts a fault request.
+// setFaults sends a fault request.
 func setFaults(web *httptest.Server, f FaultRequest) {
 	body, err := json.Marshal(f)
 	So(err, ShouldBeNil)
@@ -55,7 +56,7 @@
 
 func TestTable(t *testing.T) {
 	Convey("Given the stand-in's table", t, func() {
-		_, web, p := start(t, Config{})
+		_, web, p := startStandin(t, Config{})
 		ctx := context.Background()
 
 		Convey("a row is written, read, listed and deleted", func() {
@@ -72,7 +73,7 @@
 			_, err = p.Table.Get(ctx, key, 0)
 			So(err, ShouldWrap, platform.ErrNotFound)
 		})
-		Convey("a row that is made again repeats no revision", func() {
+		Convey("a row that is created again after its deletion gets a new revision", func() {
 			So(p.Table.Commit(ctx, []platform.Write{{Key: "k", Value: []byte("1")}}), ShouldBeNil)
 			So(p.Table.Commit(ctx, []platform.Write{{Key: "k", Delete: true}}), ShouldBeNil)
 			So(p.Table.Commit(ctx, []platform.Write{{Key: "k", Value: []byte("2")}}), ShouldBeNil)
@@ -80,12 +81,12 @@
 			So(err, ShouldBeNil)
 			So(row.Revision, ShouldEqual, 2)
 		})
-		Convey("a known revision is not sent again", func() {
+		Convey("a read with the current revision returns not modified", func() {
 			So(p.Table.Commit(ctx, []platform.Write{{Key: "k", Value: []byte("1")}}), ShouldBeNil)
 			_, err := p.Table.Get(ctx, "k", 1)
 			So(err, ShouldWrap, platform.ErrNotModified)
 		})
-		Convey("one failed condition leaves every row as it was", func() {
+		Convey("one failed condition leaves every row unchanged", func() {
 			err := p.Table.Commit(ctx, []platform.Write{
 				{Key: "a", Value: []byte("1")},
 				{Key: "b", Value: []byte("1"), If: platform.IfRevision(3)},
@@ -94,7 +95,7 @@
 			_, err = p.Table.Get(ctx, "a", 0)
 			So(err, ShouldWrap, platform.ErrNotFound)
 		})
-		Convey("a lost answer is an unknown outcome that took effect", func() {
+		Convey("a commit whose response is lost takes effect with an unknown outcome", func() {
 			lose := 1
 			setFaults(web, FaultRequest{LoseCommitAnswers: &lose})
 			err := p.Table.Commit(ctx, []platform.Write{{Key: "k", Value: []byte("1")}})
@@ -102,7 +103,7 @@
 			_, err = p.Table.Get(ctx, "k", 0)
 			So(err, ShouldBeNil)
 		})
-		Convey("an unavailable platform had no effect", func() {
+		Convey("a commit to an unavailable platform has no effect", func() {
 			down := true
 			setFaults(web, FaultRequest{Unavailable: &down})
 			err := p.Table.Commit(ctx, []platform.Write{{Key: "k", Value: []byte("1")}})
@@ -112,12 +113,12 @@
 			_, err = p.Table.Get(ctx, "k", 0)
 			So(err, ShouldWrap, platform.ErrNotFound)
 		})
-		Convey("a platform that nobody serves is unavailable", func() {
+		Convey("a platform that does not accept connections is unavailable", func() {
 			web.Close()
 			err := p.Table.Commit(ctx, []platform.Write{{Key: "k", Value: []byte("1")}})
 			So(err, ShouldWrap, platform.ErrUnavailable)
 		})
-		Convey("a slow answer to a write is an unknown outcome", func() {
+		Convey("a commit that times out has an unknown outcome", func() {
 			slow := int64(2000)
 			setFaults(web, FaultRequest{LatencyMillis: &slow})
 			err := p.Table.Commit(ctx, []platform.Write{{Key: "k", Value: []byte("1")}})
@@ -132,12 +133,12 @@
 
 func TestObjects(t *testing.T) {
 	Convey("Given the stand-in's stores", t, func() {
-		s, web, p := start(t, Config{})
+		s, web, p := startStandin(t, Config{})
 		ctx := context.Background()
 		body := []byte("0123456789")
 		So(p.Weights.Put(ctx, "chunks/a", body), ShouldBeNil)
 
-		Convey("ranges and whole objects are read", func() {
+		Convey("ranges and whole objects can be read", func() {
 			part, err := p.Weights.Get(ctx, "chunks/a", 3, 4)
 			So(err, ShouldBeNil)
 			So(string(part), ShouldEqual, "3456")
@@ -149,26 +150,26 @@
 			So(all, ShouldResemble, body)
 			So(s.counters.snapshot()["weights"]["bytesOut"], ShouldEqual, 16)
 		})
-		Convey("the stores are apart", func() {
+		Convey("the two object stores are separate", func() {
 			_, err := p.Objects.Get(ctx, "chunks/a", 0, -1)
 			So(err, ShouldWrap, platform.ErrNotFound)
 		})
-		Convey("an object that stands is not replaced", func() {
+		Convey("an existing object is not replaced", func() {
 			So(p.Weights.Put(ctx, "chunks/a", body), ShouldBeNil)
 			So(p.Weights.Put(ctx, "chunks/a", []byte("x")), ShouldWrap, platform.ErrConflict)
 		})
-		Convey("a corrupted answer is wrong as often as asked", func() {
+		Convey("as many responses are corrupted as requested", func() {
 			setFaults(web, FaultRequest{Corrupt: &CorruptFault{Name: "chunks/", Times: 1}})
-			bad, err := p.Weights.Get(ctx, "chunks/a", 0, -1)
+			first, err := p.Weights.Get(ctx, "chunks/a", 0, -1)
 			So(err, ShouldBeNil)
-			So(bad, ShouldNotResemble, body)
-			good, err := p.Weights.Get(ctx, "chunks/a", 0, -1)
+			So(first, ShouldNotResemble, body)
+			second, err := p.Weights.Get(ctx, "chunks/a", 0, -1)
 			So(err, ShouldBeNil)
-			So(good, ShouldResemble, body)
+			So(second, ShouldResemble, body)
 		})
-		Convey("the weight store keeps to its bandwidth", func() {
-			So(p.Weights.Put(ctx, "chunks/big", make([]byte, 8*pieceBytes)), ShouldBeNil)
-			limit := int64(20 * pieceBytes)
+		Convey("the weight store does not exceed its bandwidth", func() {
+			So(p.Weights.Put(ctx, "chunks/big", make([]byte, 8*maxWriteBytes)), ShouldBeNil)
+			limit := int64(20 * maxWriteBytes)
 			setFaults(web, FaultRequest{WeightBytesPerSecond: &limit})
 			begin := time.Now()
 			_, err := p.Weights.Get(ctx, "chunks/big", 0, -1)
@@ -179,15 +180,15 @@
 }
 
 func TestInstances(t *testing.T) {
-	Convey("Given an instance that answers its health check", t, func() {
+	Convey("Given an instance that passes its health check and one that does not run", t, func() {
 		healthy := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 		defer healthy.Close()
 		instance := core.Instance{ID: "e1", Role: core.RoleEntry, Addr: strings.TrimPrefix(healthy.URL, "http://")}
 		dead := core.Instance{ID: "e2", Role: core.RoleEntry, Addr: "127.0.0.1:1"}
-		s, _, p := start(t, Config{Instances: []core.Instance{instance, dead}})
+		s, _, p := startStandin(t, Config{Instances: []core.Instance{instance, dead}})
 		ctx := context.Background()
 
-		Convey("the list shows it once it has been probed, and only it", func() {
+		Convey("after the first health checks only the healthy instance is listed", func() {
 			list, tag, err := p.Instances.List(ctx, "")
 			So(err, ShouldBeNil)
 			So(list, ShouldBeEmpty)
@@ -199,14 +200,14 @@
 			_, _, err = p.Instances.List(ctx, tag)
 			So(err, ShouldWrap, platform.ErrNotModified)
 		})
-		Convey("leaving shows after the next probe", func() {
+		Convey("an instance is listed as leaving after the next health check", func() {
 			So(s.instances.setLeaving("e1"), ShouldBeTrue)
 			s.instances.probe(ctx, time.Second)
 			list, _, err := p.Instances.List(ctx, "")
 			So(err, ShouldBeNil)
 			So(list[0].Leaving, ShouldBeTrue)
 		})
-		Convey("an instance that stops answering goes", func() {
+		Convey("an instance that fails its health check is no longer listed", func() {
 			s.instances.probe(ctx, time.Second)
 			healthy.Close()
 			s.instances.probe(ctx, time.Second)
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -1,7 +1,7 @@
-// Package platform is a small stand-in for the platform's table, object
-// store, weight store and instance list, over the HTTP that package
-// process/platform speaks. It keeps everything in memory, and it can be told
-// to fail in the ways the real one does. It serves tests and the quick start.
+// Package platform is a stand-in for the platform's table, object store, weight
+// store and instance list. It serves the HTTP API that package process/platform
+// uses and keeps all data in memory. Requests to /faults inject the faults that
+// the real platform can have. Tests and the quick start use it.
 package platform
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Defaults and bounds.
+// Default of Config.Lag and limits on the sizes of requests.
 const (
 	defaultLag      = 500 * time.Millisecond
 	maxRowBytes     = 64 << 10
@@ -26,21 +26,22 @@
 	maxControlBytes = 1 << 20
 )
 
-// Config says how the stand-in behaves at the start.
+// Config holds the settings of a Server.
 type Config struct {
-	// Token is the bearer token that callers must send; empty admits all.
+	// Token is the bearer token that clients must send; empty means that no
+	// token is required.
 	Token string
-	// Lag is the time between two probes of the instances, and so how far
-	// the instance list runs behind. Default 500 ms.
+	// Lag is the time between two health checks of an instance, and thus the
+	// delay of the instance list. The default is 500 ms.
 	Lag time.Duration
-	// Instances are the instances known from the start.
+	// Instances are the instances registered at the start.
 	Instances []core.Instance
-	// WeightBytesPerSecond limits what the weight store sends; 0 means no
-	// limit.
+	// WeightBytesPerSecond is the bandwidth of the weight store at the start;
+	// 0 means no limit.
 	WeightBytesPerSecond int64
 }
 
-// applyDefaults fills in what is not set.
+// applyDefaults sets the fields that have a default and are not set.
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.Lag, defaultLag)
 }
@@ -52,13 +53,13 @@
 	faults    *faults
 	counters  *counters
 	table     *table
-	objects   *objects
-	weights   *objects
-	instances *instances
+	objects   *objectStore
+	weights   *objectStore
+	instances *instanceList
 }
 
-// New returns a stand-in. Its Run must be running for the instance list to
-// follow the instances.
+// New returns a stand-in. The instance list stays empty until Run or Show is
+// called.
 func New(config Config, clock clockwork.Clock) *Server {
 	config.applyDefaults()
 	s := &Server{
@@ -67,14 +68,14 @@
 		faults:    newFaults(config.WeightBytesPerSecond),
 		counters:  newCounters(),
 		table:     newTable(),
-		objects:   newObjects(),
-		weights:   newObjects(),
-		instances: newInstances(config.Instances),
+		objects:   newObjectStore(),
+		weights:   newObjectStore(),
+		instances: newInstanceList(config.Instances),
 	}
 	return s
 }
 
-// Run probes the instances once each lag until ctx ends.
+// Run checks the health of the instances once per Config.Lag until ctx is done.
 func (s *Server) Run(ctx context.Context) error {
 	ticker := s.clock.NewTicker(s.config.Lag)
 	defer ticker.Stop()
@@ -88,8 +89,8 @@
 	}
 }
 
-// ServeHTTP implements http.Handler. It routes by hand, because keys and
-// names may hold any characters.
+// ServeHTTP implements http.Handler. It does not use http.ServeMux, because the
+// keys and names in paths may contain any characters.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.Path
 	if path == "/healthz" {
@@ -112,7 +113,8 @@
 	}
 }
 
-// serveStore serves the stores of the platform, to which the faults apply.
+// serveStore serves the table, the object stores and the instance list, which the
+// faults affect.
 func (s *Server) serveStore(w http.ResponseWriter, r *http.Request, path string) {
 	store, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	if !s.faults.admit(r.Context(), store) {
@@ -138,32 +140,33 @@
 	}
 }
 
-// authorized checks the bearer token.
+// authorized reports whether a request has the right bearer token.
 func (s *Server) authorized(r *http.Request) bool {
 	if s.config.Token == "" {
 		return true
 	}
-	got := r.Header.Get("Authorization")
-	return subtle.ConstantTimeCompare([]byte(got), []byte("Bearer "+s.config.Token)) == 1
+	authorization := r.Header.Get("Authorization")
+	return subtle.ConstantTimeCompare([]byte(authorization), []byte("Bearer "+s.config.Token)) == 1
 }
 
-// writeJSON writes v as the answer.
+// writeJSON sends v as the response body.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A failed write means that the caller has gone.
+	// A write fails only if the client has closed the connection.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// readJSON reads the request's body into v, or answers 400.
+// readJSON decodes the request's body into v. If that fails, it responds with
+// status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, limit int64, v any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit))
-	d.DisallowUnknownFields()
-	if err := d.Decode(v); err != nil {
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-// abort closes the connection without an answer.
-func abort() { panic(http.ErrAbortHandler) }
+// closeConnection closes the connection without a response.
+func closeConnection() { panic(http.ErrAbortHandler) }
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -10,24 +10,24 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// maxListRows is the largest page of a listing.
+// maxListRows is the maximum number of rows in one response.
 const maxListRows = 1000
 
-// table is a transactional table in memory.
+// table is a transactional table in memory. It is safe for concurrent use.
 type table struct {
 	mu   sync.RWMutex
 	rows map[string]platform.Row
-	// last holds the last revision of deleted rows, so that a row that is
-	// made again never repeats a revision.
-	last map[string]uint64
+	// deletedRevisions holds the last revisions of deleted rows by key, so that a row
+	// that is created again never reuses a revision.
+	deletedRevisions map[string]uint64
 }
 
 // newTable returns an empty table.
 func newTable() *table {
-	return &table{rows: map[string]platform.Row{}, last: map[string]uint64{}}
+	return &table{rows: map[string]platform.Row{}, deletedRevisions: map[string]uint64{}}
 }
 
-// get returns one row.
+// get returns a row and reports whether it exists.
 func (t *table) get(key string) (platform.Row, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -35,7 +35,8 @@
 	return row, ok
 }
 
-// list returns up to limit rows with the prefix after a key, in key order.
+// list returns up to limit rows whose keys start with prefix and sort after the
+// key after, in key order.
 func (t *table) list(prefix, after string, limit int) []platform.Row {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -52,8 +53,8 @@
 	return found
 }
 
-// commit applies all writes, or none and returns the key whose condition
-// failed.
+// commit applies all writes, or, if a condition fails, none; then it returns the
+// key of that condition and false.
 func (t *table) commit(writes []platform.Write) (conflict string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,21 +69,21 @@
 	return "", true
 }
 
-// apply carries out one write.
+// apply applies one write. The caller must hold t.mu.
 func (t *table) apply(w platform.Write) {
-	revision := max(t.rows[w.Key].Revision, t.last[w.Key])
+	revision := max(t.rows[w.Key].Revision, t.deletedRevisions[w.Key])
 	if w.Delete {
 		delete(t.rows, w.Key)
-		t.last[w.Key] = revision
+		t.deletedRevisions[w.Key] = revision
 		return
 	}
-	delete(t.last, w.Key)
+	delete(t.deletedRevisions, w.Key)
 	t.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Revision: revision + 1}
 }
 
 // serveRow serves GET /table/rows/KEY.
 func (s *Server) serveRow(w http.ResponseWriter, r *http.Request, key string) {
-	if !allow(w, r, http.MethodGet) {
+	if !allowMethods(w, r, http.MethodGet) {
 		return
 	}
 	s.counters.add("table", "reads", 1)
@@ -91,9 +92,9 @@
 		http.Error(w, "no such row", http.StatusNotFound)
 		return
 	}
-	tag := platform.ETag(row.Revision)
-	w.Header().Set("ETag", tag)
-	if r.Header.Get("If-None-Match") == tag {
+	etag := platform.ETag(row.Revision)
+	w.Header().Set("ETag", etag)
+	if r.Header.Get("If-None-Match") == etag {
 		s.counters.add("table", "notModified", 1)
 		w.WriteHeader(http.StatusNotModified)
 		return
@@ -104,7 +105,7 @@
 
 // serveRows serves GET /table/rows.
 func (s *Server) serveRows(w http.ResponseWriter, r *http.Request) {
-	if !allow(w, r, http.MethodGet) {
+	if !allowMethods(w, r, http.MethodGet) {
 		return
 	}
 	s.counters.add("table", "reads", 1)
@@ -123,7 +124,7 @@
 
 // serveCommit serves POST /table/commit.
 func (s *Server) serveCommit(w http.ResponseWriter, r *http.Request) {
-	if !allow(w, r, http.MethodPost) {
+	if !allowMethods(w, r, http.MethodPost) {
 		return
 	}
 	var req platform.CommitRequest
@@ -144,14 +145,15 @@
 		return
 	}
 	s.counters.add("table", "writes", len(req.Writes))
-	if s.faults.loseAnswer() {
-		abort()
+	if s.faults.loseResponse() {
+		closeConnection()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// allow answers 405 unless the method is one of methods.
-func allow(w http.ResponseWriter, r *http.Request, methods ...string) bool {
+// allowMethods reports whether the request's method is one of methods. If not, it
+// responds with status 405.
+func allowMethods(w http.ResponseWriter, r *http.Request, methods ...string) bool {
 	for _, m := range methods {
 		if r.Method == m {
 			return true
