--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -11,30 +11,31 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// doneEvent ends every whole stream.
+// doneEvent is the last event of every complete stream.
 const doneEvent = "data: [DONE]\n\n"
 
-// stream sends one event per token and reports whether all were sent.
-func (e *Engine) stream(ctx context.Context, c echo.Context, r call) bool {
+// streamTokens sends one event per token and reports whether it sent the complete
+// stream.
+func (e *Engine) streamTokens(ctx context.Context, c echo.Context, r activeRequest) bool {
 	resp := c.Response()
 	resp.Header().Set(echo.HeaderContentType, "text/event-stream")
 	resp.WriteHeader(http.StatusOK)
 	resp.Flush()
 	before, after := eventFrame(r, r.digest)
-	var line []byte
+	var event []byte
 	for i := r.resume; i < r.MaxTokens; i++ {
-		if !e.wait(ctx, r, i) {
+		if !e.waitForToken(ctx, r, i) {
 			return false
 		}
 		if r.faults.Cut && i >= r.faults.CutAfter {
 			return false
 		}
 		if r.faults.Swap != "" && i == r.faults.SwapAfter {
-			r.seed = seed(r.faults.Swap, r.text())
+			r.seed = tokenSeed(r.faults.Swap, r.promptText())
 			before, after = eventFrame(r, r.faults.Swap)
 		}
-		line = append(append(append(line[:0], before...), token(r.seed, i)...), after...)
-		if _, err := resp.Write(line); err != nil {
+		event = append(append(append(event[:0], before...), token(r.seed, i)...), after...)
+		if _, err := resp.Write(event); err != nil {
 			return false
 		}
 		resp.Flush()
@@ -45,20 +46,20 @@
 	return err == nil
 }
 
-// eventFrame returns what stands before and after the token in each event.
-func eventFrame(r call, digest core.Digest) (before, after string) {
-	object, open, end := "text_completion", `"text":"`, `"`
+// eventFrame returns the text before and after the token in each event.
+func eventFrame(r activeRequest, digest core.Digest) (before, after string) {
+	object, tokenStart, tokenEnd := "text_completion", `"text":"`, `"`
 	if r.chat {
-		object, open, end = "chat.completion.chunk", `"delta":{"content":"`, `"}`
+		object, tokenStart, tokenEnd = "chat.completion.chunk", `"delta":{"content":"`, `"}`
 	}
 	before = `data: {"id":` + strconv.Quote(r.id) + `,"object":"` + object + `","model":` + strconv.Quote(r.Model) +
-		`,"system_fingerprint":"` + string(digest) + `","choices":[{"index":0,` + open
-	after = end + `,"finish_reason":null}]}` + "\n\n"
+		`,"system_fingerprint":"` + string(digest) + `","choices":[{"index":0,` + tokenStart
+	after = tokenEnd + `,"finish_reason":null}]}` + "\n\n"
 	return before, after
 }
 
-// answer is a whole completion.
-type answer struct {
+// completionResponse is the body of a response that is not streamed.
+type completionResponse struct {
 	ID          string   `json:"id"`
 	Object      string   `json:"object"`
 	Model       string   `json:"model"`
@@ -66,7 +67,7 @@
 	Choices     []choice `json:"choices"`
 }
 
-// choice is the one choice of an answer.
+// choice is the single choice of a completionResponse.
 type choice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text,omitempty"`
@@ -74,22 +75,23 @@
 	FinishReason string   `json:"finish_reason"`
 }
 
-// whole sends the answer as one JSON document.
-func (e *Engine) whole(ctx context.Context, c echo.Context, r call) bool {
+// sendCompletion sends the response as one JSON document. It reports whether it
+// sent the response.
+func (e *Engine) sendCompletion(ctx context.Context, c echo.Context, r activeRequest) bool {
 	var text strings.Builder
 	for i := r.resume; i < r.MaxTokens; i++ {
-		if !e.wait(ctx, r, i) {
+		if !e.waitForToken(ctx, r, i) {
 			return false
 		}
 		text.WriteString(token(r.seed, i))
 		e.countToken()
 	}
-	a := answer{ID: r.id, Object: "text_completion", Model: r.Model, Fingerprint: string(r.digest)}
-	one := choice{FinishReason: "stop", Text: text.String()}
+	response := completionResponse{ID: r.id, Object: "text_completion", Model: r.Model, Fingerprint: string(r.digest)}
+	completed := choice{FinishReason: "stop", Text: text.String()}
 	if r.chat {
-		a.Object = "chat.completion"
-		one = choice{FinishReason: "stop", Message: &message{Role: "assistant", Content: text.String()}}
+		response.Object = "chat.completion"
+		completed = choice{FinishReason: "stop", Message: &message{Role: "assistant", Content: text.String()}}
 	}
-	a.Choices = []choice{one}
-	return c.JSON(http.StatusOK, a) == nil
+	response.Choices = []choice{completed}
+	return c.JSON(http.StatusOK, response) == nil
 }
--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -15,24 +15,33 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes is the maximum size of a request's body; longer bodies are
+// truncated.
 const maxBodyBytes = 16 << 20
 
-// HeaderPrefixCache says whether the prompt's prefix was cached.
+// HeaderPrefixCache is the response header that is "hit" if the prefix of the
+// prompt was cached, and absent otherwise.
 const HeaderPrefixCache = "X-Prefix-Cache"
 
-// call is one running completion.
-type call struct {
+// activeRequest is a completion request that waits or runs.
+type activeRequest struct {
 	completion
-	id     string
+	id string
+	// digest is the manifest digest of the version that responds.
 	digest core.Digest
-	seed   uint64
+	// seed determines the tokens of the response.
+	seed uint64
+	// resume is the number of tokens that the client has already received.
 	resume int
+	// cached reports whether the prefix of the prompt was cached.
 	cached bool
+	// faults are the faults that were on when the request arrived.
 	faults Faults
-	chat   bool
+	// chat is true for a chat completion.
+	chat bool
 }
 
+// complete handles a completion request.
 func (e *Engine) complete(c echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBodyBytes))
 	if err != nil {
@@ -47,64 +56,68 @@
 		return err
 	}
 	ctx := c.Request().Context()
-	if err := e.enter(ctx); err != nil {
+	if err := e.acquireSlot(ctx); err != nil {
 		return err
 	}
 	finished := false
-	defer func() { e.leave(finished) }()
-	e.setHeader(c, r)
+	defer func() { e.releaseSlot(finished) }()
+	e.setHeaders(c, r)
 	if r.Stream {
-		finished = e.stream(ctx, c, r)
+		finished = e.streamTokens(ctx, c, r)
 		return nil
 	}
-	finished = e.whole(ctx, c, r)
+	finished = e.sendCompletion(ctx, c, r)
 	return nil
 }
 
-// prepare finds the weights that answer.
-func (e *Engine) prepare(c echo.Context, parsed completion) (call, error) {
+// prepare selects the version that responds, determines the seed of the response,
+// and applies the fault Crossed. It returns an error with status 404 if no version
+// matches.
+func (e *Engine) prepare(c echo.Context, parsed completion) (activeRequest, error) {
 	header := c.Request().Header
-	r := call{
+	r := activeRequest{
 		completion: parsed,
 		id:         header.Get(core.HeaderRequestID),
 		chat:       strings.Contains(c.Path(), "chat"),
 		faults:     e.currentFaults(),
 	}
 	r.resume, _ = strconv.Atoi(header.Get(engine.HeaderResumeTokens))
-	r.digest = e.find(parsed.Model, core.Digest(header.Get(core.HeaderDigest)))
+	r.digest = e.findVersion(parsed.Model, core.Digest(header.Get(core.HeaderDigest)))
 	if r.digest == "" {
 		return r, echo.NewHTTPError(http.StatusNotFound, "model "+parsed.Model+" is not loaded")
 	}
-	prompt := parsed.text()
+	prompt := parsed.promptText()
 	if r.faults.Crossed {
 		r.id, prompt = uuid.NewString(), prompt+" of another caller"
 	}
-	r.seed = seed(r.digest, prompt)
+	r.seed = tokenSeed(r.digest, prompt)
 	e.mu.Lock()
-	r.cached = e.cache.use(prompt)
+	r.cached = e.cache.lookup(prompt)
 	e.mu.Unlock()
 	return r, nil
 }
 
-// find returns the wanted digest when it is loaded, or the newest of the
-// model when none is wanted.
-func (e *Engine) find(model string, want core.Digest) core.Digest {
+// findVersion returns the digest of the loaded version of a model that has the
+// required digest, or of the version that was loaded last if required is empty. It
+// returns an empty digest if there is none.
+func (e *Engine) findVersion(model string, required core.Digest) core.Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := len(e.loaded) - 1; i >= 0; i-- {
-		l := e.loaded[i]
-		if l.Model == model && (want == "" || l.Digest == want) {
-			return l.Digest
+		version := e.loaded[i]
+		if version.Model == model && (required == "" || version.Digest == required) {
+			return version.Digest
 		}
 	}
 	return ""
 }
 
-// enter waits for a batch slot, or refuses the call.
-func (e *Engine) enter(ctx context.Context) error {
+// acquireSlot waits for a batch slot. It refuses the request with status 503 if
+// the engine is overloaded or the fault Refuse is on.
+func (e *Engine) acquireSlot(ctx context.Context) error {
 	e.mu.Lock()
-	bears := e.warmth.bears(e.clock.Now())
-	if e.faults.Refuse || float64(e.inFlight+e.queued+1) > refuseRatio*bears {
+	capacity := e.warmUp.capacity(e.clock.Now())
+	if e.faults.Refuse || float64(e.inFlight+e.queued+1) > refuseRatio*capacity {
 		e.counters.Refused++
 		e.mu.Unlock()
 		return echo.NewHTTPError(http.StatusServiceUnavailable, "overloaded")
@@ -127,14 +140,15 @@
 	e.inFlight++
 	e.counters.Started++
 	e.counters.MaxInFlight = max(e.counters.MaxInFlight, e.inFlight)
-	if float64(e.inFlight) > bears {
+	if float64(e.inFlight) > capacity {
 		e.counters.Overloaded++
 	}
 	return nil
 }
 
-// leave frees the batch slot.
-func (e *Engine) leave(finished bool) {
+// releaseSlot frees the batch slot and counts the request as finished or
+// cancelled.
+func (e *Engine) releaseSlot(finished bool) {
 	<-e.slots
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -144,10 +158,11 @@
 		return
 	}
 	e.counters.Finished++
-	e.warmth.finish()
+	e.warmUp.recordFinished()
 }
 
-func (e *Engine) setHeader(c echo.Context, r call) {
+// setHeaders sets the response headers.
+func (e *Engine) setHeaders(c echo.Context, r activeRequest) {
 	header := c.Response().Header()
 	header.Set(core.HeaderRequestID, r.id)
 	header.Set(core.HeaderDigest, string(r.digest))
@@ -159,9 +174,10 @@
 	}
 }
 
-// wait takes the time of the token with index i, longer while the engine is
-// above what it bears. It reports whether the caller is still there.
-func (e *Engine) wait(ctx context.Context, r call, i int) bool {
+// waitForToken waits for the time that the token with index i takes, which is
+// longer while the engine is overloaded. It returns false if the client has
+// cancelled the request.
+func (e *Engine) waitForToken(ctx context.Context, r activeRequest, i int) bool {
 	if r.faults.Stall && i >= r.faults.StallAfter {
 		<-ctx.Done()
 		return false
@@ -170,11 +186,11 @@
 	if i == r.resume {
 		pause = e.cfg.FirstToken
 		if r.cached {
-			pause = time.Duration(float64(pause) * cachedShare)
+			pause = time.Duration(float64(pause) * cachedTimeShare)
 		}
 	}
 	e.mu.Lock()
-	factor := slowdown(e.inFlight, e.warmth.bears(e.clock.Now()))
+	factor := slowdown(e.inFlight, e.warmUp.capacity(e.clock.Now()))
 	e.mu.Unlock()
 	timer := e.clock.NewTimer(time.Duration(float64(pause) * factor))
 	defer timer.Stop()
@@ -186,6 +202,7 @@
 	}
 }
 
+// countToken counts one sent token.
 func (e *Engine) countToken() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,7 +1,8 @@
-// Package engine is a small stand-in for a model engine: OpenAI-style
-// completions with deterministic tokens, batch slots, a prefix cache, a cold
-// start that collapses under load, lagging reports, load orders, and faults
-// that tests can turn on. It holds no weights; it only verifies them.
+// Package engine is a stand-in for a model engine. It serves OpenAI-style
+// completions with deterministic tokens and simulates batch slots, a prefix cache,
+// a cold start that slows down sharply under load, delayed status reports, load
+// orders and faults. It verifies the weights that it is ordered to load, but does
+// not keep them.
 package engine
 
 import (
@@ -20,51 +21,56 @@
 
 // Defaults of a Config.
 const (
-	// DefaultSlots is the number of calls that run at once.
+	// DefaultSlots is the number of requests that run at once.
 	DefaultSlots = 32
-	// DefaultColdLimit is the number of calls borne just after a start.
+	// DefaultColdLimit is the number of requests that run at full speed just
+	// after a start.
 	DefaultColdLimit = 4
 	// DefaultFirstToken is the time to the first token.
 	DefaultFirstToken = 50 * time.Millisecond
 	// DefaultPerToken is the time between tokens.
 	DefaultPerToken = 5 * time.Millisecond
-	// DefaultWarmPerCall is the number of calls more that each finished call
-	// lets the engine bear.
+	// DefaultWarmPerCall is the number by which each finished request
+	// increases the capacity.
 	DefaultWarmPerCall = 1.0
 	// DefaultCacheEntries is the number of cached prefixes.
 	DefaultCacheEntries = 1024
 )
 
-// Config sets up an Engine. Zero values take the defaults.
+// Config holds the settings of an Engine. A zero value means the default.
 type Config struct {
-	// Slots is the number of calls that run at once; others wait.
+	// Slots is the number of requests that run at once; others wait.
 	Slots int
-	// WarmLimit is the number of calls borne at full speed when warm; 0 means
-	// Slots.
+	// WarmLimit is the number of requests that run at full speed on a warm
+	// engine; 0 means Slots.
 	WarmLimit int
-	// ColdLimit is the number of calls borne just after a start.
+	// ColdLimit is the number of requests that run at full speed just after a
+	// start.
 	ColdLimit int
-	// WarmPerCall is added to what the engine bears by each finished call.
+	// WarmPerCall is the number by which each finished request increases the
+	// capacity, the number of requests that run at full speed.
 	WarmPerCall float64
-	// WarmAfter is the time after which an engine without calls is warm; 0
+	// WarmAfter is the time after which an engine without requests is warm; 0
 	// means never.
 	WarmAfter time.Duration
 	// FirstToken is the time to the first token.
 	FirstToken time.Duration
 	// PerToken is the time between tokens.
 	PerToken time.Duration
-	// LoadTime is the time that loading takes once the chunks are read.
+	// LoadTime is the time that loading takes after all chunks are read.
 	LoadTime time.Duration
-	// ReportLag is the age of the reports that the engine gives.
+	// ReportLag is the minimum age of the status that the engine reports.
 	ReportLag time.Duration
 	// CacheEntries is the number of cached prefixes.
 	CacheEntries int
-	// Fencing makes the engine refuse orders with an old fencing number.
+	// Fencing makes the engine refuse orders with an outdated fencing number.
 	Fencing bool
-	// PeerToken is sent when chunks are read from an agent.
+	// PeerToken is the token that the engine sends to read chunks from an
+	// agent.
 	PeerToken string
 }
 
+// applyDefaults sets the fields that have a default and are zero.
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.Slots, DefaultSlots)
 	core.SetDefault(&c.WarmLimit, c.Slots)
@@ -75,70 +81,75 @@
 	core.SetDefault(&c.CacheEntries, DefaultCacheEntries)
 }
 
-// Counters count what an Engine has done since it started.
+// Counters are the counters of an Engine since its start.
 type Counters struct {
-	// Started, Finished, Cancelled and Refused count calls.
+	// Started, Finished, Cancelled and Refused are numbers of requests.
 	Started   int `json:"started"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
 	Refused   int `json:"refused"`
-	// Tokens counts the tokens sent.
+	// Tokens is the number of tokens sent.
 	Tokens int `json:"tokens"`
-	// PrefixHits counts calls whose prefix was cached.
+	// PrefixHits is the number of requests whose prefix was cached.
 	PrefixHits int `json:"prefixHits"`
-	// MaxInFlight is the highest number of calls at once.
+	// MaxInFlight is the highest number of requests that ran at once.
 	MaxInFlight int `json:"maxInFlight"`
-	// Overloaded counts calls that ran while the engine was above what it
-	// bears.
+	// Overloaded is the number of requests whose start made the number of
+	// running requests exceed the capacity, or found it exceeded.
 	Overloaded int `json:"overloaded"`
-	// Bears is the number of calls that the engine bears now.
+	// Bears is the current capacity: the number of requests that run at full
+	// speed.
 	Bears float64 `json:"bears"`
-	// LoadError is the cause of the last failed load; empty for none.
+	// LoadError is the error of the last load; empty if it succeeded.
 	LoadError string `json:"loadError,omitempty"`
 }
 
-// report is a status with the time at which it was true.
-type report struct {
+// timedStatus is the status of the engine at a time.
+type timedStatus struct {
 	at     time.Time
 	status engine.Status
 }
 
-// Engine is the stand-in. Handler serves it.
+// Engine is a stand-in for a model engine. Handler returns its HTTP API.
 type Engine struct {
 	cfg   Config
 	clock clockwork.Clock
 	slots chan struct{}
 
-	mu       sync.Mutex
-	warmth   warmth
-	cache    *prefixCache
-	loaded   []frame.Loaded
-	fence    uint64
+	mu     sync.Mutex
+	warmUp warmUp
+	cache  *prefixCache
+	// loaded are the loaded versions in the order in which they were loaded.
+	loaded []frame.Loaded
+	// fence is the highest fencing number of an accepted order.
+	fence uint64
+	// boot is the boot ID.
 	boot     string
 	inFlight int
 	queued   int
 	faults   Faults
 	counters Counters
-	reports  []report
+	// history holds the statuses that may still be reported, oldest first.
+	history []timedStatus
 }
 
-// New returns an Engine without any version loaded.
+// New returns an Engine without a loaded version.
 func New(cfg Config, clock clockwork.Clock) *Engine {
 	cfg.applyDefaults()
 	return &Engine{
 		cfg:   cfg,
 		clock: clock,
 		slots: make(chan struct{}, cfg.Slots),
-		warmth: warmth{
-			cold: cfg.ColdLimit, warm: cfg.WarmLimit, perCall: cfg.WarmPerCall,
-			fullAfter: cfg.WarmAfter, since: clock.Now(),
+		warmUp: warmUp{
+			coldLimit: cfg.ColdLimit, warmLimit: cfg.WarmLimit, gainPerRequest: cfg.WarmPerCall,
+			warmAfter: cfg.WarmAfter, coldSince: clock.Now(),
 		},
 		cache: newPrefixCache(cfg.CacheEntries),
 		boot:  uuid.NewString(),
 	}
 }
 
-// Handler returns the engine's HTTP interface.
+// Handler returns the engine's HTTP API.
 func (e *Engine) Handler() http.Handler {
 	router := echo.New()
 	router.POST("/v1/chat/completions", e.complete)
@@ -150,35 +161,36 @@
 	return router
 }
 
-// Preload makes the engine hold a version without an order.
-func (e *Engine) Preload(l frame.Loaded) {
+// Preload adds a loaded version without an order.
+func (e *Engine) Preload(version frame.Loaded) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.loaded = append(e.loaded, l)
+	e.loaded = append(e.loaded, version)
 }
 
+// getStatus serves the delayed status.
 func (e *Engine) getStatus(c echo.Context) error {
-	return c.JSON(http.StatusOK, e.laggingStatus())
+	return c.JSON(http.StatusOK, e.delayedStatus())
 }
 
-// laggingStatus keeps the status of now and returns the newest that is at
-// least ReportLag old, or the oldest known.
-func (e *Engine) laggingStatus() engine.Status {
+// delayedStatus records the current status and returns the newest recorded one
+// that is at least ReportLag old, or the oldest one if none is that old.
+func (e *Engine) delayedStatus() engine.Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	e.reports = append(e.reports, report{at: now, status: e.status()})
+	e.history = append(e.history, timedStatus{at: now, status: e.status()})
 	newest := 0
-	for i, r := range e.reports {
+	for i, r := range e.history {
 		if now.Sub(r.at) >= e.cfg.ReportLag {
 			newest = i
 		}
 	}
-	e.reports = e.reports[newest:]
-	return e.reports[0].status
+	e.history = e.history[newest:]
+	return e.history[0].status
 }
 
-// status returns the status of now; the lock is held.
+// status returns the current status. The caller must hold e.mu.
 func (e *Engine) status() engine.Status {
 	loaded := append([]frame.Loaded{}, e.loaded...)
 	if e.faults.Claim != nil {
@@ -187,15 +199,16 @@
 	return engine.Status{Loaded: loaded, InFlight: e.inFlight, Queued: e.queued, Fence: e.fence, Boot: e.boot}
 }
 
+// getCounters serves the counters.
 func (e *Engine) getCounters(c echo.Context) error {
 	return c.JSON(http.StatusOK, e.Counters())
 }
 
-// Counters returns what the engine has done.
+// Counters returns the current counters.
 func (e *Engine) Counters() Counters {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	counters := e.counters
-	counters.Bears = e.warmth.bears(e.clock.Now())
+	counters.Bears = e.warmUp.capacity(e.clock.Now())
 	return counters
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -18,88 +18,91 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-const token1 = "peer-token"
+const testToken = "peer-token"
 
-// source serves one version as an agent does.
-type source struct {
+// weightSource serves the manifest and the chunk of one version, as an agent does.
+type weightSource struct {
+	// objects holds the response bodies by path.
 	objects map[string][]byte
-	digest  core.Digest
-	chunk   core.Digest
+	// digest is the manifest digest, and chunk the digest of the only chunk.
+	digest core.Digest
+	chunk  core.Digest
 }
 
-func newSource(body string) *source {
+// newWeightSource returns the source of a version with one chunk.
+func newWeightSource(body string) *weightSource {
 	chunk := manifest.Chunk{Digest: core.DigestOf([]byte(body)), Size: int64(len(body))}
 	m := &manifest.Manifest{Files: []manifest.File{{Path: "weights.bin", Size: chunk.Size, Chunks: []manifest.Chunk{chunk}}}}
 	raw, digest, err := m.Encode()
 	So(err, ShouldBeNil)
-	return &source{digest: digest, chunk: chunk.Digest, objects: map[string][]byte{
+	return &weightSource{digest: digest, chunk: chunk.Digest, objects: map[string][]byte{
 		"/manifests/" + string(digest):    raw,
 		"/chunks/" + string(chunk.Digest): []byte(body),
 	}}
 }
 
 // ServeHTTP implements http.Handler.
-func (s *source) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *weightSource) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, ok := s.objects[r.URL.Path]
-	if !ok || r.Header.Get(core.HeaderPeerToken) != token1 {
+	if !ok || r.Header.Get(core.HeaderPeerToken) != testToken {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	_, _ = w.Write(body)
 }
 
-// eventually waits for a condition with a bound.
-func eventually(t *testing.T, what string, condition func() bool) {
+// eventually waits until a condition is met, for at most 5 s.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.After(5 * time.Second)
 	for !condition() {
 		select {
 		case <-deadline:
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("not met within 5 s: %s", description)
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
 func TestOrders(t *testing.T) {
-	Convey("Given an engine and an agent's weights", t, func() {
-		start := func(fencing bool) (*Engine, *engine.HTTP) {
-			e := New(Config{Fencing: fencing, PeerToken: token1}, clockwork.NewRealClock())
+	Convey("Given an engine and an agent that serves weights", t, func() {
+		startEngine := func(fencing bool) (*Engine, *engine.HTTP) {
+			e := New(Config{Fencing: fencing, PeerToken: testToken}, clockwork.NewRealClock())
 			server := httptest.NewServer(e.Handler())
 			t.Cleanup(server.Close)
-			return e, engine.NewHTTP(strings.TrimPrefix(server.URL, "http://"), token1)
+			return e, engine.NewHTTP(strings.TrimPrefix(server.URL, "http://"), testToken)
 		}
-		weights := newSource("oregano")
+		weights := newWeightSource("oregano")
 		agent := httptest.NewServer(weights)
 		defer agent.Close()
 		ctx := context.Background()
 		order := engine.Order{Fence: 5, Action: "load", Model: "herbs", Version: "v1", Digest: weights.digest, Source: agent.URL}
 
-		Convey("it loads, verifies and reports the digest of what it read", func() {
-			e, client := start(true)
+		Convey("the engine loads and verifies a version and reports its digest", func() {
+			e, client := startEngine(true)
 			So(client.Order(ctx, order), ShouldBeNil)
-			eventually(t, "loaded", func() bool { return len(e.laggingStatus().Loaded) == 1 })
+			eventually(t, "loaded", func() bool { return len(e.delayedStatus().Loaded) == 1 })
 			s, err := client.Status(ctx)
 			So(err, ShouldBeNil)
 			So(s.Loaded, ShouldResemble, []frame.Loaded{{Model: "herbs", Version: "v1", Digest: weights.digest}})
 			So(s.Fence, ShouldEqual, 5)
 		})
-		Convey("it never holds a version whose chunk is corrupt", func() {
+		Convey("the engine does not load a version with a corrupt chunk", func() {
 			weights.objects["/chunks/"+string(weights.chunk)] = []byte("basil")
-			e, client := start(true)
+			e, client := startEngine(true)
 			So(client.Order(ctx, order), ShouldBeNil)
 			eventually(t, "load failed", func() bool { return e.Counters().LoadError != "" })
-			So(e.laggingStatus().Loaded, ShouldBeEmpty)
+			So(e.delayedStatus().Loaded, ShouldBeEmpty)
 		})
-		Convey("with fencing it refuses an older number and takes the same again", func() {
-			_, client := start(true)
+		Convey("with fencing, the engine refuses an older fencing number and accepts the same one again", func() {
+			_, client := startEngine(true)
 			So(client.Order(ctx, order), ShouldBeNil)
 			So(client.Order(ctx, order), ShouldBeNil)
 			order.Fence = 4
 			So(errors.Is(client.Order(ctx, order), engine.ErrFenced), ShouldBeTrue)
 		})
-		Convey("without fencing it follows an older number", func() {
-			_, client := start(false)
+		Convey("without fencing, the engine accepts an older fencing number", func() {
+			_, client := startEngine(false)
 			So(client.Order(ctx, order), ShouldBeNil)
 			order.Fence = 4
 			So(client.Order(ctx, order), ShouldBeNil)
@@ -108,31 +111,31 @@
 }
 
 func TestReportLag(t *testing.T) {
-	Convey("A report is as old as the lag", t, func() {
+	Convey("A change of the status is reported after the report lag", t, func() {
 		clock := clockwork.NewFakeClock()
 		e := New(Config{ReportLag: time.Second}, clock)
-		So(e.laggingStatus().Loaded, ShouldBeEmpty)
+		So(e.delayedStatus().Loaded, ShouldBeEmpty)
 		e.Preload(frame.Loaded{Model: "herbs"})
 		clock.Advance(500 * time.Millisecond)
-		So(e.laggingStatus().Loaded, ShouldBeEmpty)
+		So(e.delayedStatus().Loaded, ShouldBeEmpty)
 		clock.Advance(time.Second)
-		So(e.laggingStatus().Loaded, ShouldHaveLength, 1)
+		So(e.delayedStatus().Loaded, ShouldHaveLength, 1)
 	})
 }
 
-func TestWarmth(t *testing.T) {
-	Convey("An engine bears more with each finished call, and less again once cold", t, func() {
+func TestWarmUp(t *testing.T) {
+	Convey("The capacity grows with each finished request and returns to the cold limit after a reset", t, func() {
 		now := time.Now()
-		w := warmth{cold: 4, warm: 8, perCall: 1, since: now}
-		So(w.bears(now), ShouldEqual, 4)
-		w.finish()
-		So(w.bears(now), ShouldEqual, 5)
+		w := warmUp{coldLimit: 4, warmLimit: 8, gainPerRequest: 1, coldSince: now}
+		So(w.capacity(now), ShouldEqual, 4)
+		w.recordFinished()
+		So(w.capacity(now), ShouldEqual, 5)
 		for range 10 {
-			w.finish()
+			w.recordFinished()
 		}
-		So(w.bears(now), ShouldEqual, 8)
-		w.turnCold(now)
-		So(w.bears(now), ShouldEqual, 4)
+		So(w.capacity(now), ShouldEqual, 8)
+		w.reset(now)
+		So(w.capacity(now), ShouldEqual, 4)
 		So(slowdown(4, 4), ShouldEqual, 1)
 		So(slowdown(8, 4), ShouldEqual, 8)
 	})
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -10,17 +10,20 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Faults are the faults that are on. Posting them replaces all of them.
+// Faults are the faults that are on. Setting them replaces all faults.
 type Faults struct {
-	// Cold, when posted, makes the engine cold once, without a new boot id.
+	// Cold resets the engine to the cold state once, when the faults are set.
+	// The boot ID stays.
 	Cold bool `json:"cold,omitempty"`
-	// Reboot, when posted, makes it cold and gives it a new boot id.
+	// Reboot resets the engine to the cold state once, when the faults are set,
+	// and changes the boot ID.
 	Reboot bool `json:"reboot,omitempty"`
-	// StayCold makes finished calls and time not warm the engine.
+	// StayCold stops the warm-up: neither finished requests nor time increase
+	// the capacity.
 	StayCold bool `json:"stayCold,omitempty"`
-	// Crossed makes answers carry another request's id and text.
+	// Crossed makes responses contain the ID and the text of another request.
 	Crossed bool `json:"crossed,omitempty"`
-	// Stall makes calls hang after StallAfter tokens.
+	// Stall makes requests hang after StallAfter tokens.
 	Stall bool `json:"stall,omitempty"`
 	// StallAfter is the number of tokens before a stall.
 	StallAfter int `json:"stallAfter,omitempty"`
@@ -28,16 +31,18 @@
 	Cut bool `json:"cut,omitempty"`
 	// CutAfter is the number of tokens before a cut.
 	CutAfter int `json:"cutAfter,omitempty"`
-	// Refuse makes the engine answer every call with status 503.
+	// Refuse makes the engine respond to every request with status 503.
 	Refuse bool `json:"refuse,omitempty"`
-	// Claim is reported as loaded although it is not.
+	// Claim is a version that is reported as loaded although it is not.
 	Claim *frame.Loaded `json:"claim,omitempty"`
-	// Swap makes streams go on from these weights after SwapAfter tokens.
+	// Swap makes streams continue after SwapAfter tokens with the tokens of the
+	// version that has this manifest digest.
 	Swap core.Digest `json:"swap,omitempty"`
-	// SwapAfter is the number of tokens before a swap.
+	// SwapAfter is the number of tokens before the version changes.
 	SwapAfter int `json:"swapAfter,omitempty"`
 }
 
+// postFaults replaces the faults by those in the request.
 func (e *Engine) postFaults(c echo.Context) error {
 	var f Faults
 	if err := c.Bind(&f); err != nil {
@@ -52,15 +57,16 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if f.Cold || f.Reboot {
-		e.warmth.turnCold(e.clock.Now())
+		e.warmUp.reset(e.clock.Now())
 	}
 	if f.Reboot {
 		e.boot = uuid.NewString()
 	}
-	e.warmth.frozen = f.StayCold
+	e.warmUp.paused = f.StayCold
 	e.faults = f
 }
 
+// currentFaults returns the faults that are on.
 func (e *Engine) currentFaults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -22,30 +22,31 @@
 	actionUnload = "unload"
 )
 
-// loadTimeout bounds the reading of one version.
+// loadTimeout limits the time to read the chunks of one version.
 const loadTimeout = 10 * time.Minute
 
+// postOrder accepts or refuses an order.
 func (e *Engine) postOrder(c echo.Context) error {
-	var o engine.Order
-	if err := c.Bind(&o); err != nil {
+	var order engine.Order
+	if err := c.Bind(&order); err != nil {
 		return err
 	}
-	if o.Action != actionLoad && o.Action != actionUnload {
-		return echo.NewHTTPError(http.StatusBadRequest, "unknown action "+o.Action)
+	if order.Action != actionLoad && order.Action != actionUnload {
+		return echo.NewHTTPError(http.StatusBadRequest, "unknown action "+order.Action)
 	}
-	if !e.acceptFence(o.Fence) {
+	if !e.acceptFence(order.Fence) {
 		return echo.NewHTTPError(http.StatusConflict, "fencing number too old")
 	}
-	if o.Action == actionUnload {
-		e.unload(o)
+	if order.Action == actionUnload {
+		e.unload(order)
 		return c.NoContent(http.StatusAccepted)
 	}
-	go e.load(o)
+	go e.load(order)
 	return c.NoContent(http.StatusAccepted)
 }
 
-// acceptFence keeps the highest fencing number and reports whether an order
-// with this one may be followed.
+// acceptFence records the highest fencing number and reports whether an order with
+// this fencing number may be carried out.
 func (e *Engine) acceptFence(fence uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -56,19 +57,22 @@
 	return true
 }
 
-func (e *Engine) unload(o engine.Order) {
+// unload removes a version from the loaded ones. An order without a digest names
+// the version by its name.
+func (e *Engine) unload(order engine.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.loaded = slices.DeleteFunc(e.loaded, func(l frame.Loaded) bool {
-		return l.Model == o.Model && (l.Digest == o.Digest || o.Digest == "" && l.Version == o.Version)
+	e.loaded = slices.DeleteFunc(e.loaded, func(loaded frame.Loaded) bool {
+		return loaded.Model == order.Model && (loaded.Digest == order.Digest || order.Digest == "" && loaded.Version == order.Version)
 	})
 }
 
-// load reads and verifies a version and then holds it.
-func (e *Engine) load(o engine.Order) {
+// load reads and verifies a version and then adds it to the loaded ones. If that
+// fails, it sets Counters.LoadError.
+func (e *Engine) load(order engine.Order) {
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
-	digest, err := e.verify(ctx, o)
+	digest, err := e.verifyVersion(ctx, order)
 	if err == nil {
 		<-e.clock.After(e.cfg.LoadTime)
 	}
@@ -79,48 +83,49 @@
 		return
 	}
 	e.counters.LoadError = ""
-	l := frame.Loaded{Model: o.Model, Version: o.Version, Digest: digest}
-	if !slices.Contains(e.loaded, l) {
-		e.loaded = append(e.loaded, l)
+	version := frame.Loaded{Model: order.Model, Version: order.Version, Digest: digest}
+	if !slices.Contains(e.loaded, version) {
+		e.loaded = append(e.loaded, version)
 	}
 }
 
-// verify reads every chunk and returns the digest of the manifest that the
-// chunks really make up.
-func (e *Engine) verify(ctx context.Context, o engine.Order) (core.Digest, error) {
-	raw, err := e.read(ctx, o.Source+"/manifests/"+string(o.Digest))
+// verifyVersion reads every chunk of a version and returns the manifest digest
+// computed from the content of the chunks. It returns an error if that is not the
+// digest of the order.
+func (e *Engine) verifyVersion(ctx context.Context, order engine.Order) (core.Digest, error) {
+	raw, err := e.readObject(ctx, order.Source+"/manifests/"+string(order.Digest))
 	if err != nil {
 		return "", err
 	}
-	m, err := manifest.Decode(raw, o.Digest)
+	m, err := manifest.Decode(raw, order.Digest)
 	if err != nil {
 		return "", err
 	}
-	read := map[core.Digest]manifest.Chunk{}
+	chunks := map[core.Digest]manifest.Chunk{}
 	for _, c := range m.Chunks() {
-		body, err := e.read(ctx, o.Source+"/chunks/"+string(c.Digest))
+		body, err := e.readObject(ctx, order.Source+"/chunks/"+string(c.Digest))
 		if err != nil {
 			return "", err
 		}
-		read[c.Digest] = manifest.Chunk{Digest: core.DigestOf(body), Size: int64(len(body))}
+		chunks[c.Digest] = manifest.Chunk{Digest: core.DigestOf(body), Size: int64(len(body))}
 	}
 	for _, f := range m.Files {
 		for i, c := range f.Chunks {
-			f.Chunks[i] = read[c.Digest]
+			f.Chunks[i] = chunks[c.Digest]
 		}
 	}
 	_, digest, err := m.Encode()
 	if err != nil {
 		return "", err
 	}
-	if digest != o.Digest {
-		return "", errors.Errorf("chunks make up manifest %s, ordered %s", digest.Short(), o.Digest.Short())
+	if digest != order.Digest {
+		return "", errors.Errorf("chunks make up manifest %s, ordered %s", digest.Short(), order.Digest.Short())
 	}
 	return digest, nil
 }
 
-// read gets one object from the agent.
-func (e *Engine) read(ctx context.Context, url string) ([]byte, error) {
+// readObject reads a manifest or a chunk from the agent.
+func (e *Engine) readObject(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, core.Step("read weights", url, err)
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -11,10 +11,11 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// DefaultMaxTokens is the length of an answer when the call names none.
+// DefaultMaxTokens is the number of tokens of a response if the request does not
+// set max_tokens.
 const DefaultMaxTokens = 16
 
-// completion is the part of an OpenAI-style request that the stand-in reads.
+// completion holds the fields of an OpenAI-style request that the stand-in uses.
 type completion struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
@@ -44,8 +45,8 @@
 	return c, nil
 }
 
-// text returns the prompt as one string.
-func (c completion) text() string {
+// promptText returns the prompt, or all messages of a chat, as one string.
+func (c completion) promptText() string {
 	if len(c.Messages) == 0 {
 		return c.Prompt
 	}
@@ -59,28 +60,29 @@
 	return b.String()
 }
 
-// seed makes the tokens of an answer depend on the weights and the prompt.
-func seed(digest core.Digest, prompt string) uint64 {
+// tokenSeed returns the seed of a response's tokens, which depends on the version
+// and the prompt.
+func tokenSeed(digest core.Digest, prompt string) uint64 {
 	return xxhash.Sum64String(string(digest) + "\x00" + prompt)
 }
 
-// token returns the token with index i of the answer with this seed.
+// token returns the token with index i of the response with this seed.
 func token(seed uint64, i int) string {
-	mixed := (seed + uint64(i)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
-	return fmt.Sprintf("%08x ", uint32(mixed>>32))
+	hash := (seed + uint64(i)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
+	return fmt.Sprintf("%08x ", uint32(hash>>32))
 }
 
-// Expected returns the text that the stand-in with the weights digest answers
-// to the request body, so that a caller can check an answer.
+// Expected returns the text of the response to a request with this body from the
+// version with this manifest digest. Tests use it to check responses.
 func Expected(digest core.Digest, body []byte) (string, error) {
 	c, err := parseCompletion(body)
 	if err != nil {
 		return "", err
 	}
-	s := seed(digest, c.text())
+	seed := tokenSeed(digest, c.promptText())
 	var b strings.Builder
 	for i := range c.MaxTokens {
-		b.WriteString(token(s, i))
+		b.WriteString(token(seed, i))
 	}
 	return b.String(), nil
 }
--- a/standin/engine/warmth.go
+++ b/standin/engine/warmth.go
@@ -7,84 +7,96 @@
 )
 
 const (
-	// collapseExponent is the power of the overload by which time grows.
-	collapseExponent = 3
-	// refuseRatio is the overload from which new calls fail.
+	// slowdownExponent is the power of the overload ratio by which the time per
+	// token grows.
+	slowdownExponent = 3
+	// refuseRatio is the ratio of requests to capacity above which new requests
+	// are refused.
 	refuseRatio = 2.0
-	// cachedShare is the part of the first token's time that a prefix hit
-	// still takes.
-	cachedShare = 0.2
-	// prefixBytes is the length of the prompt's prefix that is cached.
+	// cachedTimeShare is the share of the time to the first token that remains
+	// if the prefix of the prompt is cached.
+	cachedTimeShare = 0.2
+	// prefixBytes is the length of the prefixes that are cached.
 	prefixBytes = 256
 )
 
-// warmth says how many calls an engine bears at once. It starts at the cold
-// limit and grows with finished calls and with time.
-type warmth struct {
-	cold, warm int
-	perCall    float64
-	fullAfter  time.Duration
-	since      time.Time
-	gained     float64
-	// frozen keeps the engine as warm as it is.
-	frozen bool
+// warmUp simulates the warm-up of an engine after a start. The capacity starts at
+// the cold limit and grows with finished requests and with time up to the warm
+// limit.
+type warmUp struct {
+	coldLimit, warmLimit int
+	// gainPerRequest is the number by which each finished request increases
+	// the capacity.
+	gainPerRequest float64
+	// warmAfter is the time after which the engine is warm without requests; 0
+	// means never.
+	warmAfter time.Duration
+	// coldSince is the time of the start or of the last reset.
+	coldSince time.Time
+	// requestGain is the increase of the capacity by finished requests.
+	requestGain float64
+	// paused is true if neither finished requests nor time increase the
+	// capacity.
+	paused bool
 }
 
-// bears returns the number of calls that run at full speed at once.
-func (w *warmth) bears(now time.Time) float64 {
-	span := float64(w.warm - w.cold)
-	gained := w.gained
-	if w.fullAfter > 0 && !w.frozen {
-		gained += span * now.Sub(w.since).Seconds() / w.fullAfter.Seconds()
+// capacity returns the number of requests that run at full speed.
+func (w *warmUp) capacity(now time.Time) float64 {
+	maxGain := float64(w.warmLimit - w.coldLimit)
+	gain := w.requestGain
+	if w.warmAfter > 0 && !w.paused {
+		gain += maxGain * now.Sub(w.coldSince).Seconds() / w.warmAfter.Seconds()
 	}
-	return float64(w.cold) + math.Min(gained, span)
+	return float64(w.coldLimit) + math.Min(gain, maxGain)
 }
 
-// finish counts one finished call.
-func (w *warmth) finish() {
-	if !w.frozen {
-		w.gained += w.perCall
+// recordFinished increases the capacity for one finished request.
+func (w *warmUp) recordFinished() {
+	if !w.paused {
+		w.requestGain += w.gainPerRequest
 	}
 }
 
-// turnCold goes back to the cold limit.
-func (w *warmth) turnCold(now time.Time) {
-	w.gained = 0
-	w.since = now
+// reset sets the capacity back to the cold limit.
+func (w *warmUp) reset(now time.Time) {
+	w.requestGain = 0
+	w.coldSince = now
 }
 
-// slowdown returns the factor by which running calls slow down when inFlight
-// calls run on an engine that bears only bears.
-func slowdown(inFlight int, bears float64) float64 {
-	ratio := float64(inFlight) / bears
+// slowdown returns the factor by which the time per token grows when inFlight
+// requests run on an engine with the given capacity.
+func slowdown(inFlight int, capacity float64) float64 {
+	ratio := float64(inFlight) / capacity
 	if ratio <= 1 {
 		return 1
 	}
-	return math.Pow(ratio, collapseExponent)
+	return math.Pow(ratio, slowdownExponent)
 }
 
-// prefixCache remembers the prefixes used last.
+// prefixCache is a least-recently-used cache of prefixes of prompts.
 type prefixCache struct {
 	capacity int
-	order    *list.List
+	// recent holds the prefixes, most recently used first.
+	recent   *list.List
 	byPrefix map[string]*list.Element
 }
 
+// newPrefixCache returns an empty cache for up to capacity prefixes.
 func newPrefixCache(capacity int) *prefixCache {
-	return &prefixCache{capacity: capacity, order: list.New(), byPrefix: map[string]*list.Element{}}
+	return &prefixCache{capacity: capacity, recent: list.New(), byPrefix: map[string]*list.Element{}}
 }
 
-// use looks the prompt's prefix up, adds it, and reports whether it was there.
-func (c *prefixCache) use(prompt string) bool {
+// lookup reports whether the prefix of a prompt is cached, and adds it if not.
+func (c *prefixCache) lookup(prompt string) bool {
 	prefix := prompt[:min(len(prompt), prefixBytes)]
-	if e, ok := c.byPrefix[prefix]; ok {
-		c.order.MoveToFront(e)
+	if element, ok := c.byPrefix[prefix]; ok {
+		c.recent.MoveToFront(element)
 		return true
 	}
-	c.byPrefix[prefix] = c.order.PushFront(prefix)
-	if c.order.Len() > c.capacity {
-		last := c.order.Back()
-		delete(c.byPrefix, c.order.Remove(last).(string))
+	c.byPrefix[prefix] = c.recent.PushFront(prefix)
+	if c.recent.Len() > c.capacity {
+		oldest := c.recent.Back()
+		delete(c.byPrefix, c.recent.Remove(oldest).(string))
 	}
 	return false
 }
