--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a small stand-in for a plain service, such as a registry
-// of lots or of bookings. It counts the executions of each call, so that a
-// test can show that a call that may not be repeated ran at most once.
+// Package service is a stand-in for a plain service, such as a registry of lots or
+// of bookings. It counts the executions of each request, so that a test can check
+// that a once-only request ran at most once. Faults can be set over HTTP.
 package service
 
 import (
@@ -17,55 +17,61 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes is the maximum size of a request's body; longer bodies are
+// truncated.
 const maxBodyBytes = 1 << 20
 
-// Config sets up a Service.
+// Config holds the settings of a Service.
 type Config struct {
 	// Name is the service's name, such as lots or bookings.
 	Name string
-	// Delay is the time that each call takes.
+	// Delay is the time that each request takes.
 	Delay time.Duration
 }
 
-// Faults are the faults that are on. Posting them replaces all of them.
+// Faults are the faults that are on. Setting them replaces all faults.
 type Faults struct {
-	// DelayMillis is added to the time of each call, in milliseconds.
+	// DelayMillis is a time in milliseconds that is added to Config.Delay.
 	DelayMillis int64 `json:"delayMillis,omitempty"`
-	// FailAfter makes calls execute and then answer with status 500.
+	// FailAfter makes the service execute requests and respond with status 500.
 	FailAfter bool `json:"failAfter,omitempty"`
-	// DropAfter makes calls execute and then close the connection.
+	// DropAfter makes the service execute requests and close the connection
+	// without a response.
 	DropAfter bool `json:"dropAfter,omitempty"`
-	// StallAfter makes calls execute and then never answer.
+	// StallAfter makes the service execute requests and never respond.
 	StallAfter bool `json:"stallAfter,omitempty"`
-	// Refuse makes the service answer with status 503 without executing.
+	// Refuse makes the service respond with status 503 without executing
+	// requests.
 	Refuse bool `json:"refuse,omitempty"`
 	// Unhealthy makes the health check fail.
 	Unhealthy bool `json:"unhealthy,omitempty"`
 }
 
-// Result is the answer to an executed call.
+// Result is the body of the response to an executed request.
 type Result struct {
 	// Service is the service's name.
 	Service string `json:"service"`
-	// ID identifies the call.
+	// ID identifies the request.
 	ID string `json:"id"`
-	// Method and Path are the call's.
+	// Method and Path are the request's method and path.
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	// Number counts the executions of the service, from 1.
+	// Number is the number of executions of all requests so far, including
+	// this one.
 	Number int `json:"number"`
 }
 
-// Service is the stand-in. Handler serves it.
+// Service is a stand-in for a plain service. Handler returns its HTTP API.
 type Service struct {
 	cfg   Config
 	clock clockwork.Clock
 
-	mu         sync.Mutex
-	faults     Faults
-	executions map[string]int
-	total      int
+	mu     sync.Mutex
+	faults Faults
+	// executions holds the number of executions by request ID, and
+	// totalExecutions their sum.
+	executions      map[string]int
+	totalExecutions int
 }
 
 // New returns a Service without executions.
@@ -73,17 +79,18 @@
 	return &Service{cfg: cfg, clock: clock, executions: map[string]int{}}
 }
 
-// Handler returns the service's HTTP interface. Every path but those of the
-// stand-in itself is a call.
+// Handler returns the service's HTTP API. A request to any path but those of the
+// health check, the counters and the faults is executed.
 func (s *Service) Handler() http.Handler {
 	router := echo.New()
 	router.GET(engine.HealthPath, s.getHealth)
 	router.GET("/service/counters", s.getCounters)
 	router.POST("/service/faults", s.postFaults)
-	router.Any("/*", s.call)
+	router.Any("/*", s.handleRequest)
 	return router
 }
 
+// getHealth serves the health check.
 func (s *Service) getHealth(c echo.Context) error {
 	if s.currentFaults().Unhealthy {
 		return c.NoContent(http.StatusServiceUnavailable)
@@ -91,11 +98,12 @@
 	return c.NoContent(http.StatusOK)
 }
 
+// getCounters serves the number of executions of each request.
 func (s *Service) getCounters(c echo.Context) error {
 	return c.JSON(http.StatusOK, s.Executions())
 }
 
-// Executions returns the number of executions per call.
+// Executions returns the number of executions of each request by its ID.
 func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,6 +114,7 @@
 	return counts
 }
 
+// postFaults replaces the faults by those in the request.
 func (s *Service) postFaults(c echo.Context) error {
 	var f Faults
 	if err := c.Bind(&f); err != nil {
@@ -122,13 +131,15 @@
 	s.faults = f
 }
 
+// currentFaults returns the faults that are on.
 func (s *Service) currentFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-func (s *Service) call(c echo.Context) error {
+// handleRequest executes a request and responds according to the faults.
+func (s *Service) handleRequest(c echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBodyBytes))
 	if err != nil {
 		return err
@@ -138,7 +149,7 @@
 		return echo.NewHTTPError(http.StatusServiceUnavailable, "refused")
 	}
 	r := c.Request()
-	result := s.execute(callID(r, body), r)
+	result := s.execute(requestKey(r, body), r)
 	s.clock.Sleep(s.cfg.Delay + time.Duration(f.DelayMillis)*time.Millisecond)
 	switch {
 	case f.FailAfter:
@@ -153,14 +164,15 @@
 	return c.JSON(http.StatusOK, result)
 }
 
-// callID identifies a call by its body's "id" field, else by its
-// Idempotency-Key, else by its request id.
-func callID(r *http.Request, body []byte) string {
-	var named struct {
+// requestKey returns the ID under which the executions of a request are counted:
+// the "id" field of its body, else its Idempotency-Key header, else its request
+// ID.
+func requestKey(r *http.Request, body []byte) string {
+	var identified struct {
 		ID string `json:"id"`
 	}
-	if json.Unmarshal(body, &named) == nil && named.ID != "" {
-		return named.ID
+	if json.Unmarshal(body, &identified) == nil && identified.ID != "" {
+		return identified.ID
 	}
 	if key := r.Header.Get(core.HeaderIdempotencyKey); key != "" {
 		return key
@@ -168,11 +180,11 @@
 	return r.Header.Get(core.HeaderRequestID)
 }
 
-// execute counts one execution.
+// execute counts one execution of a request and returns its result.
 func (s *Service) execute(id string, r *http.Request) Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.executions[id]++
-	s.total++
-	return Result{Service: s.cfg.Name, ID: id, Method: r.Method, Path: r.URL.Path, Number: s.total}
+	s.totalExecutions++
+	return Result{Service: s.cfg.Name, ID: id, Method: r.Method, Path: r.URL.Path, Number: s.totalExecutions}
 }
