--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -63,12 +63,13 @@
 // is active.
 func newFaults(weightBytesPerSecond int64) *faults {
 	f := &faults{weightLimiter: rate.NewLimiter(rate.Inf, maxWriteBytes)}
-	f.limitWeights(weightBytesPerSecond)
+	f.setWeightBandwidth(weightBytesPerSecond)
 	return f
 }
 
-// limitWeights sets the weight store's bandwidth; 0 or less means no limit.
-func (f *faults) limitWeights(bytesPerSecond int64) {
+// setWeightBandwidth sets the bandwidth of the weight store in bytes per second; 0
+// or less means no limit.
+func (f *faults) setWeightBandwidth(bytesPerSecond int64) {
 	limit := rate.Limit(bytesPerSecond)
 	if bytesPerSecond <= 0 {
 		limit = rate.Inf
@@ -76,8 +77,11 @@
 	f.weightLimiter.SetLimit(limit)
 }
 
-// waitWeights waits until the weight store's bandwidth allows n more bytes.
-func (f *faults) waitWeights(ctx context.Context, n int) error { return f.weightLimiter.WaitN(ctx, n) }
+// waitForWeightBandwidth waits until the bandwidth of the weight store allows n
+// more bytes.
+func (f *faults) waitForWeightBandwidth(ctx context.Context, n int) error {
+	return f.weightLimiter.WaitN(ctx, n)
+}
 
 // set applies the fields that are set in a request.
 func (f *faults) set(r FaultRequest) {
@@ -96,7 +100,7 @@
 		f.commitsToLose = *r.LoseCommitAnswers
 	}
 	if r.WeightBytesPerSecond != nil {
-		f.limitWeights(*r.WeightBytesPerSecond)
+		f.setWeightBandwidth(*r.WeightBytesPerSecond)
 	}
 	if r.Corrupt != nil {
 		f.corruption = *r.Corrupt
@@ -130,9 +134,9 @@
 	}
 }
 
-// loseResponse reports whether the response to this commit must be lost. If so,
-// it decrements the number of responses to lose.
-func (f *faults) loseResponse() bool {
+// shouldLoseResponse reports whether the response to this commit must be lost. If
+// so, it decrements the number of responses to lose.
+func (f *faults) shouldLoseResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.commitsToLose == 0 {
@@ -142,9 +146,9 @@
 	return true
 }
 
-// corruptResponse reports whether the response with this object must be corrupted.
-// If so, it decrements the number of responses to corrupt.
-func (f *faults) corruptResponse(store, name string) bool {
+// shouldCorruptResponse reports whether the response with this object must be
+// corrupted. If so, it decrements the number of responses to corrupt.
+func (f *faults) shouldCorruptResponse(store, name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := &f.corruption
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -70,12 +70,12 @@
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
 	}
-	if s.faults.corruptResponse(store, name) {
+	if s.faults.shouldCorruptResponse(store, name) {
 		body = withCorruptByte(body)
 	}
 	out := &meteredWriter{ResponseWriter: w, count: func(n int) { s.counters.add(store, "bytesOut", n) }}
 	if store == "weights" {
-		out.throttle = func(n int) error { return s.faults.waitWeights(r.Context(), n) }
+		out.throttle = func(n int) error { return s.faults.waitForWeightBandwidth(r.Context(), n) }
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	http.ServeContent(out, r, "", time.Time{}, bytes.NewReader(body))
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -184,8 +184,8 @@
 		healthy := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 		defer healthy.Close()
 		instance := core.Instance{ID: "e1", Role: core.RoleEntry, Addr: strings.TrimPrefix(healthy.URL, "http://")}
-		dead := core.Instance{ID: "e2", Role: core.RoleEntry, Addr: "127.0.0.1:1"}
-		s, _, p := startStandin(t, Config{Instances: []core.Instance{instance, dead}})
+		unreachable := core.Instance{ID: "e2", Role: core.RoleEntry, Addr: "127.0.0.1:1"}
+		s, _, p := startStandin(t, Config{Instances: []core.Instance{instance, unreachable}})
 		ctx := context.Background()
 
 		Convey("after the first health checks only the healthy instance is listed", func() {
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -46,7 +46,7 @@
 	core.SetDefault(&c.Lag, defaultLag)
 }
 
-// Server is the stand-in. It is an http.Handler.
+// Server is a stand-in for the platform. It implements http.Handler.
 type Server struct {
 	config    Config
 	clock     clockwork.Clock
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -17,8 +17,8 @@
 type table struct {
 	mu   sync.RWMutex
 	rows map[string]platform.Row
-	// deletedRevisions holds the last revisions of deleted rows by key, so that a row
-	// that is created again never reuses a revision.
+	// deletedRevisions holds the last revisions of deleted rows by key, so that
+	// a row that is created again never reuses a revision.
 	deletedRevisions map[string]uint64
 }
 
@@ -145,7 +145,7 @@
 		return
 	}
 	s.counters.add("table", "writes", len(req.Writes))
-	if s.faults.loseResponse() {
+	if s.faults.shouldLoseResponse() {
 		closeConnection()
 	}
 	w.WriteHeader(http.StatusNoContent)
