--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -25,7 +25,7 @@
 
 // activeRequest is a completion request that waits or runs.
 type activeRequest struct {
-	completion
+	completionRequest
 	id string
 	// digest is the manifest digest of the version that responds.
 	digest core.Digest
@@ -41,8 +41,8 @@
 	chat bool
 }
 
-// complete handles a completion request.
-func (e *Engine) complete(c echo.Context) error {
+// handleCompletion handles a completion request.
+func (e *Engine) handleCompletion(c echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBodyBytes))
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 	if err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
-	r, err := e.prepare(c, parsed)
+	r, err := e.prepareRequest(c, parsed)
 	if err != nil {
 		return err
 	}
@@ -70,16 +70,16 @@
 	return nil
 }
 
-// prepare selects the version that responds, determines the seed of the response,
-// and applies the fault Crossed. It returns an error with status 404 if no version
-// matches.
-func (e *Engine) prepare(c echo.Context, parsed completion) (activeRequest, error) {
+// prepareRequest selects the version that responds, determines the seed of the
+// response and applies the fault Crossed. It returns an error with status 404 if no
+// version matches.
+func (e *Engine) prepareRequest(c echo.Context, parsed completionRequest) (activeRequest, error) {
 	header := c.Request().Header
 	r := activeRequest{
-		completion: parsed,
-		id:         header.Get(core.HeaderRequestID),
-		chat:       strings.Contains(c.Path(), "chat"),
-		faults:     e.currentFaults(),
+		completionRequest: parsed,
+		id:                header.Get(core.HeaderRequestID),
+		chat:              strings.Contains(c.Path(), "chat"),
+		faults:            e.currentFaults(),
 	}
 	r.resume, _ = strconv.Atoi(header.Get(engine.HeaderResumeTokens))
 	r.digest = e.findVersion(parsed.Model, core.Digest(header.Get(core.HeaderDigest)))
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -152,8 +152,8 @@
 // Handler returns the engine's HTTP API.
 func (e *Engine) Handler() http.Handler {
 	router := echo.New()
-	router.POST("/v1/chat/completions", e.complete)
-	router.POST("/v1/completions", e.complete)
+	router.POST("/v1/chat/completions", e.handleCompletion)
+	router.POST("/v1/completions", e.handleCompletion)
 	router.GET(engine.StatusPath, e.getStatus)
 	router.POST(engine.OrdersPath, e.postOrder)
 	router.POST("/engine/faults", e.postFaults)
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -15,8 +15,9 @@
 // set max_tokens.
 const DefaultMaxTokens = 16
 
-// completion holds the fields of an OpenAI-style request that the stand-in uses.
-type completion struct {
+// completionRequest holds the fields of an OpenAI-style request that the stand-in
+// uses.
+type completionRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
 	Messages  []message `json:"messages"`
@@ -31,8 +32,8 @@
 }
 
 // parseCompletion decodes a request's body.
-func parseCompletion(body []byte) (completion, error) {
-	var c completion
+func parseCompletion(body []byte) (completionRequest, error) {
+	var c completionRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		return c, errors.Wrap(err, "request body")
 	}
@@ -46,7 +47,7 @@
 }
 
 // promptText returns the prompt, or all messages of a chat, as one string.
-func (c completion) promptText() string {
+func (c completionRequest) promptText() string {
 	if len(c.Messages) == 0 {
 		return c.Prompt
 	}
