--- a/test/ports/ports.go
+++ b/test/ports/ports.go
@@ -1,4 +1,5 @@
-// Package ports gives tests addresses for processes that they start later.
+// Package ports reserves loopback addresses for processes that tests start
+// later.
 package ports
 
 import (
@@ -10,42 +11,47 @@
 	"github.com/go-faster/errors"
 )
 
-// The ports lie below those that the system gives to outgoing connections, so
-// that no connection can take one before its process listens.
+// The range lies below the operating system's ephemeral ports, so that no
+// outgoing connection takes a port before a process listens on it.
 const (
-	lowest  = 12000
-	highest = 32000
-	// tries bounds the search for one port.
-	tries = 1000
+	// minPort is the lowest port of the range.
+	minPort = 12000
+	// portLimit is the first port above the range.
+	portLimit = 32000
+	// maxAttempts bounds the random ports that one call of Free tries.
+	maxAttempts = 1000
 )
 
 var (
 	mu sync.Mutex
-	// claims hold the UDP ports of the same numbers until this process ends,
-	// so that no other test process is given them.
-	claims []net.PacketConn
+	// reservations are UDP sockets on the ports that Free has returned. They
+	// stay open until this process ends, so that no other test process
+	// reserves the same ports.
+	reservations []net.PacketConn
 )
 
 // Free returns n different addresses ("127.0.0.1:port") on which nothing
-// listens. They stay claimed until the calling process ends.
+// listens. They stay reserved until the calling process ends. It returns an
+// error when it finds fewer than n.
 func Free(n int) ([]string, error) {
 	mu.Lock()
 	defer mu.Unlock()
 	var addrs []string
-	for range tries {
+	for range maxAttempts {
 		if len(addrs) == n {
 			return addrs, nil
 		}
-		addr := fmt.Sprintf("127.0.0.1:%d", lowest+rand.IntN(highest-lowest))
-		if claim(addr) {
+		addr := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(portLimit-minPort))
+		if reserve(addr) {
 			addrs = append(addrs, addr)
 		}
 	}
-	return nil, errors.Errorf("no %d free ports found", n)
+	return nil, errors.Errorf("fewer than %d free ports found", n)
 }
 
-// claim takes the UDP port of addr and checks that its TCP port is free.
-func claim(addr string) bool {
+// reserve binds the UDP port of addr and reports whether its TCP port is free
+// too.
+func reserve(addr string) bool {
 	udp, err := net.ListenPacket("udp4", addr)
 	if err != nil {
 		return false
@@ -56,6 +62,6 @@
 		return false
 	}
 	_ = tcp.Close()
-	claims = append(claims, udp)
+	reservations = append(reservations, udp)
 	return true
 }
