--- a/test/wait/wait.go
+++ b/test/wait/wait.go
@@ -1,22 +1,24 @@
-// Package wait lets tests wait for a condition with a bound.
+// Package wait polls conditions in tests until they hold or a timeout passes.
 package wait
 
 import "time"
 
 const (
-	// bound is the longest that a step of a test may take on a busy machine.
-	bound = 60 * time.Second
-	// step is the time between two looks.
-	step = 5 * time.Millisecond
+	// timeout is the longest that one step of a test may take, also on a busy
+	// machine.
+	timeout = 60 * time.Second
+	// pollInterval is the time between two checks of a condition.
+	pollInterval = 5 * time.Millisecond
 )
 
-// Until waits until a condition is met, and reports whether it was in time.
-func Until(met func() bool) bool {
-	for end := time.Now().Add(bound); time.Now().Before(end); {
-		if met() {
+// Until polls condition until it returns true, and reports whether it did so
+// before the timeout.
+func Until(condition func() bool) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); {
+		if condition() {
 			return true
 		}
-		<-time.After(step)
+		<-time.After(pollInterval)
 	}
 	return false
 }
