--- a/test/inprocess/cluster_test.go
+++ b/test/inprocess/cluster_test.go
@@ -29,29 +29,29 @@
 )
 
 const (
-	entries       = 4
-	perDataCentre = 3
-	engineLimit   = 48
-	engineCold    = 8
-	testModel     = "herbs"
-	testDigest    = core.Digest("sha256:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa")
-	// reportEvery is the agents' heartbeat.
-	reportEvery = time.Second
-	tokenTime   = 50 * time.Millisecond
-	// streamTokens is the mean length of an answer; it lasts 3 s.
+	entryCount           = 4
+	serversPerDataCentre = 3
+	engineLimit          = 48
+	engineColdLimit      = 8
+	testModel            = "herbs"
+	testDigest           = core.Digest("sha256:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa")
+	// reportInterval is the time between two reports of an agent.
+	reportInterval = time.Second
+	tokenTime      = 50 * time.Millisecond
+	// streamTokens is the mean length of a response, which takes 3 s.
 	streamTokens = 60
 	streamTime   = streamTokens * tokenTime
 )
 
-// dataCentres and their regions.
+// dataCentres are the data centres of a cluster with their regions.
 var dataCentres = []struct{ name, region string }{
 	{"palermo", "west"}, {"trapani", "west"}, {"catania", "east"},
 }
 
-// servers is the number of servers of a cluster.
-var servers = perDataCentre * len(dataCentres)
+// serverCount is the number of backend servers of a cluster.
+var serverCount = serversPerDataCentre * len(dataCentres)
 
-// server is an engine with its agent.
+// server is a stand-in engine with its agent.
 type server struct {
 	id, dataCentre, region string
 	engine                 *standin.Engine
@@ -62,22 +62,22 @@
 	loaded []frame.Loaded
 }
 
-// setLoaded says which versions the agent reports.
+// setLoaded sets the versions that the agent reports as loaded.
 func (s *server) setLoaded(loaded ...frame.Loaded) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loaded = loaded
 }
 
-// holds returns the versions that the agent reports.
-func (s *server) holds() []frame.Loaded {
+// loadedVersions returns the versions that the agent reports as loaded.
+func (s *server) loadedVersions() []frame.Loaded {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loaded
 }
 
-// cluster is four entry instances before nine engines with their agents, all
-// in one process.
+// cluster is four entry instances and nine engines with their agents, all in
+// one process.
 type cluster struct {
 	t         *testing.T
 	holder    *confstore.Holder
@@ -87,34 +87,34 @@
 	stop      context.CancelFunc
 }
 
-// newCluster starts a cluster of engines like cfg. The agents are told that
-// their servers bear cold calls at the start.
-func newCluster(t *testing.T, cfg standin.Config, cold int) *cluster {
+// newCluster starts a cluster whose engines all have the configuration cfg.
+// Every server is declared with coldLimit as its cold limit.
+func newCluster(t *testing.T, cfg standin.Config, coldLimit int) *cluster {
 	ctx, stop := context.WithCancel(context.Background())
 	c := &cluster{t: t, holder: confstore.NewHolder(), transport: Transport{}, stop: stop}
 	agents := map[string]work.Handler{}
 	for _, dc := range dataCentres {
-		for n := range perDataCentre {
+		for n := range serversPerDataCentre {
 			s := &server{id: fmt.Sprintf("gpu-%s-%d", dc.name, n+1), dataCentre: dc.name, region: dc.region}
 			s.setLoaded(frame.Loaded{Model: testModel, Version: "v1", Digest: testDigest})
-			c.startServer(s, cfg, cold)
+			c.startServer(s, cfg, coldLimit)
 			agents[s.id] = s.handler
 		}
 	}
-	c.holder.Offer(&declare.Snapshot{Number: 1, Set: c.declarations(cold)})
-	for n := range entries {
+	c.holder.Offer(&declare.Snapshot{Number: 1, Set: c.declarations(coldLimit)})
+	for n := range entryCount {
 		c.startEntry(n, Opener{Agents: agents})
 	}
-	go c.reports(ctx)
+	go c.sendReports(ctx)
 	return c
 }
 
-func (c *cluster) startServer(s *server, cfg standin.Config, cold int) {
+func (c *cluster) startServer(s *server, cfg standin.Config, coldLimit int) {
 	clock := clockwork.NewRealClock()
 	s.engine = standin.New(cfg, clock)
 	s.engine.Preload(frame.Loaded{Model: testModel, Version: "v1", Digest: testDigest})
 	client := NewEngine(s.engine.Handler())
-	s.gate = admission.New(admission.Config{Limit: engineLimit, ColdLimit: cold, Metrics: metrics.NewRegistry()}, clock)
+	s.gate = admission.New(admission.Config{Limit: engineLimit, ColdLimit: coldLimit, Metrics: metrics.NewRegistry()}, clock)
 	monitor := engine.NewMonitor(client, 0, eventlog.Discard(), clock)
 	ctx, stop := context.WithCancel(context.Background())
 	c.t.Cleanup(stop)
@@ -141,15 +141,15 @@
 	c.transport[self.ID] = e
 }
 
-func (c *cluster) declarations(cold int) *declare.Set {
+func (c *cluster) declarations(coldLimit int) *declare.Set {
 	set := declare.NewSet()
 	for _, dc := range dataCentres {
 		set.DataCentres[dc.name] = &declare.DataCentre{Name: dc.name, Region: dc.region}
 	}
 	for _, s := range c.servers {
-		set.BackendServers[s.id] = &declare.BackendServer{Name: s.id, DataCentre: s.dataCentre, Limit: engineLimit, ColdLimit: cold}
+		set.BackendServers[s.id] = &declare.BackendServer{Name: s.id, DataCentre: s.dataCentre, Limit: engineLimit, ColdLimit: coldLimit}
 	}
-	set.Models[testModel] = &declare.Model{Name: testModel, Version: "v1", Replicas: servers}
+	set.Models[testModel] = &declare.Model{Name: testModel, Version: "v1", Replicas: serverCount}
 	set.Versions["v1"] = &declare.Version{Name: "v1", Model: testModel, Manifest: testDigest}
 	for _, account := range []string{"erbe", "small-1", "small-2", "small-3"} {
 		set.ClientAccounts[account] = &declare.ClientAccount{Name: account, KeyHash: core.DigestOf([]byte(account + "-key"))}
@@ -157,39 +157,40 @@
 	return set
 }
 
-// reports lets every agent report to every entry instance, not all at once,
-// until ctx ends.
-func (c *cluster) reports(ctx context.Context) {
+// sendReports delivers the report of every agent to every entry instance,
+// agent by agent with equal pauses, until ctx is cancelled.
+func (c *cluster) sendReports(ctx context.Context) {
 	for {
 		for _, s := range c.servers {
 			for _, reg := range c.entries {
-				reg.Put(s.registered())
+				reg.Put(s.registryServer())
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(reportEvery / time.Duration(len(c.servers))):
+			case <-time.After(reportInterval / time.Duration(len(c.servers))):
 			}
 		}
 	}
 }
 
-// registered is what an entry instance knows after a report.
-func (s *server) registered() registry.Server {
+// registryServer returns the server as an entry instance registers it on a
+// report.
+func (s *server) registryServer() registry.Server {
 	load := s.gate.Load()
 	return registry.Server{
 		Instance:    core.Instance{ID: s.id, Role: core.RoleAgent, DataCentre: s.dataCentre, Region: s.region},
 		Incarnation: "i1",
 		Report: frame.Report{
 			State: s.gate.State(), Limit: load.Limit, InFlight: load.InFlight, Queued: load.Queued, Config: 1,
-			Loaded: s.holds(),
+			Loaded: s.loadedVersions(),
 		},
 		Heard: time.Now(),
 	}
 }
 
-// load returns a scenario of one account.
-func (c *cluster) load(name string, d time.Duration, rate float64, tokens requests.Range) *requests.Scenario {
+// scenario returns a load of streamed calls of one client account.
+func (c *cluster) scenario(name string, d time.Duration, rate float64, tokens requests.Range) *requests.Scenario {
 	s := &requests.Scenario{
 		Name: name, Seed: 5, Duration: d, Transport: c.transport,
 		Accounts: []requests.Account{{
@@ -197,40 +198,41 @@
 			Tokens: tokens, PromptWords: requests.Range{Min: 5, Max: 50},
 		}},
 	}
-	for n := range entries {
+	for n := range entryCount {
 		s.Entries = append(s.Entries, fmt.Sprintf("entry-%d", n+1))
 	}
 	return s
 }
 
-// under runs a scenario and returns the share of the capacity of so many
-// slots that the engines spend on tokens from a time after the start on.
-// event, unless nil, happens then.
-func (c *cluster) under(s *requests.Scenario, slots int, after time.Duration, event func()) (*requests.Result, float64) {
+// runScenario runs a scenario and returns its result and the goodput: the
+// tokens that the engines send in countTime, as a share of what slots can send.
+// Counting starts a time after the start of the scenario; event, unless nil,
+// runs just before.
+func (c *cluster) runScenario(s *requests.Scenario, slots int, after time.Duration, event func()) (*requests.Result, float64) {
 	var sent int
-	counted := make(chan struct{})
+	countDone := make(chan struct{})
 	go func() {
-		defer close(counted)
+		defer close(countDone)
 		<-time.After(after)
 		if event != nil {
 			event()
 		}
-		before := c.tokens()
-		<-time.After(countFor)
-		sent = c.tokens() - before
+		before := c.tokensSent()
+		<-time.After(countTime)
+		sent = c.tokensSent() - before
 	}()
 	result, err := requests.Run(context.Background(), s)
-	<-counted
+	<-countDone
 	c.stop()
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	capacity := float64(slots) * countFor.Seconds() / tokenTime.Seconds()
+	capacity := float64(slots) * countTime.Seconds() / tokenTime.Seconds()
 	return result, float64(sent) / capacity
 }
 
-// tokens sums the tokens that all engines have sent.
-func (c *cluster) tokens() int {
+// tokensSent returns the number of tokens that all engines have sent.
+func (c *cluster) tokensSent() int {
 	n := 0
 	for _, s := range c.servers {
 		n += s.engine.Counters().Tokens
--- a/test/inprocess/opener.go
+++ b/test/inprocess/opener.go
@@ -1,7 +1,7 @@
 // Package inprocess connects the real relay, agents' handlers and stand-in
-// engines inside one test process, without sockets, so that a test of what
-// they decide runs in virtual time (testing/synctest) and gives the same
-// verdict on a machine of any speed.
+// engines within one test process, without sockets. Tests of their decisions
+// can therefore run in virtual time (testing/synctest) and give the same result
+// on a machine of any speed.
 package inprocess
 
 import (
@@ -15,16 +15,16 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// buffered is the number of frames that an exchange holds in each direction;
-// a socket's buffers hold more.
-const buffered = 64
+// frameBuffer is the number of frames that an exchange buffers in each
+// direction; a socket's buffers hold more.
+const frameBuffer = 64
 
 var errClosed = errors.New("exchange closed")
 
 // Opener is a work.Opener that calls agents' handlers in this process. Frames
 // are encoded and decoded as on a connection.
 type Opener struct {
-	// Agents are the handlers by the id of their agent.
+	// Agents maps the id of each agent to its handler.
 	Agents map[string]work.Handler
 }
 
@@ -34,19 +34,19 @@
 func (o Opener) Open(_ context.Context, agent core.Instance, _ string, kind frame.Kind, msg any) (work.Exchange, error) {
 	handler, ok := o.Agents[agent.ID]
 	if !ok {
-		return nil, errors.Errorf("no agent %q", agent.ID)
+		return nil, errors.Errorf("no handler for agent %q", agent.ID)
 	}
-	first, err := encoded(kind, msg)
+	first, err := encodeFrame(kind, msg)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	x := &exchange{
-		toEntry: make(chan frame.Frame, buffered), toAgent: make(chan frame.Frame, buffered),
-		ended: ctx.Done(), cancel: cancel, served: make(chan struct{}),
+		toEntry: make(chan frame.Frame, frameBuffer), toAgent: make(chan frame.Frame, frameBuffer),
+		ended: ctx.Done(), cancel: cancel, handlerDone: make(chan struct{}),
 	}
 	go func() {
-		defer close(x.served)
+		defer close(x.handlerDone)
 		if err := handler.Handle(ctx, first, agentEnd{x}); err != nil {
 			cancel()
 		}
@@ -54,8 +54,9 @@
 	return x, nil
 }
 
-// encoded passes a message through the encoding of a connection.
-func encoded(kind frame.Kind, msg any) (frame.Frame, error) {
+// encodeFrame encodes a message and parses the result, as the two ends of a
+// connection do.
+func encodeFrame(kind frame.Kind, msg any) (frame.Frame, error) {
 	raw, err := frame.Encode(kind, msg)
 	if err != nil {
 		return frame.Frame{}, err
@@ -63,22 +64,24 @@
 	return frame.Parse(raw)
 }
 
-// exchange is one request; its methods are the entry's end.
+// exchange is one request between an entry instance and an agent. Its methods
+// are the end of the entry instance.
 type exchange struct {
 	toEntry, toAgent chan frame.Frame
-	// ended is closed once one end has closed the exchange.
+	// ended is closed when the entry instance closes the exchange or the
+	// handler fails.
 	ended  <-chan struct{}
 	cancel context.CancelFunc
-	// served is closed when the handler has returned.
-	served chan struct{}
-	once   sync.Once
+	// handlerDone is closed when the handler has returned.
+	handlerDone chan struct{}
+	closeOnce   sync.Once
 }
 
 // Send implements work.Exchange.
 func (x *exchange) Send(kind frame.Kind, msg any) error { return x.send(x.toAgent, kind, msg) }
 
 func (x *exchange) send(to chan<- frame.Frame, kind frame.Kind, msg any) error {
-	f, err := encoded(kind, msg)
+	f, err := encodeFrame(kind, msg)
 	if err != nil {
 		return err
 	}
@@ -105,9 +108,9 @@
 
 // Close implements work.Exchange.
 func (x *exchange) Close(whole bool) {
-	x.once.Do(func() {
+	x.closeOnce.Do(func() {
 		if whole {
-			<-x.served
+			<-x.handlerDone
 		}
 		x.cancel()
 	})
--- a/test/inprocess/rollout_test.go
+++ b/test/inprocess/rollout_test.go
@@ -15,17 +15,17 @@
 const (
 	nextDigest = core.Digest("sha256:bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb")
 	// rolloutRate and rolloutTokens are the load during a rollout: about 25
-	// answers at once, of 72 that nine cold servers bear.
+	// calls at once, of the 72 that nine cold servers can run.
 	rolloutRate   = 25
 	rolloutTokens = 20
-	// loadTime is how long a server holds neither version.
+	// loadTime is how long a server has no version loaded.
 	loadTime = 100 * time.Millisecond
 )
 
-// rollOut declares the next version, for which each server in turn gives up the
-// one before.
+// rollOut declares the next version and replaces the previous one with it on
+// one server after the other.
 func (c *cluster) rollOut() {
-	set := c.declarations(engineCold)
+	set := c.declarations(engineColdLimit)
 	set.Versions["v2"] = &declare.Version{Name: "v2", Model: testModel, Manifest: nextDigest}
 	set.Models[testModel].Version = "v2"
 	c.holder.Offer(&declare.Snapshot{Number: 2, Set: set})
@@ -43,10 +43,10 @@
 
 func TestRolloutOverColdServers(t *testing.T) {
 	Virtually(t, func(t *testing.T) {
-		Convey("Given nine servers that have not warmed, a new version comes in under load without a refusal", t, func() {
-			c := newCluster(t, engines(engineCold, 0.0001), engineCold)
-			load := c.load("rollout", 20*time.Second, rolloutRate, requests.Range{Min: rolloutTokens, Max: rolloutTokens})
-			r, _ := c.under(load, engineCold*servers, fillFor, c.rollOut)
+		Convey("Given nine cold servers under load, the rollout of a new version causes no refusal", t, func() {
+			c := newCluster(t, engineConfig(engineColdLimit, 0.0001), engineColdLimit)
+			load := c.scenario("rollout", 20*time.Second, rolloutRate, requests.Range{Min: rolloutTokens, Max: rolloutTokens})
+			r, _ := c.runScenario(load, engineColdLimit*serverCount, fillTime, c.rollOut)
 			t.Logf("%v %v", r.All.Words, r.All.Details)
 			So(r.All.Words[requests.WordWhole], ShouldEqual, r.All.Calls)
 		})
--- a/test/inprocess/transport.go
+++ b/test/inprocess/transport.go
@@ -12,55 +12,55 @@
 	"github.com/rattanway/rattanway/connection/engine"
 )
 
-// NewEngine returns the client of an engine whose HTTP handler runs in this
-// process.
+// NewEngine returns a client of the engine with this HTTP handler, which the
+// client calls in this process.
 func NewEngine(handler http.Handler) engine.Engine {
 	return engine.NewHTTPOver(Transport{"engine": handler})
 }
 
-// Transport is an http.RoundTripper that calls the handler of a host instead
-// of a server.
+// Transport is an http.RoundTripper that maps each host to a handler and calls
+// the handler instead of opening a connection.
 type Transport map[string]http.Handler
 
 // RoundTrip implements http.RoundTripper.
 func (t Transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	handler, ok := t[req.URL.Host]
 	if !ok {
-		return nil, errors.Errorf("no host %q", req.URL.Host)
+		return nil, errors.Errorf("no handler for host %q", req.URL.Host)
 	}
 	ctx, cancel := context.WithCancel(req.Context())
-	body, err := bodyOf(req)
+	body, err := readBody(req)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	served := req.Clone(ctx)
-	served.Body = io.NopCloser(bytes.NewReader(body))
-	served.RequestURI = req.URL.RequestURI()
+	serverReq := req.Clone(ctx)
+	serverReq.Body = io.NopCloser(bytes.NewReader(body))
+	serverReq.RequestURI = req.URL.RequestURI()
 	reader, writer := io.Pipe()
-	w := &responseWriter{header: http.Header{}, body: writer, started: make(chan struct{})}
-	// An ended request breaks its answer off, as a closed connection does.
+	w := &responseWriter{header: http.Header{}, body: writer, headerWritten: make(chan struct{})}
+	// Cancelling the request aborts its response, as a closed connection does.
 	stop := context.AfterFunc(req.Context(), func() { _ = writer.CloseWithError(req.Context().Err()) })
 	go func() {
 		defer cancel()
 		defer stop()
-		handler.ServeHTTP(w, served)
+		handler.ServeHTTP(w, serverReq)
 		w.WriteHeader(http.StatusOK)
 		_ = writer.Close()
 	}()
 	select {
-	case <-w.started:
+	case <-w.headerWritten:
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
 	}
 	return &http.Response{
-		StatusCode: w.status, Header: w.sent, Request: req,
-		Body: answerBody{PipeReader: reader, cancel: cancel},
+		StatusCode: w.status, Header: w.sentHeader, Request: req,
+		Body: responseBody{PipeReader: reader, cancel: cancel},
 	}, nil
 }
 
-// bodyOf reads a request's body.
-func bodyOf(req *http.Request) ([]byte, error) {
+// readBody reads a request's body.
+func readBody(req *http.Request) ([]byte, error) {
 	if req.Body == nil {
 		return nil, nil
 	}
@@ -68,14 +68,14 @@
 	return io.ReadAll(req.Body)
 }
 
-// answerBody cancels the call when it is closed before its end.
-type answerBody struct {
+// responseBody cancels the handler's context when it is closed.
+type responseBody struct {
 	*io.PipeReader
 	cancel context.CancelFunc
 }
 
 // Close implements io.Closer.
-func (b answerBody) Close() error {
+func (b responseBody) Close() error {
 	b.cancel()
 	return b.PipeReader.Close()
 }
@@ -83,12 +83,12 @@
 // responseWriter is an http.ResponseWriter whose body is read while the
 // handler writes it.
 type responseWriter struct {
-	header  http.Header
-	body    *io.PipeWriter
-	once    sync.Once
-	started chan struct{}
-	status  int
-	sent    http.Header
+	header        http.Header
+	body          *io.PipeWriter
+	headerOnce    sync.Once
+	headerWritten chan struct{}
+	status        int
+	sentHeader    http.Header
 }
 
 // Header implements http.ResponseWriter.
@@ -96,9 +96,9 @@
 
 // WriteHeader implements http.ResponseWriter.
 func (w *responseWriter) WriteHeader(status int) {
-	w.once.Do(func() {
-		w.status, w.sent = status, w.header.Clone()
-		close(w.started)
+	w.headerOnce.Do(func() {
+		w.status, w.sentHeader = status, w.header.Clone()
+		close(w.headerWritten)
 	})
 }
 
@@ -107,8 +107,9 @@
 	w.WriteHeader(http.StatusOK)
 	n, err := w.body.Write(p)
 	if errors.Is(err, io.ErrClosedPipe) {
-		// A server learns from the ended context that its client has left;
-		// what it still writes goes into the connection's buffer.
+		// A real server gets no write error when its client has left: the
+		// request's context is cancelled, and what the handler still writes
+		// goes into the connection's buffer.
 		return len(p), nil
 	}
 	return n, err
--- a/test/inprocess/virtual.go
+++ b/test/inprocess/virtual.go
@@ -8,18 +8,19 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// settle is longer than the loops that end by themselves go on after the last
-// call, in virtual time.
-const settle = 10 * time.Second
+// settleTime is the virtual time that a test waits at its end for background
+// loops that end by themselves. It is longer than any of them runs after the
+// last call.
+const settleTime = 10 * time.Second
 
-// Virtually runs a test in virtual time: the clock moves on when every
-// goroutine waits, so that no verdict depends on the speed of the machine.
+// Virtually runs a test in virtual time: the clock advances only while every
+// goroutine is blocked, so that results do not depend on the machine's speed.
 func Virtually(t *testing.T, test func(t *testing.T)) {
-	// The first meter starts the library's own goroutine, which must not
-	// belong to the test.
+	// The first meter starts a goroutine of the metrics library. It never ends,
+	// so it must start outside the synctest bubble.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
 		test(t)
-		<-time.After(settle)
+		<-time.After(settleTime)
 	})
 }
