--- a/test/faults/agent_once_test.go
+++ b/test/faults/agent_once_test.go
@@ -19,72 +19,74 @@
 	"github.com/rattanway/rattanway/request/serve"
 )
 
-const answerTimeout = 20 * time.Second
+const responseTimeout = 20 * time.Second
 
-// direct talks to one agent of a cluster as an entry instance does.
-type direct struct {
+// agentClient sends requests to one agent of a cluster as an entry instance
+// does.
+type agentClient struct {
 	c     *cluster
 	pool  *work.Pool
 	agent core.Instance
 	ctx   context.Context
 }
 
-func (c *cluster) direct(name string) *direct {
+func (c *cluster) newAgentClient(name string) *agentClient {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	c.t.Cleanup(cancel)
 	pool := work.NewPool(work.PoolConfig{PeerToken: peerToken})
 	c.t.Cleanup(pool.Close)
-	return &direct{c: c, pool: pool, agent: core.Instance{ID: name, Addr: c.procs[name].addr}, ctx: ctx}
+	return &agentClient{c: c, pool: pool, agent: core.Instance{ID: name, Addr: c.procs[name].addr}, ctx: ctx}
 }
 
-// open starts an exchange.
-func (d *direct) open(id string, kind frame.Kind, msg any) work.Exchange {
-	x, err := d.pool.Open(d.ctx, d.agent, id, kind, msg)
-	d.c.must(err)
+// open starts an exchange with the agent.
+func (a *agentClient) open(id string, kind frame.Kind, msg any) work.Exchange {
+	x, err := a.pool.Open(a.ctx, a.agent, id, kind, msg)
+	a.c.must(err)
 	return x
 }
 
-// receive returns the next frame; errors fail the test.
-func (d *direct) receive(x work.Exchange) any {
-	ctx, cancel := context.WithTimeout(d.ctx, answerTimeout)
+// receive returns the next message of an exchange. An error fails the test.
+func (a *agentClient) receive(x work.Exchange) any {
+	ctx, cancel := context.WithTimeout(a.ctx, responseTimeout)
 	defer cancel()
 	msg, err := x.Receive(ctx)
-	d.c.must(err)
+	a.c.must(err)
 	return msg
 }
 
-// offer offers a once-only call and demands that a slot is held.
-func (d *direct) offer(key string) work.Exchange {
+// offer offers a once-only call and asserts that the agent holds a slot for
+// it.
+func (a *agentClient) offer(key string) work.Exchange {
 	id := "offer-" + key
-	x := d.open(id, frame.KindOffer, frame.Request{
+	x := a.open(id, frame.KindOffer, frame.Request{
 		ID: id, Account: "erbe", Share: 1, Method: "POST", Path: "/lots", Key: key, Attempt: 1,
 		Header: map[string][]string{core.HeaderIdempotencyKey: {key}},
 	})
-	So(d.receive(x), ShouldHaveSameTypeAs, &frame.Admit{})
+	So(a.receive(x), ShouldHaveSameTypeAs, &frame.Admit{})
 	return x
 }
 
-// awaitAdmitting waits until the agent admits offers, as it does once its
-// configuration is confirmed after a pause or a start.
-func (d *direct) awaitAdmitting() {
+// awaitAdmitting waits until the agent admits offers. After a start or a pause
+// it does so only once its configuration is confirmed.
+func (a *agentClient) awaitAdmitting() {
 	n := 0
-	d.c.eventually("the agent admits offers", func() bool {
+	a.c.eventually("the agent admits offers", func() bool {
 		n++
 		id := fmt.Sprint("probe-", n)
-		x := d.open(id, frame.KindOffer, frame.Request{ID: id, Account: "erbe", Share: 1, Method: "POST", Path: "/lots"})
-		_, admitted := d.receive(x).(*frame.Admit)
+		x := a.open(id, frame.KindOffer, frame.Request{ID: id, Account: "erbe", Share: 1, Method: "POST", Path: "/lots"})
+		_, admitted := a.receive(x).(*frame.Admit)
 		x.Close(false)
 		return admitted
 	})
 }
 
-// halt stops a process and waits until every thread of it has stopped: the
-// signal takes effect some time after it was sent.
-func (c *cluster) halt(name string) {
+// freeze sends SIGSTOP to a process and waits until all of its threads have
+// stopped, because the signal takes effect with a delay.
+func (c *cluster) freeze(name string) {
 	c.t.Helper()
 	c.signal(name, syscall.SIGSTOP)
 	threads := fmt.Sprintf("/proc/%d/task/*/status", c.procs[name].cmd.Process.Pid)
-	c.eventually(name+" is stopped", func() bool {
+	c.eventually(name+" is frozen", func() bool {
 		paths, err := filepath.Glob(threads)
 		c.must(err)
 		for _, path := range paths {
@@ -97,69 +99,70 @@
 	})
 }
 
-// ask asks whether the first attempt of key ran.
-func (d *direct) ask(key string) *frame.Answer {
-	x := d.open("ask", frame.KindAsk, frame.Ask{ID: "ask", Key: key, Attempt: 1})
+// queryAttempt returns the agent's status of the first attempt of key.
+func (a *agentClient) queryAttempt(key string) *frame.Answer {
+	x := a.open("ask", frame.KindAsk, frame.Ask{ID: "ask", Key: key, Attempt: 1})
 	defer x.Close(true)
-	return d.receive(x).(*frame.Answer)
+	return a.receive(x).(*frame.Answer)
 }
 
-// executions returns how often the service beside an agent executed key.
+// executions returns how often the service beside an agent has executed the
+// call with this key.
 func (c *cluster) executions(server, key string) int {
 	counts := map[string]int{}
 	c.must(json.Unmarshal([]byte(get(c.procs["service:"+server].addr, "/service/counters")), &counts))
 	return counts[key]
 }
 
-func (c *cluster) serviceFaults(server, body string) {
+func (c *cluster) setServiceFaults(server, body string) {
 	c.t.Helper()
 	postJSON(c, c.procs["service:"+server].addr, "/service/faults", body)
 }
 
 func TestAgentOnceOnlyAcrossSignals(t *testing.T) {
-	Convey("Given an agent process in front of a plain service", t, func() {
+	Convey("Given an agent process beside a plain service", t, func() {
 		const server = "lots-palermo"
 		c := newCluster(t, engineArgs, nil)
 		t.Cleanup(c.stop)
-		d := c.direct(server)
+		agent := c.newAgentClient(server)
 
-		x := d.offer("frozen")
-		c.halt(server)
+		x := agent.offer("frozen")
+		c.freeze(server)
 		So(x.Send(frame.KindGo, frame.Go{ID: "offer-frozen"}), ShouldBeNil)
 		<-time.After(serve.DefaultHold + time.Second)
 		c.signal(server, syscall.SIGCONT)
-		refused, ok := d.receive(x).(*frame.Refuse)
+		refused, ok := agent.receive(x).(*frame.Refuse)
 		So(ok, ShouldBeTrue)
 		So(refused.Reason, ShouldEqual, frame.ReasonExpired)
 		So(c.executions(server, "frozen"), ShouldEqual, 0)
-		So(d.ask("frozen").Ran, ShouldEqual, frame.RanNo)
+		So(agent.queryAttempt("frozen").Ran, ShouldEqual, frame.RanNo)
 
-		c.serviceFaults(server, `{"delayMillis":1500}`)
-		d.awaitAdmitting()
-		x = d.offer("killed")
-		incarnation := d.ask("other").Incarnation
+		c.setServiceFaults(server, `{"delayMillis":1500}`)
+		agent.awaitAdmitting()
+		x = agent.offer("killed")
+		incarnation := agent.queryAttempt("other").Incarnation
 		So(x.Send(frame.KindGo, frame.Go{ID: "offer-killed"}), ShouldBeNil)
 		c.eventually("the call runs", func() bool { return c.executions(server, "killed") == 1 })
 		c.signal(server, syscall.SIGKILL)
-		_, err := x.Receive(d.ctx)
+		_, err := x.Receive(agent.ctx)
 		So(err, ShouldNotBeNil)
 		<-c.procs[server].done
 		c.start(server)
 		c.eventually("the agent serves again", func() bool { return listening(c.procs[server].addr) })
-		d = c.direct(server)
-		So(d.ask("killed").Incarnation, ShouldNotEqual, incarnation)
+		agent = c.newAgentClient(server)
+		So(agent.queryAttempt("killed").Incarnation, ShouldNotEqual, incarnation)
 		So(c.executions(server, "killed"), ShouldEqual, 1)
 
-		d.awaitAdmitting()
-		x = d.offer("stopped")
+		agent.awaitAdmitting()
+		x = agent.offer("stopped")
 		So(x.Send(frame.KindGo, frame.Go{ID: "offer-stopped"}), ShouldBeNil)
 		c.eventually("the call runs", func() bool { return c.executions(server, "stopped") == 1 })
 		c.terminate(server)
-		head, ok := d.receive(x).(*frame.Head)
+		head, ok := agent.receive(x).(*frame.Head)
 		So(ok, ShouldBeTrue)
 		So(head.Status, ShouldEqual, 200)
-		So(d.receive(x), ShouldHaveSameTypeAs, &frame.Data{})
-		So(d.receive(x), ShouldHaveSameTypeAs, &frame.End{})
+		So(agent.receive(x), ShouldHaveSameTypeAs, &frame.Data{})
+		So(agent.receive(x), ShouldHaveSameTypeAs, &frame.End{})
 		x.Close(true)
 		So(c.executions(server, "stopped"), ShouldEqual, 1)
 	})
--- a/test/faults/agent_rig_test.go
+++ b/test/faults/agent_rig_test.go
@@ -9,7 +9,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// postJSON posts body and demands that it was taken.
+// postJSON posts a JSON body. A status of 300 or above fails the test.
 func postJSON(c *cluster, addr, path, body string) {
 	c.t.Helper()
 	resp, err := http.Post("http://"+addr+path, "application/json", strings.NewReader(body))
@@ -20,13 +20,14 @@
 	}
 }
 
-// loadedDigest returns the digest of the version that an engine holds.
+// loadedDigest returns the digest of the first version that an engine has
+// loaded.
 func loadedDigest(c *cluster, server string) core.Digest {
 	c.t.Helper()
 	var s engine.Status
 	c.must(json.Unmarshal([]byte(get(c.procs["engine:"+server].addr, engine.StatusPath)), &s))
 	if len(s.Loaded) == 0 {
-		c.t.Fatalf("%s holds nothing", server)
+		c.t.Fatalf("%s has no version loaded", server)
 	}
 	return s.Loaded[0].Digest
 }
--- a/test/faults/entry_cluster_test.go
+++ b/test/faults/entry_cluster_test.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	peerToken     = "test-peer-token"
-	operatorToken = "test-operator-token"
-	accountKey    = "test-account-key"
-	engineLimit   = 48
-	engineCold    = 8
-	perDataCentre = 3
-	stopTimeout   = 30 * time.Second
-	readyTimeout  = 60 * time.Second
+	peerToken            = "test-peer-token"
+	operatorToken        = "test-operator-token"
+	accountKey           = "test-account-key"
+	engineLimit          = 48
+	engineColdLimit      = 8
+	serversPerDataCentre = 3
+	stopTimeout          = 30 * time.Second
+	readyTimeout         = 60 * time.Second
 )
 
-// dataCentres and their regions, in order.
+// dataCentres are the data centres of a cluster with their regions.
 var dataCentres = []struct{ name, region string }{
 	{"palermo", "west"}, {"trapani", "west"}, {"catania", "east"},
 }
 
-// binary builds the command once.
+// binary builds the rattanway command once and returns its path.
 var binary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "rattanway-faults")
 	if err != nil {
@@ -53,7 +53,8 @@
 	return path, nil
 })
 
-// process is one process of a cluster.
+// process is one process of a cluster. Its channel done is closed when the
+// process has exited.
 type process struct {
 	name string
 	addr string
@@ -62,14 +63,15 @@
 	done chan struct{}
 }
 
-// shared is the cluster of the tests that need warm servers.
-var shared *cluster
+// sharedCluster is the cluster of the tests that need warm servers. The first
+// of them starts it.
+var sharedCluster *cluster
 
-// TestMain stops the shared cluster at the end.
+// TestMain stops the shared cluster after the tests.
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if shared != nil {
-		shared.stop()
+	if sharedCluster != nil {
+		sharedCluster.stop()
 	}
 	os.Exit(code)
 }
@@ -78,17 +80,18 @@
 // server warm.
 func warmCluster(t *testing.T) *cluster {
 	t.Helper()
-	if shared == nil {
-		shared = newCluster(t, engineArgs, nil)
+	if sharedCluster == nil {
+		sharedCluster = newCluster(t, engineArgs, nil)
 	}
-	shared.t = t
-	shared.revive()
-	shared.warmUp()
-	return shared
+	sharedCluster.t = t
+	sharedCluster.restartEnded()
+	sharedCluster.warmUp()
+	return sharedCluster
 }
 
-// revive starts every process that has ended.
-func (c *cluster) revive() {
+// restartEnded starts every process that has exited and waits until the cluster
+// serves.
+func (c *cluster) restartEnded() {
 	c.t.Helper()
 	for name, p := range c.procs {
 		select {
@@ -100,21 +103,21 @@
 	c.awaitServing()
 }
 
-// cluster is a platform, entry instances, agents, engines and services as
-// processes of their own.
+// cluster is a platform stand-in, entry instances, agents, engines and plain
+// services, each in a process of its own.
 type cluster struct {
-	t         *testing.T
-	bin, logs string
-	dir       string
-	procs     map[string]*process
-	order     []string
-	platform  string
-	instances []core.Instance
-	decls     strings.Builder
+	t            *testing.T
+	bin, logDir  string
+	dir          string
+	procs        map[string]*process
+	startOrder   []string
+	platformAddr string
+	instances    []core.Instance
+	declarations strings.Builder
 }
 
-// freeAddr returns a loopback address on which nothing listens, below the
-// ports of outgoing connections.
+// freeAddr returns a loopback address on which nothing listens. Its port lies
+// below the ephemeral ports of outgoing connections.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addrs, err := ports.Free(1)
@@ -137,11 +140,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cluster{t: t, bin: bin, dir: dir, logs: os.Getenv("RATTANWAY_TEST_LOGS"), procs: map[string]*process{}}
-	if c.logs == "" {
-		c.logs = dir
+	c := &cluster{t: t, bin: bin, dir: dir, logDir: os.Getenv("RATTANWAY_TEST_LOGS"), procs: map[string]*process{}}
+	if c.logDir == "" {
+		c.logDir = dir
 	}
-	c.platform = freeAddr(t)
+	c.platformAddr = freeAddr(t)
 	c.declare("kind: Region\nname: west", "kind: Region\nname: east",
 		"kind: Service\nname: lots\nroutes:\n  - {method: POST, path: /lots}",
 		"kind: ClientAccount\nname: erbe\nkeyHash: "+string(core.DigestOf([]byte(accountKey))))
@@ -154,62 +157,62 @@
 	}
 	for _, dc := range dataCentres {
 		c.declare("kind: DataCentre\nname: " + dc.name + "\nregion: " + dc.region)
-		for n := range perDataCentre {
+		for n := range serversPerDataCentre {
 			c.addServer(fmt.Sprintf("gpu-%s-%d", dc.name, n+1), dc.name, dc.region, "", engineArgs)
 		}
 		c.addServer("lots-"+dc.name, dc.name, dc.region, "lots", nil)
 	}
-	c.startAll()
+	c.startAndDeclare()
 	return c
 }
 
 func (c *cluster) declare(docs ...string) {
 	for _, d := range docs {
-		c.decls.WriteString(d + "\n---\n")
+		c.declarations.WriteString(d + "\n---\n")
 	}
 }
 
-func (c *cluster) add(name, addr string, args ...string) {
+func (c *cluster) addProcess(name, addr string, args ...string) {
 	c.procs[name] = &process{name: name, addr: addr, args: args}
-	c.order = append(c.order, name)
+	c.startOrder = append(c.startOrder, name)
 }
 
 func (c *cluster) addEntry(name, dc, region string, extra []string) {
 	addr := freeAddr(c.t)
 	c.instances = append(c.instances, core.Instance{ID: name, Role: core.RoleEntry, Addr: addr, DataCentre: dc, Region: region})
-	c.add(name, addr, append([]string{"entry", "--id", name, "--listen", addr, "--data-centre", dc, "--region", region,
+	c.addProcess(name, addr, append([]string{"entry", "--id", name, "--listen", addr, "--data-centre", dc, "--region", region,
 		"--balancer-lag", "500ms", "--heartbeat", "1s"}, extra...)...)
 }
 
 // addServer adds an engine or plain service and its agent.
 func (c *cluster) addServer(name, dc, region, service string, engineArgs []string) {
-	behind, addr := freeAddr(c.t), freeAddr(c.t)
+	backendAddr, addr := freeAddr(c.t), freeAddr(c.t)
 	c.instances = append(c.instances, core.Instance{ID: name, Role: core.RoleAgent, Addr: addr, DataCentre: dc, Region: region})
-	agent := []string{"agent", "--id", name, "--listen", addr, "--data-centre", dc, "--region", region, "--engine", behind, "--heartbeat", "1s"}
-	doc := "kind: BackendServer\nname: " + name + "\ndataCentre: " + dc
+	agent := []string{"agent", "--id", name, "--listen", addr, "--data-centre", dc, "--region", region, "--engine", backendAddr, "--heartbeat", "1s"}
+	declaration := "kind: BackendServer\nname: " + name + "\ndataCentre: " + dc
 	if service != "" {
-		c.add("service:"+name, behind, "standin", "service", "--listen", behind, "--name", service)
+		c.addProcess("service:"+name, backendAddr, "standin", "service", "--listen", backendAddr, "--name", service)
 		agent = append(agent, "--service", service)
-		doc += fmt.Sprintf("\nservice: %s\nlimit: %d\ncoldLimit: %d", service, engineLimit, engineLimit)
+		declaration += fmt.Sprintf("\nservice: %s\nlimit: %d\ncoldLimit: %d", service, engineLimit, engineLimit)
 	} else {
-		c.add("engine:"+name, behind, append([]string{"standin", "engine", "--listen", behind, "--load-time", "100ms"}, engineArgs...)...)
-		doc += fmt.Sprintf("\nlimit: %d\ncoldLimit: %d\nfencing: true", engineLimit, engineCold)
+		c.addProcess("engine:"+name, backendAddr, append([]string{"standin", "engine", "--listen", backendAddr, "--load-time", "100ms"}, engineArgs...)...)
+		declaration += fmt.Sprintf("\nlimit: %d\ncoldLimit: %d\nfencing: true", engineLimit, engineColdLimit)
 	}
-	c.add(name, addr, agent...)
-	c.declare(doc)
+	c.addProcess(name, addr, agent...)
+	c.declare(declaration)
 }
 
 // start starts a process with its log appended to NAME.log.
 func (c *cluster) start(name string) {
 	c.t.Helper()
 	p := c.procs[name]
-	log, err := os.OpenFile(filepath.Join(c.logs, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(filepath.Join(c.logDir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	defer log.Close()
 	p.cmd = exec.Command(c.bin, p.args...)
-	p.cmd.Env = append(os.Environ(), "RATTANWAY_PEER_TOKEN="+peerToken, "RATTANWAY_PLATFORM="+c.platform,
+	p.cmd.Env = append(os.Environ(), "RATTANWAY_PEER_TOKEN="+peerToken, "RATTANWAY_PLATFORM="+c.platformAddr,
 		"RATTANWAY_OPERATORS=ada="+operatorToken)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	if err := p.cmd.Start(); err != nil {
@@ -222,7 +225,7 @@
 	}(p.cmd, p.done)
 }
 
-// signal sends a signal to one process.
+// signal sends a signal to a process.
 func (c *cluster) signal(name string, s syscall.Signal) {
 	c.t.Helper()
 	if err := c.procs[name].cmd.Process.Signal(s); err != nil {
@@ -230,17 +233,17 @@
 	}
 }
 
-// terminate asks a process to end and waits until it has.
+// terminate sends SIGTERM to a process and waits for its exit.
 func (c *cluster) terminate(name string) {
 	c.signal(name, syscall.SIGTERM)
 	select {
 	case <-c.procs[name].done:
 	case <-time.After(stopTimeout):
-		c.t.Errorf("%s does not end", name)
+		c.t.Errorf("%s has not exited in time", name)
 	}
 }
 
-// stop kills what is left.
+// stop kills the remaining processes and removes the directory of the cluster.
 func (c *cluster) stop() {
 	for _, p := range c.procs {
 		if p.cmd != nil {
@@ -251,11 +254,12 @@
 	_ = os.RemoveAll(c.dir)
 }
 
-// run runs one of the operators' commands.
-func (c *cluster) run(args ...string) string {
+// runCommand runs the rattanway command as an operator does and returns its
+// output.
+func (c *cluster) runCommand(args ...string) string {
 	c.t.Helper()
 	cmd := exec.Command(c.bin, args...)
-	cmd.Env = append(os.Environ(), "RATTANWAY_PLATFORM="+c.platform, "RATTANWAY_OPERATOR_TOKEN="+operatorToken,
+	cmd.Env = append(os.Environ(), "RATTANWAY_PLATFORM="+c.platformAddr, "RATTANWAY_OPERATOR_TOKEN="+operatorToken,
 		"RATTANWAY_ENTRY="+c.procs["entry-1"].addr)
 	out, err := cmd.CombinedOutput()
 	if err != nil {
@@ -264,43 +268,46 @@
 	return string(out)
 }
 
-func (c *cluster) startAll() {
+// startAndDeclare starts all processes, publishes a model, applies the
+// declarations and waits until the cluster serves.
+func (c *cluster) startAndDeclare() {
 	c.t.Helper()
 	list, err := json.Marshal(c.instances)
 	c.must(err)
 	file := filepath.Join(c.dir, "instances.json")
 	c.must(os.WriteFile(file, list, 0o644))
-	c.add("platform", c.platform, "standin", "platform", "--listen", c.platform, "--instances", file, "--lag", "200ms")
+	c.addProcess("platform", c.platformAddr, "standin", "platform", "--listen", c.platformAddr, "--instances", file, "--lag", "200ms")
 	c.start("platform")
-	c.eventually("platform", func() bool { return listening(c.platform) })
-	for _, name := range c.order[:len(c.order)-1] {
+	c.eventually("platform", func() bool { return listening(c.platformAddr) })
+	for _, name := range c.startOrder[:len(c.startOrder)-1] {
 		c.start(name)
 	}
-	c.run("wait", "--path", "/healthz", c.procs["entry-1"].addr)
+	c.runCommand("wait", "--path", "/healthz", c.procs["entry-1"].addr)
 	model := filepath.Join(c.dir, "model")
 	c.must(os.Mkdir(model, 0o755))
 	c.must(os.WriteFile(filepath.Join(model, "weights.bin"), bytes.Repeat([]byte("weights "), 8<<10), 0o644))
-	digest := strings.TrimSpace(c.run("publish", model))
-	c.declare(fmt.Sprintf("kind: Model\nname: herbs\nversion: v1\nreplicas: %d", perDataCentre*len(dataCentres)),
+	digest := strings.TrimSpace(c.runCommand("publish", model))
+	c.declare(fmt.Sprintf("kind: Model\nname: herbs\nversion: v1\nreplicas: %d", serversPerDataCentre*len(dataCentres)),
 		"kind: Version\nname: v1\nmodel: herbs\nmanifest: "+digest)
 	folder := filepath.Join(c.dir, "declarations")
 	c.must(os.Mkdir(folder, 0o755))
-	c.must(os.WriteFile(filepath.Join(folder, "all.yaml"), []byte(strings.TrimSuffix(c.decls.String(), "---\n")), 0o644))
-	c.run("apply", "--reason", "test", folder)
+	c.must(os.WriteFile(filepath.Join(folder, "all.yaml"), []byte(strings.TrimSuffix(c.declarations.String(), "---\n")), 0o644))
+	c.runCommand("apply", "--reason", "test", folder)
 	c.awaitServing()
 }
 
-// awaitServing waits until every entry instance knows every server.
+// awaitServing waits until every engine has loaded the model and every entry
+// instance gives whole responses to all calls of a short load.
 func (c *cluster) awaitServing() {
 	c.t.Helper()
 	for name, p := range c.procs {
 		if strings.HasPrefix(name, "engine:") {
-			c.eventually(name+" holds the model", func() bool { return strings.Contains(get(p.addr, "/engine/status"), "herbs") })
+			c.eventually(name+" has loaded the model", func() bool { return strings.Contains(get(p.addr, "/engine/status"), "herbs") })
 		}
 	}
 	c.eventually("every entry instance serves", func() bool {
-		for _, addr := range c.entries() {
-			result, err := requests.Run(context.Background(), c.load("probe", 200*time.Millisecond, 20, 5, addr))
+		for _, addr := range c.entryAddrs() {
+			result, err := requests.Run(context.Background(), c.scenario("probe", 200*time.Millisecond, 20, 5, addr))
 			if err != nil || result.All.Calls == 0 || result.All.Words[requests.WordWhole] < result.All.Calls {
 				return false
 			}
@@ -309,7 +316,7 @@
 	})
 }
 
-func (c *cluster) entries() []string {
+func (c *cluster) entryAddrs() []string {
 	var addrs []string
 	for i := range 4 {
 		addrs = append(addrs, c.procs[fmt.Sprintf("entry-%d", i+1)].addr)
@@ -317,8 +324,8 @@
 	return addrs
 }
 
-// services returns the addresses of the stand-ins of the plain service.
-func (c *cluster) services() []string {
+// serviceAddrs returns the addresses of the stand-ins of the plain service.
+func (c *cluster) serviceAddrs() []string {
 	var addrs []string
 	for _, dc := range dataCentres {
 		addrs = append(addrs, c.procs["service:lots-"+dc.name].addr)
@@ -326,8 +333,9 @@
 	return addrs
 }
 
-// load returns a scenario of streamed calls with a few that are not.
-func (c *cluster) load(name string, d time.Duration, rate float64, tokens int, entries ...string) *requests.Scenario {
+// scenario returns a load of model calls of one client account, most of them
+// streamed.
+func (c *cluster) scenario(name string, d time.Duration, rate float64, tokens int, entries ...string) *requests.Scenario {
 	return &requests.Scenario{
 		Name: name, Seed: 5, Duration: d, Entries: entries,
 		Accounts: []requests.Account{{
@@ -338,7 +346,7 @@
 }
 
 // counters reads an engine's counters.
-func (c *cluster) counters(server string) engine.Counters {
+func (c *cluster) engineCounters(server string) engine.Counters {
 	var n engine.Counters
 	if err := json.Unmarshal([]byte(get(c.procs["engine:"+server].addr, "/engine/counters")), &n); err != nil {
 		c.t.Errorf("counters of %s: %v", server, err)
@@ -346,7 +354,7 @@
 	return n
 }
 
-// metric reads the value of a gauge of one of our processes.
+// metric reads the value of a gauge from an entry instance or agent.
 func (c *cluster) metric(name, gauge string) float64 {
 	req, err := http.NewRequest(http.MethodGet, "http://"+c.procs[name].addr+metrics.Path, nil)
 	c.must(err)
@@ -361,7 +369,7 @@
 	return all[gauge].Value
 }
 
-// eventually waits for a condition.
+// eventually polls a condition until it is true. A timeout fails the test.
 func (c *cluster) eventually(what string, ok func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(readyTimeout)
@@ -389,7 +397,8 @@
 	return true
 }
 
-// get returns the body of an answer, or "".
+// get returns the body of the response to a GET request, or "" if there is
+// none.
 func get(addr, path string) string {
 	client := http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + addr + path)
--- a/test/faults/entry_datacentre_test.go
+++ b/test/faults/entry_datacentre_test.go
@@ -14,21 +14,24 @@
 )
 
 const (
-	outDataCentre = "catania"
-	// outRate leaves room for all calls in the other data centres.
-	outRate = 68
-	// outWithin is the time after acceptance in which new work ends.
-	outWithin = 3 * time.Second
-	outFor    = 4 * time.Second
-	quietFor  = 6 * time.Second
-	changeFor = 18 * time.Second
-	// firstTokenRatio bounds the first token's 95th percentile during the
-	// change, as a multiple of the quiet one.
-	firstTokenRatio = 1.5
+	drainedDataCentre = "catania"
+	// twoDataCentresRate is a load that two of the three data centres can
+	// serve alone.
+	twoDataCentresRate = 68
+	// maxDrainDelay is how long after a drain is accepted the data centre may
+	// still start new calls.
+	maxDrainDelay   = 3 * time.Second
+	drainedDuration = 4 * time.Second
+	quietDuration   = 6 * time.Second
+	changeDuration  = 18 * time.Second
+	// maxFirstTokenRatio bounds the 95th percentile of the time to the first
+	// token during the change, as a multiple of the one without a change.
+	maxFirstTokenRatio = 1.5
 )
 
-// engines returns the names of the model servers of a data centre.
-func (c *cluster) engines(dc string) []string {
+// modelServers returns the names of the backend servers with an engine in a
+// data centre.
+func (c *cluster) modelServers(dc string) []string {
 	var names []string
 	for name := range c.procs {
 		if strings.HasPrefix(name, "gpu-"+dc) {
@@ -38,20 +41,20 @@
 	return names
 }
 
-// started sums the calls that the engines of a data centre have begun, and
-// those begun above what they bore.
-func (c *cluster) started(dc string) (started, overloaded int) {
-	for _, name := range c.engines(dc) {
-		n := c.counters(name)
+// startedCalls returns the number of calls that the engines of a data centre
+// have started, and how many of them ran while an engine was over its capacity.
+func (c *cluster) startedCalls(dc string) (started, overloaded int) {
+	for _, name := range c.modelServers(dc) {
+		n := c.engineCounters(name)
 		started += n.Started
 		overloaded += n.Overloaded
 	}
 	return started, overloaded
 }
 
-// turnCold makes the engines of a data centre cold, without a restart.
+// turnCold makes the engines of a data centre cold without restarting them.
 func (c *cluster) turnCold(dc string) {
-	for _, name := range c.engines(dc) {
+	for _, name := range c.modelServers(dc) {
 		resp, err := http.Post("http://"+c.procs["engine:"+name].addr+"/engine/faults", "application/json",
 			strings.NewReader(`{"cold":true}`))
 		c.must(err)
@@ -62,47 +65,48 @@
 func TestDataCentreOutAndBack(t *testing.T) {
 	Convey("Given 200 streams over three data centres", t, func() {
 		c := warmCluster(t)
-		quiet := c.under(c.load("quiet", quietFor, outRate, streamTokens, c.entries()...), func() {})
+		quiet := c.runWithFault(c.scenario("quiet", quietDuration, twoDataCentresRate, streamTokens, c.entryAddrs()...), func() {})
 
 		var before, after, overloaded, overloadedAfter int
-		r := c.under(c.withOnce(c.load("out-and-back", changeFor, outRate, streamTokens, c.entries()...)), func() {
-			c.run("drain", "--reason", "maintenance", "datacentre", outDataCentre)
-			<-time.After(outWithin)
-			before, _ = c.started(outDataCentre)
-			<-time.After(outFor)
-			after, overloaded = c.started(outDataCentre)
-			c.turnCold(outDataCentre)
-			c.run("return", "--reason", "maintenance done", "datacentre", outDataCentre)
+		r := c.runWithFault(c.withOnceOnlyCalls(c.scenario("out-and-back", changeDuration, twoDataCentresRate, streamTokens, c.entryAddrs()...)), func() {
+			c.runCommand("drain", "--reason", "maintenance", "datacentre", drainedDataCentre)
+			<-time.After(maxDrainDelay)
+			before, _ = c.startedCalls(drainedDataCentre)
+			<-time.After(drainedDuration)
+			after, overloaded = c.startedCalls(drainedDataCentre)
+			c.turnCold(drainedDataCentre)
+			c.runCommand("return", "--reason", "maintenance done", "datacentre", drainedDataCentre)
 		})
-		returned, overloadedAfter := c.started(outDataCentre)
-		t.Logf("started in %s: %d before, %d while out, %d after the return; above what the engines bore: %d",
-			outDataCentre, before, after-before, returned-after, overloadedAfter-overloaded)
+		returned, overloadedAfter := c.startedCalls(drainedDataCentre)
+		t.Logf("started in %s: %d before, %d while out, %d after the return; over the capacity of the engines: %d",
+			drainedDataCentre, before, after-before, returned-after, overloadedAfter-overloaded)
 		t.Logf("first token p95: quiet %.1f ms, change %.1f ms", quiet.All.FirstToken.P95, r.All.FirstToken.P95)
 		So(r.MaxInFlight, ShouldBeGreaterThanOrEqualTo, 200)
 		So(r.All.Words[requests.WordWhole], ShouldEqual, r.All.Calls)
 		So(after, ShouldEqual, before)
 		So(returned, ShouldBeGreaterThan, after)
 		So(overloadedAfter, ShouldEqual, overloaded)
-		So(r.All.FirstToken.P95, ShouldBeLessThanOrEqualTo, firstTokenRatio*quiet.All.FirstToken.P95)
-		atMostOnce(r)
+		So(r.All.FirstToken.P95, ShouldBeLessThanOrEqualTo, maxFirstTokenRatio*quiet.All.FirstToken.P95)
+		assertAtMostOnce(r)
 	})
 }
 
-// TestPlannedStops ends every process in turn, and at last all at once.
+// TestPlannedStops stops and restarts three processes one after the other, then
+// stops all entry instances and model agents at once.
 func TestPlannedStops(t *testing.T) {
 	Convey("Given four entry instances and nine engines under 200 streams", t, func() {
 		c := warmCluster(t)
 
-		r := c.under(c.withOnce(c.load("stop-in-turn", 20*time.Second, streamRate, streamTokens, c.entries()...)), func() {
+		r := c.runWithFault(c.withOnceOnlyCalls(c.scenario("stop-in-turn", 20*time.Second, streamRate, streamTokens, c.entryAddrs()...)), func() {
 			for _, name := range []string{"entry-4", "gpu-palermo-1", "lots-palermo"} {
 				c.terminate(name)
 				c.start(name)
 			}
 		})
 		So(r.All.Words[requests.WordWhole], ShouldEqual, r.All.Calls)
-		atMostOnce(r)
+		assertAtMostOnce(r)
 
-		r = c.under(c.load("stop-all", faultAfter, streamRate, streamTokens, c.entries()...), func() {
+		r = c.runWithFault(c.scenario("stop-all", faultDelay, streamRate, streamTokens, c.entryAddrs()...), func() {
 			var stops sync.WaitGroup
 			for name := range c.procs {
 				if strings.HasPrefix(name, "entry-") || strings.HasPrefix(name, "gpu-") {
--- a/test/faults/entry_engine_test.go
+++ b/test/faults/entry_engine_test.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	crossedFor = 4 * time.Second
-	cutOffFor  = 10 * time.Second
-	// cutOffRate is what one data centre bears, also when the limit of one of
-	// its servers has fallen a little.
-	cutOffRate = 30
+	crossedDuration   = 4 * time.Second
+	isolationDuration = 10 * time.Second
+	// oneDataCentreRate is a load that one data centre can serve alone, even
+	// when the limit of one of its servers has fallen a little.
+	oneDataCentreRate = 30
 )
 
 // setFaults replaces the faults of one engine.
-func (c *cluster) setFaults(server, faults string) {
+func (c *cluster) setEngineFaults(server, faults string) {
 	resp, err := http.Post("http://"+c.procs["engine:"+server].addr+"/engine/faults", "application/json", strings.NewReader(faults))
 	c.must(err)
 	_ = resp.Body.Close()
 }
 
-// cost returns the processor time that the named processes have used.
-func (c *cluster) cost(prefix string) time.Duration {
+// totalCPUTime returns the CPU time that all processes whose names start
+// with prefix report.
+func (c *cluster) totalCPUTime(prefix string) time.Duration {
 	var sum float64
 	for name := range c.procs {
 		if strings.HasPrefix(name, prefix) {
@@ -38,53 +39,54 @@
 	return time.Duration(sum) * time.Microsecond
 }
 
-// logCost logs the processor time per call and per token of a quiet run.
-func (c *cluster) logCost(run func() *requests.Result) {
-	entries, agents := c.cost("entry-"), c.cost("gpu-")
+// logCPUTime runs a load without faults and logs its CPU time per call and per
+// token.
+func (c *cluster) logCPUTime(run func() *requests.Result) {
+	entries, agents := c.totalCPUTime("entry-"), c.totalCPUTime("gpu-")
 	r := run()
-	entries, agents = c.cost("entry-")-entries, c.cost("gpu-")-agents
+	entries, agents = c.totalCPUTime("entry-")-entries, c.totalCPUTime("gpu-")-agents
 	per := func(d time.Duration, n int) time.Duration { return d / time.Duration(max(1, n)) }
-	c.t.Logf("%d calls, %d tokens: entry %s per call, %s per token; agent %s per call, %s per token",
+	c.t.Logf("%d calls, %d tokens; CPU time of entry instances: %s per call, %s per token; of agents: %s per call, %s per token",
 		r.All.Calls, r.All.Tokens, per(entries, r.All.Calls), per(entries, r.All.Tokens),
 		per(agents, r.All.Calls), per(agents, r.All.Tokens))
 }
 
-// elsewhere returns every process outside the first data centre, and the
-// platform: seen from there, stopping them cuts the data centre off.
-func (c *cluster) elsewhere() []string {
-	away := []string{"platform", "entry-2", "entry-3"}
+// processesOutsidePalermo returns the names of the platform and of every
+// process in the other data centres. Freezing them all isolates palermo.
+func (c *cluster) processesOutsidePalermo() []string {
+	names := []string{"platform", "entry-2", "entry-3"}
 	for name := range c.procs {
 		if strings.Contains(name, "trapani") || strings.Contains(name, "catania") {
-			away = append(away, name)
+			names = append(names, name)
 		}
 	}
-	return away
+	return names
 }
 
 func TestEngineFaultsAndCutOff(t *testing.T) {
 	Convey("Given four entry instances and nine engines under 200 streams", t, func() {
 		c := warmCluster(t)
-		c.logCost(func() *requests.Result {
-			return c.under(c.load("quiet", loadFor, streamRate, streamTokens, c.entries()...), func() {})
+		c.logCPUTime(func() *requests.Result {
+			return c.runWithFault(c.scenario("quiet", loadDuration, streamRate, streamTokens, c.entryAddrs()...), func() {})
 		})
 
-		r := c.under(c.load("crossed", loadFor, streamRate, streamTokens, c.entries()...), func() {
-			c.setFaults("gpu-trapani-1", `{"crossed":true}`)
-			<-time.After(crossedFor)
-			c.setFaults("gpu-trapani-1", `{}`)
+		r := c.runWithFault(c.scenario("crossed", loadDuration, streamRate, streamTokens, c.entryAddrs()...), func() {
+			c.setEngineFaults("gpu-trapani-1", `{"crossed":true}`)
+			<-time.After(crossedDuration)
+			c.setEngineFaults("gpu-trapani-1", `{}`)
 		})
-		allWhole(r, 0)
+		assertAllWhole(r, 0)
 
-		r = c.under(c.load("turned-cold", loadFor, outRate, streamTokens, c.entries()...), func() { c.turnCold("trapani") })
-		allWhole(r, 0)
+		r = c.runWithFault(c.scenario("turned-cold", loadDuration, twoDataCentresRate, streamTokens, c.entryAddrs()...), func() { c.turnCold("trapani") })
+		assertAllWhole(r, 0)
 
-		here := []string{c.procs["entry-1"].addr, c.procs["entry-4"].addr}
-		r = c.under(c.load("cut-off", faultAfter+cutOffFor+faultAfter, cutOffRate, streamTokens, here...), func() {
-			for _, name := range c.elsewhere() {
+		palermoEntries := []string{c.procs["entry-1"].addr, c.procs["entry-4"].addr}
+		r = c.runWithFault(c.scenario("cut-off", faultDelay+isolationDuration+faultDelay, oneDataCentreRate, streamTokens, palermoEntries...), func() {
+			for _, name := range c.processesOutsidePalermo() {
 				c.signal(name, syscall.SIGSTOP)
 			}
-			<-time.After(cutOffFor)
-			for _, name := range c.elsewhere() {
+			<-time.After(isolationDuration)
+			for _, name := range c.processesOutsidePalermo() {
 				c.signal(name, syscall.SIGCONT)
 			}
 		})
--- a/test/faults/entry_freeze_test.go
+++ b/test/faults/entry_freeze_test.go
@@ -10,20 +10,21 @@
 	"github.com/rattanway/rattanway/bench/requests"
 )
 
-// freeze stops processes for a while and wakes them again.
-func (c *cluster) freeze(names ...string) {
+// freezeAndResume freezes processes for freezeDuration.
+func (c *cluster) freezeAndResume(names ...string) {
 	for _, name := range names {
 		c.signal(name, syscall.SIGSTOP)
 	}
-	<-time.After(freezeFor)
+	<-time.After(freezeDuration)
 	for _, name := range names {
 		c.signal(name, syscall.SIGCONT)
 	}
 }
 
-// withOnce adds once-only calls to a scenario, with and without keys.
-func (c *cluster) withOnce(s *requests.Scenario) *requests.Scenario {
-	s.Services = c.services()
+// withOnceOnlyCalls adds once-only calls to a scenario, half of them with an
+// idempotency key.
+func (c *cluster) withOnceOnlyCalls(s *requests.Scenario) *requests.Scenario {
+	s.Services = c.serviceAddrs()
 	s.Accounts = append(s.Accounts, requests.Account{
 		Name: "lots", Key: accountKey, Rate: 20, Once: 1, Keyed: 0.5, OncePath: "/services/lots/lots",
 		Tokens: requests.Range{Min: 1, Max: 1},
@@ -31,9 +32,9 @@
 	return s
 }
 
-// atMostOnce demands that no once-only call ran twice, and none that was
-// refused as not run.
-func atMostOnce(r *requests.Result) {
+// assertAtMostOnce asserts that once-only calls ran, that none ran twice, and
+// that none ran that was reported as not run.
+func assertAtMostOnce(r *requests.Result) {
 	So(r.Executions, ShouldBeGreaterThan, 0)
 	So(r.Doubled, ShouldEqual, 0)
 	So(r.FalseNotRun, ShouldEqual, 0)
@@ -42,20 +43,20 @@
 func TestFreezesUnderLoad(t *testing.T) {
 	Convey("Given four entry instances and nine engines under 200 streams", t, func() {
 		c := warmCluster(t)
-		const long = faultAfter + freezeFor + 3*time.Second
+		const duration = faultDelay + freezeDuration + 3*time.Second
 
-		r := c.under(c.withOnce(c.load("freeze-agent", long, streamRate, streamTokens, c.entries()...)), func() {
-			c.freeze("gpu-palermo-1", "lots-palermo")
+		r := c.runWithFault(c.withOnceOnlyCalls(c.scenario("freeze-agent", duration, streamRate, streamTokens, c.entryAddrs()...)), func() {
+			c.freezeAndResume("gpu-palermo-1", "lots-palermo")
 		})
 		models := r.Accounts["erbe"]
 		So(models.Words[requests.WordWhole], ShouldEqual, models.Calls)
-		atMostOnce(r)
+		assertAtMostOnce(r)
 
-		r = c.under(c.withOnce(c.load("freeze-entry", long, streamRate, streamTokens, c.entries()...)), func() {
-			c.freeze("entry-4")
+		r = c.runWithFault(c.withOnceOnlyCalls(c.scenario("freeze-entry", duration, streamRate, streamTokens, c.entryAddrs()...)), func() {
+			c.freezeAndResume("entry-4")
 		})
 		models = r.Accounts["erbe"]
 		So(models.Words[requests.WordWhole], ShouldEqual, models.Calls)
-		atMostOnce(r)
+		assertAtMostOnce(r)
 	})
 }
--- a/test/faults/entry_kill_test.go
+++ b/test/faults/entry_kill_test.go
@@ -1,4 +1,5 @@
-// Package faults runs real processes under load and takes some away.
+// Package faults tests real processes under load while some of them are killed,
+// frozen, stopped or made to fail.
 package faults
 
 import (
@@ -14,28 +15,29 @@
 )
 
 const (
-	streamTokens = 60
-	streamRate   = 75 // about 220 streams in flight at 3 s each
-	faultAfter   = 3 * time.Second
-	loadFor      = 8 * time.Second
-	freezeFor    = 10 * time.Second
-	warmUpFor    = 4 * time.Second
-	warmUpRate   = 320 // fills every slot with answers of half the length
-	maxWarmUps   = 30
-	warmShare    = 0.9
+	streamTokens   = 60
+	streamRate     = 75 // about 220 streams in flight at 3 s each
+	faultDelay     = 3 * time.Second
+	loadDuration   = 8 * time.Second
+	freezeDuration = 10 * time.Second
+	warmUpDuration = 4 * time.Second
+	warmUpRate     = 320 // fills every slot with responses of half the length
+	maxWarmUps     = 30
+	minWarmShare   = 0.9
 )
 
 // engineArgs make streams of 60 tokens last about 3 s.
 var engineArgs = []string{"--slots", "64", "--warm-limit", "48", "--cold-limit", "8",
 	"--per-token", "50ms", "--first-token", "50ms"}
 
-// under runs a scenario and meanwhile, after a while, a fault.
-func (c *cluster) under(s *requests.Scenario, fault func()) *requests.Result {
+// runWithFault runs a scenario and, faultDelay after its start, fault. It
+// returns when both have ended.
+func (c *cluster) runWithFault(s *requests.Scenario, fault func()) *requests.Result {
 	c.t.Helper()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		<-time.After(faultAfter)
+		<-time.After(faultDelay)
 		fault()
 	}()
 	result, err := requests.Run(context.Background(), s)
@@ -48,69 +50,70 @@
 	return result
 }
 
-// warmUp loads the servers with short calls until they bear nearly their full
-// limits.
+// warmUp loads the servers with short calls until their limits have nearly
+// reached the declared ones.
 func (c *cluster) warmUp() {
 	c.t.Helper()
 	for range maxWarmUps {
-		if c.warm() {
+		if c.isWarm() {
 			return
 		}
-		_, err := requests.Run(context.Background(), c.load("warm-up", warmUpFor, warmUpRate, streamTokens/2, c.entries()...))
+		_, err := requests.Run(context.Background(), c.scenario("warm-up", warmUpDuration, warmUpRate, streamTokens/2, c.entryAddrs()...))
 		c.must(err)
 	}
 	for _, dc := range dataCentres {
-		for _, name := range c.engines(dc.name) {
+		for _, name := range c.modelServers(dc.name) {
 			c.t.Logf("%s: limit %v", name, c.metric(name, "agent.limit"))
 		}
 	}
 	c.t.Fatalf("servers are not warm after %d rounds", maxWarmUps)
 }
 
-// warm reports whether the model servers together admit nearly as many calls
-// as declared. Limits fall a little now and then on a busy machine, so that
-// seldom all of them are full at once.
-func (c *cluster) warm() bool {
+// isWarm reports whether the limits of the model servers add up to nearly the
+// declared ones. On a busy machine a limit falls a little now and then, so all
+// of them are rarely at their maximum at the same time.
+func (c *cluster) isWarm() bool {
 	sum, declared := 0.0, 0.0
 	for _, dc := range dataCentres {
-		for _, name := range c.engines(dc.name) {
+		for _, name := range c.modelServers(dc.name) {
 			sum += c.metric(name, "agent.limit")
 			declared += engineLimit
 		}
 	}
-	return sum >= warmShare*declared
+	return sum >= minWarmShare*declared
 }
 
-// allWhole demands that every call got its whole answer, but for those that
-// were lost with an entry instance of their own.
-func allWhole(r *requests.Result, lost int) {
+// assertAllWhole asserts that at least 200 calls ran at once and that every call
+// got its whole response, except for at most maxLost calls of a killed
+// entry instance.
+func assertAllWhole(r *requests.Result, maxLost int) {
 	So(r.MaxInFlight, ShouldBeGreaterThanOrEqualTo, 200)
 	So(r.All.Words[requests.WordWrong], ShouldEqual, 0)
 	So(r.All.Words[requests.WordDoubled], ShouldEqual, 0)
-	So(r.All.Words[requests.WordWhole], ShouldBeGreaterThanOrEqualTo, r.All.Calls-lost)
+	So(r.All.Words[requests.WordWhole], ShouldBeGreaterThanOrEqualTo, r.All.Calls-maxLost)
 }
 
 func TestKillsUnderLoad(t *testing.T) {
 	Convey("Given four entry instances and nine engines under 200 streams", t, func() {
 		c := warmCluster(t)
-		entries := c.entries()
+		entries := c.entryAddrs()
 
-		r := c.under(c.load("kill-agent", loadFor, streamRate, streamTokens, entries...), func() {
+		r := c.runWithFault(c.scenario("kill-agent", loadDuration, streamRate, streamTokens, entries...), func() {
 			c.signal("gpu-palermo-1", syscall.SIGKILL)
 		})
-		allWhole(r, 0)
+		assertAllWhole(r, 0)
 		c.start("gpu-palermo-1")
 
-		r = c.under(c.load("kill-engine", loadFor, streamRate, streamTokens, entries...), func() {
+		r = c.runWithFault(c.scenario("kill-engine", loadDuration, streamRate, streamTokens, entries...), func() {
 			c.signal("engine:gpu-catania-1", syscall.SIGKILL)
 		})
-		allWhole(r, 0)
+		assertAllWhole(r, 0)
 
-		r = c.under(c.load("kill-entry", loadFor, streamRate, streamTokens, entries...), func() {
+		r = c.runWithFault(c.scenario("kill-entry", loadDuration, streamRate, streamTokens, entries...), func() {
 			c.signal("entry-4", syscall.SIGKILL)
 		})
-		// The killed instance had a quarter of the calls.
-		allWhole(r, r.MaxInFlight/2)
+		// The killed entry instance had a quarter of the calls.
+		assertAllWhole(r, r.MaxInFlight/2)
 		So(r.All.Words[requests.WordCut]+r.All.Words[requests.WordLost], ShouldEqual, r.All.Calls-r.All.Words[requests.WordWhole])
 	})
 }
