--- a/test/configuration/doc.go
+++ b/test/configuration/doc.go
@@ -1,4 +1,4 @@
-// Package configuration holds tests of the configuration on real processes:
-// how soon an accepted change is in force everywhere, and that it is never
-// lost or undone under kills, freezes and outages of the platform.
+// Package configuration tests the distribution of the configuration with real
+// processes: how soon an accepted change is in force everywhere, and that it is
+// never lost or undone by kills, freezes and outages of the platform.
 package configuration
--- a/test/configuration/freeze_test.go
+++ b/test/configuration/freeze_test.go
@@ -14,87 +14,86 @@
 	"github.com/rattanway/rattanway/request/ops"
 )
 
-// frozenFor is how long processes are stopped; it is longer than the time in
-// which a pause goes unnoticed.
-const frozenFor = 2 * time.Second
+// freezeDuration is how long processes are frozen. It is longer than the longest
+// pause that a process does not detect.
+const freezeDuration = 2 * time.Second
 
-// callsAtOnce is how many calls wait for a process that is woken.
-const callsAtOnce = 20
+// concurrentCalls is the number of calls that wait for a frozen entry instance.
+const concurrentCalls = 20
 
-// TestFrozenPastAChange stops an entry and the agent of a data centre, takes
-// that data centre out meanwhile and wakes both in either order, with calls
-// waiting: none may be answered from the data centre.
+// TestFrozenPastAChange freezes an entry instance and an agent of a data centre,
+// drains the data centre meanwhile and resumes both in random order while calls
+// wait. The drained data centre may not serve any of them.
 func TestFrozenPastAChange(t *testing.T) {
 	Convey("Given services in three data centres", t, func() {
-		r := newRig(t, shape{entries: 2, services: 3})
+		r := newRig(t, rigConfig{entries: 2, services: 3})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(number, startBound, r.all...)
-		r.awaitAnswerFrom(r.entries[0], r.agents[0])
-		random := rand.New(rand.NewPCG(6, 1))
+		r.awaitInForce(number, startTimeout, r.all...)
+		r.awaitResponseFrom(r.entries[0], r.agents[0])
+		rng := rand.New(rand.NewPCG(6, 1))
 
-		Convey("a frozen entry and agent do no work on the old configuration once woken", func() {
+		Convey("a frozen entry instance and agent do no work on the old configuration once resumed", func() {
 			for round := range rounds(1) {
-				answers := r.freezeRound(round, random)
-				So(answers[r.agents[0].id], ShouldEqual, 0)
-				So(answers[unknown], ShouldEqual, 0)
-				t.Logf("round %d: %v", round, answers)
+				outcomes := r.freezeRound(round, rng)
+				So(outcomes[r.agents[0].id], ShouldEqual, 0)
+				So(outcomes[unknown], ShouldEqual, 0)
+				t.Logf("round %d: %v", round, outcomes)
 			}
 		})
 	})
 }
 
-// What became of calls that no server answered.
+// Outcomes of calls that no server answered.
 const (
 	notRun  = "refused as not run"
 	unknown = "unknown"
 )
 
-// freezeRound freezes entry-1 and the agent in palermo past the drain of
-// palermo, wakes them and returns the number of calls by the server that
-// answered.
-func (r *rig) freezeRound(round int, random *rand.Rand) map[string]int {
+// freezeRound freezes entry-1 and the agent in palermo, drains palermo, resumes
+// both and returns the number of calls by outcome. It ends the drain again.
+func (r *rig) freezeRound(round int, rng *rand.Rand) map[string]int {
 	frozen := []*process{r.entries[0], r.agents[0]}
 	for _, p := range frozen {
 		r.signal(p, syscall.SIGSTOP)
 	}
 	cause := ops.Cause{Author: "ada", Reason: "test", ChangeID: fmt.Sprintf("out-%d", round)}
-	out, err := r.client(r.entries[1]).SetDataCentreOut(r.t.Context(), sites[0], true, cause)
+	out, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], true, cause)
 	r.must(err)
-	r.awaitInForce(out.Number, allWithin, r.entries[1], r.agents[1], r.agents[2])
-	<-time.After(frozenFor)
+	r.awaitInForce(out.Number, propagationTimeout, r.entries[1], r.agents[1], r.agents[2])
+	<-time.After(freezeDuration)
 
-	answers := make(chan string, callsAtOnce)
+	outcomes := make(chan string, concurrentCalls)
 	var calls sync.WaitGroup
-	for range callsAtOnce {
+	for range concurrentCalls {
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
 			server, err := r.call(r.entries[0])
-			answers <- outcome(server, err)
+			outcomes <- outcome(server, err)
 		}()
 	}
-	random.Shuffle(len(frozen), func(i, j int) { frozen[i], frozen[j] = frozen[j], frozen[i] })
+	rng.Shuffle(len(frozen), func(i, j int) { frozen[i], frozen[j] = frozen[j], frozen[i] })
 	for _, p := range frozen {
 		r.signal(p, syscall.SIGCONT)
 	}
 	calls.Wait()
-	close(answers)
+	close(outcomes)
 	counts := map[string]int{}
-	for server := range answers {
+	for server := range outcomes {
 		counts[server]++
 	}
-	r.awaitInForce(out.Number, allWithin, r.all...)
+	r.awaitInForce(out.Number, propagationTimeout, r.all...)
 	cause.ChangeID = fmt.Sprintf("in-%d", round)
-	in, err := r.client(r.entries[1]).SetDataCentreOut(r.t.Context(), sites[0], false, cause)
+	in, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], false, cause)
 	r.must(err)
-	r.awaitInForce(in.Number, allWithin, r.all...)
-	r.awaitAnswerFrom(r.entries[0], r.agents[0])
+	r.awaitInForce(in.Number, propagationTimeout, r.all...)
+	r.awaitResponseFrom(r.entries[0], r.agents[0])
 	return counts
 }
 
-// outcome returns the server that answered a call, or what became of it.
+// outcome returns the server that answered a call, or notRun or unknown.
 func outcome(server string, err error) string {
 	switch {
 	case err == nil:
@@ -106,11 +105,12 @@
 	}
 }
 
-// awaitAnswerFrom waits until an entry's calls are answered by a server, which
-// is in its own data centre and so comes first.
-func (r *rig) awaitAnswerFrom(entry, server *process) {
+// awaitResponseFrom waits until a server serves the calls through an entry
+// instance. Both must be in one data centre, because an entry instance prefers
+// the servers of its own.
+func (r *rig) awaitResponseFrom(entry, server *process) {
 	r.t.Helper()
-	r.eventually(server.id+" answers", startBound, func() bool {
+	r.eventually(server.id+" serves calls", startTimeout, func() bool {
 		name, err := r.call(entry)
 		return err == nil && name == server.id
 	})
--- a/test/configuration/leaving_test.go
+++ b/test/configuration/leaving_test.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	// callLasts is how long a call runs, so that some run when the server
-	// is asked to leave.
-	callLasts = 800 * time.Millisecond
-	// callersOfEach is how many calls run at once through each entry.
-	callersOfEach = 8
-	// noWorkAfter is the bound for new work at a server asked to leave.
-	noWorkAfter = 3 * time.Second
-	// watchFor is how long new work is watched for after the request.
-	watchFor = 3 * noWorkAfter / 2
+	// callDuration is how long a call runs. It is long enough that some calls
+	// run when the server is marked as leaving.
+	callDuration = 800 * time.Millisecond
+	// callersPerEntry is how many calls run at once through each entry instance.
+	callersPerEntry = 8
+	// maxLeaveDelay is how long a leaving server may still get new calls.
+	maxLeaveDelay = 3 * time.Second
+	// watchDuration is how long the test watches for new calls after the
+	// request.
+	watchDuration = 3 * maxLeaveDelay / 2
 )
 
-// TestLeavingServer asks a backend server to leave under load: it gets no new
-// work after 3 s, and no call is cut.
+// TestLeavingServer marks a backend server as leaving under load. It must get no
+// new calls after 3 s, and no call may be cut off.
 func TestLeavingServer(t *testing.T) {
-	Convey("Given four entries and three services under load", t, func() {
-		r := newRig(t, shape{entries: 4, services: 3, delay: callLasts})
+	Convey("Given four entry instances and three services under load", t, func() {
+		r := newRig(t, rigConfig{entries: 4, services: 3, delay: callDuration})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(number, startBound, r.all...)
+		r.awaitInForce(number, startTimeout, r.all...)
 		leaving := r.agents[0]
-		r.awaitAnswerFrom(r.entries[0], leaving)
+		r.awaitResponseFrom(r.entries[0], leaving)
 		load := r.startLoad()
-		r.eventually("the server works", startBound, func() bool { return r.executions(0) > callersOfEach })
+		r.eventually("the server runs calls", startTimeout, func() bool { return r.executions(0) > callersPerEntry })
 
-		Convey("one that leaves gets no new work after 3 s, and no call is cut", func() {
+		Convey("a leaving server gets no new calls after 3 s, and no call is cut off", func() {
 			cause := ops.Cause{Author: "ada", Reason: "repair", ChangeID: "leave"}
-			asked := time.Now()
-			_, err := r.client(r.entries[3]).SetBackendServerLeaving(t.Context(), leaving.id, true, cause)
+			requested := time.Now()
+			_, err := r.operatorClient(r.entries[3]).SetBackendServerLeaving(t.Context(), leaving.id, true, cause)
 			So(err, ShouldBeNil)
-			last := r.lastExecution(0, asked, watchFor)
+			last := r.lastExecution(0, requested, watchDuration)
 			whole, failed := load.stop()
-			t.Logf("last new work %s after the request; %d calls whole, %d failed: %v", last, whole, len(failed), failed)
-			So(last, ShouldBeLessThanOrEqualTo, noWorkAfter)
+			t.Logf("last new call %s after the request; %d calls whole, %d failed: %v", last, whole, len(failed), failed)
+			So(last, ShouldBeLessThanOrEqualTo, maxLeaveDelay)
 			So(failed, ShouldBeEmpty)
-			So(whole, ShouldBeGreaterThan, 4*callersOfEach)
+			So(whole, ShouldBeGreaterThan, 4*callersPerEntry)
 		})
 	})
 }
@@ -56,7 +57,7 @@
 // executions returns how many calls a plain service has run.
 func (r *rig) executions(n int) int {
 	r.t.Helper()
-	resp, err := http.Get("http://" + r.beside[n].addr + "/service/counters")
+	resp, err := http.Get("http://" + r.serviceProcesses[n].addr + "/service/counters")
 	r.must(err)
 	defer resp.Body.Close()
 	var counts map[string]int
@@ -68,48 +69,48 @@
 	return sum
 }
 
-// lastExecution watches a plain service for a while and returns when it last
-// took a call, as the time since asked.
-func (r *rig) lastExecution(n int, asked time.Time, watch time.Duration) time.Duration {
+// lastExecution polls a plain service until watch after requested and returns
+// when it last started a call, as the time since requested.
+func (r *rig) lastExecution(n int, requested time.Time, watch time.Duration) time.Duration {
 	r.t.Helper()
 	last, count := time.Duration(0), r.executions(n)
-	for time.Since(asked) < watch {
-		<-time.After(lookEvery)
+	for time.Since(requested) < watch {
+		<-time.After(pollInterval)
 		if now := r.executions(n); now != count {
-			last, count = time.Since(asked), now
+			last, count = time.Since(requested), now
 		}
 	}
 	return last
 }
 
-// callLoad is calls that run without a pause.
+// callLoad makes calls without a pause from several workers.
 type callLoad struct {
-	end  chan struct{}
-	done sync.WaitGroup
+	stopCh  chan struct{}
+	workers sync.WaitGroup
 
 	mu     sync.Mutex
 	whole  int
 	failed []string
 }
 
-// startLoad keeps calls running through every entry.
+// startLoad starts a load of callersPerEntry workers per entry instance.
 func (r *rig) startLoad() *callLoad {
-	l := &callLoad{end: make(chan struct{})}
+	l := &callLoad{stopCh: make(chan struct{})}
 	for _, entry := range r.entries {
-		for range callersOfEach {
-			l.done.Add(1)
+		for range callersPerEntry {
+			l.workers.Add(1)
 			go l.run(r, entry)
 		}
 	}
 	return l
 }
 
-// run makes calls through one entry until the load ends.
+// run makes calls through one entry instance until the load is stopped.
 func (l *callLoad) run(r *rig, entry *process) {
-	defer l.done.Done()
+	defer l.workers.Done()
 	for {
 		select {
-		case <-l.end:
+		case <-l.stopCh:
 			return
 		default:
 		}
@@ -124,9 +125,10 @@
 	}
 }
 
-// stop ends the load and returns what became of its calls.
+// stop stops the load and returns the number of whole responses and the errors
+// of the other calls.
 func (l *callLoad) stop() (whole int, failed []string) {
-	close(l.end)
-	l.done.Wait()
+	close(l.stopCh)
+	l.workers.Wait()
 	return l.whole, l.failed
 }
--- a/test/configuration/load_test.go
+++ b/test/configuration/load_test.go
@@ -8,25 +8,27 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The stated target and what the platform gives.
+// Target size of the system, capacity of the platform and extent of the
+// measurement.
 const (
 	targetEntries        = 330
 	targetServers        = 600
 	platformReadsPerSec  = 2000
 	platformWritesPerSec = 300
-	changesMeasured      = 10
-	measureFor           = 2 * time.Second
-	// listInterval is the default of both daemons.
+	measuredChanges      = 10
+	measureDuration      = 2 * time.Second
+	// listInterval is the default of entry instances and agents.
 	listInterval = 2 * time.Second
 )
 
-// platformLoad is what the processes of a rig ask of the platform.
+// platformLoad is the load that the processes of a rig put on the platform.
 type platformLoad struct {
 	reads, notModified, writes, bytesOut float64
 }
 
-// per returns the load over a time or a number.
-func (l platformLoad) per(n float64) platformLoad {
+// dividedBy returns the load divided by a number of seconds, processes or
+// changes.
+func (l platformLoad) dividedBy(n float64) platformLoad {
 	return platformLoad{l.reads / n, l.notModified / n, l.writes / n, l.bytesOut / n}
 }
 
@@ -40,10 +42,10 @@
 	return fmt.Sprintf("%.2f reads (%.2f of them not modified), %.2f writes, %.0f bytes of bodies", l.reads, l.notModified, l.writes, l.bytesOut)
 }
 
-// load returns what has been asked of the platform since its start.
-func (r *rig) load() platformLoad {
+// totalLoad returns the load on the platform since its start.
+func (r *rig) totalLoad() platformLoad {
 	var sum platformLoad
-	for _, store := range r.counters() {
+	for _, store := range r.platformCounters() {
 		sum.reads += float64(store["reads"])
 		sum.notModified += float64(store["notModified"])
 		sum.writes += float64(store["writes"])
@@ -52,63 +54,64 @@
 	return sum
 }
 
-// steady returns the load per second while nothing changes.
-func (r *rig) steady() platformLoad {
-	before := r.load()
-	<-time.After(measureFor)
-	return r.load().minus(before).per(measureFor.Seconds())
+// steadyLoad measures the load per second while nothing changes.
+func (r *rig) steadyLoad() platformLoad {
+	before := r.totalLoad()
+	<-time.After(measureDuration)
+	return r.totalLoad().minus(before).dividedBy(measureDuration.Seconds())
 }
 
-// TestLoadOnThePlatform measures what entries, agents and changes each ask of
-// the platform, and holds what follows for the target against what it gives.
+// TestLoadOnThePlatform measures the load that each entry instance, agent and
+// change puts on the platform. The load extrapolated to the target size must
+// stay below the capacity of the platform.
 func TestLoadOnThePlatform(t *testing.T) {
-	Convey("Given four entries and twelve agents", t, func() {
-		r := newRig(t, shape{entries: 4, agents: 12, listInterval: listInterval})
+	Convey("Given four entry instances and twelve agents", t, func() {
+		r := newRig(t, rigConfig{entries: 4, agents: 12, listInterval: listInterval})
 		r.awaitRegistered()
-		perChange := r.measureChanges()
-		all := r.steady()
-		entries := r.without(r.agents)
-		one := r.without(r.entries[1:])
-		perAgent := all.minus(entries).per(float64(len(r.agents)))
-		perEntry := entries.minus(one).per(float64(len(r.entries) - 1))
-		t.Logf("per second and entry: %s", perEntry)
+		perChange := r.loadPerChange()
+		all := r.steadyLoad()
+		entries := r.steadyLoadWithout(r.agents)
+		one := r.steadyLoadWithout(r.entries[1:])
+		perAgent := all.minus(entries).dividedBy(float64(len(r.agents)))
+		perEntry := entries.minus(one).dividedBy(float64(len(r.entries) - 1))
+		t.Logf("per second and entry instance: %s", perEntry)
 		t.Logf("per second and agent: %s", perAgent)
 		t.Logf("per change: %s", perChange)
 		reads := perEntry.reads*targetEntries + perAgent.reads*targetServers
 		writes := perEntry.writes*targetEntries + perAgent.writes*targetServers
-		t.Logf("at %d entries and %d servers: %.0f reads and %.0f writes per second", targetEntries, targetServers, reads, writes)
+		t.Logf("at %d entry instances and %d servers: %.0f reads and %.0f writes per second", targetEntries, targetServers, reads, writes)
 
-		Convey("the target stays below what the platform gives", func() {
+		Convey("the load at the target size stays below the capacity of the platform", func() {
 			So(reads, ShouldBeLessThan, platformReadsPerSec)
 			So(writes, ShouldBeLessThan, platformWritesPerSec)
 		})
 	})
 }
 
-// without kills processes and returns the steady load of the others.
-func (r *rig) without(gone []*process) platformLoad {
-	for _, p := range gone {
+// steadyLoadWithout kills processes and returns the steady load of the others.
+func (r *rig) steadyLoadWithout(killed []*process) platformLoad {
+	for _, p := range killed {
 		r.kill(p)
 	}
 	<-time.After(time.Second)
-	return r.steady()
+	return r.steadyLoad()
 }
 
-// measureChanges returns the load of one change, beyond the steady load.
-func (r *rig) measureChanges() platformLoad {
+// loadPerChange measures the load of one change beyond the steady load.
+func (r *rig) loadPerChange() platformLoad {
 	number, err := r.apply(r.entries[0], 0, "first")
 	r.must(err)
-	r.awaitInForce(number, startBound, r.all...)
-	steady := r.steady()
-	begin, before := time.Now(), r.load()
-	for n := range changesMeasured {
+	r.awaitInForce(number, startTimeout, r.all...)
+	steady := r.steadyLoad()
+	begin, before := time.Now(), r.totalLoad()
+	for n := range measuredChanges {
 		name := fmt.Sprintf("m%d", n)
 		number, err = r.apply(r.entries[0], number, name, name)
 		r.must(err)
-		r.awaitInForce(number, allWithin, r.all...)
+		r.awaitInForce(number, propagationTimeout, r.all...)
 	}
-	<-time.After(measureFor)
+	<-time.After(measureDuration)
 	took := time.Since(begin).Seconds()
-	idle := steady.per(1 / took)
-	return r.load().minus(before).minus(idle).per(changesMeasured)
+	idle := steady.dividedBy(1 / took)
+	return r.totalLoad().minus(before).minus(idle).dividedBy(measuredChanges)
 }
--- a/test/configuration/never_falls_test.go
+++ b/test/configuration/never_falls_test.go
@@ -16,11 +16,11 @@
 	standin "github.com/rattanway/rattanway/standin/platform"
 )
 
-// defaultSeed is the seed of the random rounds; RATTANWAY_TEST_SEED sets
-// another.
+// defaultSeed is the seed of the random faults unless RATTANWAY_TEST_SEED sets
+// one.
 const defaultSeed = 20
 
-// seed returns the seed of the random rounds.
+// seed returns the seed of the random faults.
 func seed() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("RATTANWAY_TEST_SEED"), 10, 64); err == nil {
 		return n
@@ -28,83 +28,86 @@
 	return defaultSeed
 }
 
-// storm makes random faults and changes in a rig.
-type storm struct {
+// chaos injects random faults and makes changes in a rig.
+type chaos struct {
 	*rig
-	random *rand.Rand
+	rng    *rand.Rand
 	frozen map[*process]bool
-	dead   map[*process]bool
-	down   bool
+	killed map[*process]bool
+	// down reports whether the platform is unavailable.
+	down bool
 	// accepted maps each accepted change id to its version.
 	accepted map[string]uint64
-	// refused holds the change ids that were refused as having no effect.
+	// refused holds the ids of refused changes, which must have no effect.
 	refused map[string]bool
-	newest  uint64
+	// newest is the newest version that responses have named.
+	newest uint64
+	// changes counts the changes that were sent.
 	changes int
 	// restarts counts the processes that were started again.
 	restarts int
 }
 
-// TestVersionNeverFalls makes random kills, freezes, restarts, outages, lost
-// answers and changes, and checks from the logs of every process that no
-// version in force is followed by an older one, and that every accepted change
-// stands in the history once.
+// TestVersionNeverFalls injects random kills, freezes, restarts, outages and lost
+// responses while it makes changes. It checks in the logs of every process that
+// no version in force is followed by an older one, and that the history contains
+// every accepted change once.
 func TestVersionNeverFalls(t *testing.T) {
-	Convey("Given three entries and six agents under random faults", t, func() {
-		r := newRig(t, shape{entries: 3, agents: 6})
+	Convey("Given three entry instances and six agents under random faults", t, func() {
+		r := newRig(t, rigConfig{entries: 3, agents: 6})
 		r.awaitRegistered()
-		s := &storm{
-			rig: r, random: rand.New(rand.NewPCG(seed(), 0)),
-			frozen: map[*process]bool{}, dead: map[*process]bool{},
+		s := &chaos{
+			rig: r, rng: rand.New(rand.NewPCG(seed(), 0)),
+			frozen: map[*process]bool{}, killed: map[*process]bool{},
 			accepted: map[string]uint64{}, refused: map[string]bool{},
 		}
 		for range rounds(12) {
 			s.step()
-			<-time.After(time.Duration(s.random.IntN(200)) * time.Millisecond)
+			<-time.After(time.Duration(s.rng.IntN(200)) * time.Millisecond)
 		}
-		s.calm()
-		t.Logf("seed %d: %d changes, %d accepted, %d refused, newest version %d, %d restarts, %d of them behind for a moment",
-			seed(), s.changes, len(s.accepted), len(s.refused), s.newest, s.restarts, behind(r.events()))
-
-		Convey("no version falls, every process ends at the newest, and the history is that of the accepted changes", func() {
-			So(falls(r.events()), ShouldBeEmpty)
-			r.awaitInForce(s.newest, startBound, r.all...)
-			So(falls(r.events()), ShouldBeEmpty)
-			stands := s.history()
+		s.endFaults()
+		t.Logf("seed %d: %d changes, %d accepted, %d refused, newest version %d, %d restarts, %d of them from an older version",
+			seed(), s.changes, len(s.accepted), len(s.refused), s.newest, s.restarts, countStaleStarts(r.activations()))
+
+		Convey("no version is followed by an older one, every process ends at the newest, and the history contains exactly the accepted changes", func() {
+			So(orderViolations(r.activations()), ShouldBeEmpty)
+			r.awaitInForce(s.newest, startTimeout, r.all...)
+			So(orderViolations(r.activations()), ShouldBeEmpty)
+			versions := s.versionsByChangeID()
 			for id, number := range s.accepted {
-				So(stands[id], ShouldResemble, []uint64{number})
+				So(versions[id], ShouldResemble, []uint64{number})
 			}
 			for id := range s.refused {
-				So(stands[id], ShouldBeEmpty)
+				So(versions[id], ShouldBeEmpty)
 			}
 		})
 	})
 }
 
 // step makes one random fault or change.
-func (s *storm) step() {
-	switch p := s.all[s.random.IntN(len(s.all))]; s.random.IntN(10) {
+func (s *chaos) step() {
+	switch p := s.all[s.rng.IntN(len(s.all))]; s.rng.IntN(10) {
 	case 0:
 		s.toggleFrozen(p)
 	case 1:
-		s.toggleDead(p)
+		s.toggleKilled(p)
 	case 2:
 		s.down = !s.down
 		s.setDown(s.down)
 	case 3:
-		slow := int64(s.random.IntN(300))
-		s.faults(standin.FaultRequest{LatencyMillis: &slow})
+		slow := int64(s.rng.IntN(300))
+		s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &slow})
 	case 4:
 		lose := 1
-		s.faults(standin.FaultRequest{LoseCommitAnswers: &lose})
+		s.setPlatformFaults(standin.FaultRequest{LoseCommitAnswers: &lose})
 	default:
 		s.change()
 	}
 }
 
-// toggleFrozen freezes a process or wakes it.
-func (s *storm) toggleFrozen(p *process) {
-	if s.dead[p] {
+// toggleFrozen freezes a process or resumes it.
+func (s *chaos) toggleFrozen(p *process) {
+	if s.killed[p] {
 		return
 	}
 	to := syscall.SIGSTOP
@@ -115,24 +118,24 @@
 	s.frozen[p] = !s.frozen[p]
 }
 
-// toggleDead kills a process or starts it again.
-func (s *storm) toggleDead(p *process) {
-	if s.dead[p] {
+// toggleKilled kills a process or starts it again.
+func (s *chaos) toggleKilled(p *process) {
+	if s.killed[p] {
 		s.start(p)
 		s.restarts++
 	} else {
 		s.kill(p)
 	}
-	s.dead[p] = !s.dead[p]
+	s.killed[p] = !s.killed[p]
 	s.frozen[p] = false
 }
 
-// change applies a change through an entry that runs, on the newest known
-// base.
-func (s *storm) change() {
+// change applies a change to the newest known version, through an entry
+// instance that runs.
+func (s *chaos) change() {
 	var live []*process
 	for _, p := range s.entries {
-		if !s.dead[p] && !s.frozen[p] {
+		if !s.killed[p] && !s.frozen[p] {
 			live = append(live, p)
 		}
 	}
@@ -141,11 +144,11 @@
 	}
 	s.changes++
 	id := fmt.Sprintf("change-%d", s.changes)
-	s.record(id, live[s.random.IntN(len(live))])
+	s.applyChange(id, live[s.rng.IntN(len(live))])
 }
 
-// record applies a change and notes what became of it.
-func (s *storm) record(id string, entry *process) {
+// applyChange applies a change and records its outcome.
+func (s *chaos) applyChange(id string, entry *process) {
 	number, err := s.apply(entry, s.newest, id, id)
 	if err == nil {
 		s.accepted[id] = number
@@ -162,73 +165,74 @@
 	}
 }
 
-// calm ends every fault and makes a last change.
-func (s *storm) calm() {
+// endFaults ends every fault and makes a last change.
+func (s *chaos) endFaults() {
 	s.down = false
 	s.setDown(false)
 	quick, none := int64(0), 0
-	s.faults(standin.FaultRequest{LatencyMillis: &quick, LoseCommitAnswers: &none})
+	s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &quick, LoseCommitAnswers: &none})
 	for _, p := range s.all {
-		if s.dead[p] {
-			s.toggleDead(p)
+		if s.killed[p] {
+			s.toggleKilled(p)
 		}
 		if s.frozen[p] {
 			s.toggleFrozen(p)
 		}
 	}
-	s.eventually("a last change is accepted", startBound, func() bool {
+	s.eventually("a last change is accepted", startTimeout, func() bool {
 		before := len(s.accepted)
 		s.change()
 		return len(s.accepted) > before
 	})
 }
 
-// history returns the versions by change id.
-func (s *storm) history() map[string][]uint64 {
-	history, err := s.client(s.entries[0]).History(s.t.Context(), 1000)
+// versionsByChangeID returns the versions in the history by change id.
+func (s *chaos) versionsByChangeID() map[string][]uint64 {
+	history, err := s.operatorClient(s.entries[0]).History(s.t.Context(), 1000)
 	s.must(err)
-	stands := map[string][]uint64{}
+	versions := map[string][]uint64{}
 	for _, e := range history.Entries {
-		stands[e.ChangeID] = append(stands[e.ChangeID], e.Number)
+		versions[e.ChangeID] = append(versions[e.ChangeID], e.Number)
 	}
-	return stands
+	return versions
 }
 
-// falls returns what is wrong with the order in which versions came into
-// force in each life of each process.
-func falls(events []inForce) []string {
-	type life struct {
-		process string
-		life    int
+// orderViolations describes each activation whose version is not newer than the
+// one before it since the same start of the process, and each that names another
+// version as the one before it.
+func orderViolations(events []activation) []string {
+	type processRun struct {
+		process    string
+		startCount int
 	}
-	newest := map[life]uint64{}
+	newest := map[processRun]uint64{}
 	var wrong []string
 	for _, e := range events {
-		at := life{e.process, e.life}
+		at := processRun{e.process, e.startCount}
 		if e.number <= newest[at] || e.from != newest[at] {
-			wrong = append(wrong, fmt.Sprintf("%s in life %d: version %d (from %d) after version %d",
-				e.process, e.life, e.number, e.from, newest[at]))
+			wrong = append(wrong, fmt.Sprintf("%s after start %d: version %d (from %d) after version %d",
+				e.process, e.startCount, e.number, e.from, newest[at]))
 		}
 		newest[at] = e.number
 	}
 	return wrong
 }
 
-// behind counts the restarted processes whose first version was older than
-// their last one before: nothing is kept on disk, so that a process that finds
-// only peers that are behind starts from what they hold.
-func behind(events []inForce) int {
-	type place struct {
-		life   int
-		number uint64
+// countStaleStarts counts the restarts after which the first version was older
+// than the last one before the restart. Nothing is kept on disk, so a process
+// that reaches only peers with an older version starts from that version.
+func countStaleStarts(events []activation) int {
+	type latestVersion struct {
+		startCount int
+		number     uint64
 	}
-	last := map[string]place{}
+	last := map[string]latestVersion{}
 	n := 0
 	for _, e := range events {
-		if before := last[e.process]; e.life > before.life && e.number < before.number {
+		if before := last[e.process]; e.startCount > before.startCount && e.number < before.number {
 			n++
 		}
-		last[e.process] = place{e.life, e.number}
+		last[e.process] = latestVersion{e.startCount, e.number}
 	}
 	return n
 }
--- a/test/configuration/outage_test.go
+++ b/test/configuration/outage_test.go
@@ -13,13 +13,13 @@
 	"github.com/rattanway/rattanway/request/ops"
 )
 
-// peersWithin is the bound for a new process to get the configuration from
+// peerTimeout is how long a new process may take to get the configuration from
 // its peers while the platform is down.
-const peersWithin = 10 * time.Second
+const peerTimeout = 10 * time.Second
 
-// outage returns how long the platform stays down; RATTANWAY_TEST_OUTAGE
-// lengthens it.
-func outage() time.Duration {
+// outageDuration returns how long the platform stays down;
+// RATTANWAY_TEST_OUTAGE overrides the default.
+func outageDuration() time.Duration {
 	if d, err := time.ParseDuration(os.Getenv("RATTANWAY_TEST_OUTAGE")); err == nil {
 		return d
 	}
@@ -28,13 +28,13 @@
 
 func TestPlatformOutage(t *testing.T) {
 	Convey("Given a version in force and a platform that goes down", t, func() {
-		r := newRig(t, shape{entries: 3, agents: 2, services: 2})
+		r := newRig(t, rigConfig{entries: 3, agents: 2, services: 2})
 		r.awaitRegistered()
 		first, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(first, startBound, r.all...)
+		r.awaitInForce(first, startTimeout, r.all...)
 		r.setDown(true)
-		up := time.Now().Add(outage())
+		outageEnd := time.Now().Add(outageDuration())
 
 		Convey("changes are refused, new processes get the version from peers, and nothing is lost", func() {
 			_, err := r.apply(r.entries[1], first, "second", "east")
@@ -42,39 +42,39 @@
 
 			r.kill(r.entries[2])
 			r.start(r.entries[2])
-			r.awaitInForce(first, peersWithin, r.entries[2])
+			r.awaitInForce(first, peerTimeout, r.entries[2])
 
-			agent := r.add("gpu-new", "agent", 1, "--engine", noEngine, "--entries", r.seeds())
+			agent := r.addProcess("gpu-new", "agent", 1, "--engine", unreachableAddr, "--entries", r.entriesSetting())
 			r.start(agent)
-			r.awaitInForce(first, peersWithin, agent)
+			r.awaitInForce(first, peerTimeout, agent)
 
-			entry := r.add("entry-new", "entry", 1, "--entries", r.seeds())
+			entry := r.addProcess("entry-new", "entry", 1, "--entries", r.entriesSetting())
 			r.start(entry)
-			r.awaitInForce(first, peersWithin, entry)
-			r.eventually("the new entry is ready", peersWithin, func() bool {
-				return status(entry.addr, "/readyz") == http.StatusOK
+			r.awaitInForce(first, peerTimeout, entry)
+			r.eventually("the new entry instance is ready", peerTimeout, func() bool {
+				return getStatus(entry.addr, "/readyz") == http.StatusOK
 			})
 
-			r.eventually("a call through the new entry is answered", peersWithin, func() bool {
+			r.eventually("a call through the new entry instance is answered", peerTimeout, func() bool {
 				server, err := r.call(entry)
 				return err == nil && server != ""
 			})
 
-			<-time.After(time.Until(up))
-			So(r.holding(first+1, r.all), ShouldEqual, 0)
+			<-time.After(time.Until(outageEnd))
+			So(r.countInForce(first+1, r.all), ShouldEqual, 0)
 			r.setDown(false)
-			history, err := r.client(r.entries[0]).History(t.Context(), 10)
+			history, err := r.operatorClient(r.entries[0]).History(t.Context(), 10)
 			So(err, ShouldBeNil)
 			So(len(history.Entries), ShouldEqual, 1)
 			second, err := r.apply(r.entries[1], first, "second", "east")
 			So(err, ShouldBeNil)
-			r.awaitInForce(second, allWithin, r.all...)
+			r.awaitInForce(second, propagationTimeout, r.all...)
 		})
 	})
 }
 
-// seeds returns the entries as settings name them.
-func (r *rig) seeds() string {
+// entriesSetting returns the entry instances as a value for --entries.
+func (r *rig) entriesSetting() string {
 	var all []string
 	for _, p := range r.entries {
 		all = append(all, p.id+"@"+p.addr+"/"+p.args[6]+"/"+p.args[8])
@@ -82,7 +82,8 @@
 	return strings.Join(all, ",")
 }
 
-// problemType returns the type of the problem document that err carries.
+// problemType returns the type of the problem document in err, or "" if err has
+// none.
 func problemType(err error) string {
 	var p *ops.Problem
 	if !errors.As(err, &p) {
--- a/test/configuration/retry_test.go
+++ b/test/configuration/retry_test.go
@@ -11,25 +11,25 @@
 	"github.com/rattanway/rattanway/request/ops"
 )
 
-// applyLasts is about how long an apply takes with slowCalls added to each
-// call of the platform.
+// applyDuration is about how long an apply takes when platformDelay is added to
+// each platform call.
 const (
-	slowCalls  = 60 * time.Millisecond
-	applyLasts = 8 * slowCalls
+	platformDelay = 60 * time.Millisecond
+	applyDuration = 8 * platformDelay
 )
 
-// TestEntryKilledInAnApply kills the entry that carries out an apply at a
-// random moment; the operator repeats the change through another one.
+// TestEntryKilledInAnApply kills an entry instance at a random moment while it
+// carries out an apply. The operator repeats the change through another one.
 func TestEntryKilledInAnApply(t *testing.T) {
-	Convey("Given two entries and a platform with some delay", t, func() {
-		r := newRig(t, shape{entries: 2, agents: 1})
+	Convey("Given two entry instances and a platform with some delay", t, func() {
+		r := newRig(t, rigConfig{entries: 2, agents: 1})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[1], 0, "first")
 		So(err, ShouldBeNil)
-		r.delayPlatform(slowCalls)
-		random := rand.New(rand.NewPCG(seed(), 1))
+		r.delayPlatform(platformDelay)
+		rng := rand.New(rand.NewPCG(seed(), 1))
 
-		Convey("the change repeated through the other entry stands once", func() {
+		Convey("the change repeated through the other entry instance is in the history once", func() {
 			answered := 0
 			for n := range rounds(4) {
 				id := fmt.Sprintf("change-%d", n)
@@ -38,7 +38,7 @@
 					_, err := r.apply(r.entries[0], number, id, id)
 					first <- err
 				}()
-				<-time.After(time.Duration(random.Int64N(int64(applyLasts))))
+				<-time.After(time.Duration(rng.Int64N(int64(applyDuration))))
 				r.kill(r.entries[0])
 				if <-first == nil {
 					answered++
@@ -48,34 +48,34 @@
 				So(next, ShouldEqual, number+1)
 				number = next
 				r.start(r.entries[0])
-				r.awaitInForce(number, startBound, r.all...)
+				r.awaitInForce(number, startTimeout, r.all...)
 			}
 			t.Logf("%d of %d changes were answered before the kill", answered, number-1)
-			history, err := r.client(r.entries[1]).History(t.Context(), 1000)
+			history, err := r.operatorClient(r.entries[1]).History(t.Context(), 1000)
 			So(err, ShouldBeNil)
 			So(len(history.Entries), ShouldEqual, int(number))
 		})
 	})
 }
 
-// TestEntryCutOffFromThePlatform runs an entry that never reaches the
-// platform, beside others that do.
+// TestEntryCutOffFromThePlatform runs an entry instance that never reaches the
+// platform together with others that do.
 func TestEntryCutOffFromThePlatform(t *testing.T) {
-	Convey("Given an entry that cannot reach the platform", t, func() {
-		r := newRig(t, shape{entries: 2, agents: 2})
+	Convey("Given an entry instance that cannot reach the platform", t, func() {
+		r := newRig(t, rigConfig{entries: 2, agents: 2})
 		r.awaitRegistered()
 		first, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		cut := r.add("entry-cut", "entry", 1, "--platform", noEngine, "--entries", r.seeds())
-		r.must(r.register(cut))
-		r.start(cut)
-		r.awaitInForce(first, peersWithin, cut)
+		isolated := r.addProcess("entry-cut", "entry", 1, "--platform", unreachableAddr, "--entries", r.entriesSetting())
+		r.must(r.register(isolated))
+		r.start(isolated)
+		r.awaitInForce(first, peerTimeout, isolated)
 
-		Convey("it follows each change within the bound and refuses to make one", func() {
+		Convey("the entry instance follows each change within the bound and refuses to apply one", func() {
 			second, err := r.apply(r.entries[0], first, "second", "east")
 			So(err, ShouldBeNil)
-			r.awaitInForce(second, allWithin, r.all...)
-			_, err = r.apply(cut, second, "third", "north")
+			r.awaitInForce(second, propagationTimeout, r.all...)
+			_, err = r.apply(isolated, second, "third", "north")
 			So(problemType(err), ShouldEqual, ops.TypeNotApplied)
 		})
 	})
--- a/test/configuration/rig_test.go
+++ b/test/configuration/rig_test.go
@@ -30,17 +30,19 @@
 	peerToken     = "test-peer-token"
 	operatorToken = "test-operator-token"
 	accountKey    = "test-account-key"
-	// noEngine is an address at which nothing answers.
-	noEngine = "127.0.0.1:1"
-	// startBound is how long processes may take to come up.
-	startBound = 30 * time.Second
-	// lookEvery is the time between two looks at a condition.
-	lookEvery = 10 * time.Millisecond
-	// eventInForce is the number of the event configuration-in-force.
-	eventInForce = 206
+	// unreachableAddr is an address on which nothing listens.
+	unreachableAddr = "127.0.0.1:1"
+	// startTimeout is how long processes may take to start.
+	startTimeout = 30 * time.Second
+	// pollInterval is the time between two checks of a condition.
+	pollInterval = 10 * time.Millisecond
+	// configurationInForceEvent is the number of the log event
+	// configuration-in-force.
+	configurationInForceEvent = 206
 )
 
-// binary builds the command once for all tests of the package.
+// binary builds the rattanway command once for all tests of the package and
+// returns its path.
 var binary = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(buildDir, "rattanway")
 	out, err := exec.Command("go", "build", "-o", path, "../../cmd/rattanway").CombinedOutput()
@@ -64,14 +66,15 @@
 	os.Exit(code)
 }
 
-// inForce is one version that came into force in a process.
-type inForce struct {
+// activation records that a configuration version came into force in a process.
+type activation struct {
 	process string
 	number  uint64
-	from    uint64
-	at      time.Time
-	// life counts the starts of the process.
-	life int
+	// from is the version that was in force before; 0 for none.
+	from uint64
+	at   time.Time
+	// startCount is the number of starts of the process so far.
+	startCount int
 }
 
 // process is one process of a rig.
@@ -80,36 +83,40 @@
 	addr string
 	args []string
 
-	cmd  *exec.Cmd
-	done chan struct{}
-	life int
+	cmd *exec.Cmd
+	// done is closed when the process has exited.
+	done       chan struct{}
+	startCount int
 }
 
-// rig is a platform stand-in, entry instances and agents as processes.
+// rig runs a platform stand-in, entry instances, agents and plain services,
+// each in a process of its own.
 type rig struct {
-	t        *testing.T
-	bin      string
-	platform string
-	shape    shape
-	entries  []*process
-	agents   []*process
-	// all are the entries and agents; beside are plain services.
-	all    []*process
-	beside []*process
-	// outside is the platform.
-	outside []*process
-
-	mu    sync.Mutex
-	force []inForce
-	tails map[string][]string
+	t            *testing.T
+	bin          string
+	platformAddr string
+	config       rigConfig
+	entries      []*process
+	agents       []*process
+	// all are the entry instances and agents.
+	all []*process
+	// serviceProcesses are the plain services.
+	serviceProcesses []*process
+	// platformProcesses holds the platform stand-in.
+	platformProcesses []*process
+
+	mu       sync.Mutex
+	recorded []activation
+	// logTails are the last log lines by process id.
+	logTails map[string][]string
 }
 
-// shape says what a rig consists of.
-type shape struct {
+// rigConfig configures a rig.
+type rigConfig struct {
 	entries int
-	// agents stand beside no engine.
+	// agents is the number of agents without an engine.
 	agents int
-	// services are plain services, each with an agent.
+	// services is the number of plain services, each with an agent.
 	services int
 	// delay is the time that each call of a service takes. Default 20 ms.
 	delay time.Duration
@@ -118,31 +125,31 @@
 	listInterval time.Duration
 }
 
-// newRig starts a platform and the processes of a shape.
-func newRig(t *testing.T, sh shape) *rig {
+// newRig starts a platform stand-in and the processes of cfg.
+func newRig(t *testing.T, cfg rigConfig) *rig {
 	t.Helper()
 	bin, err := binary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if sh.listInterval == 0 {
-		sh.listInterval = 500 * time.Millisecond
+	if cfg.listInterval == 0 {
+		cfg.listInterval = 500 * time.Millisecond
 	}
-	r := &rig{t: t, bin: bin, platform: newAddr(), shape: sh, tails: map[string][]string{}}
-	for i := range sh.entries {
+	r := &rig{t: t, bin: bin, platformAddr: newAddr(), config: cfg, logTails: map[string][]string{}}
+	for i := range cfg.entries {
 		id := fmt.Sprintf("entry-%d", i+1)
-		r.entries = append(r.entries, r.add(id, "entry", i))
+		r.entries = append(r.entries, r.addProcess(id, "entry", i))
 	}
-	for i := range sh.agents {
+	for i := range cfg.agents {
 		id := fmt.Sprintf("gpu-%d", i+1)
-		r.agents = append(r.agents, r.add(id, "agent", i, "--engine", noEngine))
+		r.agents = append(r.agents, r.addProcess(id, "agent", i, "--engine", unreachableAddr))
 	}
-	for i := range sh.services {
-		r.addService(i, max(sh.delay, 20*time.Millisecond))
+	for i := range cfg.services {
+		r.addService(i, max(cfg.delay, 20*time.Millisecond))
 	}
 	t.Cleanup(r.stop)
 	r.startPlatform()
-	for _, p := range r.beside {
+	for _, p := range r.serviceProcesses {
 		r.start(p)
 	}
 	for _, p := range r.all {
@@ -151,31 +158,31 @@
 	return r
 }
 
-// sites are the data centres, one region each.
-var sites = []string{"palermo", "catania", "trapani"}
+// dataCentres are the data centres, each in a region of its own.
+var dataCentres = []string{"palermo", "catania", "trapani"}
 
-// add prepares a process without starting it.
-func (r *rig) add(id, role string, i int, extra ...string) *process {
+// addProcess prepares a process without starting it.
+func (r *rig) addProcess(id, role string, i int, extra ...string) *process {
 	addr := newAddr()
-	site := sites[i%len(sites)]
+	dataCentre := dataCentres[i%len(dataCentres)]
 	p := &process{id: id, addr: addr, args: append([]string{
-		role, "--id", id, "--listen", addr, "--data-centre", site, "--region", site + "-region",
+		role, "--id", id, "--listen", addr, "--data-centre", dataCentre, "--region", dataCentre + "-region",
 	}, extra...)}
 	r.all = append(r.all, p)
 	return p
 }
 
-// addService prepares a plain service and its agent. The service answers with
-// its server's name.
+// addService prepares a plain service and its agent. The service responds with
+// the name of its backend server.
 func (r *rig) addService(i int, delay time.Duration) {
 	id, addr := fmt.Sprintf("lots-%d", i+1), newAddr()
-	r.beside = append(r.beside, &process{id: "service-" + id, addr: addr, args: []string{
+	r.serviceProcesses = append(r.serviceProcesses, &process{id: "service-" + id, addr: addr, args: []string{
 		"standin", "service", "--listen", addr, "--name", id, "--delay", delay.String(),
 	}})
-	r.agents = append(r.agents, r.add(id, "agent", i, "--engine", addr, "--service", "lots"))
+	r.agents = append(r.agents, r.addProcess(id, "agent", i, "--engine", addr, "--service", "lots"))
 }
 
-// instances returns every process of ours as the platform lists it.
+// instances returns the entry instances and agents as the platform lists them.
 func (r *rig) instances() []core.Instance {
 	var list []core.Instance
 	for _, p := range r.all {
@@ -186,15 +193,15 @@
 	return list
 }
 
-// register makes a process known to the platform that was added after its
-// start.
+// register adds a process to the instance list of the running platform. The
+// process must be the one that was added last.
 func (r *rig) register(p *process) error {
 	all := r.instances()
 	body, err := json.Marshal(all[len(all)-1])
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequest(http.MethodPut, "http://"+r.platform+"/instances/"+p.id, bytes.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, "http://"+r.platformAddr+"/instances/"+p.id, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -205,45 +212,47 @@
 	return resp.Body.Close()
 }
 
-// startPlatform starts the stand-in of the platform.
+// startPlatform starts the platform stand-in and waits until it responds.
 func (r *rig) startPlatform() {
 	r.t.Helper()
 	list, err := json.Marshal(r.instances())
 	r.must(err)
 	file := filepath.Join(r.t.TempDir(), "instances.json")
 	r.must(os.WriteFile(file, list, 0o600))
-	p := &process{id: "platform", addr: r.platform, args: []string{
-		"standin", "platform", "--listen", r.platform, "--lag", "500ms", "--instances", file,
+	p := &process{id: "platform", addr: r.platformAddr, args: []string{
+		"standin", "platform", "--listen", r.platformAddr, "--lag", "500ms", "--instances", file,
 	}}
-	r.outside = append(r.outside, p)
+	r.platformProcesses = append(r.platformProcesses, p)
 	r.start(p)
-	r.eventually("the platform answers", startBound, func() bool { return status(r.platform, "/healthz") == http.StatusOK })
+	r.eventually("the platform responds", startTimeout, func() bool { return getStatus(r.platformAddr, "/healthz") == http.StatusOK })
 }
 
 // start starts a process, or starts it again.
 func (r *rig) start(p *process) {
 	r.t.Helper()
 	p.cmd = exec.Command(r.bin, p.args...)
-	p.cmd.Env = append(os.Environ(), "RATTANWAY_PEER_TOKEN="+peerToken, "RATTANWAY_PLATFORM="+r.platform,
+	p.cmd.Env = append(os.Environ(), "RATTANWAY_PEER_TOKEN="+peerToken, "RATTANWAY_PLATFORM="+r.platformAddr,
 		"RATTANWAY_OPERATORS=ada="+operatorToken, "RATTANWAY_BALANCER_LAG=100ms", "RATTANWAY_LEAVE_NOTICE=100ms",
-		"RATTANWAY_LIST_INTERVAL="+r.shape.listInterval.String())
+		"RATTANWAY_LIST_INTERVAL="+r.config.listInterval.String())
 	log, err := p.cmd.StderrPipe()
 	r.must(err)
 	r.must(p.cmd.Start())
-	p.life++
+	p.startCount++
 	p.done = make(chan struct{})
-	go func(cmd *exec.Cmd, done chan struct{}, life int) {
-		r.read(p.id, life, log)
+	go func(cmd *exec.Cmd, done chan struct{}, startCount int) {
+		r.readLog(p.id, startCount, log)
 		_ = cmd.Wait()
 		close(done)
-	}(p.cmd, p.done, p.life)
+	}(p.cmd, p.done, p.startCount)
 }
 
-// tailLines is how many lines of each log are kept for failures.
-const tailLines = 400
+// maxLogTailLines is the number of last lines of each log that a failed test
+// prints.
+const maxLogTailLines = 400
 
-// read notes each version that comes into force, from a process's log.
-func (r *rig) read(id string, life int, log io.Reader) {
+// readLog reads the log of a process and records each version that comes into
+// force.
+func (r *rig) readLog(id string, startCount int, log io.Reader) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -255,45 +264,46 @@
 		}
 		err := json.Unmarshal(lines.Bytes(), &line)
 		r.mu.Lock()
-		r.tails[id] = append(r.tails[id], lines.Text())
-		if n := len(r.tails[id]); n > tailLines {
-			r.tails[id] = r.tails[id][n-tailLines:]
+		r.logTails[id] = append(r.logTails[id], lines.Text())
+		if n := len(r.logTails[id]); n > maxLogTailLines {
+			r.logTails[id] = r.logTails[id][n-maxLogTailLines:]
 		}
-		if err == nil && line.Event == eventInForce {
-			r.force = append(r.force, inForce{process: id, number: line.Number, from: line.From, at: line.Time, life: life})
+		if err == nil && line.Event == configurationInForceEvent {
+			r.recorded = append(r.recorded, activation{process: id, number: line.Number, from: line.From, at: line.Time, startCount: startCount})
 		}
 		r.mu.Unlock()
 	}
 }
 
-// events returns the versions that came into force so far.
-func (r *rig) events() []inForce {
+// activations returns the activations recorded so far.
+func (r *rig) activations() []activation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]inForce{}, r.force...)
+	return append([]activation{}, r.recorded...)
 }
 
-// holding counts the processes of this life in which number or a newer
-// version is in force.
-func (r *rig) holding(number uint64, of []*process) int {
-	lives := map[string]int{}
-	for _, p := range of {
-		lives[p.id] = p.life
+// countInForce returns the number of procs in which number or a newer version
+// has come into force since their last start.
+func (r *rig) countInForce(number uint64, procs []*process) int {
+	startCounts := map[string]int{}
+	for _, p := range procs {
+		startCounts[p.id] = p.startCount
 	}
 	found := map[string]bool{}
-	for _, e := range r.events() {
-		if e.number >= number && lives[e.process] == e.life {
+	for _, e := range r.activations() {
+		if e.number >= number && startCounts[e.process] == e.startCount {
 			found[e.process] = true
 		}
 	}
 	return len(found)
 }
 
-// awaitInForce waits until number is in force in all of these processes.
-func (r *rig) awaitInForce(number uint64, bound time.Duration, of ...*process) {
+// awaitInForce waits until number or a newer version is in force in all of
+// these processes.
+func (r *rig) awaitInForce(number uint64, bound time.Duration, procs ...*process) {
 	r.t.Helper()
-	r.eventually(fmt.Sprintf("version %d is in force in %d processes", number, len(of)), bound,
-		func() bool { return r.holding(number, of) == len(of) })
+	r.eventually(fmt.Sprintf("version %d is in force in %d processes", number, len(procs)), bound,
+		func() bool { return r.countInForce(number, procs) == len(procs) })
 }
 
 // signal sends a signal to a process.
@@ -302,30 +312,31 @@
 	r.must(p.cmd.Process.Signal(s))
 }
 
-// kill ends a process at once and waits for its end.
+// kill kills a process and waits for its exit.
 func (r *rig) kill(p *process) {
 	r.t.Helper()
 	r.signal(p, syscall.SIGKILL)
 	<-p.done
 }
 
-// stop kills what the rig has started.
+// stop kills all processes of the rig. If the test has failed, it prints the
+// last lines of their logs first.
 func (r *rig) stop() {
 	if r.t.Failed() {
 		r.mu.Lock()
-		for id, tail := range r.tails {
-			r.t.Logf("log of %s:\n%s", id, bytes.Join(rows(tail), []byte("\n")))
+		for id, tail := range r.logTails {
+			r.t.Logf("log of %s:\n%s", id, bytes.Join(toByteSlices(tail), []byte("\n")))
 		}
 		r.mu.Unlock()
 	}
-	for _, group := range [][]*process{r.all, r.beside, r.outside} {
+	for _, group := range [][]*process{r.all, r.serviceProcesses, r.platformProcesses} {
 		for _, p := range group {
 			p.end()
 		}
 	}
 }
 
-// end kills a process if it runs, and waits for its end.
+// end kills a process if it has been started, and waits for its exit.
 func (p *process) end() {
 	if p.cmd == nil || p.cmd.Process == nil {
 		return
@@ -334,8 +345,8 @@
 	<-p.done
 }
 
-// rows converts lines for joining.
-func rows(lines []string) [][]byte {
+// toByteSlices converts lines to byte slices.
+func toByteSlices(lines []string) [][]byte {
 	out := make([][]byte, len(lines))
 	for i, l := range lines {
 		out[i] = []byte(l)
@@ -343,13 +354,13 @@
 	return out
 }
 
-// client returns an operators' client of an entry.
-func (r *rig) client(p *process) *ops.Client { return ops.NewClient(p.addr, operatorToken) }
+// operatorClient returns an operator's client of an entry instance.
+func (r *rig) operatorClient(p *process) *ops.Client { return ops.NewClient(p.addr, operatorToken) }
 
-// apply puts the declarations of the rig with some regions in force through
-// an entry, and returns the version.
+// apply applies the declarations of the rig and additional regions through an
+// entry instance and returns the accepted version.
 func (r *rig) apply(entry *process, base uint64, id string, regions ...string) (uint64, error) {
-	accepted, err := r.client(entry).Apply(context.Background(), ops.ApplyRequest{
+	accepted, err := r.operatorClient(entry).Apply(context.Background(), ops.ApplyRequest{
 		Cause: ops.Cause{Author: "ada", Reason: "test", ChangeID: id},
 		Base:  &base,
 		Files: r.declarations(regions...),
@@ -357,12 +368,12 @@
 	return accepted.Number, err
 }
 
-// declarations returns the rig's servers and some regions.
+// declarations returns the declarations of the rig and of additional regions.
 func (r *rig) declarations(regions ...string) []declare.File {
 	var text bytes.Buffer
-	for _, site := range sites {
-		fmt.Fprintf(&text, "---\n{kind: Region, name: %s-region}\n", site)
-		fmt.Fprintf(&text, "---\n{kind: DataCentre, name: %s, region: %s-region}\n", site, site)
+	for _, dataCentre := range dataCentres {
+		fmt.Fprintf(&text, "---\n{kind: Region, name: %s-region}\n", dataCentre)
+		fmt.Fprintf(&text, "---\n{kind: DataCentre, name: %s, region: %s-region}\n", dataCentre, dataCentre)
 	}
 	fmt.Fprintf(&text, "---\n{kind: ClientAccount, name: erbe, keyHash: \"%s\"}\n", core.DigestOf([]byte(accountKey)))
 	text.WriteString("---\n{kind: Service, name: lots, routes: [{method: GET, path: /lots/, repeatable: true}]}\n")
@@ -379,15 +390,16 @@
 	return []declare.File{{Name: "all.yaml", Body: text.Bytes()}}
 }
 
-// call makes a repeatable call of the plain service and returns the server
-// that answered; an error says that no whole answer came.
+// call makes a repeatable call of the plain service through an entry instance
+// and returns the name of the backend server that served it. It returns an
+// error unless a whole response with status 200 arrives.
 func (r *rig) call(entry *process) (string, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+entry.addr+"/services/lots/lots/7", nil)
 	if err != nil {
 		return "", err
 	}
 	req.Header.Set("Authorization", "Bearer "+accountKey)
-	resp, err := callers.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return "", err
 	}
@@ -404,15 +416,15 @@
 	return result.Service, err
 }
 
-// callers is the HTTP client of callers.
-var callers = &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+// httpClient makes the calls of client accounts.
+var httpClient = &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// faults sets faults of the platform.
-func (r *rig) faults(f standin.FaultRequest) {
+// setPlatformFaults sets faults of the platform.
+func (r *rig) setPlatformFaults(f standin.FaultRequest) {
 	r.t.Helper()
 	body, err := json.Marshal(f)
 	r.must(err)
-	resp, err := http.Post("http://"+r.platform+"/faults", "application/json", bytes.NewReader(body))
+	resp, err := http.Post("http://"+r.platformAddr+"/faults", "application/json", bytes.NewReader(body))
 	r.must(err)
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusNoContent {
@@ -423,13 +435,13 @@
 // setDown makes the platform unavailable or available again.
 func (r *rig) setDown(down bool) {
 	r.t.Helper()
-	r.faults(standin.FaultRequest{Unavailable: &down})
+	r.setPlatformFaults(standin.FaultRequest{Unavailable: &down})
 }
 
-// counters reads the platform's counters, by store and name.
-func (r *rig) counters() map[string]map[string]int64 {
+// platformCounters reads the platform's counters, by store and name.
+func (r *rig) platformCounters() map[string]map[string]int64 {
 	r.t.Helper()
-	resp, err := http.Get("http://" + r.platform + "/counters")
+	resp, err := http.Get("http://" + r.platformAddr + "/counters")
 	r.must(err)
 	defer resp.Body.Close()
 	var all map[string]map[string]int64
@@ -437,7 +449,7 @@
 	return all
 }
 
-// eventually waits for a condition.
+// eventually polls a condition until it is true. It fails the test after bound.
 func (r *rig) eventually(what string, bound time.Duration, ok func() bool) {
 	r.t.Helper()
 	deadline := time.Now().Add(bound)
@@ -445,11 +457,11 @@
 		if time.Now().After(deadline) {
 			r.t.Fatalf("%s: not within %s", what, bound)
 		}
-		<-time.After(lookEvery)
+		<-time.After(pollInterval)
 	}
 }
 
-// must ends the test on an error.
+// must fails the test on an error.
 func (r *rig) must(err error) {
 	r.t.Helper()
 	if err != nil {
@@ -457,22 +469,23 @@
 	}
 }
 
-// host is a loopback address of this run alone, and nextPort the next port of
-// it. Asking the system for a free port and giving it back would let it hand
-// out the same port twice, or to an outgoing connection.
+// host is a random loopback address for this test run, and nextPort counts the
+// ports used on it. A free port obtained from the operating system and released
+// again could be handed out twice or to an outgoing connection.
 var (
 	host     = fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254))
 	nextPort atomic.Int32
 )
 
-// firstPort is below the ports that the system gives to connections.
+// firstPort lies below the operating system's ephemeral ports.
 const firstPort = 20000
 
-// newAddr returns an address that no other process of this run has.
+// newAddr returns an address that no other process of this test run uses.
 func newAddr() string { return fmt.Sprintf("%s:%d", host, firstPort+nextPort.Add(1)) }
 
-// status returns the status of an answer, 0 for none.
-func status(addr, path string) int {
+// getStatus returns the status of the response to a GET request, or 0 if there
+// is none.
+func getStatus(addr, path string) int {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + addr + path)
 	if err != nil {
--- a/test/configuration/slow_test.go
+++ b/test/configuration/slow_test.go
@@ -11,57 +11,58 @@
 )
 
 const (
-	// slow is a delay of each platform call that changes survive.
-	slow = 500 * time.Millisecond
-	// tooSlow is a delay beyond the timeout of a platform call.
-	tooSlow = 3 * time.Second
-	// callWithin is the bound for a call while the platform is slow.
-	callWithin = time.Second
+	// tolerableDelay is a delay of each platform call with which changes still
+	// succeed.
+	tolerableDelay = 500 * time.Millisecond
+	// excessiveDelay is a delay beyond the timeout of a platform call.
+	excessiveDelay = 3 * time.Second
+	// maxCallTime bounds the time of a client's call while the platform is slow.
+	maxCallTime = time.Second
 )
 
-// TestSlowPlatform delays every answer of the platform: calls of callers do
-// not feel it, changes come into force while its answers come at all, and are
-// refused plainly when they come too late.
+// TestSlowPlatform delays every response of the platform. Clients' calls must not
+// become slower. Changes must come into force while responses arrive before the
+// timeout, and be refused with a clear error when they do not.
 func TestSlowPlatform(t *testing.T) {
-	Convey("Given two entries, two services and a slow platform", t, func() {
-		r := newRig(t, shape{entries: 2, services: 2})
+	Convey("Given two entry instances, two services and a slow platform", t, func() {
+		r := newRig(t, rigConfig{entries: 2, services: 2})
 		r.awaitRegistered()
 		first, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(first, startBound, r.all...)
-		r.awaitAnswerFrom(r.entries[0], r.agents[0])
+		r.awaitInForce(first, startTimeout, r.all...)
+		r.awaitResponseFrom(r.entries[0], r.agents[0])
 
 		Convey("a change is in force within the bound, or refused, and calls are answered meanwhile", func() {
-			r.delayPlatform(slow)
+			r.delayPlatform(tolerableDelay)
 			begin := time.Now()
 			second, err := r.apply(r.entries[0], first, "second", "east")
 			So(err, ShouldBeNil)
-			r.awaitInForce(second, allWithin-time.Since(begin), r.all...)
-			t.Logf("in force everywhere %s after the request, each platform call %s", time.Since(begin), slow)
-			So(r.callTime(), ShouldBeLessThan, callWithin)
+			r.awaitInForce(second, propagationTimeout-time.Since(begin), r.all...)
+			t.Logf("in force everywhere %s after the request, each platform call %s", time.Since(begin), tolerableDelay)
+			So(r.callTime(), ShouldBeLessThan, maxCallTime)
 
-			r.delayPlatform(tooSlow)
+			r.delayPlatform(excessiveDelay)
 			_, err = r.apply(r.entries[0], second, "third", "north")
 			So(problemType(err), ShouldEqual, ops.TypeNotApplied)
-			So(r.callTime(), ShouldBeLessThan, callWithin)
+			So(r.callTime(), ShouldBeLessThan, maxCallTime)
 
 			r.delayPlatform(0)
 			third, err := r.apply(r.entries[1], second, "third", "north")
 			So(err, ShouldBeNil)
 			So(third, ShouldEqual, second+1)
-			r.awaitInForce(third, allWithin, r.all...)
+			r.awaitInForce(third, propagationTimeout, r.all...)
 		})
 	})
 }
 
-// delayPlatform delays each answer of the platform.
+// delayPlatform delays each response of the platform by d.
 func (r *rig) delayPlatform(d time.Duration) {
 	r.t.Helper()
 	millis := d.Milliseconds()
-	r.faults(standin.FaultRequest{LatencyMillis: &millis})
+	r.setPlatformFaults(standin.FaultRequest{LatencyMillis: &millis})
 }
 
-// callTime returns the time of one call.
+// callTime makes one call and returns how long it took.
 func (r *rig) callTime() time.Duration {
 	begin := time.Now()
 	_, err := r.call(r.entries[0])
--- a/test/configuration/spread_test.go
+++ b/test/configuration/spread_test.go
@@ -12,27 +12,30 @@
 )
 
 const (
-	// mostWithin is the bound for 99 in 100 processes and changes.
-	mostWithin = 2 * time.Second
-	// allWithin is the bound for every process and change.
-	allWithin = 6 * time.Second
+	// maxPropagationP99 bounds the 99th percentile, over all processes and
+	// changes, of the time until a change is in force.
+	maxPropagationP99 = 2 * time.Second
+	// propagationTimeout is the time within which every change must be in force
+	// in every process.
+	propagationTimeout = 6 * time.Second
 )
 
-// rounds returns how often a test repeats; RATTANWAY_TEST_ROUNDS raises it.
-func rounds(usual int) int {
+// rounds returns how often a test repeats its rounds; RATTANWAY_TEST_ROUNDS
+// overrides the default.
+func rounds(defaultRounds int) int {
 	if n, err := strconv.Atoi(os.Getenv("RATTANWAY_TEST_ROUNDS")); err == nil && n > 0 {
 		return n
 	}
-	return usual
+	return defaultRounds
 }
 
 func TestChangeIsInForceEverywhere(t *testing.T) {
-	Convey("Given four entries and thirty agents", t, func() {
-		r := newRig(t, shape{entries: 4, agents: 30})
+	Convey("Given four entry instances and thirty agents", t, func() {
+		r := newRig(t, rigConfig{entries: 4, agents: 30})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(number, startBound, r.all...)
+		r.awaitInForce(number, startTimeout, r.all...)
 
 		Convey("each change is in force everywhere within the bounds", func() {
 			var delays []time.Duration
@@ -43,34 +46,34 @@
 				next, err := r.apply(entry, number, name, name)
 				So(err, ShouldBeNil)
 				number = next
-				r.awaitInForce(number, allWithin, r.all...)
+				r.awaitInForce(number, propagationTimeout, r.all...)
 				delays = append(delays, r.delays(number, begin)...)
 			}
 			sort.Slice(delays, func(i, j int) bool { return delays[i] < delays[j] })
 			t.Logf("from the operator's request to in force, %d processes and changes: median %s, 90%% %s, 99%% %s, most %s",
-				len(delays), share(delays, 50), share(delays, 90), share(delays, 99), delays[len(delays)-1])
-			So(share(delays, 99), ShouldBeLessThanOrEqualTo, mostWithin)
-			So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, allWithin)
+				len(delays), percentile(delays, 50), percentile(delays, 90), percentile(delays, 99), delays[len(delays)-1])
+			So(percentile(delays, 99), ShouldBeLessThanOrEqualTo, maxPropagationP99)
+			So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, propagationTimeout)
 		})
 	})
 }
 
-// awaitRegistered waits until every entry knows every agent.
+// awaitRegistered waits until every agent is registered at every entry instance.
 func (r *rig) awaitRegistered() {
 	r.t.Helper()
 	for _, entry := range r.entries {
-		r.eventually(entry.id+" knows every agent", startBound, func() bool {
-			s, err := r.client(entry).Status(r.t.Context())
+		r.eventually(entry.id+" has every agent registered", startTimeout, func() bool {
+			s, err := r.operatorClient(entry).Status(r.t.Context())
 			return err == nil && len(s.Servers) == len(r.agents)
 		})
 	}
 }
 
-// delays returns the times from begin until version number, or a newer one,
-// came into force in each process.
+// delays returns, for each process, the time from begin until version number or
+// a newer one came into force.
 func (r *rig) delays(number uint64, begin time.Time) []time.Duration {
 	first := map[string]time.Duration{}
-	for _, e := range r.events() {
+	for _, e := range r.activations() {
 		if _, ok := first[e.process]; !ok && e.number >= number {
 			first[e.process] = e.at.Sub(begin)
 		}
@@ -82,7 +85,7 @@
 	return all
 }
 
-// share returns the value below which percent of the sorted values lie.
-func share(sorted []time.Duration, percent int) time.Duration {
+// percentile returns the value below which percent of the sorted values lie.
+func percentile(sorted []time.Duration, percent int) time.Duration {
 	return sorted[min(len(sorted)*percent/100, len(sorted)-1)]
 }
