--- a/test/sessions/call_test.go
+++ b/test/sessions/call_test.go
@@ -13,16 +13,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// callCommand makes one HTTP call and prints the status and the body. With
-// --within it repeats the call until the expected status and body come.
+// callCommand makes an HTTP call and prints the status and the body of the
+// response. With --within it repeats the call until the response has the
+// expected status and body.
 type callCommand struct {
-	Key     string        `help:"Client account's key or operator's token."`
+	Key     string        `help:"Key of a client account or token of an operator."`
 	Header  []string      `short:"H" sep:"none" help:"Header, 'Name: value'."`
-	Expect  int           `help:"Status that must come; 0 for any."`
-	Matches string        `help:"Expression that the body must match."`
-	Within  time.Duration `help:"How long to repeat the call."`
-	Print   string        `help:"Print only what matches this expression."`
-	Times   int           `help:"How many calls to make at once." default:"1"`
+	Expect  int           `help:"Expected status; 0 for any."`
+	Matches string        `help:"Regular expression that the body must match."`
+	Within  time.Duration `help:"How long to repeat the call until the response is as expected."`
+	Print   string        `help:"Print only the first match of this regular expression in the body."`
+	Times   int           `help:"Number of calls to make at once." default:"1"`
 	Method  string        `arg:""`
 	URL     string        `arg:""`
 	Body    string        `arg:"" optional:""`
@@ -34,18 +35,18 @@
 	var calls errgroup.Group
 	for range c.Times - 1 {
 		calls.Go(func() error {
-			_, _, err := c.repeat()
+			_, _, err := c.callUntilExpected()
 			return err
 		})
 	}
-	status, body, err := c.repeat()
+	status, body, err := c.callUntilExpected()
 	if c.Print != "" {
 		body = regexp.MustCompile(c.Print).FindString(body) + "\n"
 	}
 	fmt.Println(status)
 	fmt.Print(body)
-	if other := calls.Wait(); err == nil {
-		err = other
+	if otherErr := calls.Wait(); err == nil {
+		err = otherErr
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -53,13 +54,14 @@
 	}
 }
 
-// repeat makes the call until what is expected comes or the time is over.
-func (c *callCommand) repeat() (status int, body string, err error) {
-	matches := regexp.MustCompile(c.Matches)
+// callUntilExpected repeats the call until the response is as expected or the
+// time is over, and returns the last response.
+func (c *callCommand) callUntilExpected() (status int, body string, err error) {
+	bodyPattern := regexp.MustCompile(c.Matches)
 	deadline := time.Now().Add(c.Within)
 	for {
-		status, body, err = c.once()
-		if err == nil && (c.Expect == 0 || status == c.Expect) && matches.MatchString(body) {
+		status, body, err = c.callOnce()
+		if err == nil && (c.Expect == 0 || status == c.Expect) && bodyPattern.MatchString(body) {
 			return status, body, nil
 		}
 		if time.Now().After(deadline) {
@@ -69,8 +71,8 @@
 	}
 }
 
-// once makes the call. An answer that breaks off is an error.
-func (c *callCommand) once() (status int, body string, err error) {
+// callOnce makes the call. It returns an error if the response is cut off.
+func (c *callCommand) callOnce() (status int, body string, err error) {
 	req, err := http.NewRequest(c.Method, "http://"+c.URL, strings.NewReader(c.Body))
 	if err != nil {
 		return 0, "", err
--- a/test/sessions/doc.go
+++ b/test/sessions/doc.go
@@ -1,4 +1,4 @@
-// Package sessions holds golden files of whole sessions: each txtar file under
-// testdata starts the real processes and checks what operators and callers
-// see.
+// Package sessions runs end-to-end sessions: each txtar script under testdata
+// starts the real processes and checks the output and responses that operators
+// and client accounts get.
 package sessions
--- a/test/sessions/sessions_test.go
+++ b/test/sessions/sessions_test.go
@@ -21,7 +21,7 @@
 	})
 }
 
-// addrNames are the addresses that a session may use, by variable name.
+// addrNames are the environment variables that hold the addresses of a session.
 var addrNames = []string{
 	"PLATFORM", "ENTRY1", "ENTRY2",
 	"AGENT1", "AGENT2", "AGENT3", "AGENT4", "AGENT5",
@@ -63,15 +63,15 @@
 	})
 }
 
-// signals are those that the signal command knows.
+// signals maps the names that the signal command accepts to signals.
 var signals = map[string]os.Signal{
 	"STOP": syscall.SIGSTOP,
 	"CONT": syscall.SIGCONT,
 	"TERM": syscall.SIGTERM,
 }
 
-// signalCommand sends a signal to the background process whose --id or
-// --listen has the given value: signal STOP gpu-1.
+// signalCommand sends a signal to the background process that has the given
+// value of --id or --listen among its arguments, for example: signal STOP gpu-1.
 func signalCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 || signals[args[0]] == nil {
 		ts.Fatalf("usage: signal STOP|CONT|TERM ID")
@@ -85,7 +85,7 @@
 	ts.Fatalf("no background process with %s", args[1])
 }
 
-// writeInstances writes the platform's instance list for the session.
+// writeInstances writes the instance list of the platform stand-in.
 func writeInstances(env *testscript.Env) error {
 	const line = `{"id":%q,"role":%q,"addr":%q,"dataCentre":%q,"region":"sicily"}`
 	list := "[" +
