--- a/internal/lint/comments_test.go
+++ b/internal/lint/comments_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestExportedItemsHaveComments demands a doc comment on every exported
-// function, method, type and ungrouped value.
+// TestExportedItemsHaveComments checks that every exported function, method, type
+// and ungrouped value has a doc comment.
 func TestExportedItemsHaveComments(t *testing.T) {
 	for _, path := range goFiles(t, false) {
 		fset := token.NewFileSet()
@@ -24,7 +24,7 @@
 	}
 }
 
-// undocumented returns the exported names of decl that lack a comment.
+// undocumented returns the exported names of decl that have no doc comment.
 func undocumented(decl ast.Decl) []*ast.Ident {
 	switch d := decl.(type) {
 	case *ast.FuncDecl:
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// exportedReceiver reports whether d is a function or a method of an exported
-// type.
+// exportedReceiver reports whether d is a function without a receiver or a method
+// of an exported type.
 func exportedReceiver(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
@@ -58,7 +58,7 @@
 	return !ok || ident.IsExported()
 }
 
-// undocumentedSpec returns the exported names of one spec without a comment.
+// undocumentedSpec returns the exported names of spec that have no comment.
 func undocumentedSpec(spec ast.Spec) []*ast.Ident {
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
--- a/internal/lint/doc.go
+++ b/internal/lint/doc.go
@@ -1,3 +1,3 @@
-// Package lint holds tests over the source tree itself: the import rule
-// between life spans, and doc comments on every exported item.
+// Package lint tests the source code of the module: imports between layers, doc
+// comments, file lengths, names of the users' platform and guarded error wraps.
 package lint
--- a/internal/lint/imports_test.go
+++ b/internal/lint/imports_test.go
@@ -15,9 +15,10 @@
 	root   = "../.."
 )
 
-// rank orders the life spans: a package may import only from a folder of its
-// own rank or a lower one. Folders not listed assemble the others.
-var rank = map[string]int{
+// layers orders folders by the lifetime of the state that their packages handle,
+// the longest first. A package may import only from a folder of its own layer or
+// of a lower one. Folders that are not listed assemble the others.
+var layers = map[string]int{
 	"core":       0,
 	"process":    1,
 	"version":    2,
@@ -25,8 +26,8 @@
 	"request":    4,
 }
 
-// goFiles returns the paths of the module's Go files below root.
-func goFiles(t *testing.T, tests bool) []string {
+// goFiles returns the paths of the module's Go files, with or without tests.
+func goFiles(t *testing.T, includeTests bool) []string {
 	t.Helper()
 	var files []string
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -39,7 +40,7 @@
 		if !strings.HasSuffix(path, ".go") {
 			return nil
 		}
-		if !tests && strings.HasSuffix(path, "_test.go") {
+		if !includeTests && strings.HasSuffix(path, "_test.go") {
 			return nil
 		}
 		files = append(files, path)
@@ -51,20 +52,20 @@
 	return files
 }
 
-// folder returns the first path element of a path below the module's root.
-func folder(path string) string {
+// topFolder returns the first element of a path relative to the module's root.
+func topFolder(path string) string {
 	first, _, _ := strings.Cut(filepath.ToSlash(path), "/")
 	return first
 }
 
-func TestImportsFollowLifeSpans(t *testing.T) {
+func TestImportsFollowLayers(t *testing.T) {
 	for _, path := range goFiles(t, false) {
 		rel, err := filepath.Rel(root, path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		own, ranked := rank[folder(rel)]
-		if !ranked {
+		ownLayer, hasLayer := layers[topFolder(rel)]
+		if !hasLayer {
 			continue
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
@@ -76,13 +77,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			rest, ours := strings.CutPrefix(name, module)
-			if !ours {
+			imported, inModule := strings.CutPrefix(name, module)
+			if !inModule {
 				continue
 			}
-			other, ok := rank[folder(rest)]
-			if !ok || other > own {
-				t.Errorf("%s imports %s, which lives shorter or assembles", rel, rest)
+			layer, ok := layers[topFolder(imported)]
+			if !ok || layer > ownLayer {
+				t.Errorf("%s imports %s, which is in a higher layer or in no layer", rel, imported)
 			}
 		}
 	}
--- a/internal/lint/platform_test.go
+++ b/internal/lint/platform_test.go
@@ -12,9 +12,9 @@
 	"testing"
 )
 
-// wireNames returns the pattern of names of the users' platform that mean
-// nothing in the product. Each line of the file is a pattern.
-func wireNames(t *testing.T) *regexp.Regexp {
+// platformWireNames returns a pattern for names that only the protocol of the
+// users' platform uses. Each line of its file is a pattern.
+func platformWireNames(t *testing.T) *regexp.Regexp {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(root, "platform", "testdata", "wire-names.txt"))
 	if err != nil {
@@ -23,16 +23,16 @@
 	return regexp.MustCompile(strings.Join(strings.Fields(string(raw)), "|"))
 }
 
-// TestWireNamesStandInThePlatformFolderAlone keeps the platform's names and
-// formats at the boundary.
-func TestWireNamesStandInThePlatformFolderAlone(t *testing.T) {
-	names := wireNames(t)
+// TestPlatformWireNamesOnlyInPlatformFolder checks that no string outside the
+// platform folder contains a name from the protocol of the users' platform.
+func TestPlatformWireNamesOnlyInPlatformFolder(t *testing.T) {
+	names := platformWireNames(t)
 	for _, path := range goFiles(t, true) {
 		rel, err := filepath.Rel(root, path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if folder(rel) == "platform" {
+		if topFolder(rel) == "platform" {
 			continue
 		}
 		fset := token.NewFileSet()
@@ -43,21 +43,22 @@
 		ast.Inspect(file, func(n ast.Node) bool {
 			lit, ok := n.(*ast.BasicLit)
 			if ok && lit.Kind == token.STRING && names.MatchString(lit.Value) {
-				t.Errorf("%s: %s is a name of the platform's wire", fset.Position(lit.Pos()), lit.Value)
+				t.Errorf("%s: %s contains a name from the protocol of the users' platform", fset.Position(lit.Pos()), lit.Value)
 			}
 			return true
 		})
 	}
 }
 
-// TestOnlyTheAssemblyImportsThePlatformFolder keeps the product apart from it.
+// TestOnlyTheAssemblyImportsThePlatformFolder checks that only the folders that
+// assemble programs import the platform folder.
 func TestOnlyTheAssemblyImportsThePlatformFolder(t *testing.T) {
 	for _, path := range goFiles(t, false) {
 		rel, err := filepath.Rel(root, path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f := folder(rel); f == "platform" || f == "daemon" || f == "cmd" || f == "cli" {
+		if f := topFolder(rel); f == "platform" || f == "daemon" || f == "cmd" || f == "cli" {
 			continue
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
--- a/internal/lint/wrap_test.go
+++ b/internal/lint/wrap_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestWrapIsGuarded demands that errors.Wrap and errors.Wrapf stand behind a
-// condition: with a nil error they return an error all the same, and a call
-// that succeeded would look as though it had failed.
+// TestWrapIsGuarded checks that calls of errors.Wrap and errors.Wrapf are guarded
+// by a condition. These functions return an error for a nil error too, so an
+// unguarded call would turn a success into a failure.
 func TestWrapIsGuarded(t *testing.T) {
 	for _, path := range goFiles(t, false) {
 		fset := token.NewFileSet()
@@ -23,7 +23,7 @@
 				stack = stack[:len(stack)-1]
 				return true
 			}
-			if isWrapOfVariable(n) && !guarded(stack) {
+			if isWrapOfErr(n) && !guarded(stack) {
 				t.Errorf("%s: errors.Wrap without a condition around it", fset.Position(n.Pos()))
 			}
 			stack = append(stack, n)
@@ -32,9 +32,10 @@
 	}
 }
 
-// isWrapOfVariable reports whether n is errors.Wrap or Wrapf of a local error
-// variable; package-level errors are never nil.
-func isWrapOfVariable(n ast.Node) bool {
+// isWrapOfErr reports whether n calls errors.Wrap or errors.Wrapf with the
+// variable err as first argument. Package-level errors are never nil and need no
+// guard.
+func isWrapOfErr(n ast.Node) bool {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
 		return false
@@ -48,31 +49,31 @@
 	return ok && pkg.Name == "errors" && isIdent && arg.Name == "err"
 }
 
-// guarded reports whether the innermost function on the stack has an if or a
-// case around the call.
+// guarded reports whether the innermost function on the stack has an if, a case
+// or a loop around the call, or a check before it.
 func guarded(stack []ast.Node) bool {
 	for i := len(stack) - 1; i >= 0; i-- {
 		switch stack[i].(type) {
 		case *ast.IfStmt, *ast.CaseClause, *ast.CommClause, *ast.ForStmt, *ast.RangeStmt:
 			return true
 		case *ast.FuncDecl, *ast.FuncLit:
-			return guardedBefore(stack[i], stack[len(stack)-1])
+			return hasEarlierCheck(stack[i], stack[len(stack)-1])
 		}
 	}
 	return false
 }
 
-// guardedBefore reports whether an earlier statement of the function returns
-// when err is nil.
-func guardedBefore(fn, call ast.Node) bool {
+// hasEarlierCheck reports whether the function fn has an if statement with an ==
+// comparison before call, such as one that returns when err is nil.
+func hasEarlierCheck(fn, call ast.Node) bool {
 	found := false
 	ast.Inspect(fn, func(n ast.Node) bool {
-		cond, ok := n.(*ast.IfStmt)
+		ifStmt, ok := n.(*ast.IfStmt)
 		if !ok || n.Pos() >= call.Pos() {
 			return true
 		}
-		eq, ok := cond.Cond.(*ast.BinaryExpr)
-		found = found || ok && eq.Op == token.EQL && len(cond.Body.List) > 0
+		comparison, ok := ifStmt.Cond.(*ast.BinaryExpr)
+		found = found || ok && comparison.Op == token.EQL && len(ifStmt.Body.List) > 0
 		return true
 	})
 	return found
