--- a/test/configuration/freeze_test.go
+++ b/test/configuration/freeze_test.go
@@ -93,7 +93,8 @@
 	return counts
 }
 
-// outcome returns the server that answered a call, or notRun or unknown.
+// outcome returns the name of the server that served a call, or notRun or
+// unknown if none did.
 func outcome(server string, err error) string {
 	switch {
 	case err == nil:
--- a/test/configuration/never_falls_test.go
+++ b/test/configuration/never_falls_test.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// step makes one random fault or change.
+// step injects one random fault or makes one change.
 func (s *chaos) step() {
 	switch p := s.all[s.rng.IntN(len(s.all))]; s.rng.IntN(10) {
 	case 0:
@@ -101,7 +101,7 @@
 		lose := 1
 		s.setPlatformFaults(standin.FaultRequest{LoseCommitAnswers: &lose})
 	default:
-		s.change()
+		s.makeChange()
 	}
 }
 
@@ -130,9 +130,9 @@
 	s.frozen[p] = false
 }
 
-// change applies a change to the newest known version, through an entry
+// makeChange applies a change to the newest known version, through an entry
 // instance that runs.
-func (s *chaos) change() {
+func (s *chaos) makeChange() {
 	var live []*process
 	for _, p := range s.entries {
 		if !s.killed[p] && !s.frozen[p] {
@@ -181,7 +181,7 @@
 	}
 	s.eventually("a last change is accepted", startTimeout, func() bool {
 		before := len(s.accepted)
-		s.change()
+		s.makeChange()
 		return len(s.accepted) > before
 	})
 }
--- a/test/configuration/outage_test.go
+++ b/test/configuration/outage_test.go
@@ -55,7 +55,7 @@
 				return getStatus(entry.addr, "/readyz") == http.StatusOK
 			})
 
-			r.eventually("a call through the new entry instance is answered", peerTimeout, func() bool {
+			r.eventually("a call through the new entry instance is served", peerTimeout, func() bool {
 				server, err := r.call(entry)
 				return err == nil && server != ""
 			})
--- a/test/configuration/rig_test.go
+++ b/test/configuration/rig_test.go
@@ -428,7 +428,7 @@
 	r.must(err)
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusNoContent {
-		r.t.Fatalf("faults: status %d", resp.StatusCode)
+		r.t.Fatalf("setting faults of the platform: status %d", resp.StatusCode)
 	}
 }
 
--- a/test/configuration/slow_test.go
+++ b/test/configuration/slow_test.go
@@ -32,7 +32,7 @@
 		r.awaitInForce(first, startTimeout, r.all...)
 		r.awaitResponseFrom(r.entries[0], r.agents[0])
 
-		Convey("a change is in force within the bound, or refused, and calls are answered meanwhile", func() {
+		Convey("a change is in force within the bound, or refused, and calls are served meanwhile", func() {
 			r.delayPlatform(tolerableDelay)
 			begin := time.Now()
 			second, err := r.apply(r.entries[0], first, "second", "east")
--- a/test/configuration/spread_test.go
+++ b/test/configuration/spread_test.go
@@ -50,7 +50,7 @@
 				delays = append(delays, r.delays(number, begin)...)
 			}
 			sort.Slice(delays, func(i, j int) bool { return delays[i] < delays[j] })
-			t.Logf("from the operator's request to in force, %d processes and changes: median %s, 90%% %s, 99%% %s, most %s",
+			t.Logf("from the operator's request until in force, %d processes and changes: median %s, 90%% %s, 99%% %s, maximum %s",
 				len(delays), percentile(delays, 50), percentile(delays, 90), percentile(delays, 99), delays[len(delays)-1])
 			So(percentile(delays, 99), ShouldBeLessThanOrEqualTo, maxPropagationP99)
 			So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, propagationTimeout)
--- a/test/faults/agent_process_test.go
+++ b/test/faults/agent_process_test.go
@@ -109,7 +109,7 @@
 			}
 			<-time.After(2 * time.Second)
 			c.signal(server, syscall.SIGCONT)
-			c.eventually("the agent answers", func() bool { return strings.Contains(get(c.procs[server].addr, "/readyz"), "ready") })
+			c.eventually("the agent is ready", func() bool { return strings.Contains(get(c.procs[server].addr, "/readyz"), "ready") })
 			c.eventually("the agent admits calls", func() bool { return c.newAgentClient(server).stream(completionRequest("new", digest, 1)) == 1 })
 			So(c.engineCounters(server).Started, ShouldEqual, started+1)
 		})
--- a/test/faults/entry_cluster_test.go
+++ b/test/faults/entry_cluster_test.go
@@ -345,7 +345,7 @@
 	}
 }
 
-// counters reads an engine's counters.
+// engineCounters reads an engine's counters.
 func (c *cluster) engineCounters(server string) engine.Counters {
 	var n engine.Counters
 	if err := json.Unmarshal([]byte(get(c.procs["engine:"+server].addr, "/engine/counters")), &n); err != nil {
--- a/test/faults/entry_engine_test.go
+++ b/test/faults/entry_engine_test.go
@@ -20,7 +20,7 @@
 	oneDataCentreRate = 30
 )
 
-// setFaults replaces the faults of one engine.
+// setEngineFaults replaces the faults of one engine.
 func (c *cluster) setEngineFaults(server, faults string) {
 	resp, err := http.Post("http://"+c.procs["engine:"+server].addr+"/engine/faults", "application/json", strings.NewReader(faults))
 	c.must(err)
--- a/test/faults/entry_once_test.go
+++ b/test/faults/entry_once_test.go
@@ -55,7 +55,7 @@
 // with an idempotency key. Calls with a key are submitted again through other
 // entry instances until they get a response. The services count the executions.
 func TestOnceOnlyCallsOfRealProcesses(t *testing.T) {
-	Convey("Given once-only calls under kills, freezes, lost answers and an outage", t, func() {
+	Convey("Given once-only calls under kills, freezes, lost responses and an outage", t, func() {
 		c := warmCluster(t)
 		s := c.scenario("once", onceCalls*time.Second/onceRate, onceRate, 1, c.entryAddrs()...)
 		s.Services = c.serviceAddrs()
