--- a/bench/control/agent.go
+++ b/bench/control/agent.go
@@ -9,14 +9,14 @@
 // measureAgent measures the agent under test with each number of home entry
 // instances.
 func (t *testbed) measureAgent(ctx context.Context, r *Report) error {
-	targetHomes := Homes(defaultMaxLocal, defaultPerRemote)
+	targetHomes := HomesPerAgent(defaultMaxLocal, defaultPerRemote)
 	target := float64(targetHomes)
 	reports := reportsPerSecond(targetHomes, heartbeatAtTarget(AgentsPerEntry(targetServers, targetHomes)))
 	const x = "home"
 	memory := newSeries("agent: live memory", x, "KiB", target, LimitMemory/kib)
 	rss := newSeries("agent: resident set", x, "KiB", target, LimitMemory/kib)
 	cpu := newSeries("agent: CPU in steady state", x, "% of a core", target, LimitCPU*percent)
-	reportTraffic := newSeries("agent: registrations in steady state", "report/s", "B/s", reports, LimitWire)
+	reportTraffic := newSeries("agent: registrations in steady state", "report/s", "B/s", reports, LimitTraffic)
 	changeCPU := newSeries("agent: CPU for a change", x, "ms", target, 0)
 	changeTraffic := newSeries("agent: registrations for a change", x, "B", target, 0)
 	r.Series = append(r.Series, memory, rss, cpu, reportTraffic, changeCPU, changeTraffic)
@@ -24,12 +24,12 @@
 	agentProbe := probe{addr: t.opt.AgentAddr, token: t.opt.PeerToken}
 	var registrations traffic
 	started := 0
-	for _, n := range t.opt.Homes {
+	for _, n := range t.opt.HomeCounts {
 		if err := t.startEntries(ctx, n-started, started, &registrations); err != nil {
 			return err
 		}
 		started = n
-		if err := sleep(ctx, t.opt.Settle); err != nil {
+		if err := sleep(ctx, t.opt.SettleTime); err != nil {
 			return err
 		}
 		steady, err := measureWindow(ctx, agentProbe, t.opt.Window, &registrations)
--- a/bench/control/bench.go
+++ b/bench/control/bench.go
@@ -32,29 +32,29 @@
 	EntryPlatform, AgentPlatform string
 	// PeerToken authenticates entry instances and agents to each other.
 	PeerToken string
-	// Agents lists the numbers of agents to register with the entry instance.
-	Agents []int
-	// Homes lists the numbers of home entry instances of the agent.
-	Homes []int
-	// Servers lists the numbers of declared backend servers.
-	Servers []int
-	// Listed lists the numbers of instances in the platform's list.
-	Listed []int
-	// Tokens lists the lengths of calls, in tokens.
-	Tokens []int
-	// Declared is the number of declared backend servers in the measurements
+	// AgentCounts lists the numbers of agents to register with the entry instance.
+	AgentCounts []int
+	// HomeCounts lists the numbers of home entry instances of the agent.
+	HomeCounts []int
+	// ServerCounts lists the numbers of declared backend servers.
+	ServerCounts []int
+	// ListedCounts lists the numbers of instances in the platform's list.
+	ListedCounts []int
+	// CallLengths lists the lengths of calls, in tokens.
+	CallLengths []int
+	// DeclaredServers is the number of declared backend servers in the measurements
 	// that do not vary it.
-	Declared int
+	DeclaredServers int
 	// Streams is the number of concurrent calls.
 	Streams int
 	// PerToken is the time between two tokens of the engine.
 	PerToken time.Duration
 	// Window is the length of a measurement in steady state.
 	Window time.Duration
-	// Settle is the time to wait before a measurement.
-	Settle time.Duration
-	// Spacing is the time between two configuration changes.
-	Spacing time.Duration
+	// SettleTime is the time to wait before a measurement.
+	SettleTime time.Duration
+	// ChangeInterval is the time between two configuration changes.
+	ChangeInterval time.Duration
 	// JSON selects JSON for the report instead of tables.
 	JSON bool
 }
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	defer t.Close()
-	if _, err := t.apply(ctx, t.declaredSet(opt.Declared)); err != nil {
+	if _, err := t.apply(ctx, t.declaredSet(opt.DeclaredServers)); err != nil {
 		return nil, err
 	}
 	r := &Report{}
--- a/bench/control/calls.go
+++ b/bench/control/calls.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	for _, n := range t.opt.Tokens {
+	for _, n := range t.opt.CallLengths {
 		windows, err := t.measureLoad(ctx, c, n)
 		if err != nil {
 			return err
@@ -51,7 +51,7 @@
 	if err := t.measureStreams(ctx, c, r); err != nil {
 		return err
 	}
-	entryLine, agentLine := Fit(entry.Points), Fit(agent.Points)
+	entryLine, agentLine := FitLine(entry.Points), FitLine(agent.Points)
 	r.addFact("entry: CPU of relayed payload at the target, % of a core",
 		percent*1e-6*(entryCallsPerSecond*entryLine.Base+entryTokensPerSecond*entryLine.Slope))
 	r.addFact("agent: CPU of relayed payload at the target, % of a core",
@@ -63,7 +63,7 @@
 // tokens run.
 func (t *testbed) measureLoad(ctx context.Context, c *client, n int) (daemonWindows, error) {
 	done := make(chan error, 1)
-	length := time.Duration(n+2)*t.opt.PerToken + t.opt.Settle
+	length := time.Duration(n+2)*t.opt.PerToken + t.opt.SettleTime
 	go func() {
 		_, err := c.runStreams(ctx, t.opt.EntryAddr, t.opt.Streams, n, 1, 0)
 		done <- err
--- a/bench/control/client.go
+++ b/bench/control/client.go
@@ -49,18 +49,18 @@
 	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return streamTimes{}, core.Step("call", addr, err)
+		return streamTimes{}, core.WrapStep("call", addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		detail, _ := io.ReadAll(io.LimitReader(resp.Body, kib))
-		return streamTimes{}, core.Step("call", addr, errors.Errorf("status %d: %s", resp.StatusCode, detail))
+		return streamTimes{}, core.WrapStep("call", addr, errors.Errorf("status %d: %s", resp.StatusCode, detail))
 	}
 	times, err := readEvents(resp.Body, start)
 	if err == nil && len(times.gaps) != tokens-1 {
 		err = errors.Errorf("%d tokens, want %d", len(times.gaps)+1, tokens)
 	}
-	return times, core.Step("call", addr, err)
+	return times, core.WrapStep("call", addr, err)
 }
 
 // request builds a chat call with a unique prompt.
--- a/bench/control/entry.go
+++ b/bench/control/entry.go
@@ -29,7 +29,7 @@
 
 // newEntrySeries returns empty series with their names, units, targets and limits.
 func newEntrySeries() entrySeries {
-	registered := AgentsPerEntry(targetServers, Homes(defaultMaxLocal, defaultPerRemote))
+	registered := AgentsPerEntry(targetServers, HomesPerAgent(defaultMaxLocal, defaultPerRemote))
 	agents := float64(registered)
 	reports := reportsPerSecond(registered, heartbeatAtTarget(registered))
 	const x = "agent"
@@ -37,7 +37,7 @@
 		memory:        newSeries("entry: live memory", x, "KiB", agents, LimitMemory/kib),
 		rss:           newSeries("entry: resident set", x, "KiB", agents, LimitMemory/kib),
 		cpu:           newSeries("entry: CPU in steady state", x, "% of a core", agents, LimitCPU*percent),
-		traffic:       newSeries("entry: registrations in steady state", "report/s", "B/s", reports, LimitWire),
+		traffic:       newSeries("entry: registrations in steady state", "report/s", "B/s", reports, LimitTraffic),
 		changeCPU:     newSeries("entry: CPU for a change", x, "ms", agents, 0),
 		changeTraffic: newSeries("entry: registrations for a change", x, "B", agents, 0),
 		joinCPU:       newSeries("entry: CPU when all register at once", x, "ms", agents, 0),
@@ -61,7 +61,7 @@
 	defer func() { _ = entryProxy.Close() }()
 	series := newEntrySeries()
 	r.Series = append(r.Series, series.all()...)
-	for _, n := range t.opt.Agents {
+	for _, n := range t.opt.AgentCounts {
 		if err := t.measureEntryAt(ctx, entryProxy, n, series); err != nil {
 			return err
 		}
@@ -77,7 +77,7 @@
 		return err
 	}
 	defer stop()
-	if err := sleep(ctx, t.opt.Settle); err != nil {
+	if err := sleep(ctx, t.opt.SettleTime); err != nil {
 		return err
 	}
 	steady, err := measureWindow(ctx, entryProbe, t.opt.Window, entryProxy.traffic)
@@ -132,13 +132,13 @@
 		return w, err
 	}
 	before := wireBytes(counted)
-	set := t.declaredSet(t.opt.Declared)
+	set := t.declaredSet(t.opt.DeclaredServers)
 	for range changesPerWindow {
 		t.changeLimit(set)
 		if _, err := t.apply(ctx, set); err != nil {
 			return w, err
 		}
-		if err := sleep(ctx, t.opt.Spacing); err != nil {
+		if err := sleep(ctx, t.opt.ChangeInterval); err != nil {
 			return w, err
 		}
 	}
--- a/bench/control/fit.go
+++ b/bench/control/fit.go
@@ -20,9 +20,9 @@
 	Residual float64 `json:"residual"`
 }
 
-// Fit returns the least squares line through the points. If all points have the
+// FitLine returns the least squares line through the points. If all points have the
 // same X, it is the horizontal line through their mean.
-func Fit(points []Point) Line {
+func FitLine(points []Point) Line {
 	if len(points) == 0 {
 		return Line{}
 	}
@@ -39,15 +39,15 @@
 	}
 	var squares float64
 	for _, p := range points {
-		d := p.Y - line.At(p.X)
+		d := p.Y - line.ValueAt(p.X)
 		squares += d * d
 	}
 	line.Residual = math.Sqrt(squares / float64(len(points)))
 	return line
 }
 
-// At returns the line's value at x.
-func (l Line) At(x float64) float64 { return l.Base + l.Slope*x }
+// ValueAt returns the line's value at x.
+func (l Line) ValueAt(x float64) float64 { return l.Base + l.Slope*x }
 
 // means returns the mean X and the mean Y of the points.
 func means(points []Point) (x, y float64) {
--- a/bench/control/fleet.go
+++ b/bench/control/fleet.go
@@ -81,10 +81,10 @@
 		return nil, err
 	}
 	t.platform = platform.NewHTTP(platform.Config{Addr: platformAddr})
-	t.publisher = confstore.NewPublisher(t.platform.Table, t.platform.Objects, clock)
+	t.publisher = confstore.NewPublisher(t.platform.Table, t.platform.ObjectStore, clock)
 
 	files := fstest.MapFS{"weights": {Data: make([]byte, 1<<16)}}
-	_, t.digest, err = manifest.Publish(ctx, t.platform.Weights, files, manifest.DefaultChunkBytes, "")
+	_, t.digest, err = manifest.Publish(ctx, t.platform.WeightStore, files, manifest.DefaultChunkBytes, "")
 	return t, err
 }
 
@@ -232,7 +232,7 @@
 		t.closers = append(t.closers, listener.Close)
 		self.Addr = addr
 		t.addListed(self)
-		follower := confstore.NewFollower(confstore.FollowerConfig{}, t.platform.Table, t.platform.Objects, holder, t.log, clockwork.NewRealClock())
+		follower := confstore.NewFollower(confstore.FollowerConfig{}, t.platform.Table, t.platform.ObjectStore, holder, t.log, clockwork.NewRealClock())
 		go func() { _ = follower.Run(ctx) }()
 		registries = append(registries, reg)
 	}
@@ -251,7 +251,7 @@
 // registrations.
 func (t *testbed) addListed(instances ...core.Instance) {
 	t.listed = append(t.listed[:len(t.listed):len(t.listed)], instances...)
-	t.platformServer.Show(t.listed)
+	t.platformServer.SetInstanceList(t.listed)
 }
 
 // addListedAgents adds the agents with numbers in the half-open range [from, to) to
@@ -277,7 +277,7 @@
 	defer cancel()
 	for !condition() {
 		if err := sleep(ctx, pollInterval); err != nil {
-			return core.Step("wait until "+description, "", err)
+			return core.WrapStep("wait until "+description, "", err)
 		}
 	}
 	return nil
--- a/bench/control/latency.go
+++ b/bench/control/latency.go
@@ -33,8 +33,8 @@
 	// Rounds is the number of measured rounds for each route. The routes take
 	// turns.
 	Rounds int
-	// Length is the number of tokens of a call.
-	Length int
+	// TokensPerCall is the number of tokens of a call.
+	TokensPerCall int
 	// Burst starts all calls of a round at the same time. By default the starts
 	// of the streams are distributed over the length of a call, and each stream
 	// makes several calls one after another.
@@ -56,16 +56,16 @@
 	}
 }
 
-// Latency compares streamed calls sent directly to the engine, through two plain
+// RunLatency compares streamed calls sent directly to the engine, through two plain
 // TCP proxies, and through an entry instance and an agent. The rounds of the three
 // routes alternate. It prints the quantiles of their latencies.
-func Latency(ctx context.Context, out io.Writer, opt LatencyOptions) error {
+func RunLatency(ctx context.Context, out io.Writer, opt LatencyOptions) error {
 	t, err := newTestbed(ctx, opt.Options)
 	if err != nil {
 		return err
 	}
 	defer t.Close()
-	if _, err := t.apply(ctx, t.declaredSet(opt.Declared)); err != nil {
+	if _, err := t.apply(ctx, t.declaredSet(opt.DeclaredServers)); err != nil {
 		return err
 	}
 	c := newClient()
@@ -102,9 +102,9 @@
 // are distributed evenly over the length of a call.
 func (opt LatencyOptions) runRound(ctx context.Context, c *client, addr string) ([]streamTimes, error) {
 	if opt.Burst {
-		return c.runStreams(ctx, addr, opt.Streams, opt.Length, 1, 0)
+		return c.runStreams(ctx, addr, opt.Streams, opt.TokensPerCall, 1, 0)
 	}
-	return c.runStreams(ctx, addr, opt.Streams, opt.Length, callsPerStream, opt.PerToken*time.Duration(opt.Length))
+	return c.runStreams(ctx, addr, opt.Streams, opt.TokensPerCall, callsPerStream, opt.PerToken*time.Duration(opt.TokensPerCall))
 }
 
 // record adds the times of the calls to the histograms.
--- a/bench/control/lists.go
+++ b/bench/control/lists.go
@@ -18,12 +18,12 @@
 	encoded := newSeries("configuration, whole", x, "B", targetServers, 0)
 	delta := newSeries("configuration, difference", x, "B", targetServers, 0)
 	r.Series = append(r.Series, entry, agent, encoded, delta)
-	for _, n := range t.opt.Servers {
+	for _, n := range t.opt.ServerCounts {
 		set := t.declaredSet(n)
 		if _, err := t.apply(ctx, set); err != nil {
 			return err
 		}
-		if err := sleep(ctx, t.opt.Settle); err != nil {
+		if err := sleep(ctx, t.opt.SettleTime); err != nil {
 			return err
 		}
 		if err := t.addMemory(ctx, float64(n), entry, agent); err != nil {
@@ -74,17 +74,17 @@
 	const x = "instance"
 	entry := newSeries("entry: live memory, instance list", x, "KiB", targetEntries+targetServers, LimitMemory/kib)
 	agent := newSeries("agent: live memory, instance list", x, "KiB", targetEntries+targetServers, LimitMemory/kib)
-	entryTraffic := newSeries("entry: platform in steady state", x, "B/s", targetEntries+targetServers, LimitWire)
-	agentTraffic := newSeries("agent: platform in steady state", x, "B/s", targetEntries+targetServers, LimitWire)
+	entryTraffic := newSeries("entry: platform in steady state", x, "B/s", targetEntries+targetServers, LimitTraffic)
+	agentTraffic := newSeries("agent: platform in steady state", x, "B/s", targetEntries+targetServers, LimitTraffic)
 	entryReads := newSeries("entry: platform reads", x, "1/s", targetEntries+targetServers, 0)
 	agentReads := newSeries("agent: platform reads", x, "1/s", targetEntries+targetServers, 0)
 	change := newSeries("agent: platform for a change of the list", x, "B", targetEntries+targetServers, 0)
 	r.Series = append(r.Series, entry, agent, entryTraffic, agentTraffic, entryReads, agentReads, change)
 	listedAgents := 0
-	for _, n := range t.opt.Listed {
+	for _, n := range t.opt.ListedCounts {
 		t.addListedAgents(listedAgents, n)
 		listedAgents = n
-		if err := sleep(ctx, t.opt.Settle); err != nil {
+		if err := sleep(ctx, t.opt.SettleTime); err != nil {
 			return err
 		}
 		listed := float64(n + 2)
@@ -101,7 +101,7 @@
 		agentReads.add(listed, steady.agent.platformReadsPerSecond())
 		t.addListedAgents(listedAgents, listedAgents+1)
 		listedAgents++
-		changed, err := t.measureBoth(ctx, t.opt.Settle)
+		changed, err := t.measureBoth(ctx, t.opt.SettleTime)
 		if err != nil {
 			return err
 		}
--- a/bench/control/probe.go
+++ b/bench/control/probe.go
@@ -60,7 +60,7 @@
 		Count float64 `json:"count"`
 	}
 	if err := json.Unmarshal(body, &values); err != nil {
-		return usage{}, core.Step("read metrics", p.addr, err)
+		return usage{}, core.WrapStep("read metrics", p.addr, err)
 	}
 	return usage{
 		at:             time.Now(),
@@ -83,14 +83,14 @@
 	req.Header.Set(core.HeaderPeerToken, p.token)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, core.Step("read metrics", p.addr, err)
+		return nil, core.WrapStep("read metrics", p.addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = errors.Errorf("status %d", resp.StatusCode)
 	}
-	return body, core.Step("read metrics", p.addr, err)
+	return body, core.WrapStep("read metrics", p.addr, err)
 }
 
 // window holds the usage of a daemon at the start and the end of a measurement, and
--- a/bench/control/series.go
+++ b/bench/control/series.go
@@ -61,8 +61,8 @@
 // fitLines fits a line to the points of each series.
 func (r *Report) fitLines() {
 	for _, s := range r.Series {
-		s.Line = Fit(s.Points)
-		s.AtTarget = s.Line.At(s.Target)
+		s.Line = FitLine(s.Points)
+		s.AtTarget = s.Line.ValueAt(s.Target)
 	}
 }
 
--- a/bench/control/target.go
+++ b/bench/control/target.go
@@ -24,18 +24,18 @@
 	LimitCPU = 0.021
 	// LimitMemory is the limit of the memory, in bytes.
 	LimitMemory = 32 << 20
-	// LimitWire is the limit of the traffic, in bytes per second.
-	LimitWire = 3 << 10
+	// LimitTraffic is the limit of the traffic, in bytes per second.
+	LimitTraffic = 3 << 10
 )
 
 // segmentHeaderBytes is the estimated size of the headers of one TCP segment over
 // IPv4: 20 bytes for IP, 20 bytes for TCP and 12 bytes for TCP timestamps.
 const segmentHeaderBytes = 52
 
-// Homes returns the number of home entry instances, with which an agent registers,
+// HomesPerAgent returns the number of home entry instances, with which an agent registers,
 // at the target and with the given values of homes.Config.MaxLocal and
 // homes.Config.PerRemote.
-func Homes(maxLocal, perRemote int) int {
+func HomesPerAgent(maxLocal, perRemote int) int {
 	local := targetEntries / targetDataCentres
 	return min(maxLocal, local) + perRemote*(targetDataCentres-1)
 }
@@ -47,7 +47,7 @@
 // heartbeatAtTarget returns the time between two reports of an agent when that many
 // agents are registered with an entry instance.
 func heartbeatAtTarget(agents int) time.Duration {
-	factor := max(1, float64(agents)/homes.FullRateAgents)
+	factor := max(1, float64(agents)/homes.MaxFullRateAgents)
 	return time.Duration(float64(registry.DefaultHeartbeat) * factor)
 }
 
--- a/bench/history/history.go
+++ b/bench/history/history.go
@@ -27,28 +27,28 @@
 
 // Kinds of lines.
 const (
-	// KindRun means that a backend server executed a call.
-	KindRun Kind = "run"
+	// KindExecution means that a backend server executed a call.
+	KindExecution Kind = "run"
 	// KindAnswer means that a submission of a call received an answer, or that
 	// its connection broke.
 	KindAnswer Kind = "answer"
 )
 
-// Line is one line of a history: an execution or an answer.
-type Line struct {
-	// At is the time of the event, in nanoseconds since the start of the
+// Record is one line of a history: an execution or an answer.
+type Record struct {
+	// Timestamp is the time of the event, in nanoseconds since the start of the
 	// history.
-	At int64 `json:"at"`
-	// Sent is the time at which the submission was sent, in nanoseconds since
+	Timestamp int64 `json:"at"`
+	// SentAt is the time at which the submission was sent, in nanoseconds since
 	// the start of the history. It is set for answers.
-	Sent int64 `json:"sent,omitempty"`
+	SentAt int64 `json:"sent,omitempty"`
 	// Kind determines which of the fields below are set.
 	Kind Kind `json:"kind"`
-	// Call identifies the call; all submissions with the same idempotency key
+	// CallID identifies the call; all submissions with the same idempotency key
 	// belong to one call.
-	Call string `json:"call"`
-	// Submission is the request id of the submission.
-	Submission string `json:"submission,omitempty"`
+	CallID string `json:"call"`
+	// SubmissionID is the request id of the submission.
+	SubmissionID string `json:"submission,omitempty"`
 	// Entry is the name of the entry instance that received the submission.
 	Entry string `json:"entry,omitempty"`
 	// Server and Incarnation identify the agent that ran the call.
@@ -58,9 +58,9 @@
 	Status int `json:"status,omitempty"`
 	// Outcome is the outcome that a refusal reports; empty for other answers.
 	Outcome core.Refusal `json:"outcome,omitempty"`
-	// Body is the digest of the body of the answer, or of the result of the
+	// BodyDigest is the digest of the body of the answer, or of the result of the
 	// execution.
-	Body core.Digest `json:"body,omitempty"`
+	BodyDigest core.Digest `json:"body,omitempty"`
 }
 
 // Writer writes a history to an io.Writer. It is safe for concurrent use.
@@ -76,15 +76,15 @@
 	return &Writer{out: json.NewEncoder(w), start: time.Now()}
 }
 
-// Now returns the time in nanoseconds since the start of the history.
-func (w *Writer) Now() int64 { return time.Since(w.start).Nanoseconds() }
+// Elapsed returns the time in nanoseconds since the start of the history.
+func (w *Writer) Elapsed() int64 { return time.Since(w.start).Nanoseconds() }
 
 // Add sets the time of l to the current time and writes l. Err returns a
 // failure to write.
-func (w *Writer) Add(l Line) {
+func (w *Writer) Add(l Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l.At = w.Now()
+	l.Timestamp = w.Elapsed()
 	if err := w.out.Encode(l); err != nil && w.err == nil {
 		w.err = err
 	}
@@ -101,9 +101,9 @@
 type Result struct {
 	// Calls, Runs and Answers are the numbers of calls, of their executions and
 	// of their submissions.
-	Calls   int `json:"calls"`
-	Runs    int `json:"runs"`
-	Answers int `json:"answers"`
+	Calls       int `json:"calls"`
+	Executions  int `json:"runs"`
+	Submissions int `json:"answers"`
 	// Whole, NotRun, Unknown and Broken count submissions by their answer: a
 	// whole answer, a "not-run" refusal, any other refusal, or a broken
 	// connection.
@@ -117,8 +117,8 @@
 
 // callHistory holds the lines of one call.
 type callHistory struct {
-	runs    []Line
-	answers []Line
+	runs    []Record
+	answers []Record
 }
 
 // Check reads a history and checks three rules: each call ran at most once;
@@ -131,14 +131,14 @@
 	result := Result{Violations: []string{}}
 	scanner := bufio.NewScanner(r)
 	for lineNumber := 1; scanner.Scan(); lineNumber++ {
-		var l Line
+		var l Record
 		if err := json.Unmarshal(scanner.Bytes(), &l); err != nil {
 			return result, errors.Wrapf(err, "line %d", lineNumber)
 		}
-		h := calls[l.Call]
+		h := calls[l.CallID]
 		if h == nil {
 			h = &callHistory{}
-			calls[l.Call] = h
+			calls[l.CallID] = h
 		}
 		h.add(l, &result)
 	}
@@ -156,14 +156,14 @@
 }
 
 // add stores a line of the call and counts it in result.
-func (h *callHistory) add(l Line, result *Result) {
-	if l.Kind == KindRun {
+func (h *callHistory) add(l Record, result *Result) {
+	if l.Kind == KindExecution {
 		h.runs = append(h.runs, l)
-		result.Runs++
+		result.Executions++
 		return
 	}
 	h.answers = append(h.answers, l)
-	result.Answers++
+	result.Submissions++
 	switch {
 	case l.Status == 0:
 		result.Broken++
@@ -186,13 +186,13 @@
 		switch {
 		case answer.Status == 0 || (answer.Outcome != "" && answer.Outcome != core.RefusalNotRun):
 		case answer.Outcome == core.RefusalNotRun:
-			if len(h.runs) > 0 && (h.runs[0].At < answer.Sent || h.runs[0].Submission == answer.Submission) {
-				violations = append(violations, "submission "+answer.Submission+" was answered not-run although the call had run")
+			if len(h.runs) > 0 && (h.runs[0].Timestamp < answer.SentAt || h.runs[0].SubmissionID == answer.SubmissionID) {
+				violations = append(violations, "submission "+answer.SubmissionID+" was answered not-run although the call had run")
 			}
 		case len(h.runs) == 0:
-			violations = append(violations, "submission "+answer.Submission+" was answered without an execution")
-		case answer.Body != h.runs[0].Body:
-			violations = append(violations, "submission "+answer.Submission+" was answered with other bytes than the execution returned")
+			violations = append(violations, "submission "+answer.SubmissionID+" was answered without an execution")
+		case answer.BodyDigest != h.runs[0].BodyDigest:
+			violations = append(violations, "submission "+answer.SubmissionID+" was answered with other bytes than the execution returned")
 		}
 	}
 	return violations
--- a/bench/requests/caller.go
+++ b/bench/requests/caller.go
@@ -17,25 +17,25 @@
 	"github.com/rattanway/rattanway/standin/engine"
 )
 
-// Word is the outcome of a call. The outcome of a refused call is the one that
+// Outcome is the outcome of a call. The outcome of a refused call is the one that
 // the refusal reports.
-type Word string
+type Outcome string
 
 // Outcomes of calls that were not refused.
 const (
-	// WordWhole means that the complete and correct answer was received.
-	WordWhole Word = "whole"
-	// WordWrong means that an answer ended normally but was not the correct
+	// OutcomeWhole means that the complete and correct answer was received.
+	OutcomeWhole Outcome = "whole"
+	// OutcomeWrong means that an answer ended normally but was not the correct
 	// one.
-	WordWrong Word = "wrong"
-	// WordDoubled means that the answer was longer than the correct one, as
+	OutcomeWrong Outcome = "wrong"
+	// OutcomeDoubled means that the answer was longer than the correct one, as
 	// when a part of it is sent twice.
-	WordDoubled Word = "doubled"
-	// WordCut means that the answer ended with an error after it had begun.
-	WordCut Word = "cut"
-	// WordLost means that no answer was received: no entry instance was ready,
+	OutcomeDoubled Outcome = "doubled"
+	// OutcomeCut means that the answer ended with an error after it had begun.
+	OutcomeCut Outcome = "cut"
+	// OutcomeLost means that no answer was received: no entry instance was ready,
 	// or the connection failed.
-	WordLost Word = "lost"
+	OutcomeLost Outcome = "lost"
 )
 
 // maxSubmissions is the largest number of submissions of one keyed call.
@@ -46,7 +46,7 @@
 
 // callResult is the result of one call.
 type callResult struct {
-	outcome Word
+	outcome Outcome
 	// firstByte and total are the times from the planned arrival to the first
 	// byte and to the end of the answer.
 	firstByte, total time.Duration
@@ -94,7 +94,7 @@
 	result := callResult{}
 	for attempt := range maxSubmissions {
 		result = c.submit(call, index+attempt, arrival)
-		if !call.keyed || result.outcome == WordWhole || result.outcome == WordWrong {
+		if !call.keyed || result.outcome == OutcomeWhole || result.outcome == OutcomeWrong {
 			break
 		}
 		time.Sleep(resubmitPause)
@@ -108,7 +108,7 @@
 func (c *caller) submit(call plannedCall, index int, arrival time.Time) callResult {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
-	result := callResult{outcome: WordLost, detail: "no entry instance is ready"}
+	result := callResult{outcome: OutcomeLost, detail: "no entry instance is ready"}
 	for n := range c.entries {
 		entry := c.entries[(index+n)%len(c.entries)]
 		if !c.health.isReady(entry) {
@@ -117,11 +117,11 @@
 		resp, err := c.client.Do(c.request(ctx, call, entry))
 		var opError *net.OpError
 		if errors.As(err, &opError) && opError.Op == "dial" {
-			result = callResult{outcome: WordLost, detail: err.Error()}
+			result = callResult{outcome: OutcomeLost, detail: err.Error()}
 			continue
 		}
 		if err != nil {
-			return callResult{outcome: WordLost, detail: err.Error()}
+			return callResult{outcome: OutcomeLost, detail: err.Error()}
 		}
 		defer resp.Body.Close()
 		result := callResult{firstByte: time.Since(arrival)}
@@ -158,10 +158,10 @@
 			Detail  string       `json:"detail"`
 		}
 		if err := json.NewDecoder(resp.Body).Decode(&problem); err != nil {
-			result.outcome, result.detail = WordCut, err.Error()
+			result.outcome, result.detail = OutcomeCut, err.Error()
 			return
 		}
-		result.outcome, result.detail = Word(problem.Outcome), problem.Detail
+		result.outcome, result.detail = Outcome(problem.Outcome), problem.Detail
 		return
 	}
 	if call.once {
@@ -174,18 +174,18 @@
 	}
 	text, err := read(resp.Body, func() { result.firstByte = time.Since(arrival) })
 	if err != nil {
-		result.outcome, result.detail = WordCut, err.Error()
+		result.outcome, result.detail = OutcomeCut, err.Error()
 		return
 	}
-	expected, err := engine.Expected(core.Digest(resp.Header.Get(core.HeaderDigest)), call.body)
+	expected, err := engine.ExpectedText(core.Digest(resp.Header.Get(core.HeaderDigest)), call.body)
 	result.tokens = len(strings.Fields(text))
 	switch {
 	case err == nil && text == expected:
-		result.outcome = WordWhole
+		result.outcome = OutcomeWhole
 	case err == nil && len(text) > len(expected):
-		result.outcome, result.detail = WordDoubled, resp.Header.Get(core.HeaderRequestID)
+		result.outcome, result.detail = OutcomeDoubled, resp.Header.Get(core.HeaderRequestID)
 	default:
-		result.outcome, result.detail = WordWrong, resp.Header.Get(core.HeaderRequestID)
+		result.outcome, result.detail = OutcomeWrong, resp.Header.Get(core.HeaderRequestID)
 	}
 }
 
@@ -194,15 +194,15 @@
 func checkOnceAnswer(call plannedCall, resp *http.Response, result *callResult) {
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		result.outcome, result.detail = WordCut, err.Error()
+		result.outcome, result.detail = OutcomeCut, err.Error()
 		return
 	}
 	var answer onceCall
 	if json.Unmarshal(raw, &answer) != nil || answer.ID != call.id {
-		result.outcome, result.detail = WordWrong, string(raw)
+		result.outcome, result.detail = OutcomeWrong, string(raw)
 		return
 	}
-	result.outcome = WordWhole
+	result.outcome = OutcomeWhole
 }
 
 // readDocument reads an answer that is a single JSON document and returns its
--- a/bench/requests/plan.go
+++ b/bench/requests/plan.go
@@ -67,9 +67,9 @@
 // generate chooses the kind and the content of the call at random.
 func (call *plannedCall) generate(rng *rand.Rand) {
 	a := call.account
-	call.once = rng.Float64() < a.Once
-	call.keyed = call.once && rng.Float64() < a.Keyed
-	call.stream = !call.once && rng.Float64() < a.Stream
+	call.once = rng.Float64() < a.OnceShare
+	call.keyed = call.once && rng.Float64() < a.KeyedShare
+	call.stream = !call.once && rng.Float64() < a.StreamShare
 	var request any = onceCall{ID: call.id}
 	if !call.once {
 		request = completionCall{
--- a/bench/requests/requests_test.go
+++ b/bench/requests/requests_test.go
@@ -28,7 +28,7 @@
 		So(planCalls(s), ShouldNotResemble, first)
 	})
 	Convey("Check reports every problem of a scenario at once", t, func() {
-		err := (&Scenario{Accounts: []Account{{Name: "a", Once: 0.5}}}).Check()
+		err := (&Scenario{Accounts: []Account{{Name: "a", OnceShare: 0.5}}}).Check()
 		for _, part := range []string{"duration", "entries", "rate", "tokens", "oncePath", "model"} {
 			So(err.Error(), ShouldContainSubstring, part)
 		}
@@ -43,7 +43,7 @@
 			return
 		}
 		body, _ := io.ReadAll(r.Body)
-		text, _ := engine.Expected(testDigest, body)
+		text, _ := engine.ExpectedText(testDigest, body)
 		w.Header().Set(core.HeaderDigest, string(testDigest))
 		for _, token := range strings.SplitAfter(edit(text), " ") {
 			fmt.Fprintf(w, "data: {\"choices\":[{\"text\":%q}]}\n\n", token)
@@ -60,24 +60,24 @@
 		name string
 		edit func(string) string
 		done bool
-		want Word
+		want Outcome
 	}{
-		{"the correct answer", unedited, true, WordWhole},
-		{"an answer that ends without [DONE]", unedited, false, WordWrong},
-		{"an answer without its first token", func(s string) string { return s[9:] }, true, WordWrong},
-		{"an answer with its first token sent twice", func(s string) string { return s[:9] + s }, true, WordDoubled},
+		{"the correct answer", unedited, true, OutcomeWhole},
+		{"an answer that ends without [DONE]", unedited, false, OutcomeWrong},
+		{"an answer without its first token", func(s string) string { return s[9:] }, true, OutcomeWrong},
+		{"an answer with its first token sent twice", func(s string) string { return s[:9] + s }, true, OutcomeDoubled},
 	}
 	Convey("Each answer gets the outcome that matches its text", t, func() {
 		for _, c := range cases {
 			server := httptest.NewServer(answerHandler(c.edit, c.done))
 			r, err := Run(context.Background(), &Scenario{
 				Name: "judge", Seed: 5, Duration: 100 * time.Millisecond, Entries: []string{server.Listener.Addr().String()},
-				Accounts: []Account{{Name: "a", Rate: 100, Model: "m", Stream: 1, Tokens: Range{Min: 4, Max: 4}}},
+				Accounts: []Account{{Name: "a", Rate: 100, Model: "m", StreamShare: 1, Tokens: Range{Min: 4, Max: 4}}},
 			})
 			server.Close()
 			So(err, ShouldBeNil)
 			So(r.All.Calls, ShouldBeGreaterThan, 0)
-			SoMsg(c.name, r.All.Words[c.want], ShouldEqual, r.All.Calls)
+			SoMsg(c.name, r.All.Outcomes[c.want], ShouldEqual, r.All.Calls)
 		}
 	})
 }
--- a/bench/requests/run.go
+++ b/bench/requests/run.go
@@ -33,8 +33,8 @@
 type Counts struct {
 	// Calls is the number of calls made.
 	Calls int `json:"calls"`
-	// Words is the number of calls by outcome.
-	Words map[Word]int `json:"words"`
+	// Outcomes is the number of calls by outcome.
+	Outcomes map[Outcome]int `json:"words"`
 	// Tokens is the number of tokens in whole answers.
 	Tokens int `json:"tokens"`
 	// GoodputPerSecond is the number of whole answers per second of the run.
@@ -44,9 +44,9 @@
 	FirstToken Latency `json:"firstToken"`
 	// Total is the time from the planned arrival to the end of whole answers.
 	Total Latency `json:"total"`
-	// Refusal is the time from the planned arrival to the first byte of every
+	// NotWhole is the time from the planned arrival to the first byte of every
 	// answer that was not whole; a call without an answer counts as 0.
-	Refusal Latency `json:"refusal"`
+	NotWhole Latency `json:"refusal"`
 	// Details describes the first calls whose answers were not whole.
 	Details []string `json:"details,omitempty"`
 
@@ -65,8 +65,8 @@
 	// Executions is the number of executions that the plain services report
 	// for the once-only calls of this run.
 	Executions int `json:"executions"`
-	// Doubled is the number of executions beyond the first one of each call.
-	Doubled int `json:"doubled"`
+	// DuplicateExecutions is the number of executions beyond the first one of each call.
+	DuplicateExecutions int `json:"doubled"`
 	// FalseNotRun is the number of once-only calls whose last outcome was
 	// not-run although they were executed.
 	FalseNotRun int `json:"falseNotRun"`
@@ -74,7 +74,7 @@
 
 func newCounts() *Counts {
 	return &Counts{
-		Words:     map[Word]int{},
+		Outcomes:  map[Outcome]int{},
 		firstByte: hdrhistogram.New(1, maxLatencyMicros, 3),
 		total:     hdrhistogram.New(1, maxLatencyMicros, 3),
 		refusal:   hdrhistogram.New(1, maxLatencyMicros, 3),
@@ -90,7 +90,7 @@
 	inFlight int
 	result   *Result
 	// onceOutcomes holds the outcome of each once-only call by call id.
-	onceOutcomes map[string]Word
+	onceOutcomes map[string]Outcome
 }
 
 // Run makes every call of the scenario and waits for the last answer. When ctx is
@@ -102,7 +102,7 @@
 	if s.Timeout == 0 {
 		s.Timeout = defaultTimeout
 	}
-	r := &benchRun{scenario: s, caller: newCaller(s), onceOutcomes: map[string]Word{}, result: &Result{
+	r := &benchRun{scenario: s, caller: newCaller(s), onceOutcomes: map[string]Outcome{}, result: &Result{
 		Scenario: s.Name, Seed: s.Seed, All: newCounts(), Accounts: map[string]*Counts{},
 	}}
 	defer r.caller.client.CloseIdleConnections()
@@ -164,8 +164,8 @@
 // record adds the result of a call.
 func (c *Counts) record(call plannedCall, result callResult) {
 	c.Calls++
-	c.Words[result.outcome]++
-	if result.outcome != WordWhole {
+	c.Outcomes[result.outcome]++
+	if result.outcome != OutcomeWhole {
 		_ = c.refusal.RecordValue(result.firstByte.Microseconds())
 		if len(c.Details) < maxDetails {
 			c.Details = append(c.Details, call.id+": "+string(result.outcome)+": "+result.detail)
@@ -195,8 +195,8 @@
 	for id, outcome := range r.onceOutcomes {
 		n := executions[id]
 		r.result.Executions += n
-		r.result.Doubled += max(0, n-1)
-		if outcome == Word("not-run") && n > 0 {
+		r.result.DuplicateExecutions += max(0, n-1)
+		if outcome == Outcome("not-run") && n > 0 {
 			r.result.FalseNotRun++
 		}
 	}
@@ -232,10 +232,10 @@
 
 // finish computes the quantiles and, from the length of the run, the goodput.
 func (c *Counts) finish(seconds float64) {
-	c.GoodputPerSecond = float64(c.Words[WordWhole]) / seconds
+	c.GoodputPerSecond = float64(c.Outcomes[OutcomeWhole]) / seconds
 	c.FirstToken = quantiles(c.firstByte)
 	c.Total = quantiles(c.total)
-	c.Refusal = quantiles(c.refusal)
+	c.NotWhole = quantiles(c.refusal)
 }
 
 // quantiles converts a histogram in microseconds to quantiles in milliseconds.
--- a/bench/requests/scenario.go
+++ b/bench/requests/scenario.go
@@ -53,13 +53,13 @@
 	// Prefixes is the number of different prompt prefixes that the calls share;
 	// 0 for prompts without a shared prefix.
 	Prefixes int `yaml:"prefixes"`
-	// Stream is the share of streamed calls among the model calls, 0 to 1.
-	Stream float64 `yaml:"stream"`
-	// Once is the share of once-only calls among all calls, 0 to 1.
-	Once float64 `yaml:"once"`
-	// Keyed is the share of calls with an idempotency key among the once-only
+	// StreamShare is the share of streamed calls among the model calls, 0 to 1.
+	StreamShare float64 `yaml:"stream"`
+	// OnceShare is the share of once-only calls among all calls, 0 to 1.
+	OnceShare float64 `yaml:"once"`
+	// KeyedShare is the share of calls with an idempotency key among the once-only
 	// calls, 0 to 1. A keyed call is submitted again if its answer is not whole.
-	Keyed float64 `yaml:"keyed"`
+	KeyedShare float64 `yaml:"keyed"`
 	// OncePath is the path of once-only calls, such as /services/lots/lots.
 	OncePath string `yaml:"oncePath"`
 }
@@ -125,10 +125,10 @@
 	if a.PromptWords.Min < 0 || a.PromptWords.Max < a.PromptWords.Min {
 		problems = append(problems, errors.Errorf("account %s: promptWords: want 0 <= min <= max", a.Name))
 	}
-	if a.Once > 0 && a.OncePath == "" {
+	if a.OnceShare > 0 && a.OncePath == "" {
 		problems = append(problems, errors.Errorf("account %s: oncePath: required with once above 0", a.Name))
 	}
-	if a.Once < 1 && a.Model == "" {
+	if a.OnceShare < 1 && a.Model == "" {
 		problems = append(problems, errors.Errorf("account %s: model: required with once below 1", a.Name))
 	}
 	return errors.Join(problems...)
--- a/bench/spread/bench.go
+++ b/bench/spread/bench.go
@@ -18,8 +18,8 @@
 
 // Options are the settings of a run.
 type Options struct {
-	// Agents lists the numbers of agents in one region to measure with.
-	Agents []int
+	// AgentCounts lists the numbers of agents in one region to measure with.
+	AgentCounts []int
 	// CopyBytes is the size of the version, in bytes.
 	CopyBytes int64
 	// Chunks is the number of chunks of the version.
@@ -27,19 +27,19 @@
 	// CopyTime is the time that one copy of the version takes over the link of a
 	// machine. It determines the bandwidth of every link.
 	CopyTime time.Duration
-	// OthersCopyTime is the same for the alternative ways of distribution.
-	OthersCopyTime time.Duration
+	// AlternativesCopyTime is the same for the alternative ways of distribution.
+	AlternativesCopyTime time.Duration
 	// DataCentres is the number of data centres in each region.
 	DataCentres int
-	// Wait is how long an agent holds a peer's request open. An answer or a
+	// LongPollTimeout is how long an agent holds a peer's request open. An answer or a
 	// byte that takes more than twice as long is a stall.
-	Wait time.Duration
-	// Parallel, UploadSlots and Fanout are the fields of the same name in
+	LongPollTimeout time.Duration
+	// MaxPeerFetches, UploadSlots and Fanout are the fields of the same name in
 	// spread.Config of version/spread.
-	Parallel, UploadSlots, Fanout int
-	// Others adds runs of the alternative ways of distribution, Faults adds
+	MaxPeerFetches, UploadSlots, Fanout int
+	// Alternatives adds runs of the alternative ways of distribution, Faults adds
 	// runs with faults.
-	Others, Faults bool
+	Alternatives, Faults bool
 	// Log receives the events of the agents; nil discards them.
 	Log *eventlog.Logger
 }
@@ -80,12 +80,12 @@
 		_, err = fmt.Fprintf(out, "%+v\n", row)
 		return err
 	}
-	for _, n := range opt.Agents {
+	for _, n := range opt.AgentCounts {
 		if err := addRow(runSwarm(opt, n, 1, "")); err != nil {
 			return rows, err
 		}
 	}
-	last := opt.Agents[len(opt.Agents)-1]
+	last := opt.AgentCounts[len(opt.AgentCounts)-1]
 	if err := addRow(runSwarm(opt, min(64, last), 2, "")); err != nil {
 		return rows, err
 	}
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	if opt.Others {
+	if opt.Alternatives {
 		if err := runAlternatives(opt, addRow); err != nil {
 			return rows, err
 		}
@@ -107,8 +107,8 @@
 // runAlternatives measures the alternative ways of distribution: every agent
 // reads from the origin, a chain, and a binary tree.
 func runAlternatives(opt Options, addRow func(Row, error) error) error {
-	opt.CopyTime = opt.OthersCopyTime
-	for _, n := range opt.Agents {
+	opt.CopyTime = opt.AlternativesCopyTime
+	for _, n := range opt.AgentCounts {
 		if err := addRow(runOriginOnly(opt, n)); err != nil {
 			return err
 		}
--- a/bench/spread/origin.go
+++ b/bench/spread/origin.go
@@ -12,7 +12,7 @@
 // origin is an in-memory weight store behind a link of limited bandwidth.
 type origin struct {
 	objects   map[string][]byte
-	link      *spread.Link
+	link      *spread.BandwidthLimiter
 	sentBytes atomic.Int64
 	// corruptProbability is the probability that Get returns a corrupted body,
 	// 0 to 1.
@@ -43,7 +43,7 @@
 // passes the link between the regions.
 type remoteOrigin struct {
 	*origin
-	link             *spread.Link
+	link             *spread.BandwidthLimiter
 	crossRegionBytes *atomic.Int64
 }
 
--- a/bench/spread/relay.go
+++ b/bench/spread/relay.go
@@ -26,7 +26,7 @@
 	arrived                    []chan struct{} // closed when the chunk with this index is in bodies
 	parent                     string          // address; empty for the root
 	origin                     *origin
-	uploadLimit, downloadLimit *spread.Link
+	uploadLimit, downloadLimit *spread.BandwidthLimiter
 	server                     *http.Server
 }
 
@@ -106,7 +106,7 @@
 		}
 		r := &relay{
 			chunks: chunks, bodies: make([][]byte, len(chunks)), arrived: make([]chan struct{}, len(chunks)),
-			origin: t.origin, uploadLimit: spread.NewLink(opt.machineRate()), downloadLimit: spread.NewLink(opt.machineRate()),
+			origin: t.origin, uploadLimit: spread.NewBandwidthLimiter(opt.machineRate()), downloadLimit: spread.NewBandwidthLimiter(opt.machineRate()),
 		}
 		for j := range r.arrived {
 			r.arrived[j] = make(chan struct{})
--- a/bench/spread/scene.go
+++ b/bench/spread/scene.go
@@ -44,7 +44,7 @@
 	manifest         *manifest.Manifest
 	agents           []*agent
 	crossRegionBytes atomic.Int64
-	link             *spread.Link // the link between regions
+	link             *spread.BandwidthLimiter // the link between regions
 	ctx              context.Context
 	cancel           context.CancelFunc
 }
@@ -69,8 +69,8 @@
 // of regions.
 func newTestbed(opt Options, n, regions int) (*testbed, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	t := &testbed{opt: opt, ctx: ctx, cancel: cancel, link: spread.NewLink(regionLinkFactor * opt.machineRate())}
-	t.origin = &origin{objects: map[string][]byte{}, link: spread.NewLink(originLinkFactor * opt.machineRate())}
+	t := &testbed{opt: opt, ctx: ctx, cancel: cancel, link: spread.NewBandwidthLimiter(regionLinkFactor * opt.machineRate())}
+	t.origin = &origin{objects: map[string][]byte{}, link: spread.NewBandwidthLimiter(originLinkFactor * opt.machineRate())}
 	if err := t.publish(); err != nil {
 		return nil, err
 	}
@@ -110,11 +110,11 @@
 		ID: fmt.Sprintf("agent%03d", i), Role: core.RoleAgent, Addr: listener.Addr().String(),
 		Region: fmt.Sprintf("region%d", region), DataCentre: fmt.Sprintf("dc%d-%d", region, dataCentre),
 	}
-	var store platform.Objects = t.origin
+	var store platform.ObjectStore = t.origin
 	if region != 0 {
 		store = &remoteOrigin{origin: t.origin, link: t.link, crossRegionBytes: &t.crossRegionBytes}
 	}
-	a.swarm = spread.NewFetcher(spread.Config{
+	a.swarm = spread.NewSwarm(spread.Config{
 		Self:                   a.self,
 		Token:                  benchToken,
 		UploadBytesPerSecond:   t.opt.machineRate(),
@@ -122,16 +122,16 @@
 		OriginRegion:           "region0",
 		RegionBytesPerSecond:   regionLinkFactor * t.opt.machineRate(),
 		OriginBytesPerSecond:   originLinkFactor * t.opt.machineRate(),
-		Parallel:               t.opt.Parallel,
+		MaxPeerFetches:         t.opt.MaxPeerFetches,
 		UploadSlots:            t.opt.UploadSlots,
 		Fanout:                 t.opt.Fanout,
 		IdleConnections:        idleConnections,
-		Wait:                   t.opt.Wait,
-		AnswerMargin:           t.opt.Wait,
-		Stall:                  t.opt.Wait,
+		LongPollTimeout:        t.opt.LongPollTimeout,
+		AnswerMargin:           t.opt.LongPollTimeout,
+		StallTimeout:           t.opt.LongPollTimeout,
 		Peers:                  func(core.Digest) []spread.Peer { return t.peers() },
 		Metrics:                metrics.NewRegistry(),
-	}, spread.NewStore(storeCopies*t.opt.CopyBytes), store, t.opt.Log.With(eventlog.Fields{"agent": a.self.ID}), clockwork.NewRealClock())
+	}, spread.NewMemStore(storeCopies*t.opt.CopyBytes), store, t.opt.Log.With(eventlog.Fields{"agent": a.self.ID}), clockwork.NewRealClock())
 	a.server = &http.Server{Handler: t.instrument(a, spread.Handler(a.swarm, benchToken)), ReadHeaderTimeout: time.Minute, ErrorLog: log.New(io.Discard, "", 0)}
 	t.agents = append(t.agents, a)
 	go func() { _ = a.server.Serve(listener) }()
--- a/cli/agent.go
+++ b/cli/agent.go
@@ -36,12 +36,12 @@
 func (c *AgentCmd) Run() error {
 	var problems settings.Problems
 	cfg := daemon.AgentConfig{
-		Common:      c.commonConfig(core.RoleAgent, &problems),
-		EngineAddr:  c.Engine,
-		Service:     c.Service,
-		HealthPath:  c.HealthPath,
-		LeaveNotice: c.LeaveNotice.Value(),
-		StoreBytes:  int64(c.StoreMiB.Value()) * mebibyte,
+		CommonConfig: c.commonConfig(core.RoleAgent, &problems),
+		EngineAddr:   c.Engine,
+		Service:      c.Service,
+		HealthPath:   c.HealthPath,
+		LeaveNotice:  c.LeaveNotice.Value(),
+		StoreBytes:   int64(c.StoreMiB.Value()) * mebibyte,
 		Spread: spread.Config{
 			OriginRegion:           c.OriginRegion,
 			UploadBytesPerSecond:   bytesFromKiB(c.Upload),
--- a/cli/apply.go
+++ b/cli/apply.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	metadata := c.changeMetadata()
-	accepted, err := client.Apply(commandContext(), ops.ApplyRequest{Cause: metadata, Base: &base, Files: files})
+	accepted, err := client.Apply(commandContext(), ops.ApplyRequest{ChangeMetadata: metadata, Base: &base, Files: files})
 	if err != nil {
 		return changeError(repeatFlags(metadata, &base), err)
 	}
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -48,19 +48,19 @@
 		log = eventlog.New(file, logrus.InfoLevel, "bench")
 	}
 	_, err := spread.Run(s.Out, spread.Options{
-		Log:            log,
-		Agents:         c.Agents,
-		CopyBytes:      c.CopyMiB << 20,
-		Chunks:         c.Chunks,
-		CopyTime:       c.CopyTime,
-		OthersCopyTime: c.OthersCopyTime,
-		DataCentres:    c.DataCentres,
-		Wait:           c.Wait,
-		Parallel:       c.Parallel,
-		UploadSlots:    c.UploadSlots,
-		Fanout:         c.Fanout,
-		Others:         c.Others,
-		Faults:         c.Faults,
+		Log:                  log,
+		AgentCounts:          c.Agents,
+		CopyBytes:            c.CopyMiB << 20,
+		Chunks:               c.Chunks,
+		CopyTime:             c.CopyTime,
+		AlternativesCopyTime: c.OthersCopyTime,
+		DataCentres:          c.DataCentres,
+		LongPollTimeout:      c.Wait,
+		MaxPeerFetches:       c.Parallel,
+		UploadSlots:          c.UploadSlots,
+		Fanout:               c.Fanout,
+		Alternatives:         c.Others,
+		Faults:               c.Faults,
 	})
 	return err
 }
--- a/cli/bench_control.go
+++ b/cli/bench_control.go
@@ -26,7 +26,7 @@
 	return control.Options{
 		EntryID: d.EntryID, EntryAddr: d.EntryAddr, EntryPlatform: d.EntryPlatform,
 		AgentID: d.AgentID, AgentAddr: d.AgentAddr, AgentPlatform: d.AgentPlatform,
-		PeerToken: d.PeerToken, Declared: d.Declared, Streams: d.Streams, PerToken: d.PerToken,
+		PeerToken: d.PeerToken, DeclaredServers: d.Declared, Streams: d.Streams, PerToken: d.PerToken,
 	}
 }
 
@@ -48,8 +48,8 @@
 // Run implements the command.
 func (c *BenchControlCmd) Run(s *streams) error {
 	opt := c.options()
-	opt.Agents, opt.Homes, opt.Servers, opt.Listed, opt.Tokens = c.Agents, c.Homes, c.Servers, c.Listed, c.Tokens
-	opt.Window, opt.Settle, opt.Spacing, opt.JSON = c.Window, c.Settle, c.Spacing, c.JSON
+	opt.AgentCounts, opt.HomeCounts, opt.ServerCounts, opt.ListedCounts, opt.CallLengths = c.Agents, c.Homes, c.Servers, c.Listed, c.Tokens
+	opt.Window, opt.SettleTime, opt.ChangeInterval, opt.JSON = c.Window, c.Settle, c.Spacing, c.JSON
 	_, err := control.Run(context.Background(), s.Out, opt)
 	return err
 }
@@ -66,7 +66,7 @@
 
 // Run implements the command.
 func (c *BenchLatencyCmd) Run(s *streams) error {
-	return control.Latency(context.Background(), s.Out, control.LatencyOptions{
-		Options: c.options(), EngineAddr: c.EngineAddr, Rounds: c.Rounds, Length: c.Length, Burst: c.Burst,
+	return control.RunLatency(context.Background(), s.Out, control.LatencyOptions{
+		Options: c.options(), EngineAddr: c.EngineAddr, Rounds: c.Rounds, TokensPerCall: c.Length, Burst: c.Burst,
 	})
 }
--- a/cli/daemonflags.go
+++ b/cli/daemonflags.go
@@ -38,7 +38,7 @@
 
 // commonConfig validates the settings, adds every wrong one to problems and
 // returns the configuration that both daemons share.
-func (f *daemonFlags) commonConfig(role core.Role, problems *settings.Problems) daemon.Common {
+func (f *daemonFlags) commonConfig(role core.Role, problems *settings.Problems) daemon.CommonConfig {
 	if f.Advertise == "" {
 		f.Advertise = f.Listen
 	}
@@ -52,7 +52,7 @@
 	problems.Add(f.ListInterval.Check("--list-interval", minInterval, maxInterval))
 	problems.Add(f.Heartbeat.Check("--heartbeat", minInterval, maxInterval))
 	problems.Add(f.DrainTimeout.Check("--drain-timeout", 0, maxDuration))
-	return daemon.Common{
+	return daemon.CommonConfig{
 		Self: core.Instance{
 			ID: f.ID, Role: role, Addr: f.Advertise, DataCentre: f.DataCentre, Region: f.Region,
 		},
--- a/cli/docs_test.go
+++ b/cli/docs_test.go
@@ -30,7 +30,7 @@
 		"6xx process. This page is made from the code: `go test ./cli -update`.\n\n" +
 		"| number | name | level | meaning |\n|---|---|---|---|\n")
 	for _, e := range eventlog.Catalogue() {
-		meaning := strings.TrimSuffix(e.Meaning, ".")
+		meaning := strings.TrimSuffix(e.Description, ".")
 		meaning = strings.ToUpper(meaning[:1]) + meaning[1:] + "."
 		fmt.Fprintf(&page, "| %d | %s | %s | %s |\n", e.Number, e.Name, e.Level, meaning)
 	}
--- a/cli/drain.go
+++ b/cli/drain.go
@@ -45,7 +45,7 @@
 	if target.Kind == "datacentre" {
 		setDrained = client.SetDataCentreOut
 	}
-	var accepted ops.Accepted
+	var accepted ops.ChangeResponse
 	accepted, err = setDrained(commandContext(), target.Name, drain, metadata)
 	if err != nil {
 		return changeError(repeatFlags(metadata, nil), err)
--- a/cli/entry.go
+++ b/cli/entry.go
@@ -25,9 +25,9 @@
 func (c *EntryCmd) Run() error {
 	var problems settings.Problems
 	cfg := daemon.EntryConfig{
-		Common:      c.commonConfig(core.RoleEntry, &problems),
-		Operators:   c.parseOperators(&problems),
-		BalancerLag: c.BalancerLag.Value(),
+		CommonConfig: c.commonConfig(core.RoleEntry, &problems),
+		Operators:    c.parseOperators(&problems),
+		BalancerLag:  c.BalancerLag.Value(),
 		Relay: relay.Config{
 			DefaultDeadline:   c.Deadline.Value(),
 			FirstTokenTimeout: c.FirstTokenTimeout.Value(),
--- a/cli/ops.go
+++ b/cli/ops.go
@@ -40,8 +40,8 @@
 
 // changeMetadata returns the metadata of the change. A missing change id is
 // generated, and the default author is the name of the current user.
-func (f changeMetadataFlags) changeMetadata() ops.Cause {
-	metadata := ops.Cause{Author: f.Author, Reason: f.Reason, ChangeID: f.ChangeID}
+func (f changeMetadataFlags) changeMetadata() ops.ChangeMetadata {
+	metadata := ops.ChangeMetadata{Author: f.Author, Reason: f.Reason, ChangeID: f.ChangeID}
 	if metadata.ChangeID == "" {
 		metadata.ChangeID = uuid.NewString()
 	}
@@ -93,7 +93,7 @@
 	switch problem.Type {
 	case ops.TypeConflict:
 		return conflictError{err}
-	case ops.TypeUnknown:
+	case ops.TypeOutcomeUnknown:
 		return errors.Wrapf(err, "repeat the command with %s", flags)
 	default:
 		return err
@@ -102,7 +102,7 @@
 
 // repeatFlags returns the flags that make a repeated command apply the same
 // change.
-func repeatFlags(metadata ops.Cause, base *uint64) string {
+func repeatFlags(metadata ops.ChangeMetadata, base *uint64) string {
 	if base == nil {
 		return "--change-id " + metadata.ChangeID
 	}
@@ -110,7 +110,7 @@
 }
 
 // printAccepted prints the version that a change resulted in.
-func printAccepted(s *streams, metadata ops.Cause, a ops.Accepted) error {
+func printAccepted(s *streams, metadata ops.ChangeMetadata, a ops.ChangeResponse) error {
 	if a.Unchanged {
 		_, err := fmt.Fprintf(s.Out, "nothing to change: version %d (%s) is in force\n", a.Number, a.Digest.Short())
 		return err
--- a/cli/plan.go
+++ b/cli/plan.go
@@ -31,7 +31,7 @@
 }
 
 // printPlan prints the changes, their effects and the base version.
-func printPlan(s *streams, plan ops.PlanAnswer) error {
+func printPlan(s *streams, plan ops.PlanResponse) error {
 	fmt.Fprintf(s.Out, "compared with version %d: %d changes\n", plan.Base, len(plan.Changes))
 	for _, c := range plan.Changes {
 		fmt.Fprintf(s.Out, "  %s\n", c)
--- a/cli/publish.go
+++ b/cli/publish.go
@@ -32,7 +32,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	weights := platform.NewHTTP(platform.Config{Addr: c.Platform, Token: c.PlatformToken}).Weights
+	weights := platform.NewHTTP(platform.Config{Addr: c.Platform, Token: c.PlatformToken}).WeightStore
 	_, digest, err := manifest.Publish(ctx, weights, os.DirFS(c.Folder), int64(c.ChunkBytes.Value()), base)
 	if err != nil {
 		return errors.Wrap(err, "publish")
--- a/cli/revert.go
+++ b/cli/revert.go
@@ -17,7 +17,7 @@
 		return err
 	}
 	metadata := c.changeMetadata()
-	accepted, err := client.Revert(commandContext(), ops.RevertRequest{Cause: metadata, Base: c.Base, Number: c.Number})
+	accepted, err := client.Revert(commandContext(), ops.RevertRequest{ChangeMetadata: metadata, Base: c.Base, Number: c.Number})
 	if err != nil {
 		return changeError(repeatFlags(metadata, c.Base), err)
 	}
--- a/cli/trace_request.go
+++ b/cli/trace_request.go
@@ -146,7 +146,7 @@
 func writeTrace(w io.Writer, lines []logLine) {
 	meanings := map[int]string{}
 	for _, e := range eventlog.Catalogue() {
-		meanings[e.Number] = e.Meaning
+		meanings[e.Number] = e.Description
 	}
 	table := tablewriter.NewWriter(w)
 	table.SetAutoWrapText(false)
--- a/cli/trace_version.go
+++ b/cli/trace_version.go
@@ -67,7 +67,7 @@
 	for _, path := range c.Log {
 		matching, err := readWeightLines(path, digest)
 		if err != nil {
-			return core.Step("read log", path, err)
+			return core.WrapStep("read log", path, err)
 		}
 		lines = append(lines, matching...)
 	}
--- a/connection/backend/conn.go
+++ b/connection/backend/conn.go
@@ -30,8 +30,8 @@
 var (
 	// ErrNotSent is returned when no byte of the request was sent.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrForeign is returned when only responses to other requests arrived.
-	ErrForeign = errors.New("response belongs to another request")
+	// ErrResponseMismatch is returned when only responses to other requests arrived.
+	ErrResponseMismatch = errors.New("response belongs to another request")
 )
 
 // Conn is a connection to a backend server.
@@ -56,34 +56,34 @@
 // the caller reads the response body and then calls Pool.Put or Close.
 func (c *Conn) Do(ctx context.Context, head string, req *http.Request, body []byte, belongs func(*http.Response) bool) (*http.Response, error) {
 	if c.used && c.hasUnexpectedInput() {
-		return nil, core.Step("send request", c.addr, ErrNotSent)
+		return nil, core.WrapStep("send request", c.addr, ErrNotSent)
 	}
 	c.used = true
 	if _, err := c.writer.WriteString(head); err != nil {
-		return nil, core.Step("send request", c.addr, err)
+		return nil, core.WrapStep("send request", c.addr, err)
 	}
 	if _, err := c.writer.Write(body); err != nil {
-		return nil, core.Step("send request", c.addr, err)
+		return nil, core.WrapStep("send request", c.addr, err)
 	}
 	if err := c.writer.Flush(); err != nil {
-		return nil, core.Step("send request", c.addr, err)
+		return nil, core.WrapStep("send request", c.addr, err)
 	}
 	for range maxMismatches {
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
-			return nil, core.Step("read answer", c.addr, err)
+			return nil, core.WrapStep("read answer", c.addr, err)
 		}
 		if belongs(resp) {
 			return resp, nil
 		}
 		if err := skipBody(resp); err != nil {
-			return nil, core.Step("skip response", c.addr, err)
+			return nil, core.WrapStep("skip response", c.addr, err)
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
-	return nil, core.Step("read answer", c.addr, ErrForeign)
+	return nil, core.WrapStep("read answer", c.addr, ErrResponseMismatch)
 }
 
 // maxSkippedBytes is the maximum length of a skipped response body.
--- a/connection/backend/pool.go
+++ b/connection/backend/pool.go
@@ -46,9 +46,9 @@
 			return c, nil
 		}
 	}
-	conn, err := dial.Context(ctx, "tcp", addr)
+	conn, err := dial.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return nil, core.Step("connect", addr, err)
+		return nil, core.WrapStep("connect", addr, err)
 	}
 	return &Conn{
 		net: conn, addr: addr,
--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -35,9 +35,9 @@
 	Encode(peerVersion uint64) (frame.Config, error)
 	// Offer checks c and puts it in force if it is newer.
 	Offer(c frame.Config) error
-	// Heard records that the newest version of a peer is number, as the answer
+	// RecordPeerVersion records that the newest version of a peer is number, as the answer
 	// to a Pull frame that was sent at pullSent.
-	Heard(number uint64, pullSent time.Time)
+	RecordPeerVersion(number uint64, pullSent time.Time)
 }
 
 // Hub shares, between the registrations of one process, which version is
@@ -63,14 +63,14 @@
 	return &Hub{source: source, log: log, mayConfirm: always, sessions: map[*Session]bool{}}
 }
 
-// VouchWhen makes the Hub confirm its peers' versions only while mayConfirm
+// ConfirmPeersWhen makes the Hub confirm its peers' versions only while mayConfirm
 // returns true: a process that was paused must not confirm the old version of
-// another one. VouchWhen must be called before the Hub is used.
-func (h *Hub) VouchWhen(mayConfirm func() bool) { h.mayConfirm = mayConfirm }
+// another one. ConfirmPeersWhen must be called before the Hub is used.
+func (h *Hub) ConfirmPeersWhen(mayConfirm func() bool) { h.mayConfirm = mayConfirm }
 
-// Ask sends a Pull frame to every peer, so that the version in force here is
+// PullFromPeers sends a Pull frame to every peer, so that the version in force here is
 // confirmed or replaced. It is called after the process was paused.
-func (h *Hub) Ask() {
+func (h *Hub) PullFromPeers() {
 	h.mu.Lock()
 	sessions := make([]*Session, 0, len(h.sessions))
 	for s := range h.sessions {
@@ -130,9 +130,9 @@
 	s.hub.mu.Unlock()
 }
 
-// Heard records that the peer holds version number, and pulls it if it is newer
+// PullIfNewer records that the peer holds version number, and pulls it if it is newer
 // than the version in force here.
-func (s *Session) Heard(number uint64) error {
+func (s *Session) PullIfNewer(number uint64) error {
 	s.raisePeerVersion(number)
 	if !s.hub.startPull(number) {
 		return nil
@@ -163,7 +163,7 @@
 	s.pullSent = time.Time{}
 	s.mu.Unlock()
 	if !pullSent.IsZero() {
-		s.hub.source.Heard(number, pullSent)
+		s.hub.source.RecordPeerVersion(number, pullSent)
 	}
 }
 
@@ -177,7 +177,7 @@
 			return true, err
 		}
 		s.applyConfirmation(n.Config, n.Confirmed)
-		return true, s.Heard(n.Config)
+		return true, s.PullIfNewer(n.Config)
 	case frame.KindPull:
 		var p frame.Pull
 		if err := f.Decode(&p); err != nil {
@@ -252,11 +252,11 @@
 func (s *Session) applyConfig(c frame.Config) error {
 	s.raisePeerVersion(c.Number)
 	err := s.hub.source.Offer(c)
-	if errors.Is(err, confstore.ErrBase) {
+	if errors.Is(err, confstore.ErrBaseMismatch) {
 		return s.conn.Send(frame.KindPull, frame.Pull{Have: 0})
 	}
 	if err != nil {
-		s.hub.log.Fail(eventConfigRejected, err, eventlog.Fields{
+		s.hub.log.EventWithError(eventConfigRejected, err, eventlog.Fields{
 			"peer":   s.conn.Peer(),
 			"number": c.Number,
 			"base":   c.Base,
--- a/connection/confsync/holder.go
+++ b/connection/confsync/holder.go
@@ -26,8 +26,8 @@
 // Encode implements Source. For a peer that already holds the newest version it
 // returns a Config with that version's number and no body.
 func (s HolderSource) Encode(peerVersion uint64) (frame.Config, error) {
-	e, err := confstore.EncodeFor(s.Holder, peerVersion)
-	if errors.Is(err, confstore.ErrNothingNewer) {
+	e, err := confstore.EncodeForPeer(s.Holder, peerVersion)
+	if errors.Is(err, confstore.ErrPeerUpToDate) {
 		return frame.Config{Number: peerVersion}, nil
 	}
 	return frame.Config{Number: e.Number, Digest: e.Digest, Base: e.Base, Body: e.Body}, err
@@ -35,10 +35,12 @@
 
 // Offer implements Source.
 func (s HolderSource) Offer(c frame.Config) error {
-	return confstore.OfferEncoded(s.Holder, confstore.Encoded{
+	return confstore.OfferEncoded(s.Holder, confstore.EncodedVersion{
 		Number: c.Number, Digest: c.Digest, Base: c.Base, Body: c.Body,
 	})
 }
 
-// Heard implements Source.
-func (s HolderSource) Heard(number uint64, pullSent time.Time) { s.Holder.Heard(number, pullSent) }
+// RecordPeerVersion implements Source.
+func (s HolderSource) RecordPeerVersion(number uint64, pullSent time.Time) {
+	s.Holder.Heard(number, pullSent)
+}
--- a/connection/engine/engine.go
+++ b/connection/engine/engine.go
@@ -56,9 +56,9 @@
 	// Digest is the manifest digest of the model version that must serve the
 	// call; empty for a plain service.
 	Digest core.Digest
-	// Once is true for a once-only call: it is sent on a new connection and never
+	// OnceOnly is true for a once-only call: it is sent on a new connection and never
 	// sent again.
-	Once bool
+	OnceOnly bool
 	// ResumeTokens is the number of tokens that the caller has already received;
 	// the engine continues the response after them.
 	ResumeTokens int
@@ -66,8 +66,8 @@
 	Priority int
 }
 
-// Answer is an engine's response with its body still unread.
-type Answer struct {
+// Response is an engine's response with its body still unread.
+type Response struct {
 	// ID is the request id in the response.
 	ID string
 	// Status is the HTTP status.
@@ -91,5 +91,5 @@
 	Order(ctx context.Context, o Order) error
 	// Do sends a call and returns the start of the response. Cancelling ctx
 	// cancels the call at the engine.
-	Do(ctx context.Context, c Call) (Answer, error)
+	Do(ctx context.Context, c Call) (Response, error)
 }
--- a/connection/engine/http.go
+++ b/connection/engine/http.go
@@ -49,9 +49,9 @@
 	ErrRefused = errors.New("refused")
 )
 
-// HTTP is the client of one engine or plain service. It is safe for
+// HTTPClient is the client of one engine or plain service. It is safe for
 // concurrent use.
-type HTTP struct {
+type HTTPClient struct {
 	addr       string
 	token      string
 	healthPath string
@@ -62,12 +62,12 @@
 	unpooledClient *http.Client
 }
 
-var _ Engine = (*HTTP)(nil)
+var _ Engine = (*HTTPClient)(nil)
 
-// NewHTTP returns the client of the engine at addr ("ip:port"). It sends
+// NewHTTPClient returns the client of the engine at addr ("ip:port"). It sends
 // peerToken with orders and status requests.
-func NewHTTP(addr, peerToken string) *HTTP {
-	return &HTTP{
+func NewHTTPClient(addr, peerToken string) *HTTPClient {
+	return &HTTPClient{
 		addr:           addr,
 		token:          peerToken,
 		pooledClient:   &http.Client{Transport: newTransport(false), CheckRedirect: noRedirect},
@@ -75,20 +75,20 @@
 	}
 }
 
-// NewHTTPOver returns the client of an engine that is called through transport,
+// NewHTTPClientWithTransport returns the client of an engine that is called through transport,
 // such as an engine in the same process.
-func NewHTTPOver(transport http.RoundTripper) *HTTP {
+func NewHTTPClientWithTransport(transport http.RoundTripper) *HTTPClient {
 	client := &http.Client{Transport: transport, CheckRedirect: noRedirect}
-	return &HTTP{addr: "engine", pooledClient: client, unpooledClient: client}
+	return &HTTPClient{addr: "engine", pooledClient: client, unpooledClient: client}
 }
 
-// NewServiceHTTP returns the client of the plain service at addr. Its Status
+// NewServiceHTTPClient returns the client of the plain service at addr. Its Status
 // method performs a health check at healthPath; empty means HealthPath.
-func NewServiceHTTP(addr, healthPath string) *HTTP {
+func NewServiceHTTPClient(addr, healthPath string) *HTTPClient {
 	if healthPath == "" {
 		healthPath = HealthPath
 	}
-	h := NewHTTP(addr, "")
+	h := NewHTTPClient(addr, "")
 	h.healthPath = healthPath
 	return h
 }
@@ -131,50 +131,50 @@
 
 // Status implements Engine. For a plain service it performs a health check and
 // returns an empty Status.
-func (h *HTTP) Status(ctx context.Context) (Status, error) {
+func (h *HTTPClient) Status(ctx context.Context) (Status, error) {
 	path := StatusPath
 	if h.healthPath != "" {
 		path = h.healthPath
 	}
 	resp, err := h.sendControl(ctx, http.MethodGet, path, nil)
 	if err != nil {
-		return Status{}, core.Step("read engine status", h.addr, err)
+		return Status{}, core.WrapStep("read engine status", h.addr, err)
 	}
 	defer drainBody(resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return Status{}, core.Step("read engine status", h.addr, errors.Errorf("status %d", resp.StatusCode))
+		return Status{}, core.WrapStep("read engine status", h.addr, errors.Errorf("status %d", resp.StatusCode))
 	}
 	var s Status
 	if h.healthPath != "" {
 		return s, nil
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&s)
-	return s, core.Step("read engine status", h.addr, err)
+	return s, core.WrapStep("read engine status", h.addr, err)
 }
 
 // Order implements Engine. It returns ErrFenced if the engine refuses the
 // fencing number of the order, and ErrRefused for any other refusal.
-func (h *HTTP) Order(ctx context.Context, o Order) error {
+func (h *HTTPClient) Order(ctx context.Context, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
-		return core.Step("order engine", h.addr, err)
+		return core.WrapStep("order engine", h.addr, err)
 	}
 	resp, err := h.sendControl(ctx, http.MethodPost, OrdersPath, body)
 	if err != nil {
-		return core.Step("order engine", h.addr, err)
+		return core.WrapStep("order engine", h.addr, err)
 	}
 	defer drainBody(resp.Body)
 	switch {
 	case resp.StatusCode == http.StatusConflict:
-		return core.Step("order engine", h.addr, ErrFenced)
+		return core.WrapStep("order engine", h.addr, ErrFenced)
 	case resp.StatusCode >= http.StatusMultipleChoices:
-		return core.Step("order engine", h.addr, errors.Wrapf(ErrRefused, "status %d", resp.StatusCode))
+		return core.WrapStep("order engine", h.addr, errors.Wrapf(ErrRefused, "status %d", resp.StatusCode))
 	}
 	return nil
 }
 
 // sendControl sends a status request or an order.
-func (h *HTTP) sendControl(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
+func (h *HTTPClient) sendControl(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+h.addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -191,20 +191,20 @@
 // Do implements Engine. Cancelling ctx closes the connection, which cancels the
 // call at the engine. It returns ErrNotSent if the call did not reach the
 // engine.
-func (h *HTTP) Do(ctx context.Context, c Call) (Answer, error) {
+func (h *HTTPClient) Do(ctx context.Context, c Call) (Response, error) {
 	req, err := h.newRequest(ctx, c)
 	if err != nil {
-		return Answer{}, core.Step("call engine", h.addr, err)
+		return Response{}, core.WrapStep("call engine", h.addr, err)
 	}
 	client := h.pooledClient
-	if c.Once {
+	if c.OnceOnly {
 		client = h.unpooledClient
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return Answer{}, core.Step("call engine", h.addr, err)
+		return Response{}, core.WrapStep("call engine", h.addr, err)
 	}
-	return Answer{
+	return Response{
 		ID:     resp.Header.Get(core.HeaderRequestID),
 		Status: resp.StatusCode,
 		Header: resp.Header,
@@ -214,9 +214,9 @@
 }
 
 // newRequest returns the HTTP request of c.
-func (h *HTTP) newRequest(ctx context.Context, c Call) (*http.Request, error) {
+func (h *HTTPClient) newRequest(ctx context.Context, c Call) (*http.Request, error) {
 	var body io.Reader = bytes.NewReader(c.Body)
-	if c.Once {
+	if c.OnceOnly {
 		// NopCloser keeps http.NewRequest from setting GetBody. Without GetBody
 		// the transport never sends a request twice, even if the request has an
 		// Idempotency-Key.
--- a/connection/engine/http_test.go
+++ b/connection/engine/http_test.go
@@ -36,7 +36,7 @@
 // keyedCall returns a call with an Idempotency-Key.
 func keyedCall(once bool) Call {
 	return Call{
-		ID: "r1", Method: http.MethodPost, Path: "/lots", Body: []byte("{}"), Once: once,
+		ID: "r1", Method: http.MethodPost, Path: "/lots", Body: []byte("{}"), OnceOnly: once,
 		Header: map[string][]string{core.HeaderIdempotencyKey: {"k1"}},
 	}
 }
@@ -44,7 +44,7 @@
 func TestOnceIsNeverRepeated(t *testing.T) {
 	Convey("Given a service that executes a call and then closes the reused connection without a response", t, func() {
 		addr, executions := droppingServer(t)
-		client := NewHTTP(addr, "")
+		client := NewHTTPClient(addr, "")
 		first, err := client.Do(context.Background(), keyedCall(false))
 		So(err, ShouldBeNil)
 		drainBody(first.Body)
@@ -63,7 +63,7 @@
 		})
 	})
 	Convey("A call whose connection cannot be opened returns ErrNotSent", t, func() {
-		_, err := NewHTTP("127.0.0.1:1", "").Do(context.Background(), keyedCall(true))
+		_, err := NewHTTPClient("127.0.0.1:1", "").Do(context.Background(), keyedCall(true))
 		So(errors.Is(err, ErrNotSent), ShouldBeTrue)
 	})
 }
@@ -76,7 +76,7 @@
 			w.WriteHeader(status)
 		}))
 		defer server.Close()
-		client := NewHTTP(strings.TrimPrefix(server.URL, "http://"), "token")
+		client := NewHTTPClient(strings.TrimPrefix(server.URL, "http://"), "token")
 		So(errors.Is(client.Order(context.Background(), Order{}), ErrFenced), ShouldBeTrue)
 		status = http.StatusBadRequest
 		So(errors.Is(client.Order(context.Background(), Order{}), ErrRefused), ShouldBeTrue)
--- a/connection/engine/monitor.go
+++ b/connection/engine/monitor.go
@@ -106,7 +106,7 @@
 		return
 	}
 	m.up = false
-	m.log.Fail(eventEngineDown, err, nil)
+	m.log.EventWithError(eventEngineDown, err, nil)
 	m.notifyChanged()
 }
 
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -33,7 +33,7 @@
 )
 
 // redialPauses are the pauses before a peer is dialled again.
-var redialPauses = dial.Pauses{Least: 100 * time.Millisecond, Most: time.Second, Steady: time.Second}
+var redialPauses = dial.Backoff{MinDelay: 100 * time.Millisecond, MaxDelay: time.Second, ResetAfter: time.Second}
 
 var (
 	eventPeerConnected = eventlog.Define(150, "exchange-peer", logrus.InfoLevel,
@@ -44,17 +44,17 @@
 		"Another entry instance has a newer version of a table than this one got from the store; this one requests the table from it.")
 )
 
-// Loads provides the request counts of this entry instance and takes in those of
+// LoadTracker provides the request counts of this entry instance and takes in those of
 // its peers.
-type Loads interface {
-	// Running returns the number of requests that this entry instance runs at
+type LoadTracker interface {
+	// RunningByServer returns the number of requests that this entry instance runs at
 	// each backend server, by server ID.
-	Running() map[string]int
-	// PeerBegan discards the counts of a peer that has connected again.
-	PeerBegan(peer string)
-	// PeerLoads updates the counts of a peer. running holds only the counts that
+	RunningByServer() map[string]int
+	// ResetPeerLoads discards the counts of a peer that has connected again.
+	ResetPeerLoads(peer string)
+	// UpdatePeerLoads updates the counts of a peer. running holds only the counts that
 	// have changed, by server ID.
-	PeerLoads(peer string, running map[string]int)
+	UpdatePeerLoads(peer string, running map[string]int)
 }
 
 // Config holds the settings and dependencies of an Exchange.
@@ -65,11 +65,11 @@
 	Token string
 	// Holder holds the declared weights, whose ages are exchanged.
 	Holder *catalog.Holder
-	// Declared and Servers follow the table of declarations and the table of
+	// DeclaredFollower and ServersFollower follow the table of declarations and the table of
 	// backend servers in the store.
-	Declared, Servers *catalog.Follower
-	// Loads provides and receives the request counts.
-	Loads Loads
+	DeclaredFollower, ServersFollower *catalog.Follower
+	// LoadTracker provides and receives the request counts.
+	LoadTracker LoadTracker
 	// Log receives an event for each change.
 	Log *eventlog.Logger
 	// Clock is the time source.
@@ -97,9 +97,9 @@
 	}
 }
 
-// Learn queues the entry instance at addr for dialling unless it is known. While
+// AddPeer queues the entry instance at addr for dialling unless it is known. While
 // the queue is full, addr is dropped.
-func (x *Exchange) Learn(addr string) {
+func (x *Exchange) AddPeer(addr string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if addr == "" || x.known[addr] {
@@ -112,8 +112,8 @@
 	}
 }
 
-// Known returns the addresses of all known entry instances, including this one.
-func (x *Exchange) Known() []string {
+// KnownAddrs returns the addresses of all known entry instances, including this one.
+func (x *Exchange) KnownAddrs() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	addrs := make([]string, 0, len(x.known))
@@ -134,8 +134,8 @@
 		case addr := <-x.discovered:
 			connections.Go(func() {
 				session := func(ctx context.Context, timeout time.Duration) error { return x.sendLoads(ctx, addr, timeout) }
-				dial.Keep(ctx, x.cfg.Clock, redialPauses, session, func(err error) {
-					x.cfg.Log.Fail(eventPeerDisconnected, err, eventlog.Fields{"peer": addr})
+				dial.KeepConnected(ctx, x.cfg.Clock, redialPauses, session, func(err error) {
+					x.cfg.Log.EventWithError(eventPeerDisconnected, err, eventlog.Fields{"peer": addr})
 				})
 			})
 		}
@@ -153,7 +153,7 @@
 	defer func() { _ = conn.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if err := conn.Send(frame.KindEntryHello, frame.EntryHello{Self: x.cfg.Self}); err != nil {
+	if err := conn.Send(frame.KindEntryHello, frame.EntryHello{Instance: x.cfg.Self}); err != nil {
 		return err
 	}
 	x.cfg.Log.Event(eventPeerConnected, eventlog.Fields{"peer": addr})
@@ -162,17 +162,17 @@
 	sent := map[string]int{}
 	var lastHeartbeat time.Time
 	for {
-		l := frame.Loads{
-			Declared: x.cfg.Declared.Changed(), Servers: x.cfg.Servers.Changed(),
-			Running: changedCounts(sent, x.cfg.Loads.Running()),
+		l := frame.LoadUpdate{
+			DeclaredRevision: x.cfg.DeclaredFollower.ChangeRevision(), ServersRevision: x.cfg.ServersFollower.ChangeRevision(),
+			RunningByServer: changedCounts(sent, x.cfg.LoadTracker.RunningByServer()),
 		}
 		now := x.cfg.Clock.Now()
 		heartbeatDue := now.Sub(lastHeartbeat) >= heartbeatInterval
 		if heartbeatDue {
-			l.Weights = x.recentWeights(now)
+			l.DeclaredVersions = x.recentWeights(now)
 		}
-		if len(l.Running) > 0 || heartbeatDue {
-			if err := conn.Send(frame.KindLoads, l); err != nil {
+		if len(l.RunningByServer) > 0 || heartbeatDue {
+			if err := conn.Send(frame.KindLoadUpdate, l); err != nil {
 				return err
 			}
 			if heartbeatDue {
@@ -196,22 +196,22 @@
 
 // recentWeights returns the weights declared within the last sendAgesFor, with
 // their ages.
-func (x *Exchange) recentWeights(now time.Time) []frame.WantedWeights {
-	var recent []frame.WantedWeights
-	for _, w := range x.cfg.Holder.Current().Declared(now, sendAgesFor) {
-		recent = append(recent, frame.WantedWeights{
-			Model: w.Model, Version: w.Version, AgeMs: now.Sub(w.Known).Milliseconds(),
+func (x *Exchange) recentWeights(now time.Time) []frame.WantedVersion {
+	var recent []frame.WantedVersion
+	for _, w := range x.cfg.Holder.Current().RecentVersions(now, sendAgesFor) {
+		recent = append(recent, frame.WantedVersion{
+			Model: w.Model, Version: w.Version, AgeMs: now.Sub(w.DeclaredAt).Milliseconds(),
 		})
 	}
 	return recent
 }
 
 // applyAges takes over the ages of declared weights from a peer.
-func (x *Exchange) applyAges(weights []frame.WantedWeights) {
+func (x *Exchange) applyAges(weights []frame.WantedVersion) {
 	now := x.cfg.Clock.Now()
 	for _, w := range weights {
 		declaredAt := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
-		x.cfg.Holder.Learn(catalog.Weights{Model: w.Model, Version: w.Version, Known: declaredAt}, now)
+		x.cfg.Holder.MergeWeights(catalog.Weights{Model: w.Model, Version: w.Version, DeclaredAt: declaredAt}, now)
 	}
 }
 
@@ -240,12 +240,12 @@
 // ends.
 func (x *Exchange) serveTableRequests(conn *frame.Conn) error {
 	for {
-		var request frame.Want
-		if err := conn.Expect(frame.KindWant, &request, time.Time{}); err != nil {
+		var request frame.TableRequest
+		if err := conn.Expect(frame.KindTableRequest, &request, time.Time{}); err != nil {
 			return err
 		}
 		for _, t := range request.Tables {
-			s := frame.TableState{Table: t, State: x.follower(t).State()}
+			s := frame.TableState{Table: t, State: x.follower(t).Content()}
 			if err := conn.Send(frame.KindTable, s); err != nil {
 				return err
 			}
@@ -256,9 +256,9 @@
 // follower returns the follower of a table.
 func (x *Exchange) follower(t catalog.Table) *catalog.Follower {
 	if t == catalog.TableServers {
-		return x.cfg.Servers
+		return x.cfg.ServersFollower
 	}
-	return x.cfg.Declared
+	return x.cfg.DeclaredFollower
 }
 
 // ServeHTTP accepts the connection of a peer and returns when it has ended. The
@@ -271,14 +271,14 @@
 	defer func() { _ = conn.Close() }()
 	var hello frame.EntryHello
 	if err := conn.Expect(frame.KindEntryHello, &hello, x.receiveDeadline()); err != nil {
-		x.cfg.Log.Fail(eventPeerDisconnected, err, eventlog.Fields{"peer": conn.Peer()})
+		x.cfg.Log.EventWithError(eventPeerDisconnected, err, eventlog.Fields{"peer": conn.Peer()})
 		return
 	}
-	conn.SetPeer(hello.Self.ID)
-	x.Learn(hello.Self.Addr)
-	x.cfg.Loads.PeerBegan(hello.Self.ID)
-	err = x.receiveFrames(conn, hello.Self.ID)
-	x.cfg.Log.Fail(eventPeerDisconnected, err, eventlog.Fields{"peer": hello.Self.ID, "from": "accepted"})
+	conn.SetPeer(hello.Instance.ID)
+	x.AddPeer(hello.Instance.Addr)
+	x.cfg.LoadTracker.ResetPeerLoads(hello.Instance.ID)
+	err = x.receiveFrames(conn, hello.Instance.ID)
+	x.cfg.Log.EventWithError(eventPeerDisconnected, err, eventlog.Fields{"peer": hello.Instance.ID, "from": "accepted"})
 }
 
 // receiveDeadline returns the time by which the next message must arrive.
@@ -293,13 +293,13 @@
 			return err
 		}
 		switch f.Kind {
-		case frame.KindLoads:
-			var l frame.Loads
+		case frame.KindLoadUpdate:
+			var l frame.LoadUpdate
 			if err := f.Decode(&l); err != nil {
 				return err
 			}
-			x.cfg.Loads.PeerLoads(peer, l.Running)
-			x.applyAges(l.Weights)
+			x.cfg.LoadTracker.UpdatePeerLoads(peer, l.RunningByServer)
+			x.applyAges(l.DeclaredVersions)
 			if err := x.requestTables(conn, peer, l, lags); err != nil {
 				return err
 			}
@@ -308,20 +308,20 @@
 			if err := f.Decode(&t); err != nil {
 				return err
 			}
-			x.follower(t.Table).Relay(t.State, peer)
+			x.follower(t.Table).AdoptIfNewer(t.State, peer)
 		}
 	}
 }
 
 // requestTables requests those tables of which the peer has a revision that is
 // overdue here.
-func (x *Exchange) requestTables(conn *frame.Conn, peer string, l frame.Loads, lags map[catalog.Table]*lag) error {
-	var request frame.Want
+func (x *Exchange) requestTables(conn *frame.Conn, peer string, l frame.LoadUpdate, lags map[catalog.Table]*lag) error {
+	var request frame.TableRequest
 	now := x.cfg.Clock.Now()
 	for t, peerRevision := range map[catalog.Table]uint64{
-		catalog.TableDeclared: l.Declared, catalog.TableServers: l.Servers,
+		catalog.TableDeclared: l.DeclaredRevision, catalog.TableServers: l.ServersRevision,
 	} {
-		if lags[t].overdue(x.follower(t).Changed(), peerRevision, now) && x.allowRequest(t, now) {
+		if lags[t].overdue(x.follower(t).ChangeRevision(), peerRevision, now) && x.allowRequest(t, now) {
 			request.Tables = append(request.Tables, t)
 		}
 	}
@@ -329,5 +329,5 @@
 		return nil
 	}
 	x.cfg.Log.Event(eventTablesRequested, eventlog.Fields{"peer": peer, "tables": len(request.Tables)})
-	return conn.Send(frame.KindWant, request)
+	return conn.Send(frame.KindTableRequest, request)
 }
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -31,7 +31,7 @@
 	return nil, 0, errors.New("down")
 }
 
-func (unavailableStore) Feed(context.Context, catalog.Table, uint64, time.Duration) ([]catalog.Row, uint64, error) {
+func (unavailableStore) ChangesSince(context.Context, catalog.Table, uint64, time.Duration) ([]catalog.Row, uint64, error) {
 	return nil, 0, errors.New("down")
 }
 
@@ -49,7 +49,7 @@
 	received map[string]int
 }
 
-func (l *fakeLoads) Running() map[string]int {
+func (l *fakeLoads) RunningByServer() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.running
@@ -61,9 +61,9 @@
 	l.running = running
 }
 
-func (l *fakeLoads) PeerBegan(string) { l.PeerLoads("", nil) }
+func (l *fakeLoads) ResetPeerLoads(string) { l.UpdatePeerLoads("", nil) }
 
-func (l *fakeLoads) PeerLoads(_ string, running map[string]int) {
+func (l *fakeLoads) UpdatePeerLoads(_ string, running map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, n := range running {
@@ -96,9 +96,9 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { handler.ServeHTTP(w, r) }))
 	i.Exchange = New(Config{
 		Self: core.Instance{ID: name, Role: core.RoleEntry, Addr: server.Listener.Addr().String()}, Token: token,
-		Holder: i.holder, Declared: i.declared, Servers: i.servers, Loads: i.loads, Log: log, Clock: clock,
+		Holder: i.holder, DeclaredFollower: i.declared, ServersFollower: i.servers, LoadTracker: i.loads, Log: log, Clock: clock,
 	})
-	handler = httpserver.RequirePeer(token, i.Exchange)
+	handler = httpserver.RequirePeerToken(token, i.Exchange)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -119,7 +119,7 @@
 		a, b := newTestInstance(t, "a"), newTestInstance(t, "b")
 		a.loads.set(map[string]int{"s1": 3})
 		b.loads.set(map[string]int{"s2": 5})
-		a.Learn(b.cfg.Self.Addr)
+		a.AddPeer(b.cfg.Self.Addr)
 		So(wait.Until(func() bool { return b.loads.receivedCount("s1") == 3 && a.loads.receivedCount("s2") == 5 }), ShouldBeTrue)
 		a.loads.set(map[string]int{})
 		So(wait.Until(func() bool { return b.loads.receivedCount("s1") == 0 }), ShouldBeTrue)
@@ -127,16 +127,16 @@
 
 	Convey("An instance that gets no answer from the store gets newer tables and the ages of weights from another one", t, func() {
 		a, b := newTestInstance(t, "a"), newTestInstance(t, "b")
-		a.declared.Relay(catalog.State{Rows: []catalog.Row{{Key: "config", Revision: 7}}, Changed: 7, Read: 9}, "store")
-		a.servers.Relay(catalog.State{Rows: []catalog.Row{{Key: "s1", Revision: 8}}, Changed: 8, Read: 9}, "store")
+		a.declared.AdoptIfNewer(catalog.TableContent{Rows: []catalog.Row{{Key: "config", Revision: 7}}, ChangeRevision: 7, ReadRevision: 9}, "store")
+		a.servers.AdoptIfNewer(catalog.TableContent{Rows: []catalog.Row{{Key: "s1", Revision: 8}}, ChangeRevision: 8, ReadRevision: 9}, "store")
 		known := time.Now().Add(-3 * time.Second)
-		a.holder.Learn(catalog.Weights{Model: "herbs", Version: 2, Known: known}, time.Now())
-		b.Learn(a.cfg.Self.Addr)
+		a.holder.MergeWeights(catalog.Weights{Model: "herbs", Version: 2, DeclaredAt: known}, time.Now())
+		b.AddPeer(a.cfg.Self.Addr)
 		So(wait.Until(func() bool {
 			s := b.holder.Current()
 			return s.Complete() && s.Config.Version == 7 && s.Servers["s1"] != nil && s.Weights["herbs"].Version == 2
 		}), ShouldBeTrue)
-		So(b.holder.Current().Weights["herbs"].Known.Sub(known), ShouldBeBetween, -time.Second, time.Second)
+		So(b.holder.Current().Weights["herbs"].DeclaredAt.Sub(known), ShouldBeBetween, -time.Second, time.Second)
 	})
 }
 
--- a/connection/fleet/fleet_test.go
+++ b/connection/fleet/fleet_test.go
@@ -38,7 +38,7 @@
 	hub := NewHub(HubConfig{
 		Holder: e.holder, Log: eventlog.Discard(), Clock: clockwork.NewRealClock(),
 		Entries: func() []string { return nil },
-		Agent: func(server string, s *frame.AgentState) {
+		OnAgentState: func(server string, s *frame.AgentState) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			delete(e.states, server)
@@ -47,9 +47,9 @@
 			}
 		},
 	})
-	e.server = httptest.NewServer(httpserver.RequirePeer(token, hub))
+	e.server = httptest.NewServer(httpserver.RequirePeerToken(token, hub))
 	e.declare(1, &catalog.Config{Version: 1, Services: map[string]*catalog.Service{
-		"label":   {Name: "label", Engine: &catalog.Engine{Models: []string{"herbs"}, Chunks: 48, ChunkBytes: 512}},
+		"label":   {Name: "label", Engine: &catalog.Engine{Models: []string{"herbs"}, ChunkCount: 48, ChunkBytes: 512}},
 		"weights": {Name: "weights", Origin: &catalog.Origin{Addr: "10.0.0.1:80", BytesPerSecond: 1000}},
 	}})
 	t.Cleanup(func() {
@@ -78,7 +78,7 @@
 // testAgent is an agent's end of the connections. It stores the last fleet
 // message.
 type testAgent struct {
-	*Links
+	*EntryConnections
 	stop func()
 
 	mu    sync.Mutex
@@ -88,14 +88,14 @@
 func newTestAgent(t *testing.T, name string, e *testEntry) *testAgent {
 	t.Helper()
 	a := &testAgent{}
-	a.Links = NewLinks(LinksConfig{
-		Hello: frame.AgentHello{Self: core.Instance{ID: name, Role: core.RoleAgent, Addr: name}, Server: "server-" + name},
+	a.EntryConnections = NewEntryConnections(EntryConnectionsConfig{
+		Hello: frame.AgentHello{Instance: core.Instance{ID: name, Role: core.RoleAgent, Addr: name}, Server: "server-" + name},
 		Token: token, Entries: []string{e.server.Listener.Addr().String()}, Log: eventlog.Discard(),
 		Clock: clockwork.NewRealClock(),
-		Declared: func() []frame.WantedWeights {
-			return []frame.WantedWeights{{Model: "herbs", Version: 1, AgeMs: 60_000}}
+		DeclaredVersions: func() []frame.WantedVersion {
+			return []frame.WantedVersion{{Model: "herbs", Version: 1, AgeMs: 60_000}}
 		},
-		Fleet: func(_ string, f *frame.Fleet) {
+		OnFleet: func(_ string, f *frame.Fleet) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			a.fleet = f
@@ -129,22 +129,24 @@
 		newTestAgent(t, "b", e)
 		So(wait.Until(func() bool {
 			return a.fleetMeets(func(f frame.Fleet) bool {
-				return len(f.Agents) == 2 && f.Origin == "10.0.0.1:80" && len(f.Weights) == 1 && f.Weights[0].Version == 1
+				return len(f.Agents) == 2 && f.Origin == "10.0.0.1:80" && len(f.WantedVersions) == 1 && f.WantedVersions[0].Version == 1
 			})
 		}), ShouldBeTrue)
 		e.declare(2, nil)
 		So(wait.Until(func() bool {
-			return a.fleetMeets(func(f frame.Fleet) bool { return f.Weights[0].Version == 2 && f.Weights[0].AgeMs < 10_000 })
+			return a.fleetMeets(func(f frame.Fleet) bool {
+				return f.WantedVersions[0].Version == 2 && f.WantedVersions[0].AgeMs < 10_000
+			})
 		}), ShouldBeTrue)
 	})
 
 	Convey("An entry instance receives the state of a backend server, and notices that its agent disconnected", t, func() {
 		e := newTestEntry(t)
 		a := newTestAgent(t, "a", e)
-		a.Publish(frame.AgentState{Weights: map[string]int{"herbs": 2}, Loading: true})
+		a.Publish(frame.AgentState{LoadedVersions: map[string]int{"herbs": 2}, Loading: true})
 		So(wait.Until(func() bool {
 			s, ok := e.state("server-a")
-			return ok && s.Loading && s.Weights["herbs"] == 2
+			return ok && s.Loading && s.LoadedVersions["herbs"] == 2
 		}), ShouldBeTrue)
 		a.stop()
 		So(wait.Until(func() bool {
@@ -158,7 +160,7 @@
 		e.declare(1, nil)
 		newTestAgent(t, "a", e)
 		So(wait.Until(func() bool {
-			return time.Since(e.holder.Current().Weights["herbs"].Known) > 50*time.Second
+			return time.Since(e.holder.Current().Weights["herbs"].DeclaredAt) > 50*time.Second
 		}), ShouldBeTrue)
 	})
 }
--- a/connection/fleet/hub.go
+++ b/connection/fleet/hub.go
@@ -35,9 +35,9 @@
 	DataCentre string
 	// Holder holds the declared weights.
 	Holder *catalog.Holder
-	// Agent is called with the address of a backend server and each state that
+	// OnAgentState is called with the address of a backend server and each state that
 	// its agent reports, and with a nil state when the agent has disconnected.
-	Agent func(server string, state *frame.AgentState)
+	OnAgentState func(server string, state *frame.AgentState)
 	// Entries returns the addresses of the known entry instances.
 	Entries func() []string
 	// Log receives an event for each change.
@@ -82,14 +82,14 @@
 	defer func() { _ = conn.Close() }()
 	a := &agentConn{conn: conn, listToggled: make(chan struct{}, 1)}
 	if err := conn.Expect(frame.KindAgentHello, &a.hello, h.receiveDeadline()); err != nil {
-		h.cfg.Log.Fail(eventAgentGone, err, eventlog.Fields{"peer": conn.Peer()})
+		h.cfg.Log.EventWithError(eventAgentGone, err, eventlog.Fields{"peer": conn.Peer()})
 		return
 	}
-	conn.SetPeer(a.hello.Self.ID)
+	conn.SetPeer(a.hello.Instance.ID)
 	now := h.cfg.Clock.Now()
-	for _, w := range a.hello.Declared {
+	for _, w := range a.hello.DeclaredVersions {
 		declaredAt := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
-		h.cfg.Holder.Learn(catalog.Weights{Model: w.Model, Version: w.Version, Known: declaredAt}, now)
+		h.cfg.Holder.MergeWeights(catalog.Weights{Model: w.Model, Version: w.Version, DeclaredAt: declaredAt}, now)
 	}
 	h.addAgent(a)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -113,7 +113,7 @@
 	h.notifyChange()
 	h.mu.Unlock()
 	h.cfg.Log.Event(eventAgent, eventlog.Fields{
-		"agent": a.hello.Self.ID, "addr": a.hello.Self.Addr, "server": a.hello.Server,
+		"agent": a.hello.Instance.ID, "addr": a.hello.Instance.Addr, "server": a.hello.Server,
 	})
 }
 
@@ -128,8 +128,8 @@
 	}
 	h.mu.Unlock()
 	if current {
-		h.cfg.Agent(a.hello.Server, nil)
-		h.cfg.Log.Fail(eventAgentGone, err, eventlog.Fields{"agent": a.hello.Self.ID, "server": a.hello.Server})
+		h.cfg.OnAgentState(a.hello.Server, nil)
+		h.cfg.Log.EventWithError(eventAgentGone, err, eventlog.Fields{"agent": a.hello.Instance.ID, "server": a.hello.Server})
 	}
 }
 
@@ -163,8 +163,8 @@
 // one, it also passes the state on and logs a change.
 func (h *Hub) applyState(a *agentConn, s frame.AgentState) {
 	h.mu.Lock()
-	same := a.state.Loading == s.Loading && maps.Equal(a.state.Weights, s.Weights)
-	if a.state.List != s.List {
+	same := a.state.Loading == s.Loading && maps.Equal(a.state.LoadedVersions, s.LoadedVersions)
+	if a.state.WantsAgentList != s.WantsAgentList {
 		select {
 		case a.listToggled <- struct{}{}:
 		default:
@@ -176,10 +176,10 @@
 	if !current {
 		return
 	}
-	h.cfg.Agent(a.hello.Server, &s)
+	h.cfg.OnAgentState(a.hello.Server, &s)
 	if !same {
 		h.cfg.Log.Event(eventAgentState, eventlog.Fields{
-			"agent": a.hello.Self.ID, "server": a.hello.Server, "weights": s.Weights, "loading": s.Loading,
+			"agent": a.hello.Instance.ID, "server": a.hello.Server, "weights": s.LoadedVersions, "loading": s.Loading,
 		})
 	}
 }
@@ -259,7 +259,7 @@
 func (h *Hub) listRequested(a *agentConn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return a.state.List
+	return a.state.WantsAgentList
 }
 
 // sameWeightsAndOrigin reports whether two snapshots declare the same versions
@@ -302,9 +302,9 @@
 			}
 			for _, model := range service.Engine.Models {
 				w := wantedWeights(s, model, now)
-				w.Service, w.Chunks, w.ChunkBytes = service.Name, service.Engine.Chunks, service.Engine.ChunkBytes
+				w.Service, w.ChunkCount, w.ChunkBytes = service.Name, service.Engine.ChunkCount, service.Engine.ChunkBytes
 				wantedVersions[model] = w.Version
-				f.Weights = append(f.Weights, w)
+				f.WantedVersions = append(f.WantedVersions, w)
 			}
 		}
 	}
@@ -313,12 +313,12 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !recipient.state.List {
+	if !recipient.state.WantsAgentList {
 		return f
 	}
 	for _, a := range h.agents {
 		f.Agents = append(f.Agents, frame.FleetAgent{
-			Instance: a.hello.Self, Server: a.hello.Server, Holds: holdsWanted(a.state, wantedVersions),
+			Instance: a.hello.Instance, Server: a.hello.Server, HoldsNewest: holdsWanted(a.state, wantedVersions),
 		})
 	}
 	return f
@@ -326,11 +326,11 @@
 
 // wantedWeights returns the declared version of a model, or version 1 when none
 // is declared.
-func wantedWeights(s *catalog.Snapshot, model string, now time.Time) frame.WantedWeights {
-	w := frame.WantedWeights{Model: model, Version: 1}
+func wantedWeights(s *catalog.Snapshot, model string, now time.Time) frame.WantedVersion {
+	w := frame.WantedVersion{Model: model, Version: 1}
 	if declared, ok := s.Weights[model]; ok {
 		w.Version = declared.Version
-		w.AgeMs = now.Sub(declared.Known).Milliseconds()
+		w.AgeMs = now.Sub(declared.DeclaredAt).Milliseconds()
 	}
 	return w
 }
@@ -338,7 +338,7 @@
 // holdsWanted reports whether a backend server holds the wanted version of at
 // least one model.
 func holdsWanted(s frame.AgentState, wantedVersions map[string]int) bool {
-	for model, version := range s.Weights {
+	for model, version := range s.LoadedVersions {
 		if version == wantedVersions[model] {
 			return true
 		}
--- a/connection/fleet/links.go
+++ b/connection/fleet/links.go
@@ -17,35 +17,35 @@
 // redialPauses are the pauses before an entry instance is dialled again. They are
 // short: after a power failure a longer pause would leave the backend server
 // without weights for longer, and a refused connection costs little.
-var redialPauses = dial.Pauses{
-	Least: 80 * time.Millisecond, Most: 300 * time.Millisecond, Steady: 1500 * time.Millisecond,
+var redialPauses = dial.Backoff{
+	MinDelay: 80 * time.Millisecond, MaxDelay: 300 * time.Millisecond, ResetAfter: 1500 * time.Millisecond,
 }
 
-// LinksConfig holds the settings and dependencies of Links.
-type LinksConfig struct {
+// EntryConnectionsConfig holds the settings and dependencies of Links.
+type EntryConnectionsConfig struct {
 	// Hello is the first message on each connection, without the declared
 	// versions.
 	Hello frame.AgentHello
-	// Declared returns the declared versions that the agent knows, for Hello.
-	Declared func() []frame.WantedWeights
+	// DeclaredVersions returns the declared versions that the agent knows, for Hello.
+	DeclaredVersions func() []frame.WantedVersion
 	// Token is the peer token sent to entry instances.
 	Token string
 	// Entries are the addresses of the entry instances to dial first. More are
 	// taken from their messages.
 	Entries []string
-	// Fleet is called with the address of an entry instance and each message
+	// OnFleet is called with the address of an entry instance and each message
 	// from it, and with a nil message when the connection to it has ended.
-	Fleet func(entry string, f *frame.Fleet)
+	OnFleet func(entry string, f *frame.Fleet)
 	// Log receives an event for each change.
 	Log *eventlog.Logger
 	// Clock is the time source.
 	Clock clockwork.Clock
 }
 
-// Links holds an agent's connections to entry instances. It is safe for
+// EntryConnections holds an agent's connections to entry instances. It is safe for
 // concurrent use.
-type Links struct {
-	cfg   LinksConfig
+type EntryConnections struct {
+	cfg   EntryConnectionsConfig
 	mu    sync.Mutex
 	state frame.AgentState
 	// changed is closed and replaced when state or listSenders changes.
@@ -61,16 +61,16 @@
 	listSenders map[string]bool
 }
 
-// NewLinks returns Links without connections; Run opens them.
-func NewLinks(cfg LinksConfig) *Links {
-	return &Links{
+// NewEntryConnections returns Links without connections; Run opens them.
+func NewEntryConnections(cfg EntryConnectionsConfig) *EntryConnections {
+	return &EntryConnections{
 		cfg: cfg, changed: make(chan struct{}), known: map[string]bool{}, discovered: make(chan string, 64),
 		connected: map[string]string{},
 	}
 }
 
 // Publish sends the state of the backend server to all entry instances.
-func (l *Links) Publish(s frame.AgentState) {
+func (l *EntryConnections) Publish(s frame.AgentState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state = s
@@ -78,14 +78,14 @@
 }
 
 // notifyChange wakes the goroutines that send states. l.mu must be held.
-func (l *Links) notifyChange() {
+func (l *EntryConnections) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
 // markConnected records that an entry instance is connected, and its data
 // centre.
-func (l *Links) markConnected(addr, dataCentre string) {
+func (l *EntryConnections) markConnected(addr, dataCentre string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if old, ok := l.connected[addr]; !ok || old != dataCentre {
@@ -95,7 +95,7 @@
 }
 
 // markDisconnected records that the connection to an entry instance has ended.
-func (l *Links) markDisconnected(addr string) {
+func (l *EntryConnections) markDisconnected(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.connected, addr)
@@ -104,8 +104,8 @@
 
 // updateListSenders chooses again which entry instances send the list of agents.
 // l.mu must be held.
-func (l *Links) updateListSenders() {
-	self := l.cfg.Hello.Self
+func (l *EntryConnections) updateListSenders() {
+	self := l.cfg.Hello.Instance
 	listSenders := chooseListSenders(self.ID, self.DataCentre, l.connected)
 	if !maps.Equal(listSenders, l.listSenders) {
 		l.listSenders = listSenders
@@ -114,7 +114,7 @@
 }
 
 // Run dials the entry instances, again after each loss, until ctx ends.
-func (l *Links) Run(ctx context.Context) error {
+func (l *EntryConnections) Run(ctx context.Context) error {
 	var connections sync.WaitGroup
 	defer connections.Wait()
 	for _, addr := range l.cfg.Entries {
@@ -132,7 +132,7 @@
 
 // addEntry queues an entry instance for dialling unless it is known. While the
 // queue is full, the address is dropped.
-func (l *Links) addEntry(addr string) {
+func (l *EntryConnections) addEntry(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.known[addr] {
@@ -147,21 +147,21 @@
 
 // maintainConnection keeps a connection to an entry instance open, dialling
 // again after each loss, until ctx ends.
-func (l *Links) maintainConnection(ctx context.Context, addr string) {
+func (l *EntryConnections) maintainConnection(ctx context.Context, addr string) {
 	session := func(ctx context.Context, timeout time.Duration) error {
 		err := l.runSession(ctx, addr, timeout)
 		l.markDisconnected(addr)
-		l.cfg.Fleet(addr, nil)
+		l.cfg.OnFleet(addr, nil)
 		return err
 	}
-	dial.Keep(ctx, l.cfg.Clock, redialPauses, session, func(err error) {
-		l.cfg.Log.Fail(eventEntryGone, err, eventlog.Fields{"entry": addr})
+	dial.KeepConnected(ctx, l.cfg.Clock, redialPauses, session, func(err error) {
+		l.cfg.Log.EventWithError(eventEntryGone, err, eventlog.Fields{"entry": addr})
 	})
 }
 
 // runSession opens one connection to an entry instance within timeout, exchanges
 // messages on it and returns when it has ended.
-func (l *Links) runSession(ctx context.Context, addr string, timeout time.Duration) error {
+func (l *EntryConnections) runSession(ctx context.Context, addr string, timeout time.Duration) error {
 	conn, err := frame.Dial(addr, Path, l.cfg.Token, timeout)
 	if err != nil {
 		return err
@@ -170,7 +170,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	hello := l.cfg.Hello
-	hello.Declared = l.cfg.Declared()
+	hello.DeclaredVersions = l.cfg.DeclaredVersions()
 	if err := conn.Send(frame.KindAgentHello, hello); err != nil {
 		return err
 	}
@@ -194,17 +194,17 @@
 			l.addEntry(entry)
 		}
 		l.markConnected(addr, fleet.DataCentre)
-		l.cfg.Fleet(addr, &fleet)
+		l.cfg.OnFleet(addr, &fleet)
 	}
 }
 
 // sendStates sends the state after each change and as a heartbeat, until the
 // session ends or sending fails.
-func (l *Links) sendStates(conn *frame.Conn, addr string, ended <-chan struct{}) {
+func (l *EntryConnections) sendStates(conn *frame.Conn, addr string, ended <-chan struct{}) {
 	for {
 		l.mu.Lock()
 		state, changed := l.state, l.changed
-		state.List = l.listSenders[addr]
+		state.WantsAgentList = l.listSenders[addr]
 		l.mu.Unlock()
 		if err := conn.Send(frame.KindAgentState, state); err != nil {
 			_ = conn.Close()
@@ -220,4 +220,4 @@
 }
 
 // Self returns the agent's own instance.
-func (l *Links) Self() core.Instance { return l.cfg.Hello.Self }
+func (l *EntryConnections) Self() core.Instance { return l.cfg.Hello.Instance }
--- a/connection/frame/conn.go
+++ b/connection/frame/conn.go
@@ -24,12 +24,12 @@
 var (
 	// ErrMalformed is returned when a frame cannot be decoded.
 	ErrMalformed = errors.New("malformed frame")
-	// ErrVersion is returned when a frame has another protocol version than
+	// ErrProtocolVersion is returned when a frame has another protocol version than
 	// ProtocolVersion.
-	ErrVersion = errors.New("protocol version not supported")
-	// ErrUnexpected is returned when a received frame is not of the expected
+	ErrProtocolVersion = errors.New("protocol version not supported")
+	// ErrUnexpectedKind is returned when a received frame is not of the expected
 	// kind.
-	ErrUnexpected = errors.New("unexpected frame")
+	ErrUnexpectedKind = errors.New("unexpected frame")
 )
 
 // receivedEnvelope is the envelope of a received frame, with its body still
@@ -95,7 +95,7 @@
 		return Frame{}, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	if e.Version != ProtocolVersion {
-		return Frame{}, fmt.Errorf("%w: got %d, want %d", ErrVersion, e.Version, ProtocolVersion)
+		return Frame{}, fmt.Errorf("%w: got %d, want %d", ErrProtocolVersion, e.Version, ProtocolVersion)
 	}
 	return Frame{Kind: e.Kind, body: e.Body}, nil
 }
@@ -118,30 +118,30 @@
 func (c *Conn) Send(kind Kind, msg any) error {
 	raw, err := Encode(kind, msg)
 	if err != nil {
-		return core.Step("send frame", c.peer, err)
+		return core.WrapStep("send frame", c.peer, err)
 	}
 	c.sendMu.Lock()
 	defer c.sendMu.Unlock()
 	if err := c.ws.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
-		return core.Step("send frame", c.peer, err)
+		return core.WrapStep("send frame", c.peer, err)
 	}
-	return core.Step("send frame", c.peer, c.ws.WriteMessage(websocket.BinaryMessage, raw))
+	return core.WrapStep("send frame", c.peer, c.ws.WriteMessage(websocket.BinaryMessage, raw))
 }
 
 // Receive reads the next frame. A zero deadline means no time limit.
 func (c *Conn) Receive(deadline time.Time) (Frame, error) {
 	if err := c.ws.SetReadDeadline(deadline); err != nil {
-		return Frame{}, core.Step("receive frame", c.peer, err)
+		return Frame{}, core.WrapStep("receive frame", c.peer, err)
 	}
 	messageType, raw, err := c.ws.ReadMessage()
 	if err != nil {
-		return Frame{}, core.Step("receive frame", c.peer, err)
+		return Frame{}, core.WrapStep("receive frame", c.peer, err)
 	}
 	if messageType != websocket.BinaryMessage {
-		return Frame{}, core.Step("receive frame", c.peer, ErrMalformed)
+		return Frame{}, core.WrapStep("receive frame", c.peer, ErrMalformed)
 	}
 	f, err := Parse(raw)
-	return f, core.Step("receive frame", c.peer, err)
+	return f, core.WrapStep("receive frame", c.peer, err)
 }
 
 // Expect reads the next frame and decodes it into msg. It returns ErrUnexpected
@@ -152,9 +152,9 @@
 		return err
 	}
 	if f.Kind != kind {
-		return core.Step("receive frame", c.peer, fmt.Errorf("%w: got kind %d, want %d", ErrUnexpected, f.Kind, kind))
+		return core.WrapStep("receive frame", c.peer, fmt.Errorf("%w: got kind %d, want %d", ErrUnexpectedKind, f.Kind, kind))
 	}
-	return core.Step("receive frame", c.peer, f.Decode(msg))
+	return core.WrapStep("receive frame", c.peer, f.Decode(msg))
 }
 
 // Close closes the connection immediately, without a WebSocket close handshake.
@@ -171,7 +171,7 @@
 func Accept(w http.ResponseWriter, r *http.Request) (*Conn, error) {
 	ws, err := upgrader.Upgrade(w, r, nil)
 	if err != nil {
-		return nil, core.Step("accept connection", r.RemoteAddr, err)
+		return nil, core.WrapStep("accept connection", r.RemoteAddr, err)
 	}
 	ws.SetReadLimit(MaxBytes)
 	return &Conn{ws: ws, peer: r.RemoteAddr}, nil
@@ -181,7 +181,7 @@
 // timeout limits the time until the connection is open.
 func Dial(addr, path, token string, timeout time.Duration) (*Conn, error) {
 	d := websocket.Dialer{
-		NetDialContext:   dial.Context,
+		NetDialContext:   dial.DialContext,
 		HandshakeTimeout: timeout,
 		ReadBufferSize:   bufferBytes,
 		WriteBufferSize:  bufferBytes,
@@ -193,7 +193,7 @@
 		if resp != nil {
 			err = errors.Wrapf(err, "status %d", resp.StatusCode)
 		}
-		return nil, core.Step("dial", addr, err)
+		return nil, core.WrapStep("dial", addr, err)
 	}
 	ws.SetReadLimit(MaxBytes)
 	return &Conn{ws: ws, peer: addr}, nil
--- a/connection/frame/fleet.go
+++ b/connection/frame/fleet.go
@@ -9,40 +9,40 @@
 // and those agents whose backend servers receive requests directly from the
 // entry instances, not through the agent.
 const (
-	KindEntryHello Kind = 32 // entry to entry: first message on a connection
-	KindLoads      Kind = 33 // entry to entry: requests in flight per backend server
-	KindWant       Kind = 34 // entry to entry: request for tables
-	KindTable      Kind = 35 // entry to entry: content of a table
-	KindAgentHello Kind = 36 // agent to entry: first message on a connection
-	KindAgentState Kind = 37 // agent to entry: versions loaded by its backend server
-	KindFleet      Kind = 38 // entry to agent: versions to load and their sources
+	KindEntryHello   Kind = 32 // entry to entry: first message on a connection
+	KindLoadUpdate   Kind = 33 // entry to entry: requests in flight per backend server
+	KindTableRequest Kind = 34 // entry to entry: request for tables
+	KindTable        Kind = 35 // entry to entry: content of a table
+	KindAgentHello   Kind = 36 // agent to entry: first message on a connection
+	KindAgentState   Kind = 37 // agent to entry: versions loaded by its backend server
+	KindFleet        Kind = 38 // entry to agent: versions to load and their sources
 )
 
 // EntryHello is the first message on a connection between entry instances.
 type EntryHello struct {
-	// Self is the entry instance that sends the message.
-	Self core.Instance `cbor:"1,keyasint"`
+	// Instance is the entry instance that sends the message.
+	Instance core.Instance `cbor:"1,keyasint"`
 }
 
-// Loads reports to another entry instance which requests the sender has in
+// LoadUpdate reports to another entry instance which requests the sender has in
 // flight and which revisions its tables have.
-type Loads struct {
-	// Declared is the revision of the newest change in the sender's table of
+type LoadUpdate struct {
+	// DeclaredRevision is the revision of the newest change in the sender's table of
 	// declarations.
-	Declared uint64 `cbor:"1,keyasint"`
-	// Servers is the revision of the newest change in the sender's table of
+	DeclaredRevision uint64 `cbor:"1,keyasint"`
+	// ServersRevision is the revision of the newest change in the sender's table of
 	// backend servers.
-	Servers uint64 `cbor:"2,keyasint"`
-	// Running maps the id of a backend server to the number of requests that the
+	ServersRevision uint64 `cbor:"2,keyasint"`
+	// RunningByServer maps the id of a backend server to the number of requests that the
 	// sender has in flight there. It contains only the numbers that changed
 	// since the last message.
-	Running map[string]int `cbor:"3,keyasint,omitempty"`
-	// Weights are the recently declared model versions with their ages.
-	Weights []WantedWeights `cbor:"4,keyasint,omitempty"`
+	RunningByServer map[string]int `cbor:"3,keyasint,omitempty"`
+	// DeclaredVersions are the recently declared model versions with their ages.
+	DeclaredVersions []WantedVersion `cbor:"4,keyasint,omitempty"`
 }
 
-// Want requests the content of tables.
-type Want struct {
+// TableRequest requests the content of tables.
+type TableRequest struct {
 	// Tables are the tables of which the requester has an older revision.
 	Tables []catalog.Table `cbor:"1,keyasint"`
 }
@@ -52,44 +52,44 @@
 	// Table identifies the table.
 	Table catalog.Table `cbor:"1,keyasint"`
 	// State is the content of the table.
-	State catalog.State `cbor:"2,keyasint"`
+	State catalog.TableContent `cbor:"2,keyasint"`
 }
 
 // AgentHello is an agent's first message on a connection to an entry instance.
 type AgentHello struct {
-	// Self is the agent. Its Addr is the address from which other agents fetch
+	// Instance is the agent. Its Addr is the address from which other agents fetch
 	// weights.
-	Self core.Instance `cbor:"1,keyasint"`
+	Instance core.Instance `cbor:"1,keyasint"`
 	// Server is the address of the agent's backend server.
 	Server string `cbor:"2,keyasint"`
-	// Declared are the declared versions that the agent has received from entry
+	// DeclaredVersions are the declared versions that the agent has received from entry
 	// instances, with their ages.
-	Declared []WantedWeights `cbor:"3,keyasint,omitempty"`
+	DeclaredVersions []WantedVersion `cbor:"3,keyasint,omitempty"`
 }
 
 // AgentState is the state that an agent reads from its backend server.
 type AgentState struct {
-	// Weights maps the name of each model that is loaded with all its layers to
+	// LoadedVersions maps the name of each model that is loaded with all its layers to
 	// the number of the loaded version.
-	Weights map[string]int `cbor:"1,keyasint,omitempty"`
+	LoadedVersions map[string]int `cbor:"1,keyasint,omitempty"`
 	// Loading is true while the server loads a version and accepts no requests.
 	Loading bool `cbor:"2,keyasint,omitempty"`
-	// List is true if the agent requests the list of agents in each Fleet
+	// WantsAgentList is true if the agent requests the list of agents in each Fleet
 	// message.
-	List bool `cbor:"3,keyasint,omitempty"`
+	WantsAgentList bool `cbor:"3,keyasint,omitempty"`
 }
 
-// WantedWeights is a declared model version that agents must load into their
+// WantedVersion is a declared model version that agents must load into their
 // backend servers.
-type WantedWeights struct {
+type WantedVersion struct {
 	// Model is the name of the model.
 	Model string `cbor:"1,keyasint"`
 	// Version is the number of the version.
 	Version int `cbor:"2,keyasint"`
 	// AgeMs is the time since the version was declared, in milliseconds.
 	AgeMs int64 `cbor:"3,keyasint"`
-	// Chunks is the number of chunks of the version.
-	Chunks int `cbor:"4,keyasint"`
+	// ChunkCount is the number of chunks of the version.
+	ChunkCount int `cbor:"4,keyasint"`
 	// ChunkBytes is the size of a chunk, in bytes.
 	ChunkBytes int `cbor:"5,keyasint"`
 	// Service is the name of the service whose backend servers load the version.
@@ -102,15 +102,15 @@
 	Instance core.Instance `cbor:"1,keyasint"`
 	// Server is the address of the agent's backend server.
 	Server string `cbor:"2,keyasint"`
-	// Holds is true if the server has loaded the newest declared versions.
-	Holds bool `cbor:"3,keyasint,omitempty"`
+	// HoldsNewest is true if the server has loaded the newest declared versions.
+	HoldsNewest bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Fleet contains the versions that an agent must load and the sources from which
 // the agent can fetch them.
 type Fleet struct {
-	// Weights are the versions to load.
-	Weights []WantedWeights `cbor:"1,keyasint"`
+	// WantedVersions are the versions to load.
+	WantedVersions []WantedVersion `cbor:"1,keyasint"`
 	// Origin is the address of the store from which all weights originate.
 	Origin string `cbor:"2,keyasint"`
 	// OriginRate is the bandwidth of the origin, in bytes per second.
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -30,17 +30,17 @@
 
 	// Work connections, which an entry instance opens to an agent. They carry
 	// one request at a time.
-	KindRequest Kind = 16 // entry to agent: run this repeatable call
-	KindOffer   Kind = 17 // entry to agent: hold a slot for this once-only call
-	KindAdmit   Kind = 18 // agent to entry: a slot is held
-	KindGo      Kind = 19 // entry to agent: run the offered call
-	KindRefuse  Kind = 20 // agent to entry: the call was not admitted and did not run
-	KindHead    Kind = 21 // agent to entry: status and header of the response
-	KindData    Kind = 22 // agent to entry: part of the response body
-	KindEnd     Kind = 23 // agent to entry: the response is complete
-	KindFail    Kind = 24 // agent to entry: the response failed or is incomplete
-	KindAsk     Kind = 25 // entry to agent: did this attempt of a keyed call run?
-	KindAnswer  Kind = 26 // agent to entry: response to Ask
+	KindRequest       Kind = 16 // entry to agent: run this repeatable call
+	KindOffer         Kind = 17 // entry to agent: hold a slot for this once-only call
+	KindAdmit         Kind = 18 // agent to entry: a slot is held
+	KindGo            Kind = 19 // entry to agent: run the offered call
+	KindRefuse        Kind = 20 // agent to entry: the call was not admitted and did not run
+	KindHead          Kind = 21 // agent to entry: status and header of the response
+	KindData          Kind = 22 // agent to entry: part of the response body
+	KindEnd           Kind = 23 // agent to entry: the response is complete
+	KindFail          Kind = 24 // agent to entry: the response failed or is incomplete
+	KindAttemptQuery  Kind = 25 // entry to agent: did this attempt of a keyed call run?
+	KindAttemptStatus Kind = 26 // agent to entry: response to Ask
 )
 
 // State is the state of a backend server as determined by its agent.
@@ -87,9 +87,9 @@
 	// Loaded lists the versions that the engine reports as loaded. It is only
 	// sent with Changed set.
 	Loaded []Loaded `cbor:"6,keyasint,omitempty"`
-	// Changed is true if Loaded replaces the list of the last report; otherwise
+	// LoadedChanged is true if Loaded replaces the list of the last report; otherwise
 	// that list is still valid.
-	Changed bool `cbor:"7,keyasint,omitempty"`
+	LoadedChanged bool `cbor:"7,keyasint,omitempty"`
 	// HeartbeatMillis is the maximum time until the next report, in
 	// milliseconds; 0 means that it is the same as before.
 	HeartbeatMillis int64 `cbor:"8,keyasint,omitempty"`
@@ -212,15 +212,15 @@
 
 // The reasons why an agent does not admit a call.
 const (
-	ReasonFull      Reason = "full"       // no slot is free and the queue is full, or the wait in it took too long
-	ReasonLeaving   Reason = "leaving"    // the server accepts no new calls
-	ReasonOut       Reason = "out"        // the data centre is out of service
-	ReasonStale     Reason = "stale"      // the agent's configuration is too old or unconfirmed
-	ReasonDigest    Reason = "digest"     // the engine has not loaded the requested version
-	ReasonDown      Reason = "down"       // the engine or service does not respond
-	ReasonDuplicate Reason = "duplicate"  // this attempt was refused or run before
-	ReasonExpired   Reason = "expired"    // the deadline or the time of the held slot has passed
-	ReasonUnknown   Reason = "unknown-op" // the server does not serve this method and path
+	ReasonFull             Reason = "full"       // no slot is free and the queue is full, or the wait in it took too long
+	ReasonLeaving          Reason = "leaving"    // the server accepts no new calls
+	ReasonDataCentreOut    Reason = "out"        // the data centre is out of service
+	ReasonStaleConfig      Reason = "stale"      // the agent's configuration is too old or unconfirmed
+	ReasonDigestMismatch   Reason = "digest"     // the engine has not loaded the requested version
+	ReasonDown             Reason = "down"       // the engine or service does not respond
+	ReasonDuplicate        Reason = "duplicate"  // this attempt was refused or run before
+	ReasonExpired          Reason = "expired"    // the deadline or the time of the held slot has passed
+	ReasonUnknownOperation Reason = "unknown-op" // the server does not serve this method and path
 )
 
 // Refuse reports that a call was not admitted and that no part of it ran.
@@ -288,17 +288,17 @@
 type Fail struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
-	// Word is the outcome of the call.
-	Word core.Refusal `cbor:"2,keyasint"`
+	// Refusal is the outcome of the call.
+	Refusal core.Refusal `cbor:"2,keyasint"`
 	// Detail is the cause of the failure, for logs.
 	Detail string `cbor:"3,keyasint,omitempty"`
 	// Load is the agent's current load.
 	Load Load `cbor:"4,keyasint"`
 }
 
-// Ask queries whether an agent has run an attempt of a keyed call. From then on
+// AttemptQuery queries whether an agent has run an attempt of a keyed call. From then on
 // the agent does not start that attempt or an earlier one.
-type Ask struct {
+type AttemptQuery struct {
 	// ID is the request id of this query.
 	ID string `cbor:"1,keyasint"`
 	// Key identifies the keyed call.
@@ -307,26 +307,26 @@
 	Attempt int `cbor:"3,keyasint"`
 }
 
-// Ran is the state of an attempt of a keyed call at an agent.
-type Ran string
+// AttemptState is the state of an attempt of a keyed call at an agent.
+type AttemptState string
 
 // The states of an attempt of a keyed call.
 const (
-	RanNo      Ran = "no"      // never ran and will never run
-	RanRunning Ran = "running" // is running
-	RanYes     Ran = "yes"     // has run
-	RanUnknown Ran = "unknown" // the agent has no record of the attempt any more
+	AttemptNotRun  AttemptState = "no"      // never ran and will never run
+	AttemptRunning AttemptState = "running" // is running
+	AttemptRan     AttemptState = "yes"     // has run
+	AttemptUnknown AttemptState = "unknown" // the agent has no record of the attempt any more
 )
 
-// Answer is the response to Ask.
-type Answer struct {
+// AttemptStatus is the response to Ask.
+type AttemptStatus struct {
 	// ID is the request id of the query.
 	ID string `cbor:"1,keyasint"`
 	// Incarnation is the incarnation of the agent. The entry instance compares
 	// it with the incarnation recorded for the attempt.
 	Incarnation string `cbor:"2,keyasint"`
-	// Ran is the state of the attempt.
-	Ran Ran `cbor:"3,keyasint"`
+	// State is the state of the attempt.
+	State AttemptState `cbor:"3,keyasint"`
 	// Outcome is the response of an attempt that has run; nil if the agent no
 	// longer stores it.
 	Outcome *Outcome `cbor:"4,keyasint,omitempty"`
--- a/connection/frame/frame_test.go
+++ b/connection/frame/frame_test.go
@@ -37,7 +37,7 @@
 		raw, err := cbor.Marshal(map[int]any{1: ProtocolVersion + 1, 2: KindGo, 3: map[int]any{}})
 		So(err, ShouldBeNil)
 		_, err = Parse(raw)
-		So(errors.Is(err, ErrVersion), ShouldBeTrue)
+		So(errors.Is(err, ErrProtocolVersion), ShouldBeTrue)
 	})
 	Convey("Data that is not CBOR is rejected", t, func() {
 		_, err := Parse([]byte("not cbor"))
--- a/connection/homes/budget_test.go
+++ b/connection/homes/budget_test.go
@@ -48,7 +48,7 @@
 		Convey(fmt.Sprintf("With %d agents, heartbeats stay within their share of a node's bandwidth", agents), t, func() {
 			list := instancesAtTargetSize(agents)
 			homes := len(Select(self, list, DefaultMaxLocal, DefaultPerRemote, defaultMinHomes))
-			reportsPerSecond := 1 / Heartbeat(registry.DefaultHeartbeat, list, homes).Seconds()
+			reportsPerSecond := 1 / HeartbeatInterval(registry.DefaultHeartbeat, list, homes).Seconds()
 			agentBytesPerSecond := float64(homes) * reportsPerSecond * reportBytes
 			entryBytesPerSecond := float64(agents*homes) / 330 * reportsPerSecond * reportBytes
 			So(agentBytesPerSecond, ShouldBeLessThan, heartbeatShare*nodeBudget)
@@ -57,8 +57,8 @@
 	}
 	Convey("With few agents the heartbeat is as configured", t, func() {
 		list := append(entryInstances(1, "w1", "w2", "w3", "e1"), instancesAtTargetSize(19)[330:]...)
-		So(Heartbeat(5*time.Second, list, 4), ShouldEqual, 5*time.Second)
-		So(Heartbeat(100*time.Millisecond, list, 4), ShouldEqual, 100*time.Millisecond)
-		So(Heartbeat(5*time.Second, nil, 0), ShouldEqual, 5*time.Second)
+		So(HeartbeatInterval(5*time.Second, list, 4), ShouldEqual, 5*time.Second)
+		So(HeartbeatInterval(100*time.Millisecond, list, 4), ShouldEqual, 100*time.Millisecond)
+		So(HeartbeatInterval(5*time.Second, nil, 0), ShouldEqual, 5*time.Second)
 	})
 }
--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -25,10 +25,10 @@
 	DefaultMaxLocal  = 64
 	DefaultPerRemote = 2
 	defaultMinHomes  = 4
-	// FullRateAgents is the largest number of agents per entry instance at
+	// MaxFullRateAgents is the largest number of agents per entry instance at
 	// which agents send reports at the configured interval. With more, they
 	// lengthen the interval in proportion.
-	FullRateAgents = 60
+	MaxFullRateAgents = 60
 	// dialTimeout bounds the dialling of a home, and then the wait for its
 	// Welcome frame.
 	dialTimeout = 2 * time.Second
@@ -126,8 +126,8 @@
 	return h
 }
 
-// Registered returns the number of homes with which the agent is registered now.
-func (h *Homes) Registered() int {
+// RegisteredCount returns the number of homes with which the agent is registered now.
+func (h *Homes) RegisteredCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.registered)
@@ -164,7 +164,7 @@
 	defer func() { _ = conn.Close() }()
 
 	firstReport, changed := h.reportWatcher.refresh()
-	firstReport.Changed = true
+	firstReport.LoadedChanged = true
 	firstReport.HeartbeatMillis = time.Duration(h.heartbeatInterval.Load()).Milliseconds()
 	hello := frame.Hello{
 		Instance:    h.cfg.Self,
@@ -184,7 +184,7 @@
 
 	session := confsync.NewSession(h.hub, conn, welcome.Config)
 	defer session.Close()
-	if err := session.Heard(welcome.Config); err != nil {
+	if err := session.PullIfNewer(welcome.Config); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -225,7 +225,7 @@
 			return err
 		}
 		if !handled {
-			return core.Step("registration", conn.Peer(), frame.ErrUnexpected)
+			return core.WrapStep("registration", conn.Peer(), frame.ErrUnexpectedKind)
 		}
 	}
 }
@@ -267,8 +267,8 @@
 	if current.HeartbeatMillis == last.HeartbeatMillis {
 		current.HeartbeatMillis = 0
 	}
-	current.Changed = !sameLoaded(current.Loaded, last.Loaded)
-	if !current.Changed {
+	current.LoadedChanged = !sameLoaded(current.Loaded, last.Loaded)
+	if !current.LoadedChanged {
 		current.Loaded = nil
 	}
 	return current
--- a/connection/homes/homes_test.go
+++ b/connection/homes/homes_test.go
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func (s *fakeSource) Heard(uint64, time.Time) {}
+func (s *fakeSource) RecordPeerVersion(uint64, time.Time) {}
 
 func waitUntil(check func() bool) bool {
 	deadline := time.Now().Add(10 * time.Second)
@@ -177,7 +177,7 @@
 			mu.Unlock()
 			So(waitUntil(func() bool {
 				srv, _ := reg.Get("gpu-1")
-				return srv.Holds("herbs", "d1") && srv.Report.Config == 5
+				return srv.HasLoaded("herbs", "d1") && srv.Report.Config == 5
 			}), ShouldBeTrue)
 
 			So(entrySource.Offer(frame.Config{Number: 6}), ShouldBeNil)
@@ -199,13 +199,13 @@
 			for _, list := range [][]core.Instance{nil, {leaving}} {
 				members.set(list)
 				changedAt := time.Now()
-				So(waitUntil(func() bool { srv, _ := reg.Get("gpu-1"); return srv.Heard.After(changedAt) }), ShouldBeTrue)
+				So(waitUntil(func() bool { srv, _ := reg.Get("gpu-1"); return srv.LastSeen.After(changedAt) }), ShouldBeTrue)
 				after, _ := reg.Get("gpu-1")
 				So(after.Registration, ShouldEqual, before.Registration)
 			}
 
 			listener.Close()
-			So(waitUntil(func() bool { return h.Registered() == 0 && len(reg.All()) == 0 }), ShouldBeTrue)
+			So(waitUntil(func() bool { return h.RegisteredCount() == 0 && len(reg.All()) == 0 }), ShouldBeTrue)
 			leaving.Leaving = false
 			members.set([]core.Instance{leaving})
 			So(waitUntil(func() bool { _, ok := reg.Get("gpu-1"); return ok }), ShouldBeTrue)
--- a/connection/homes/keep.go
+++ b/connection/homes/keep.go
@@ -47,7 +47,7 @@
 func (h *Homes) reconcile(ctx context.Context) []*registration {
 	members := h.members.All()
 	chosen := Select(h.cfg.Self, members, h.cfg.MaxLocal, h.cfg.PerRemote, h.cfg.MinHomes)
-	h.heartbeatInterval.Store(int64(Heartbeat(h.cfg.Heartbeat, members, len(chosen))))
+	h.heartbeatInterval.Store(int64(HeartbeatInterval(h.cfg.Heartbeat, members, len(chosen))))
 	active := map[endpoint]bool{}
 	for _, in := range members {
 		active[endpointOf(in)] = !in.Leaving
@@ -96,7 +96,7 @@
 		if r.ctx.Err() != nil || h.endIfUnwanted(r) {
 			return
 		}
-		h.log.Fail(eventHomeLost, err, eventlog.Fields{"entry": r.home.ID, "addr": r.home.Addr})
+		h.log.EventWithError(eventHomeLost, err, eventlog.Fields{"entry": r.home.ID, "addr": r.home.Addr})
 		if time.Since(started) > maxBackoff {
 			delay.Reset()
 		}
--- a/connection/homes/select.go
+++ b/connection/homes/select.go
@@ -41,11 +41,11 @@
 	return chosen
 }
 
-// Heartbeat returns the longest time between two reports of an agent that has the
+// HeartbeatInterval returns the longest time between two reports of an agent that has the
 // given number of homes. It is base while at most FullRateAgents of the agents in
 // the list register with each entry instance. Above that it grows in proportion,
 // so that the rate of reports at an entry instance stays the same.
-func Heartbeat(base time.Duration, list []core.Instance, homes int) time.Duration {
+func HeartbeatInterval(base time.Duration, list []core.Instance, homes int) time.Duration {
 	entries, agents := 0, 0
 	for _, in := range list {
 		switch in.Role {
@@ -59,7 +59,7 @@
 		return base
 	}
 	agentsPerEntry := float64(agents*homes) / float64(entries)
-	return time.Duration(float64(base) * max(1, agentsPerEntry/FullRateAgents))
+	return time.Duration(float64(base) * max(1, agentsPerEntry/MaxFullRateAgents))
 }
 
 // rank returns list in the order of rendezvous hashing for key, the preferred
--- a/connection/members/ask.go
+++ b/connection/members/ask.go
@@ -25,11 +25,11 @@
 	etag string
 }
 
-// Ask returns a Fallback that reads the list of instances from the known entry
+// NewPeerFallback returns a Fallback that reads the list of instances from the known entry
 // instances, in random order so that the requests spread over them. An agent reads
 // the list of the first one that answers. An entry instance reads the lists of up
 // to maxListsPerRead of them and announces itself with each request.
-func Ask(knownEntries func() []core.Instance, self core.Instance, token string) instances.Fallback {
+func NewPeerFallback(knownEntries func() []core.Instance, self core.Instance, token string) instances.Fallback {
 	l := &listReader{
 		self: self, token: token, knownEntries: knownEntries,
 		client: &http.Client{Timeout: instances.DefaultInterval},
@@ -71,22 +71,22 @@
 	const step = "list instances"
 	req, err := l.newRequest(ctx, peer)
 	if err != nil {
-		return nil, core.Step(step, peer.ID, err)
+		return nil, core.WrapStep(step, peer.ID, err)
 	}
 	resp, err := l.client.Do(req)
 	if err != nil {
-		return nil, core.Step(step, peer.ID, err)
+		return nil, core.WrapStep(step, peer.ID, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusNotModified {
 		return nil, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, core.Step(step, peer.ID, errors.Errorf("status %d", resp.StatusCode))
+		return nil, core.WrapStep(step, peer.ID, errors.Errorf("status %d", resp.StatusCode))
 	}
 	var list []core.Instance
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&list); err != nil {
-		return nil, core.Step(step, peer.ID, err)
+		return nil, core.WrapStep(step, peer.ID, err)
 	}
 	l.etag = resp.Header.Get("ETag")
 	return list, nil
--- a/connection/orders/fence.go
+++ b/connection/orders/fence.go
@@ -68,7 +68,7 @@
 			break
 		}
 	}
-	return 0, core.Step("take fencing number", "table", lastErr)
+	return 0, core.WrapStep("take fencing number", "table", lastErr)
 }
 
 // read returns the counter row and its revision, both zero if there is no row.
@@ -79,10 +79,10 @@
 		return row, 0, nil
 	}
 	if err != nil {
-		return row, 0, core.Step("read fencing number", "table", err)
+		return row, 0, core.WrapStep("read fencing number", "table", err)
 	}
 	if err := json.Unmarshal(stored.Value, &row); err != nil {
-		return row, 0, core.Step("decode fencing number", "table", err)
+		return row, 0, core.WrapStep("decode fencing number", "table", err)
 	}
 	return row, stored.Revision, nil
 }
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -30,13 +30,13 @@
 
 // The default values of Config.
 const (
-	DefaultInterval      = time.Second
-	DefaultLoadTimeout   = 5 * time.Minute
-	DefaultUnloadTimeout = 30 * time.Second
-	DefaultRetireDelay   = 30 * time.Second
-	DefaultPeerPatience  = 15 * time.Second
-	DefaultEnough        = 0.75
-	DefaultReplaceShare  = 4
+	DefaultInterval       = time.Second
+	DefaultLoadTimeout    = 5 * time.Minute
+	DefaultUnloadTimeout  = 30 * time.Second
+	DefaultRetireDelay    = 30 * time.Second
+	DefaultPeerTimeout    = 15 * time.Second
+	DefaultMinLoadedShare = 0.75
+	DefaultReplaceDivisor = 4
 )
 
 // The values of engine.Order.Action.
@@ -69,16 +69,16 @@
 	// unloaded although its slot is not needed. A shorter flap in the list of
 	// live instances causes no unload.
 	RetireDelay time.Duration
-	// PeerPatience is how long a peer may fail to answer before the servers
+	// PeerTimeout is how long a peer may fail to answer before the servers
 	// that must replace their version after it skip it.
-	PeerPatience time.Duration
-	// Enough is the share of a version's servers, from 0 to 1, that must
+	PeerTimeout time.Duration
+	// MinLoadedShare is the share of a version's servers, from 0 to 1, that must
 	// report it as loaded before the version it replaces is unloaded.
-	Enough float64
-	// ReplaceShare limits how many servers without a free slot replace a
+	MinLoadedShare float64
+	// ReplaceDivisor limits how many servers without a free slot replace a
 	// version at the same time: the number of the model's servers divided by
-	// ReplaceShare, at least 1.
-	ReplaceShare int
+	// ReplaceDivisor, at least 1.
+	ReplaceDivisor int
 	// Metrics receives the gauges; nil means metrics.DefaultRegistry.
 	Metrics metrics.Registry
 }
@@ -93,7 +93,7 @@
 		{&c.LoadTimeout, DefaultLoadTimeout},
 		{&c.UnloadTimeout, DefaultUnloadTimeout},
 		{&c.RetireDelay, DefaultRetireDelay},
-		{&c.PeerPatience, DefaultPeerPatience},
+		{&c.PeerTimeout, DefaultPeerTimeout},
 	} {
 		if *d.value <= 0 {
 			*d.value = d.fallback
@@ -105,20 +105,20 @@
 	if c.Source == "" {
 		c.Source = "http://" + c.Self.Addr + "/internal"
 	}
-	if c.Enough <= 0 {
-		c.Enough = DefaultEnough
+	if c.MinLoadedShare <= 0 {
+		c.MinLoadedShare = DefaultMinLoadedShare
 	}
-	if c.ReplaceShare <= 0 {
-		c.ReplaceShare = DefaultReplaceShare
+	if c.ReplaceDivisor <= 0 {
+		c.ReplaceDivisor = DefaultReplaceDivisor
 	}
 	if c.Metrics == nil {
 		c.Metrics = metrics.DefaultRegistry
 	}
 }
 
-// Reports provides the newest status report of the engine. *engine.Monitor
+// StatusSource provides the newest status report of the engine. *engine.Monitor
 // implements it.
-type Reports interface {
+type StatusSource interface {
 	// Status returns the newest report and its age; ok is false if there is no
 	// report or it is too old to use.
 	Status() (s engine.Status, age time.Duration, ok bool)
@@ -126,8 +126,8 @@
 	Changed() <-chan struct{}
 }
 
-// Orderer sends orders to the engine. engine.Engine implements it.
-type Orderer interface {
+// OrderSender sends orders to the engine. engine.Engine implements it.
+type OrderSender interface {
 	// Order returns nil once the engine has accepted the order, and an error
 	// if the engine refused it or did not answer.
 	Order(ctx context.Context, o engine.Order) error
@@ -157,21 +157,21 @@
 type Deps struct {
 	// Holder provides the configuration in force.
 	Holder *confstore.Holder
-	// Live returns the platform's list of live instances.
-	Live func() []core.Instance
+	// LiveInstances returns the platform's list of live instances.
+	LiveInstances func() []core.Instance
 	// Fetcher fetches the chunks of a version into Store.
 	Fetcher spread.Fetcher
 	Store   spread.Store
 	// Engine receives the orders; Reports shows their effects.
-	Engine  Orderer
-	Reports Reports
+	Engine       OrderSender
+	StatusSource StatusSource
 	// Drainer drains a version before it is unloaded. If it is nil, versions
 	// are unloaded without a drain.
 	Drainer Drainer
-	// RegionShare is called with the rate at which this agent may use the
+	// SetRegionShare is called with the rate at which this agent may use the
 	// link between regions, in bytes per second; 0 means no limit. It may be
 	// nil.
-	RegionShare func(bytesPerSecond int64)
+	SetRegionShare func(bytesPerSecond int64)
 	// Table stores the counters of fencing numbers.
 	Table platform.Table
 	Log   *eventlog.Logger
@@ -186,8 +186,8 @@
 	liveInstances func() []core.Instance
 	fetcher       spread.Fetcher
 	store         spread.Store
-	engine        Orderer
-	statusSource  Reports
+	engine        OrderSender
+	statusSource  StatusSource
 	drainer       Drainer
 	setRegionRate func(bytesPerSecond int64)
 	log           *eventlog.Logger
@@ -241,19 +241,19 @@
 	if d.Drainer == nil {
 		d.Drainer = noopDrainer{}
 	}
-	if d.RegionShare == nil {
-		d.RegionShare = func(int64) {}
+	if d.SetRegionShare == nil {
+		d.SetRegionShare = func(int64) {}
 	}
 	return &Controller{
 		cfg:             cfg,
 		holder:          d.Holder,
-		liveInstances:   d.Live,
+		liveInstances:   d.LiveInstances,
 		fetcher:         d.Fetcher,
 		store:           d.Store,
 		engine:          d.Engine,
-		statusSource:    d.Reports,
+		statusSource:    d.StatusSource,
 		drainer:         d.Drainer,
-		setRegionRate:   d.RegionShare,
+		setRegionRate:   d.SetRegionShare,
 		log:             d.Log,
 		clock:           d.Clock,
 		client:          &http.Client{Timeout: versionsTimeout},
@@ -298,9 +298,9 @@
 	}
 }
 
-// Distrust records that the engine answered a call for version d with another
+// RecordDigestMismatch records that the engine answered a call for version d with another
 // digest, although it reports d as loaded. The engine is ordered to load d again.
-func (c *Controller) Distrust(d core.Digest) {
+func (c *Controller) RecordDigestMismatch(d core.Digest) {
 	c.mu.Lock()
 	recorded := c.digestMismatch[d]
 	c.digestMismatch[d] = true
@@ -312,12 +312,12 @@
 	c.wakeRun()
 }
 
-// Needers returns the agents whose servers are assigned the version d, in the
+// AssignedAgents returns the agents whose servers are assigned the version d, in the
 // order of their rank. A fetch of d uses them as its peers.
-func (c *Controller) Needers(d core.Digest) []core.Instance {
+func (c *Controller) AssignedAgents(d core.Digest) []core.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.plan.Needers(d)
+	return c.plan.AssignedAgents(d)
 }
 
 // computePlan returns the placement plan for the set and the current list of
@@ -355,7 +355,7 @@
 
 // startFetch fetches a version in the background unless it is already fetched
 // or being fetched.
-func (c *Controller) startFetch(ctx context.Context, w placement.Want) {
+func (c *Controller) startFetch(ctx context.Context, w placement.Assignment) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fetched[w.Digest] != nil || c.fetching[w.Digest] != nil {
@@ -365,14 +365,14 @@
 	c.fetching[w.Digest] = cancel
 	go func() {
 		defer cancel()
-		m, err := c.fetcher.Fetch(ctx, w.Digest, func() []core.Instance { return c.Needers(w.Digest) })
+		m, err := c.fetcher.Fetch(ctx, w.Digest, func() []core.Instance { return c.AssignedAgents(w.Digest) })
 		c.finishFetch(ctx, w, m, err)
 	}()
 }
 
 // finishFetch records the outcome of a fetch. The next pass starts a failed
 // fetch again. If the store was full, finishFetch drops unwanted chunks.
-func (c *Controller) finishFetch(ctx context.Context, w placement.Want, m *manifest.Manifest, err error) {
+func (c *Controller) finishFetch(ctx context.Context, w placement.Assignment, m *manifest.Manifest, err error) {
 	c.mu.Lock()
 	delete(c.fetching, w.Digest)
 	if err == nil {
@@ -386,7 +386,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	c.log.Fail(eventVersionFetchFailed, err, eventlog.Fields{"model": w.Model, "version": w.Digest})
+	c.log.EventWithError(eventVersionFetchFailed, err, eventlog.Fields{"model": w.Model, "version": w.Digest})
 	if errors.Is(err, spread.ErrFull) {
 		c.dropUnwantedChunks()
 	}
@@ -396,7 +396,7 @@
 func (c *Controller) dropUnwantedChunks() {
 	c.mu.Lock()
 	wanted := map[core.Digest]bool{}
-	for _, w := range c.plan.Wanted(c.cfg.Self.ID) {
+	for _, w := range c.plan.Assignments(c.cfg.Self.ID) {
 		wanted[w.Digest] = true
 	}
 	var keep []*manifest.Manifest
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -184,7 +184,7 @@
 		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
 		m := c.agents[0]
 		before := len(m.engine.orders)
-		m.Distrust(v1)
+		m.RecordDigestMismatch(v1)
 
 		Convey("the version is ordered again", func() {
 			So(c.stepUntil(func() bool { return len(m.engine.orders) > before }), ShouldBeTrue)
--- a/connection/orders/pass.go
+++ b/connection/orders/pass.go
@@ -24,7 +24,7 @@
 type passInput struct {
 	set    *declare.Set
 	plan   *placement.Plan
-	wanted []placement.Want
+	wanted []placement.Assignment
 	status engine.Status
 	slots  int
 }
@@ -41,7 +41,7 @@
 	in := &passInput{
 		set:    snapshot.Set,
 		plan:   plan,
-		wanted: plan.Wanted(c.cfg.Self.ID),
+		wanted: plan.Assignments(c.cfg.Self.ID),
 		slots:  max(1, server.Slots),
 	}
 	c.applyRegionBudget(snapshot.Set)
@@ -95,7 +95,7 @@
 
 // logWanted logs the wanted versions if they have changed since the last pass.
 // config is the number of the configuration.
-func (c *Controller) logWanted(config uint64, wanted []placement.Want) {
+func (c *Controller) logWanted(config uint64, wanted []placement.Assignment) {
 	var names []string
 	for _, w := range wanted {
 		names = append(names, fmt.Sprintf("%s/%s %s rank %d", w.Model, w.Version, w.Digest, w.Rank))
@@ -110,7 +110,7 @@
 
 // cancelUnwantedFetches cancels the fetches of versions that are no longer
 // wanted.
-func (c *Controller) cancelUnwantedFetches(wanted []placement.Want) {
+func (c *Controller) cancelUnwantedFetches(wanted []placement.Assignment) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for d, cancel := range c.fetching {
@@ -121,7 +121,7 @@
 }
 
 // isWanted reports whether the digest d is among the wanted versions.
-func isWanted(wanted []placement.Want, d core.Digest) bool {
+func isWanted(wanted []placement.Assignment, d core.Digest) bool {
 	for _, w := range wanted {
 		if w.Digest == d {
 			return true
@@ -215,7 +215,7 @@
 // canLoad reports whether a version can be loaded: all of its chunks are
 // verified, and its base version, if any, is loaded. If not, it records the
 // reason.
-func (c *Controller) canLoad(in *passInput, w placement.Want) bool {
+func (c *Controller) canLoad(in *passInput, w placement.Assignment) bool {
 	c.mu.Lock()
 	verified := c.fetched[w.Digest] != nil
 	c.mu.Unlock()
@@ -234,12 +234,12 @@
 // reports whether the engine accepted the order. An older version of the same
 // model is unloaded only if mayReplace allows it, a version of another model only
 // if that model is rolled out.
-func (c *Controller) freeSlot(ctx context.Context, in *passInput, w placement.Want) bool {
+func (c *Controller) freeSlot(ctx context.Context, in *passInput, w placement.Assignment) bool {
 	for _, l := range in.status.Loaded {
 		if isWanted(in.wanted, l.Digest) {
 			continue
 		}
-		if l.Model == w.Model && !c.mayReplace(ctx, in.plan.Needers(w.Digest), w.Rank, w.Digest) {
+		if l.Model == w.Model && !c.mayReplace(ctx, in.plan.AssignedAgents(w.Digest), w.Rank, w.Digest) {
 			c.recordWait(w.Digest, "turn to replace")
 			continue
 		}
@@ -280,7 +280,7 @@
 	if !ok {
 		return false
 	}
-	return c.versionRolledOut(ctx, in.plan.Needers(version.Manifest), version.Manifest)
+	return c.versionRolledOut(ctx, in.plan.AssignedAgents(version.Manifest), version.Manifest)
 }
 
 // sendOrder takes a fencing number and sends one order to the engine. If the
@@ -297,7 +297,7 @@
 		"action": action, "model": l.Model, "version": l.Digest, "fence": fence, "fenceFrom": source,
 	}
 	if err := c.engine.Order(ctx, o); err != nil {
-		c.log.Fail(eventOrderFailed, err, fields)
+		c.log.EventWithError(eventOrderFailed, err, fields)
 		return
 	}
 	c.log.Event(eventOrderGiven, fields)
@@ -322,7 +322,7 @@
 		c.log.Event(eventAgentSuperseded, eventlog.Fields{"server": c.cfg.Self.ID})
 		return 0, "", err
 	}
-	c.log.Fail(eventFenceUnavailable, err, eventlog.Fields{"server": c.cfg.Self.ID, "action": action})
+	c.log.EventWithError(eventFenceUnavailable, err, eventlog.Fields{"server": c.cfg.Self.ID, "action": action})
 	if action == actionLoad && ctx.Err() == nil {
 		return in.status.Fence, "engine", nil
 	}
--- a/connection/orders/peers.go
+++ b/connection/orders/peers.go
@@ -13,9 +13,9 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// StatePath is the HTTP path at which an agent serves to its peers the list of
+// VersionsPath is the HTTP path at which an agent serves to its peers the list of
 // versions that its engine reports as loaded, as JSON.
-const StatePath = "/internal/versions"
+const VersionsPath = "/internal/versions"
 
 const (
 	// versionsTimeout bounds one request for a peer's loaded versions.
@@ -56,22 +56,22 @@
 func (c *Controller) peerHasLoaded(ctx context.Context, peer core.Instance, d core.Digest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, versionsTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer.Addr+StatePath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer.Addr+VersionsPath, nil)
 	if err != nil {
 		return false, err
 	}
 	req.Header.Set(core.HeaderPeerToken, c.cfg.Token)
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return false, core.Step("read versions", peer.ID, err)
+		return false, core.WrapStep("read versions", peer.ID, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return false, core.Step("read versions", peer.ID, errors.Errorf("status %d", resp.StatusCode))
+		return false, core.WrapStep("read versions", peer.ID, errors.Errorf("status %d", resp.StatusCode))
 	}
 	var response versionsResponse
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxVersionsBytes)).Decode(&response); err != nil {
-		return false, core.Step("read versions", peer.ID, err)
+		return false, core.WrapStep("read versions", peer.ID, err)
 	}
 	return containsDigest(response.Loaded, d), nil
 }
@@ -104,7 +104,7 @@
 			loadedCount++
 		}
 	}
-	return len(sample) > 0 && float64(loadedCount) >= c.cfg.Enough*float64(len(sample))
+	return len(sample) > 0 && float64(loadedCount) >= c.cfg.MinLoadedShare*float64(len(sample))
 }
 
 // evenSample returns at most n of the peers, evenly spaced.
@@ -125,7 +125,7 @@
 // of rank r-maxReplacing reports d as loaded. A predecessor that has not answered
 // for Config.PeerPatience handles no calls and is skipped.
 func (c *Controller) mayReplace(ctx context.Context, agents []core.Instance, rank int, d core.Digest) bool {
-	maxReplacing := max(1, len(agents)/c.cfg.ReplaceShare)
+	maxReplacing := max(1, len(agents)/c.cfg.ReplaceDivisor)
 	for r := rank - maxReplacing; r >= 0; r -= maxReplacing {
 		loaded, err := c.peerHasLoaded(ctx, agents[r], d)
 		if err == nil {
@@ -137,7 +137,7 @@
 			c.unansweredSince[agents[r].ID] = c.clock.Now()
 			return false
 		}
-		if c.clock.Since(since) < c.cfg.PeerPatience {
+		if c.clock.Since(since) < c.cfg.PeerTimeout {
 			return false
 		}
 	}
--- a/connection/orders/rig_test.go
+++ b/connection/orders/rig_test.go
@@ -209,8 +209,8 @@
 // controller returns a Controller for the agent self that uses the fakes of m.
 func (c *cluster) controller(self core.Instance, m *testAgent) *Controller {
 	return New(Config{Self: self, Token: testToken, Metrics: metrics.NewRegistry()}, Deps{
-		Holder: c.holder, Live: func() []core.Instance { return c.liveInstances },
-		Fetcher: m.fetcher, Store: spread.NewStore(1 << 20), Engine: m.engine, Reports: m.engine,
+		Holder: c.holder, LiveInstances: func() []core.Instance { return c.liveInstances },
+		Fetcher: m.fetcher, Store: spread.NewMemStore(1 << 20), Engine: m.engine, StatusSource: m.engine,
 		Table: c.table, Log: eventlog.Discard(), Clock: c.clock,
 	})
 }
--- a/connection/registry/listener.go
+++ b/connection/registry/listener.go
@@ -113,7 +113,7 @@
 func (l *Listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
-		l.log.Fail(eventRegistrationRefused, err, eventlog.Fields{"peer": r.RemoteAddr})
+		l.log.EventWithError(eventRegistrationRefused, err, eventlog.Fields{"peer": r.RemoteAddr})
 		return
 	}
 	l.mu.Lock()
@@ -128,7 +128,7 @@
 		_ = conn.Close()
 	}()
 	if err := l.serveRegistration(conn, registration); err != nil {
-		l.log.Fail(eventRegistrationRefused, err, eventlog.Fields{"peer": conn.Peer()})
+		l.log.EventWithError(eventRegistrationRefused, err, eventlog.Fields{"peer": conn.Peer()})
 	}
 }
 
@@ -152,7 +152,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = session.Announce(ctx, 0) }()
-	if err := session.Heard(hello.Report.Config); err != nil {
+	if err := session.PullIfNewer(hello.Report.Config); err != nil {
 		return err
 	}
 	return l.receiveFrames(conn, session, hello, registration)
@@ -178,16 +178,16 @@
 			continue
 		}
 		if f.Kind != frame.KindReport {
-			return core.Step("registration", conn.Peer(), frame.ErrUnexpected)
+			return core.WrapStep("registration", conn.Peer(), frame.ErrUnexpectedKind)
 		}
 		var report frame.Report
 		if err := f.Decode(&report); err != nil {
-			return core.Step("registration", conn.Peer(), err)
+			return core.WrapStep("registration", conn.Peer(), err)
 		}
 		heartbeat = l.announcedHeartbeat(report, heartbeat)
 		l.applyReport(hello, report)
 		monitor.setHeartbeat(heartbeat)
-		if err := session.Heard(report.Config); err != nil {
+		if err := session.PullIfNewer(report.Config); err != nil {
 			return err
 		}
 	}
@@ -211,7 +211,7 @@
 		Registration: registration,
 		Service:      hello.Service,
 		Report:       hello.Report,
-		Heard:        time.Now(),
+		LastSeen:     time.Now(),
 	})
 	l.log.Event(eventAgentRegistered, eventlog.Fields{
 		"server":      hello.Instance.ID,
@@ -242,12 +242,12 @@
 	var changed bool
 	l.registry.Update(hello.Instance.ID, hello.Incarnation, func(srv *Server) {
 		previous := srv.Report
-		if !report.Changed {
+		if !report.LoadedChanged {
 			report.Loaded = previous.Loaded
 		}
-		changed = report.Changed || report.State != previous.State || report.Limit != previous.Limit || srv.Suspect
+		changed = report.LoadedChanged || report.State != previous.State || report.Limit != previous.Limit || srv.Suspect
 		srv.Report = report
-		srv.Heard = time.Now()
+		srv.LastSeen = time.Now()
 		srv.Suspect = false
 	})
 	if changed {
--- a/connection/registry/registry.go
+++ b/connection/registry/registry.go
@@ -28,17 +28,17 @@
 	// Report is the newest report. Its field Loaded is always set, also if the
 	// agent left it out because it had not changed.
 	Report frame.Report
-	// Heard is when the newest report, or the newest load figures in a
+	// LastSeen is when the newest report, or the newest load figures in a
 	// response, arrived.
-	Heard time.Time
+	LastSeen time.Time
 	// Suspect is true if the agent has missed its heartbeats and has not sent a
 	// report since.
 	Suspect bool
 }
 
-// Holds reports whether the engine reports that it has loaded the version of model
+// HasLoaded reports whether the engine reports that it has loaded the version of model
 // with the manifest digest d.
-func (s Server) Holds(model string, d core.Digest) bool {
+func (s Server) HasLoaded(model string, d core.Digest) bool {
 	for _, l := range s.Report.Loaded {
 		if l.Model == model && l.Digest == d {
 			return true
--- a/connection/registry/suspicion.go
+++ b/connection/registry/suspicion.go
@@ -55,7 +55,7 @@
 	late := time.Since(m.lastCheck).Seconds() >= lateCheckFactor*heartbeat.Seconds()
 	m.lastCheck = time.Now()
 	m.timer.Reset(heartbeat)
-	if late || srv.Suspect || time.Since(srv.Heard) < suspectAfter*heartbeat {
+	if late || srv.Suspect || time.Since(srv.LastSeen) < suspectAfter*heartbeat {
 		return
 	}
 	m.listener.registry.Update(m.server, srv.Incarnation, func(srv *Server) { srv.Suspect = true })
--- a/connection/work/pool.go
+++ b/connection/work/pool.go
@@ -18,9 +18,9 @@
 	defaultDialTimeout = 2 * time.Second
 )
 
-// ErrCrossed is returned when a received frame carries the ID of another
+// ErrWrongRequestID is returned when a received frame carries the ID of another
 // request. The frame is discarded and its connection is closed.
-var ErrCrossed = errors.New("frame of another request")
+var ErrWrongRequestID = errors.New("frame of another request")
 
 // PoolConfig holds the settings of a Pool.
 type PoolConfig struct {
@@ -83,8 +83,8 @@
 	return &pooledExchange{pool: p, addr: agent.Addr, conn: conn, id: id}, nil
 }
 
-// Forget closes every idle connection to addr.
-func (p *Pool) Forget(addr string) {
+// CloseIdle closes every idle connection to addr.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	conns := p.idle[addr]
 	delete(p.idle, addr)
@@ -148,7 +148,7 @@
 // which have probably failed too.
 func (p *Pool) discard(addr string, conn *frame.Conn) {
 	_ = conn.Close()
-	p.Forget(addr)
+	p.CloseIdle(addr)
 }
 
 // pooledExchange implements Exchange on a connection of a Pool. failed is true
@@ -174,7 +174,7 @@
 	f, err := x.conn.Receive(time.Time{})
 	if !cancelClose() {
 		x.failed = true
-		return nil, core.Step("receive answer", x.conn.Peer(), context.Cause(ctx))
+		return nil, core.WrapStep("receive answer", x.conn.Peer(), context.Cause(ctx))
 	}
 	if err != nil {
 		x.failed = true
@@ -183,11 +183,11 @@
 	msg, id, err := Decode(f)
 	if err != nil {
 		x.failed = true
-		return nil, core.Step("receive answer", x.conn.Peer(), err)
+		return nil, core.WrapStep("receive answer", x.conn.Peer(), err)
 	}
 	if id != x.id {
 		x.failed = true
-		return nil, core.Step("receive answer", x.conn.Peer(), errors.Wrapf(ErrCrossed, "want %s, got %s", x.id, id))
+		return nil, core.WrapStep("receive answer", x.conn.Peer(), errors.Wrapf(ErrWrongRequestID, "want %s, got %s", x.id, id))
 	}
 	return msg, nil
 }
@@ -238,11 +238,11 @@
 		m := &frame.Fail{}
 		err = f.Decode(m)
 		return m, m.ID, err
-	case frame.KindAnswer:
-		m := &frame.Answer{}
+	case frame.KindAttemptStatus:
+		m := &frame.AttemptStatus{}
 		err = f.Decode(m)
 		return m, m.ID, err
 	default:
-		return nil, "", errors.Wrapf(frame.ErrUnexpected, "kind %d", f.Kind)
+		return nil, "", errors.Wrapf(frame.ErrUnexpectedKind, "kind %d", f.Kind)
 	}
 }
--- a/connection/work/server.go
+++ b/connection/work/server.go
@@ -43,7 +43,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
-		s.log.Fail(eventConnectionRefused, err, eventlog.Fields{"peer": r.RemoteAddr})
+		s.log.EventWithError(eventConnectionRefused, err, eventlog.Fields{"peer": r.RemoteAddr})
 		return
 	}
 	if !s.track(conn) {
@@ -100,7 +100,7 @@
 			return
 		}
 		if err := s.handler.Handle(ctx, first, x); err != nil {
-			s.log.Fail(eventConnectionBroken, err, eventlog.Fields{"peer": conn.Peer()})
+			s.log.EventWithError(eventConnectionBroken, err, eventlog.Fields{"peer": conn.Peer()})
 			return
 		}
 	}
@@ -141,6 +141,6 @@
 	case f := <-x.frames:
 		return f, nil
 	case <-ctx.Done():
-		return frame.Frame{}, core.Step("receive frame", x.conn.Peer(), ctx.Err())
+		return frame.Frame{}, core.WrapStep("receive frame", x.conn.Peer(), ctx.Err())
 	}
 }
--- a/connection/work/work_test.go
+++ b/connection/work/work_test.go
@@ -76,7 +76,7 @@
 		x, err := pool.Open(ctx, agent, "r1", frame.KindRequest, frame.Request{ID: "r1"})
 		So(err, ShouldBeNil)
 		_, err = x.Receive(ctx)
-		So(errors.Is(err, ErrCrossed), ShouldBeTrue)
+		So(errors.Is(err, ErrWrongRequestID), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "gpu-1")
 		x.Close(true)
 		So(pool.idle[agent.Addr], ShouldBeEmpty)
--- a/core/errors.go
+++ b/core/errors.go
@@ -13,9 +13,9 @@
 	Err error
 }
 
-// Step wraps err in a StepError with the operation that failed and the peer
+// WrapStep wraps err in a StepError with the operation that failed and the peer
 // involved. It returns nil if err is nil.
-func Step(step, peer string, err error) error {
+func WrapStep(step, peer string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -33,7 +33,7 @@
 
 // AgentConfig holds the settings of an agent.
 type AgentConfig struct {
-	Common
+	CommonConfig
 	// EngineAddr is the "ip:port" of the engine or service beside the agent.
 	EngineAddr string
 	// Service names the plain service; empty for an engine.
@@ -62,9 +62,9 @@
 	incarnation   string
 	holder        *confstore.Holder
 	watcher       *instances.Watcher
-	engine        *engine.HTTP
+	engine        *engine.HTTPClient
 	monitor       *engine.Monitor
-	limiter       *admission.Gate
+	limiter       *admission.AdaptiveLimiter
 	handler       *serve.Handler
 	work          *work.Server
 	homes         *homes.Homes
@@ -106,7 +106,7 @@
 	clock := clockwork.NewRealClock()
 	adapters := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
 	a := &agent{cfg: cfg, log: log, incarnation: uuid.NewString(), holder: confstore.NewHolder()}
-	a.holder.LogTo(log)
+	a.holder.SetLogger(log)
 	a.pauseDetector = pause.New(log)
 	a.watcher = a.newWatcher(adapters)
 	a.engine = newEngineClient(cfg)
@@ -114,14 +114,14 @@
 	a.limiter = admission.New(admission.Config{Log: log}, clock)
 
 	hub := confsync.NewHub(confsync.HolderSource{Holder: a.holder}, log)
-	a.freshnessGate = freshness.New(a.pauseDetector, a.holder.Age, hub.Ask)
-	hub.VouchWhen(a.freshnessGate.Vouch)
+	a.freshnessGate = freshness.New(a.pauseDetector, a.holder.ConfirmationAge, hub.PullFromPeers)
+	hub.ConfirmPeersWhen(a.freshnessGate.MayConfirmPeers)
 	a.handler = serve.New(serve.Config{
-		Self:        cfg.Self,
-		Incarnation: a.incarnation,
-		Service:     cfg.Service,
-		Confirmed:   a.lastConfirmed,
-		Distrust:    a.onWrongVersion,
+		Self:           cfg.Self,
+		Incarnation:    a.incarnation,
+		Service:        cfg.Service,
+		LastConfirmed:  a.lastConfirmed,
+		OnWrongVersion: a.onWrongVersion,
 	}, a.holder, a.limiter, a.engine, a.engineStatus, log, clock)
 	a.work = work.NewServer(a.handler, log)
 	a.homes = a.newHomes(hub)
@@ -134,19 +134,19 @@
 
 // newWatcher returns the watcher of the platform's list of instances.
 func (a *agent) newWatcher(adapters *platform.Platform) *instances.Watcher {
-	entries := func() []core.Instance { return a.watcher.Role(core.RoleEntry) }
+	entries := func() []core.Instance { return a.watcher.WithRole(core.RoleEntry) }
 	return instances.NewWatcher(
 		instances.Config{Interval: a.cfg.ListInterval, Seeds: a.cfg.Seeds},
-		adapters.Instances, members.Ask(entries, a.cfg.Self, a.cfg.PeerToken), a.log)
+		adapters.Instances, members.NewPeerFallback(entries, a.cfg.Self, a.cfg.PeerToken), a.log)
 }
 
 // newEngineClient returns the client of the backend server beside the agent, which
 // is an engine or a plain service.
-func newEngineClient(cfg AgentConfig) *engine.HTTP {
+func newEngineClient(cfg AgentConfig) *engine.HTTPClient {
 	if cfg.Service == "" {
-		return engine.NewHTTP(cfg.EngineAddr, cfg.PeerToken)
+		return engine.NewHTTPClient(cfg.EngineAddr, cfg.PeerToken)
 	}
-	return engine.NewServiceHTTP(cfg.EngineAddr, cfg.HealthPath)
+	return engine.NewServiceHTTPClient(cfg.EngineAddr, cfg.HealthPath)
 }
 
 // newHomes returns the part that registers the agent with entry instances.
@@ -165,8 +165,8 @@
 	cfg := a.cfg.Spread
 	cfg.Self = a.cfg.Self
 	cfg.Token = a.cfg.PeerToken
-	cfg.Peers = func(d core.Digest) []spread.Peer { return a.orders.Needers(d) }
-	return spread.NewFetcher(cfg, spread.NewStore(a.cfg.StoreBytes), adapters.Weights, a.log, clock)
+	cfg.Peers = func(d core.Digest) []spread.Peer { return a.orders.AssignedAgents(d) }
+	return spread.NewSwarm(cfg, spread.NewMemStore(a.cfg.StoreBytes), adapters.WeightStore, a.log, clock)
 }
 
 // newOrders returns the controller that orders the engine to load and unload
@@ -177,17 +177,17 @@
 		Incarnation: a.incarnation,
 		Token:       a.cfg.PeerToken,
 	}, orders.Deps{
-		Holder:      a.holder,
-		Live:        a.watcher.All,
-		Fetcher:     a.swarm,
-		Store:       a.swarm.Store(),
-		Engine:      a.engine,
-		Reports:     a.monitor,
-		Drainer:     versionDrainer{handler: a.handler},
-		RegionShare: a.setRegionRate,
-		Table:       adapters.Table,
-		Log:         a.log,
-		Clock:       clock,
+		Holder:         a.holder,
+		LiveInstances:  a.watcher.All,
+		Fetcher:        a.swarm,
+		Store:          a.swarm.Store(),
+		Engine:         a.engine,
+		StatusSource:   a.monitor,
+		Drainer:        versionDrainer{handler: a.handler},
+		SetRegionShare: a.setRegionRate,
+		Table:          adapters.Table,
+		Log:            a.log,
+		Clock:          clock,
 	})
 }
 
@@ -195,7 +195,7 @@
 // follows from the declared budget. A limit in the settings takes precedence.
 func (a *agent) setRegionRate(bytesPerSecond int64) {
 	if a.cfg.Spread.RegionBytesPerSecond == 0 {
-		a.swarm.SetRegionRate(bytesPerSecond)
+		a.swarm.SetRegionShare(bytesPerSecond)
 	}
 }
 
@@ -203,7 +203,7 @@
 // reports as loaded although it answered a call from another version.
 func (a *agent) onWrongVersion(version core.Digest) {
 	if a.orders != nil {
-		a.orders.Distrust(version)
+		a.orders.RecordDigestMismatch(version)
 	}
 }
 
@@ -228,11 +228,11 @@
 		weights := spread.Handler(a.swarm, a.cfg.PeerToken)
 		peers.Handle(spread.ManifestPath, weights)
 		peers.Handle(spread.ChunkPath, weights)
-		peers.Handle(orders.StatePath, a.orders.Handler())
+		peers.Handle(orders.VersionsPath, a.orders.Handler())
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/internal/", httpserver.RequirePeer(a.cfg.PeerToken, peers))
-	mux.Handle(metrics.Path, httpserver.RequirePeer(a.cfg.PeerToken, metrics.Handler(gometrics.DefaultRegistry)))
+	mux.Handle("/internal/", httpserver.RequirePeerToken(a.cfg.PeerToken, peers))
+	mux.Handle(metrics.Path, httpserver.RequirePeerToken(a.cfg.PeerToken, metrics.Handler(gometrics.DefaultRegistry)))
 	mux.HandleFunc(healthPath, serveHealth)
 	mux.Handle(readyPath, serveReady(a.notReadyReason))
 	return mux
@@ -247,7 +247,7 @@
 	if _, ok := a.engineStatus(); !ok {
 		return "the engine does not answer"
 	}
-	if a.homes.Registered() == 0 {
+	if a.homes.RegisteredCount() == 0 {
 		return "registered with no entry instance"
 	}
 	return ""
@@ -324,7 +324,7 @@
 	for {
 		changed := a.monitor.Changed()
 		if status, ok := a.engineStatus(); ok {
-			a.handler.NoteBoot(status.Boot)
+			a.handler.SetBootID(status.Boot)
 		}
 		select {
 		case <-changed:
@@ -343,7 +343,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), a.cfg.DrainTimeout)
 	defer cancel()
 	if err := a.handler.Drain(ctx); err != nil {
-		a.log.Fail(eventDrainTimedOut, err, nil)
+		a.log.EventWithError(eventDrainTimedOut, err, nil)
 	}
 	a.work.Close()
 	a.log.Event(eventDrained, nil)
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -44,7 +44,7 @@
 
 // EntryConfig holds the settings of an entry instance.
 type EntryConfig struct {
-	Common
+	CommonConfig
 	// Operators are the operators who may use the operators' HTTP API.
 	Operators []ops.Operator
 	// BalancerLag is how long the platform's load balancer may continue to
@@ -65,7 +65,7 @@
 	pool          *work.Pool
 	watcher       *instances.Watcher
 	follower      *confstore.Follower
-	onceRecords   *once.Keeper
+	onceRecords   *once.RecordStore
 	relay         *relay.Relay
 	agentListener *registry.Listener
 	pauseDetector *pause.Detector
@@ -103,27 +103,27 @@
 	cfg.Routing.Self = cfg.Self
 
 	e := &entry{cfg: cfg, log: log, holder: confstore.NewHolder(), agentRegistry: registry.New()}
-	e.holder.LogTo(log)
+	e.holder.SetLogger(log)
 	e.pool = work.NewPool(work.PoolConfig{PeerToken: cfg.PeerToken})
 	e.pauseDetector = pause.New(log)
-	entries := func() []core.Instance { return e.watcher.Role(core.RoleEntry) }
+	entries := func() []core.Instance { return e.watcher.WithRole(core.RoleEntry) }
 	e.watcher = instances.NewWatcher(
 		instances.Config{Interval: cfg.ListInterval, Seeds: cfg.Seeds},
-		adapters.Instances, members.Ask(entries, cfg.Self, cfg.PeerToken), log)
-	e.follower = confstore.NewFollower(confstore.FollowerConfig{}, adapters.Table, adapters.Objects, e.holder, log, clock)
-	e.onceRecords = once.New(once.Config{Entry: cfg.Self.ID}, adapters.Table, adapters.Objects, log, clock)
+		adapters.Instances, members.NewPeerFallback(entries, cfg.Self, cfg.PeerToken), log)
+	e.follower = confstore.NewFollower(confstore.FollowerConfig{}, adapters.Table, adapters.ObjectStore, e.holder, log, clock)
+	e.onceRecords = once.New(once.Config{Entry: cfg.Self.ID}, adapters.Table, adapters.ObjectStore, log, clock)
 	picker := routing.New(cfg.Routing, e.agentRegistry, e.holder, log, clock)
 	e.relay = relay.New(cfg.Relay, e.holder, picker, e.pool, e.onceRecords, log, clock)
 
 	source := confsync.HolderSource{Holder: e.holder}
 	hub := confsync.NewHub(source, log)
 	listenerConfig := registry.ListenerConfig{Self: cfg.Self, Heartbeat: cfg.Heartbeat}
-	e.agentListener = registry.NewListener(listenerConfig, e.agentRegistry, hub, source, e.pool.Forget, log)
-	e.freshnessGate = freshness.New(e.pauseDetector, e.holder.Age, hub.Ask)
-	hub.VouchWhen(e.freshnessGate.Vouch)
+	e.agentListener = registry.NewListener(listenerConfig, e.agentRegistry, hub, source, e.pool.CloseIdle, log)
+	e.freshnessGate = freshness.New(e.pauseDetector, e.holder.ConfirmationAge, hub.PullFromPeers)
+	hub.ConfirmPeersWhen(e.freshnessGate.MayConfirmPeers)
 	e.ops = ops.New(
-		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, Live: e.watcher.All, Weights: adapters.Weights},
-		confstore.NewPublisher(adapters.Table, adapters.Objects, clock), e.holder, e.agentRegistry.All, log)
+		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, LiveInstances: e.watcher.All, WeightStore: adapters.WeightStore},
+		confstore.NewPublisher(adapters.Table, adapters.ObjectStore, clock), e.holder, e.agentRegistry.All, log)
 	return e
 }
 
@@ -140,8 +140,8 @@
 	peers.Handle(members.Path, members.NewServer(e.watcher, e.agentRegistry))
 
 	mux := http.NewServeMux()
-	mux.Handle("/internal/", httpserver.RequirePeer(e.cfg.PeerToken, peers))
-	mux.Handle(metrics.Path, httpserver.RequirePeer(e.cfg.PeerToken, metrics.Handler(gometrics.DefaultRegistry)))
+	mux.Handle("/internal/", httpserver.RequirePeerToken(e.cfg.PeerToken, peers))
+	mux.Handle(metrics.Path, httpserver.RequirePeerToken(e.cfg.PeerToken, metrics.Handler(gometrics.DefaultRegistry)))
 	mux.HandleFunc(healthPath, serveHealth)
 	mux.Handle(readyPath, serveReady(e.notReadyReason))
 	mux.Handle("/", callers)
@@ -180,7 +180,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), e.cfg.DrainTimeout)
 	defer cancel()
 	if err := e.relay.Drain(ctx); err != nil {
-		e.log.Fail(eventDrainTimedOut, err, nil)
+		e.log.EventWithError(eventDrainTimedOut, err, nil)
 		return
 	}
 	// Responses of completed calls may still be on their way to callers.
--- a/daemon/hosted/agent.go
+++ b/daemon/hosted/agent.go
@@ -64,7 +64,7 @@
 	clock            clockwork.Clock
 	loader           *loading.Loader
 	swarm            *spread.Swarm
-	entryConnections *fleet.Links
+	entryConnections *fleet.EntryConnections
 	metricsRegistry  gometrics.Registry
 
 	mu sync.Mutex
@@ -97,31 +97,31 @@
 	clock := clockwork.NewRealClock()
 	a := &agent{settings: s, log: log, clock: clock, metricsRegistry: gometrics.NewRegistry(), fleets: map[string]frame.Fleet{}}
 	self := core.Instance{
-		ID: s.Name, Role: core.RoleAgent, Addr: net.JoinHostPort(s.IP, strconv.Itoa(s.Ports[0])),
+		ID: s.Name, Role: core.RoleAgent, Addr: net.JoinHostPort(s.IP, strconv.Itoa(s.PortRange[0])),
 		DataCentre: s.DataCentre, Region: s.Region,
 	}
 	origin := platform.NewOrigin()
-	originChunks := loading.NewPieces(origin)
+	originChunks := loading.NewOriginChunks(origin)
 	linkBytesPerSecond := int64(s.Limits.LinkMbps * 1e6 / 8 * linkShare)
-	a.swarm = spread.NewFetcher(spread.Config{
-		Self: self, Token: o.Token, UploadBytesPerSecond: linkBytesPerSecond, OneOriginCopy: true,
-		Parallel: maxPeerFetches, OriginParallel: maxOwnedFetches, UploadSlots: uploadSlots,
-		Wait: longPollTimeout, AnswerMargin: responseMargin, Stall: stallTimeout, Suspect: peerSuspectPeriod,
-		RetryPause: chunkRetryPause, FlightTimeout: chunkFetchTimeout, Metrics: a.metricsRegistry,
-		Peers: func(core.Digest) []spread.Peer { return a.loader.Sources() },
-	}, spread.NewStore(storeBytes), originChunks, log, clock)
-	a.entryConnections = fleet.NewLinks(fleet.LinksConfig{
-		Hello: frame.AgentHello{Self: self, Server: s.Server}, Token: o.Token,
-		Declared: a.declaredVersions, Entries: s.Entries, Fleet: a.onFleet, Log: log, Clock: clock,
+	a.swarm = spread.NewSwarm(spread.Config{
+		Self: self, Token: o.Token, UploadBytesPerSecond: linkBytesPerSecond, ReadOriginOnce: true,
+		MaxPeerFetches: maxPeerFetches, MaxOwnedFetches: maxOwnedFetches, UploadSlots: uploadSlots,
+		LongPollTimeout: longPollTimeout, AnswerMargin: responseMargin, StallTimeout: stallTimeout, SuspectPeriod: peerSuspectPeriod,
+		RetryPause: chunkRetryPause, FetchTimeout: chunkFetchTimeout, Metrics: a.metricsRegistry,
+		Peers: func(core.Digest) []spread.Peer { return a.loader.ChunkSources() },
+	}, spread.NewMemStore(storeBytes), originChunks, log, clock)
+	a.entryConnections = fleet.NewEntryConnections(fleet.EntryConnectionsConfig{
+		Hello: frame.AgentHello{Instance: self, Server: s.ServerAddr}, Token: o.Token,
+		DeclaredVersions: a.declaredVersions, Entries: s.EntryAddrs, OnFleet: a.onFleet, Log: log, Clock: clock,
 	})
 	a.loader = loading.New(loading.Config{
-		Self: s.Name, Token: o.Token, Server: platform.NewModelServer(s.Server), Origin: origin, Pieces: originChunks,
-		Swarm: a.swarm,
-		Turns: loading.Turns{First: firstLoadAge, Last: weightsDueAfter(&s) - lastLoadMargin},
-		Publish: func(state loading.State) {
-			a.entryConnections.Publish(frame.AgentState{Weights: state.Weights, Loading: state.Loading})
+		Self: s.Name, Token: o.Token, Server: platform.NewModelServer(s.ServerAddr), Origin: origin, OriginChunks: originChunks,
+		Swarm:         a.swarm,
+		RollingUpdate: loading.RollingUpdate{FirstAge: firstLoadAge, LastAge: weightsDueAfter(&s) - lastLoadMargin},
+		Publish: func(state loading.ServerState) {
+			a.entryConnections.Publish(frame.AgentState{LoadedVersions: state.Weights, Loading: state.Loading})
 		},
-		Client: &http.Client{Transport: &http.Transport{DialContext: dial.Context, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second}},
+		Client: &http.Client{Transport: &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second}},
 		Log:    log, Clock: clock,
 	})
 	return a
@@ -134,7 +134,7 @@
 	weights := spread.Handler(a.swarm, o.Token)
 	mux.Handle(spread.ChunkPath, weights)
 	mux.Handle(spread.ManifestPath, weights)
-	mux.Handle("GET "+loading.DigestsPath+"{model}/{version}", httpserver.RequirePeer(o.Token, a.loader.DigestsHandler()))
+	mux.Handle("GET "+loading.DigestsPath+"{model}/{version}", httpserver.RequirePeerToken(o.Token, a.loader.DigestsHandler()))
 	if err := addServer(&g, a.entryConnections.Self().Addr, mux); err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 	addRunner(&g, a.loader.Run)
 	addSignals(&g, a.log, func() {})
 	a.log.Event(eventStarted, eventlog.Fields{
-		"role": core.RoleAgent, "addr": a.entryConnections.Self().Addr, "server": a.settings.Server,
+		"role": core.RoleAgent, "addr": a.entryConnections.Self().Addr, "server": a.settings.ServerAddr,
 		"dataCentre": a.settings.DataCentre,
 	})
 	err = g.Run()
@@ -160,13 +160,13 @@
 
 // declaredVersions returns the declared versions that the agent knows, with the
 // time since each was declared.
-func (a *agent) declaredVersions() []frame.WantedWeights {
+func (a *agent) declaredVersions() []frame.WantedVersion {
 	now := a.clock.Now()
-	var all []frame.WantedWeights
-	for _, w := range a.loader.Declared() {
-		all = append(all, frame.WantedWeights{
-			Model: w.Model, Version: w.Version, AgeMs: now.Sub(w.Known).Milliseconds(),
-			Chunks: w.Chunks, ChunkBytes: w.ChunkBytes, Service: a.settings.Service,
+	var all []frame.WantedVersion
+	for _, w := range a.loader.DeclaredVersions() {
+		all = append(all, frame.WantedVersion{
+			Model: w.Model, Version: w.Version, AgeMs: now.Sub(w.DeclaredAt).Milliseconds(),
+			ChunkCount: w.ChunkCount, ChunkBytes: w.ChunkBytes, Service: a.settings.Service,
 		})
 	}
 	return all
@@ -188,12 +188,12 @@
 // buildTarget merges the last messages of all connected entry instances into the
 // newest version of each model and the list of all agents. The caller holds a.mu.
 func (a *agent) buildTarget() loading.Target {
-	t := loading.Target{Wanted: map[string]loading.Wanted{}, Holders: map[string]bool{}}
+	t := loading.Target{Wanted: map[string]loading.WantedVersion{}, Holders: map[string]bool{}}
 	now := a.clock.Now()
 	seen := map[string]bool{}
 	newest := 0
 	for _, f := range a.fleets {
-		for _, w := range f.Weights {
+		for _, w := range f.WantedVersions {
 			newest = max(newest, w.Version)
 			a.addWanted(&t, w, now)
 		}
@@ -203,7 +203,7 @@
 			t.Origin = f.Origin
 		}
 		hasNewest := false
-		for _, w := range f.Weights {
+		for _, w := range f.WantedVersions {
 			hasNewest = hasNewest || w.Version == newest
 		}
 		for _, other := range f.Agents {
@@ -211,7 +211,7 @@
 				seen[other.Instance.ID] = true
 				t.Agents = append(t.Agents, other.Instance)
 			}
-			if other.Holds && hasNewest {
+			if other.HoldsNewest && hasNewest {
 				t.Holders[other.Instance.ID] = true
 			}
 		}
@@ -229,16 +229,16 @@
 // addWanted adds w to the versions of t if it belongs to this agent's service and
 // is newer than the version of the same model in t. For equal versions it keeps
 // the earlier time of declaration.
-func (a *agent) addWanted(t *loading.Target, w frame.WantedWeights, now time.Time) {
+func (a *agent) addWanted(t *loading.Target, w frame.WantedVersion, now time.Time) {
 	if a.settings.Service != "" && w.Service != a.settings.Service {
 		return
 	}
 	declaredAt := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
 	old, ok := t.Wanted[w.Model]
-	if ok && (old.Version > w.Version || old.Version == w.Version && old.Known.Before(declaredAt)) {
+	if ok && (old.Version > w.Version || old.Version == w.Version && old.DeclaredAt.Before(declaredAt)) {
 		return
 	}
-	t.Wanted[w.Model] = loading.Wanted{
-		Model: w.Model, Version: w.Version, Known: declaredAt, Chunks: w.Chunks, ChunkBytes: w.ChunkBytes,
+	t.Wanted[w.Model] = loading.WantedVersion{
+		Model: w.Model, Version: w.Version, DeclaredAt: declaredAt, ChunkCount: w.ChunkCount, ChunkBytes: w.ChunkBytes,
 	}
 }
--- a/daemon/hosted/common.go
+++ b/daemon/hosted/common.go
@@ -106,7 +106,7 @@
 // content counts as applied already.
 func newSettingsWatcher(path string, log *eventlog.Logger, apply func(platform.Settings)) (*settingsWatcher, error) {
 	raw, err := os.ReadFile(path)
-	return &settingsWatcher{path: path, log: log, content: raw, apply: apply}, core.Step("read settings", "", err)
+	return &settingsWatcher{path: path, log: log, content: raw, apply: apply}, core.WrapStep("read settings", "", err)
 }
 
 // Run checks the file on SIGHUP and at each settingsPollInterval until ctx ends.
@@ -133,7 +133,7 @@
 func (w *settingsWatcher) reload(cause string) {
 	raw, err := os.ReadFile(w.path)
 	if err != nil {
-		w.log.Fail(eventSettingsReloaded, err, eventlog.Fields{"why": cause, "applied": false})
+		w.log.EventWithError(eventSettingsReloaded, err, eventlog.Fields{"why": cause, "applied": false})
 		return
 	}
 	if bytes.Equal(raw, w.content) {
@@ -145,7 +145,7 @@
 	w.content = raw
 	s, err := platform.ReadSettings(w.path)
 	if err != nil {
-		w.log.Fail(eventSettingsReloaded, err, eventlog.Fields{"why": cause, "applied": false})
+		w.log.EventWithError(eventSettingsReloaded, err, eventlog.Fields{"why": cause, "applied": false})
 		return
 	}
 	w.apply(s)
--- a/daemon/hosted/entry.go
+++ b/daemon/hosted/entry.go
@@ -56,7 +56,7 @@
 	holder           *catalog.Holder
 	declaredFollower *catalog.Follower
 	serversFollower  *catalog.Follower
-	scheduler        *dispatch.Desk
+	scheduler        *dispatch.Scheduler
 	pool             *backend.Pool
 	exchange         *exchange.Exchange
 	fleetHub         *fleet.Hub
@@ -94,26 +94,26 @@
 	}
 	e.declaredFollower = catalog.NewFollower(catalog.TableDeclared, e.store, e.holder, log, clock)
 	e.serversFollower = catalog.NewFollower(catalog.TableServers, e.store, e.holder, log, clock)
-	e.scheduler = dispatch.NewDesk(dispatch.Config{
+	e.scheduler = dispatch.NewScheduler(dispatch.Config{
 		DataCentre: s.DataCentre, Regions: s.Regions,
-		Repeats: dispatch.RepeatLimits{
-			Ratio: s.Bounds.RepeatRatio, Slack: s.Bounds.RepeatSlack,
-			Window: time.Duration(s.Bounds.RepeatWindowS * float64(time.Second)),
+		RetryLimits: dispatch.RetryLimits{
+			Ratio: s.Bounds.RetryBudgetRatio, Slack: s.Bounds.RetryBudgetSlack,
+			Window: time.Duration(s.Bounds.RetryBudgetWindowS * float64(time.Second)),
 		},
-		WeightsDue: weightsDueAfter(&s) - weightsMargin,
-		Patience:   maxWaitShare,
+		WeightsDueAfter: weightsDueAfter(&s) - weightsMargin,
+		MaxWaitShare:    maxWaitShare,
 	}, e.holder, clock)
 	e.exchange = exchange.New(exchange.Config{
 		Self: core.Instance{
 			ID: s.Name, Role: core.RoleEntry, Addr: s.Listen.Peers, DataCentre: s.DataCentre, Region: s.Region,
 		},
-		Token: o.Token, Holder: e.holder, Declared: e.declaredFollower, Servers: e.serversFollower, Loads: e.scheduler, Log: log, Clock: clock,
+		Token: o.Token, Holder: e.holder, DeclaredFollower: e.declaredFollower, ServersFollower: e.serversFollower, LoadTracker: e.scheduler, Log: log, Clock: clock,
 	})
 	e.fleetHub = fleet.NewHub(fleet.HubConfig{
-		DataCentre: s.DataCentre, Holder: e.holder, Agent: e.scheduler.Agent, Entries: e.exchange.Known, Log: log, Clock: clock,
+		DataCentre: s.DataCentre, Holder: e.holder, OnAgentState: e.scheduler.SetAgentState, Entries: e.exchange.KnownAddrs, Log: log, Clock: clock,
 	})
 	e.handler = forward.New(forward.Config{
-		Headers: platform.Headers(), Holder: e.holder, Desk: e.scheduler, Pool: e.pool,
+		Headers: platform.HeaderNames(), Holder: e.holder, Scheduler: e.scheduler, Pool: e.pool,
 		Log: log, Clock: clock, Metrics: e.metricsRegistry,
 	})
 	return e
@@ -122,7 +122,7 @@
 // weightsDueAfter returns the time after the declaration of new weights from which
 // no request may start on older ones.
 func weightsDueAfter(s *platform.Settings) time.Duration {
-	return time.Duration(s.Bounds.WeightsMs * float64(time.Millisecond))
+	return time.Duration(s.Bounds.WeightsDueAfterMs * float64(time.Millisecond))
 }
 
 // run serves requests until SIGTERM or SIGINT.
@@ -130,7 +130,7 @@
 	var g run.Group
 	clientListener, err := net.Listen("tcp", e.settings.Listen.Clients)
 	if err != nil {
-		return core.Step("listen for clients", e.settings.Listen.Clients, err)
+		return core.WrapStep("listen for clients", e.settings.Listen.Clients, err)
 	}
 	e.clientServer = e.newClientServer()
 	stopped := make(chan struct{})
@@ -166,8 +166,8 @@
 		"role": core.RoleEntry, "clients": e.settings.Listen.Clients, "peers": e.settings.Listen.Peers,
 		"dataCentre": e.settings.DataCentre, "store": e.settings.Store.Addr,
 	})
-	for _, addr := range e.settings.Entries {
-		e.exchange.Learn(addr)
+	for _, addr := range e.settings.EntryAddrs {
+		e.exchange.AddPeer(addr)
 	}
 	err = g.Run()
 	e.log.Event(eventStopped, eventlog.Fields{"running": e.handler.Active()})
@@ -180,7 +180,7 @@
 	if err == http.ErrServerClosed {
 		return nil
 	}
-	return core.Step("serve clients", "", err)
+	return core.WrapStep("serve clients", "", err)
 }
 
 // Limits of client connections. Limits that operators declare are smaller; these
@@ -208,8 +208,8 @@
 	readiness := http.NewServeMux()
 	readiness.HandleFunc("GET "+platform.ReadyPath, e.serveReady)
 	peers := http.NewServeMux()
-	peers.Handle(exchange.Path, httpserver.RequirePeer(e.options.Token, e.exchange))
-	peers.Handle(fleet.Path, httpserver.RequirePeer(e.options.Token, e.fleetHub))
+	peers.Handle(exchange.Path, httpserver.RequirePeerToken(e.options.Token, e.exchange))
+	peers.Handle(fleet.Path, httpserver.RequirePeerToken(e.options.Token, e.fleetHub))
 	if err := addServer(g, e.settings.Listen.Ready, readiness); err != nil {
 		return err
 	}
@@ -242,7 +242,7 @@
 		if err == nil {
 			break
 		}
-		e.log.Fail(eventEntries, err, eventlog.Fields{})
+		e.log.EventWithError(eventEntries, err, eventlog.Fields{})
 		select {
 		case <-ctx.Done():
 		case <-e.clock.After(announceRetryPause):
@@ -259,7 +259,7 @@
 		return err
 	}
 	for _, r := range rows {
-		e.exchange.Learn(string(r.Value))
+		e.exchange.AddPeer(string(r.Value))
 	}
 	e.log.Event(eventEntries, eventlog.Fields{"entries": len(rows)})
 	return nil
@@ -270,7 +270,7 @@
 func (e *entry) removeUnlistedServers(ctx context.Context) error {
 	for {
 		changed := e.holder.Changed()
-		e.scheduler.Forget()
+		e.scheduler.RemoveUnlistedServers()
 		select {
 		case <-ctx.Done():
 			return nil
@@ -282,8 +282,8 @@
 // applySettings applies the settings of a changed settings file.
 func (e *entry) applySettings(s platform.Settings) {
 	e.store.SetAddr(s.Store.Addr)
-	for _, addr := range s.Entries {
-		e.exchange.Learn(addr)
+	for _, addr := range s.EntryAddrs {
+		e.exchange.AddPeer(addr)
 	}
 }
 
@@ -292,6 +292,6 @@
 	e.stopping.Store(true)
 	err := shutDownClients(e.clock, e.handler, e.clientServer, stopGrace(&e.settings))
 	if err != nil {
-		e.log.Fail(eventStopped, err, eventlog.Fields{"running": e.handler.Active()})
+		e.log.EventWithError(eventStopped, err, eventlog.Fields{"running": e.handler.Active()})
 	}
 }
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -6,8 +6,8 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Common holds the settings that both daemons share.
-type Common struct {
+// CommonConfig holds the settings that both daemons share.
+type CommonConfig struct {
 	// Self describes this instance, with the address at which other instances
 	// reach it.
 	Self core.Instance
--- a/process/dial/dial.go
+++ b/process/dial/dial.go
@@ -41,7 +41,7 @@
 	},
 }
 
-// Context opens a connection to addr within Timeout, or until ctx ends.
-func Context(ctx context.Context, network, addr string) (net.Conn, error) {
+// DialContext opens a connection to addr within Timeout, or until ctx ends.
+func DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	return dialer.DialContext(ctx, network, addr)
 }
--- a/process/dial/keep.go
+++ b/process/dial/keep.go
@@ -20,30 +20,30 @@
 	initialAttempts = 5
 )
 
-// Pauses configures the pauses of Keep between the end of a connection and the
+// Backoff configures the pauses of Keep between the end of a connection and the
 // next attempt.
-type Pauses struct {
-	// Least is the initial pause. After the first attempts the pause doubles
-	// with each attempt, up to Most. Each pause is randomized between 50 %
+type Backoff struct {
+	// MinDelay is the initial pause. After the first attempts the pause doubles
+	// with each attempt, up to MaxDelay. Each pause is randomized between 50 %
 	// and 150 %.
-	Least, Most time.Duration
-	// Steady is how long a connection must have lasted for pause and timeout
+	MinDelay, MaxDelay time.Duration
+	// ResetAfter is how long a connection must have lasted for pause and timeout
 	// to start again at their initial values when it ends.
-	Steady time.Duration
+	ResetAfter time.Duration
 }
 
-// Keep reopens a connection whenever it ends, until ctx ends. session opens the
+// KeepConnected reopens a connection whenever it ends, until ctx ends. session opens the
 // connection within timeout and returns when the connection has ended. onLost
 // receives the error of the first session and of each session that lasted longer
 // than p.Steady; the errors of the short sessions that follow are not reported.
-func Keep(ctx context.Context, clock clockwork.Clock, p Pauses,
+func KeepConnected(ctx context.Context, clock clockwork.Clock, p Backoff,
 	session func(ctx context.Context, timeout time.Duration) error, onLost func(error)) {
-	pause, timeout, reported := p.Least, initialTimeout, false
+	pause, timeout, reported := p.MinDelay, initialTimeout, false
 	for attempt := 1; ctx.Err() == nil; attempt++ {
 		start := clock.Now()
 		err := session(ctx, timeout)
-		if clock.Since(start) > p.Steady {
-			pause, timeout, reported, attempt = p.Least, initialTimeout, false, 1
+		if clock.Since(start) > p.ResetAfter {
+			pause, timeout, reported, attempt = p.MinDelay, initialTimeout, false, 1
 		}
 		if !reported && ctx.Err() == nil {
 			onLost(err)
@@ -54,7 +54,7 @@
 		case <-clock.After(pause/2 + rand.N(pause)):
 		}
 		if attempt >= initialAttempts {
-			pause, timeout = min(2*pause, p.Most), min(2*timeout, Timeout)
+			pause, timeout = min(2*pause, p.MaxDelay), min(2*timeout, Timeout)
 		}
 	}
 }
--- a/process/dial/keep_test.go
+++ b/process/dial/keep_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestKeep(t *testing.T) {
-	pauses := Pauses{Least: 80 * time.Millisecond, Most: 300 * time.Millisecond, Steady: 1500 * time.Millisecond}
+	pauses := Backoff{MinDelay: 80 * time.Millisecond, MaxDelay: 300 * time.Millisecond, ResetAfter: 1500 * time.Millisecond}
 
 	Convey("A machine that starts a little later than the others is reached soon after its start", t, func() {
 		synctest.Test(t, func(t *testing.T) {
@@ -22,7 +22,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			start := time.Now()
 			var reached time.Duration
-			Keep(ctx, clockwork.NewRealClock(), pauses, func(_ context.Context, timeout time.Duration) error {
+			KeepConnected(ctx, clockwork.NewRealClock(), pauses, func(_ context.Context, timeout time.Duration) error {
 				if time.Since(start) >= upAfter {
 					reached = time.Since(start)
 					cancel()
@@ -40,7 +40,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			reported, attempts := 0, 0
-			Keep(ctx, clockwork.NewRealClock(), pauses, func(_ context.Context, timeout time.Duration) error {
+			KeepConnected(ctx, clockwork.NewRealClock(), pauses, func(_ context.Context, timeout time.Duration) error {
 				attempts++
 				if timeout > Timeout {
 					t.Errorf("timeout %s", timeout)
@@ -49,7 +49,7 @@
 				case attempts == 20:
 					cancel()
 				case attempts == 10:
-					<-time.After(2 * pauses.Steady)
+					<-time.After(2 * pauses.ResetAfter)
 				}
 				return errors.New("refused")
 			}, func(error) { reported++ })
--- a/process/eventlog/eventlog.go
+++ b/process/eventlog/eventlog.go
@@ -20,8 +20,8 @@
 	Name string
 	// Level is the level at which the event is written.
 	Level logrus.Level
-	// Meaning is the description of the event for operators.
-	Meaning string
+	// Description is the description of the event for operators.
+	Description string
 }
 
 var (
@@ -33,7 +33,7 @@
 // Define adds an event to the catalogue and returns it. It panics if the number
 // is already in use, a programming error that shows at start-up.
 func Define(number int, name string, level logrus.Level, meaning string) Event {
-	e := Event{Number: number, Name: name, Level: level, Meaning: meaning}
+	e := Event{Number: number, Name: name, Level: level, Description: meaning}
 	catalogueMu.Lock()
 	defer catalogueMu.Unlock()
 	if other, ok := catalogue[number]; ok {
@@ -88,8 +88,8 @@
 	l.write(l.entry, e, f)
 }
 
-// Fail writes a line for event e with the error err and the fields f.
-func (l *Logger) Fail(e Event, err error, f Fields) {
+// EventWithError writes a line for event e with the error err and the fields f.
+func (l *Logger) EventWithError(e Event, err error, f Fields) {
 	l.write(l.entry.WithError(err), e, f)
 }
 
--- a/process/httpserver/httpserver.go
+++ b/process/httpserver/httpserver.go
@@ -30,7 +30,7 @@
 func Listen(addr string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, core.Step("listen", addr, err)
+		return nil, core.WrapStep("listen", addr, err)
 	}
 	return &Server{
 		http: &http.Server{
@@ -51,7 +51,7 @@
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return core.Step("serve", s.Addr(), err)
+	return core.WrapStep("serve", s.Addr(), err)
 }
 
 // Shutdown closes the listener and waits for the requests in flight. If ctx ends
@@ -61,12 +61,12 @@
 	if err != nil {
 		_ = s.http.Close()
 	}
-	return core.Step("shut down", s.Addr(), err)
+	return core.WrapStep("shut down", s.Addr(), err)
 }
 
-// RequirePeer returns a handler that passes requests with the peer token to next
+// RequirePeerToken returns a handler that passes requests with the peer token to next
 // and answers all others with status 401. An empty token admits no request.
-func RequirePeer(token string, next http.Handler) http.Handler {
+func RequirePeerToken(token string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if token == "" || !core.SameSecret(r.Header.Get(core.HeaderPeerToken), token) {
 			http.Error(w, "peer token missing or wrong", http.StatusUnauthorized)
--- a/process/instances/linger.go
+++ b/process/instances/linger.go
@@ -39,9 +39,9 @@
 			newlyMissing = append(newlyMissing, in)
 		}
 	}
-	keepFor := w.cfg.Linger
+	keepFor := w.cfg.RemovalDelay
 	if 2*len(newlyMissing) > len(w.list) {
-		keepFor = w.cfg.MassLinger
+		keepFor = w.cfg.MassRemovalDelay
 	}
 	expires := w.cfg.Clock.Now().Add(keepFor)
 	for _, in := range newlyMissing {
--- a/process/instances/watcher.go
+++ b/process/instances/watcher.go
@@ -38,12 +38,12 @@
 	Interval time.Duration
 	// Seeds are the instances in use until the first list has been read.
 	Seeds []core.Instance
-	// Linger is how long an instance is kept that is missing from the list
+	// RemovalDelay is how long an instance is kept that is missing from the list
 	// and was not listed as leaving before. Default 60 s.
-	Linger time.Duration
-	// MassLinger is used instead of Linger when more than half of the
+	RemovalDelay time.Duration
+	// MassRemovalDelay is used instead of Linger when more than half of the
 	// instances are missing from the list at once. Default 10 min.
-	MassLinger time.Duration
+	MassRemovalDelay time.Duration
 	// Clock is the source of time; nil means the system clock.
 	Clock clockwork.Clock
 }
@@ -51,8 +51,8 @@
 // applyDefaults sets the fields that are not set to their defaults.
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.Interval, DefaultInterval)
-	core.SetDefault(&c.Linger, defaultLinger)
-	core.SetDefault(&c.MassLinger, defaultMassLinger)
+	core.SetDefault(&c.RemovalDelay, defaultLinger)
+	core.SetDefault(&c.MassRemovalDelay, defaultMassLinger)
 	if c.Clock == nil {
 		c.Clock = clockwork.NewRealClock()
 	}
@@ -62,7 +62,7 @@
 // for concurrent use.
 type Watcher struct {
 	cfg      Config
-	source   platform.Instances
+	source   platform.InstanceLister
 	fallback Fallback
 	log      *eventlog.Logger
 
@@ -81,7 +81,7 @@
 
 // NewWatcher returns a Watcher that holds cfg.Seeds until Run has read a list
 // from source. fallback may be nil.
-func NewWatcher(cfg Config, source platform.Instances, fallback Fallback, log *eventlog.Logger) *Watcher {
+func NewWatcher(cfg Config, source platform.InstanceLister, fallback Fallback, log *eventlog.Logger) *Watcher {
 	cfg.applyDefaults()
 	return &Watcher{
 		cfg:      cfg,
@@ -101,8 +101,8 @@
 	return w.list
 }
 
-// Role returns the instances of the last known list that have this role.
-func (w *Watcher) Role(role core.Role) []core.Instance {
+// WithRole returns the instances of the last known list that have this role.
+func (w *Watcher) WithRole(role core.Role) []core.Instance {
 	var matching []core.Instance
 	for _, in := range w.All() {
 		if in.Role == role {
@@ -220,7 +220,7 @@
 	w.failing = true
 	w.mu.Unlock()
 	if first {
-		w.log.Fail(eventListReadFailed, err, nil)
+		w.log.EventWithError(eventListReadFailed, err, nil)
 	}
 }
 
--- a/process/pause/pause.go
+++ b/process/pause/pause.go
@@ -49,14 +49,14 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			d.Pauses()
+			d.PauseCount()
 		}
 	}
 }
 
-// Pauses samples the clock and returns the number of pauses so far. The number
+// PauseCount samples the clock and returns the number of pauses so far. The number
 // includes a pause that has just ended and that Run has not detected yet.
-func (d *Detector) Pauses() int64 {
+func (d *Detector) PauseCount() int64 {
 	gap, pauses := d.sample()
 	if gap >= Threshold {
 		d.log.Event(eventPaused, eventlog.Fields{"seconds": gap.Seconds()})
--- a/process/pause/pause_test.go
+++ b/process/pause/pause_test.go
@@ -29,8 +29,8 @@
 
 		Convey("the pause is counted once", func() {
 			d := suspended(io.Discard)
-			So(d.Pauses(), ShouldEqual, 1)
-			So(d.Pauses(), ShouldEqual, 1)
+			So(d.PauseCount(), ShouldEqual, 1)
+			So(d.PauseCount(), ShouldEqual, 1)
 		})
 		Convey("a caller that reads the count while another goroutine logs the pause gets the new count", func() {
 			seen := make(chan int64, 1)
@@ -39,7 +39,7 @@
 				started := make(chan struct{})
 				go func() {
 					close(started)
-					seen <- d.Pauses()
+					seen <- d.PauseCount()
 				}()
 				<-started
 				select {
@@ -48,7 +48,7 @@
 				case <-time.After(100 * time.Millisecond):
 				}
 			}))
-			d.Pauses()
+			d.PauseCount()
 			So(<-seen, ShouldEqual, 1)
 		})
 	})
--- a/process/platform/http.go
+++ b/process/platform/http.go
@@ -70,10 +70,10 @@
 	config.applyDefaults()
 	c := newClient(config)
 	return &Platform{
-		Table:     &httpTable{client: c, timeout: config.Timeout},
-		Objects:   &httpObjects{client: c, prefix: "/objects/", timeout: config.ObjectTimeout},
-		Weights:   &httpObjects{client: c, prefix: "/weights/", timeout: config.ObjectTimeout},
-		Instances: &httpInstances{client: c, timeout: config.Timeout},
+		Table:       &httpTable{client: c, timeout: config.Timeout},
+		ObjectStore: &httpObjects{client: c, prefix: "/objects/", timeout: config.ObjectTimeout},
+		WeightStore: &httpObjects{client: c, prefix: "/weights/", timeout: config.ObjectTimeout},
+		Instances:   &httpInstances{client: c, timeout: config.Timeout},
 	}
 }
 
@@ -147,10 +147,10 @@
 	resp, err := c.roundTrip(ctx, req)
 	if err != nil {
 		c.failed.Inc(1)
-		return response{}, core.Step(req.step, c.addr, err)
+		return response{}, core.WrapStep(req.step, c.addr, err)
 	}
 	c.bytes.Inc(int64(len(req.body) + len(resp.body)))
-	return resp, core.Step(req.step, c.addr, statusError(req, resp))
+	return resp, core.WrapStep(req.step, c.addr, statusError(req, resp))
 }
 
 // countRequest counts a request as a read or a write.
--- a/process/platform/httpinstances.go
+++ b/process/platform/httpinstances.go
@@ -48,7 +48,7 @@
 	}
 	list, err := decodeList(resp)
 	if err != nil {
-		return nil, tag, core.Step(req.step, i.client.addr, fmt.Errorf("%w: %v", ErrUnavailable, err))
+		return nil, tag, core.WrapStep(req.step, i.client.addr, fmt.Errorf("%w: %v", ErrUnavailable, err))
 	}
 	return list.Instances, resp.header.Get("ETag"), nil
 }
--- a/process/platform/httpobjects.go
+++ b/process/platform/httpobjects.go
@@ -42,7 +42,7 @@
 		return resp.body, nil
 	}
 	body, err := sliceRange(resp.body, offset, length)
-	return body, core.Step(req.step, o.client.addr, err)
+	return body, core.WrapStep(req.step, o.client.addr, err)
 }
 
 // Put implements Objects.
--- a/process/platform/httptable.go
+++ b/process/platform/httptable.go
@@ -55,7 +55,7 @@
 	}
 	revision, err := ParseETag(resp.header.Get("ETag"))
 	if err != nil {
-		return Row{}, core.Step(req.step, t.client.addr, fmt.Errorf("%w: %v", ErrUnavailable, err))
+		return Row{}, core.WrapStep(req.step, t.client.addr, fmt.Errorf("%w: %v", ErrUnavailable, err))
 	}
 	return Row{Key: key, Value: resp.body, Revision: revision}, nil
 }
@@ -75,7 +75,7 @@
 	}
 	var list RowList
 	if err := json.Unmarshal(resp.body, &list); err != nil {
-		return nil, core.Step(req.step, t.client.addr, fmt.Errorf("%w: %v", ErrUnavailable, err))
+		return nil, core.WrapStep(req.step, t.client.addr, fmt.Errorf("%w: %v", ErrUnavailable, err))
 	}
 	return list.Rows, nil
 }
@@ -84,7 +84,7 @@
 func (t *httpTable) Commit(ctx context.Context, writes []Write) error {
 	body, err := json.Marshal(CommitRequest{Writes: writes})
 	if err != nil {
-		return core.Step("commit", t.client.addr, fmt.Errorf("%w: %v", ErrRefused, err))
+		return core.WrapStep("commit", t.client.addr, fmt.Errorf("%w: %v", ErrRefused, err))
 	}
 	_, err = t.client.do(ctx, t.timeout, request{
 		step:     "commit",
--- a/process/platform/platform.go
+++ b/process/platform/platform.go
@@ -72,18 +72,18 @@
 	Commit(ctx context.Context, writes []Write) error
 }
 
-// Objects is an object store: the platform's general one or the store of model
+// ObjectStore is an object store: the platform's general one or the store of model
 // weights. Stored objects are immutable.
-type Objects interface {
+type ObjectStore interface {
 	// Get reads length bytes from offset; length -1 reads to the end.
 	Get(ctx context.Context, name string, offset, length int64) ([]byte, error)
 	// Put stores an object. Storing the same body again has no effect.
 	Put(ctx context.Context, name string, body []byte) error
 }
 
-// Instances is the platform's list of live and leaving instances, which lags
+// InstanceLister is the platform's list of live and leaving instances, which lags
 // behind their real state.
-type Instances interface {
+type InstanceLister interface {
 	// List returns the instances and the tag of the list. It returns
 	// ErrNotModified if tag is the tag of the current list.
 	List(ctx context.Context, tag string) ([]core.Instance, string, error)
@@ -91,9 +91,9 @@
 
 // Platform holds the adapters to the services of the platform.
 type Platform struct {
-	Table   Table
-	Objects Objects
-	// Weights is the store of model weights.
-	Weights   Objects
-	Instances Instances
+	Table       Table
+	ObjectStore ObjectStore
+	// WeightStore is the store of model weights.
+	WeightStore ObjectStore
+	Instances   InstanceLister
 }
