--- a/request/accounts/accounts.go
+++ b/request/accounts/accounts.go
@@ -18,21 +18,21 @@
 // follows.
 const bearerScheme = "Bearer "
 
-// Errors of [Book.Enter] and [Book.Authenticate].
+// Errors of [Controller.Admit] and [Controller.Authenticate].
 var (
 	// ErrUnauthorized is returned when no client account has the given key.
 	ErrUnauthorized = errors.New("no client account has this key")
-	// ErrTooMany is returned when the account already has MaxInFlight calls in
+	// ErrTooManyInFlight is returned when the account already has MaxInFlight calls in
 	// flight.
-	ErrTooMany = errors.New("the client account has too many calls in flight")
-	// ErrShare is returned when capacity is short and the account already uses
+	ErrTooManyInFlight = errors.New("the client account has too many calls in flight")
+	// ErrFairShare is returned when capacity is short and the account already uses
 	// its fair share.
-	ErrShare = errors.New("capacity is short and the client account has its share")
+	ErrFairShare = errors.New("capacity is short and the client account has its share")
 )
 
-// Book counts the calls in flight of each client account at one entry instance and
+// Controller counts the calls in flight of each client account at one entry instance and
 // decides whether further calls are admitted. It is safe for concurrent use.
-type Book struct {
+type Controller struct {
 	holder *confstore.Holder
 
 	mu       sync.Mutex
@@ -40,14 +40,14 @@
 	total    int
 }
 
-// New returns a [Book] for the client accounts in holder's current configuration.
-func New(holder *confstore.Holder) *Book {
-	return &Book{holder: holder, inFlight: map[string]int{}}
+// New returns a [Controller] for the client accounts in holder's current configuration.
+func New(holder *confstore.Holder) *Controller {
+	return &Controller{holder: holder, inFlight: map[string]int{}}
 }
 
 // Authenticate returns the client account with the key in authorization, the value
 // of an Authorization header, or [ErrUnauthorized].
-func (c *Book) Authenticate(authorization string) (*declare.ClientAccount, error) {
+func (c *Controller) Authenticate(authorization string) (*declare.ClientAccount, error) {
 	key, ok := strings.CutPrefix(authorization, bearerScheme)
 	if !ok || key == "" {
 		return nil, ErrUnauthorized
@@ -70,37 +70,37 @@
 
 // Admission is the result of admitting one call.
 type Admission struct {
-	// Due is true if the call is within the fair share of its account, and other
+	// WithinFairShare is true if the call is within the fair share of its account, and other
 	// accounts have calls in flight too.
-	Due bool
-	// Leave ends the call. The caller must call it exactly once.
-	Leave func()
+	WithinFairShare bool
+	// Release ends the call. The caller must call it exactly once.
+	Release func()
 }
 
-// Enter admits one more call of an account and counts it. short is true while
-// capacity is short. The error is [ErrTooMany] or, only if short is true,
-// [ErrShare].
-func (c *Book) Enter(a *declare.ClientAccount, short bool) (Admission, error) {
+// Admit admits one more call of an account and counts it. short is true while
+// capacity is short. The error is [ErrTooManyInFlight] or, only if short is true,
+// [ErrFairShare].
+func (c *Controller) Admit(a *declare.ClientAccount, short bool) (Admission, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	running := c.inFlight[a.Name]
 	if a.MaxInFlight > 0 && running >= a.MaxInFlight {
-		return Admission{}, ErrTooMany
+		return Admission{}, ErrTooManyInFlight
 	}
 	belowShare := running < c.fairShare(a)
 	if short && !belowShare {
-		return Admission{}, ErrShare
+		return Admission{}, ErrFairShare
 	}
 	withinFairShare := belowShare && running < c.total
 	c.inFlight[a.Name]++
 	c.total++
-	return Admission{Due: withinFairShare, Leave: func() { c.release(a.Name) }}, nil
+	return Admission{WithinFairShare: withinFairShare, Release: func() { c.release(a.Name) }}, nil
 }
 
 // fairShare returns the number of calls, at least 1, that the account may have
 // when the calls in flight and one more are divided by weight among this account
 // and the other accounts with calls in flight. The caller holds c.mu.
-func (c *Book) fairShare(a *declare.ClientAccount) int {
+func (c *Controller) fairShare(a *declare.ClientAccount) int {
 	weights := 0
 	declared := c.holder.Current().Set.ClientAccounts
 	for name := range c.inFlight {
@@ -114,7 +114,7 @@
 }
 
 // release removes one call of an account from the counts.
-func (c *Book) release(name string) {
+func (c *Controller) release(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.total--
--- a/request/accounts/accounts_test.go
+++ b/request/accounts/accounts_test.go
@@ -10,9 +10,9 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// newTestController returns a [Book] for accounts. The key of each account is its
+// newTestController returns a [Controller] for accounts. The key of each account is its
 // name followed by "-key".
-func newTestController(accounts ...*declare.ClientAccount) *Book {
+func newTestController(accounts ...*declare.ClientAccount) *Controller {
 	set := declare.NewSet()
 	for _, a := range accounts {
 		a.KeyHash = core.DigestOf([]byte(a.Name + "-key"))
@@ -42,31 +42,31 @@
 		small := &declare.ClientAccount{Name: "small"}
 		controller := newTestController(large, small)
 		for range 9 {
-			_, err := controller.Enter(large, false)
+			_, err := controller.Admit(large, false)
 			So(err, ShouldBeNil)
 		}
 		Convey("a single account is not limited when capacity is short", func() {
-			admission, err := controller.Enter(large, true)
+			admission, err := controller.Admit(large, true)
 			So(err, ShouldBeNil)
-			So(admission.Due, ShouldBeFalse)
+			So(admission.WithinFairShare, ShouldBeFalse)
 		})
 		Convey("when capacity is short, the small account is within its share and the large one is refused", func() {
-			admission, err := controller.Enter(small, true)
+			admission, err := controller.Admit(small, true)
 			So(err, ShouldBeNil)
-			So(admission.Due, ShouldBeTrue)
-			_, err = controller.Enter(large, true)
-			So(err, ShouldEqual, ErrShare)
-			admission.Leave()
-			_, err = controller.Enter(large, true)
+			So(admission.WithinFairShare, ShouldBeTrue)
+			_, err = controller.Admit(large, true)
+			So(err, ShouldEqual, ErrFairShare)
+			admission.Release()
+			_, err = controller.Admit(large, true)
 			So(err, ShouldBeNil)
 		})
 		Convey("MaxInFlight limits the calls even if capacity is not short", func() {
 			for range 3 {
-				_, err := controller.Enter(large, false)
+				_, err := controller.Admit(large, false)
 				So(err, ShouldBeNil)
 			}
-			_, err := controller.Enter(large, false)
-			So(err, ShouldEqual, ErrTooMany)
+			_, err := controller.Admit(large, false)
+			So(err, ShouldEqual, ErrTooManyInFlight)
 		})
 	})
 }
--- a/request/admission/adapt.go
+++ b/request/admission/adapt.go
@@ -78,7 +78,7 @@
 
 // adaptToOutcome adapts the limit to a finished call. nearLimit is true when the
 // number of calls in flight was near the limit. The caller holds l.mu.
-func (l *Gate) adaptToOutcome(o Outcome, nearLimit bool) {
+func (l *AdaptiveLimiter) adaptToOutcome(o Outcome, nearLimit bool) {
 	if o.Overloaded {
 		l.decrease(l.limit*overloadFactor, "overloaded")
 		l.pending = pendingDecrease{}
@@ -90,7 +90,7 @@
 	l.finishedSinceSample++
 	l.startStepIfDue(l.clock.Now())
 	previous := l.limit
-	l.setLimit(max(l.limit, min(l.limit+l.cfg.Growth, l.stepLimit)))
+	l.setLimit(max(l.limit, min(l.limit+l.cfg.GrowthPerCall, l.stepLimit)))
 	if l.limit > l.decreasedTo*pauseResetRatio {
 		l.growthPause = minGrowthPause
 	}
@@ -102,7 +102,7 @@
 // startStepIfDue starts the next growth step once the token rate at the present
 // limit has been evaluated, or when the calls of this server give no samples. The
 // caller holds l.mu.
-func (l *Gate) startStepIfDue(now time.Time) {
+func (l *AdaptiveLimiter) startStepIfDue(now time.Time) {
 	noSamples := float64(l.finishedSinceSample) > l.limit
 	if now.Sub(l.stepStart) < settleTime+windowTime || !l.stepEvaluated && !noSamples {
 		return
@@ -113,14 +113,14 @@
 
 // growthOnTrial reports whether the last growth step is so recent that it is the
 // likely cause of a lower token rate. The caller holds l.mu.
-func (l *Gate) growthOnTrial() bool {
+func (l *AdaptiveLimiter) growthOnTrial() bool {
 	return l.limit < float64(l.cfg.Limit) && l.clock.Since(l.stepStart) <= max(l.meanSlotTime.value, minGrowthTrial)
 }
 
 // maxStep returns the largest growth in one step. Below a number of calls that
 // overloaded the server before, a step covers at most half of the distance to
 // that number. The caller holds l.mu.
-func (l *Gate) maxStep() float64 {
+func (l *AdaptiveLimiter) maxStep() float64 {
 	largest := l.limit * maxStepRatio
 	if gap := float64(l.overloadedAt) - l.limit; gap > 0 {
 		largest = min(largest, gap/2)
@@ -129,7 +129,7 @@
 }
 
 // Observe implements Limiter.
-func (l *Gate) Observe(s Sample) {
+func (l *AdaptiveLimiter) Observe(s Sample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -153,7 +153,7 @@
 
 // evaluateWindow adapts the limit to the mean time per token of a full window.
 // The caller holds l.mu.
-func (l *Gate) evaluateWindow(now time.Time) {
+func (l *AdaptiveLimiter) evaluateWindow(now time.Time) {
 	w := l.window
 	l.window = window{}
 	l.perToken.add(w.mean())
@@ -202,7 +202,7 @@
 // countWorseWindow counts a window with inFlight calls for which the lower number
 // best would have given a higher token rate. After several such windows in a row
 // it decreases the limit to best. The caller holds l.mu.
-func (l *Gate) countWorseWindow(inFlight, best int, rate float64, reason string) {
+func (l *AdaptiveLimiter) countWorseWindow(inFlight, best int, rate float64, reason string) {
 	l.worseWindows++
 	if l.worseWindows < trialDecreaseWindows || !l.growthOnTrial() && l.worseWindows < stableDecreaseWindows {
 		return
@@ -229,7 +229,7 @@
 // the pending decrease. In that case the number of calls was not what made the
 // server slow. Otherwise the decrease is no longer pending once its effect has
 // been measured. The caller holds l.mu.
-func (l *Gate) pendingDecreaseFailed(inFlight int, rate float64) bool {
+func (l *AdaptiveLimiter) pendingDecreaseFailed(inFlight int, rate float64) bool {
 	if l.pending.limitBefore <= l.limit || inFlight > int(l.limit) {
 		return false
 	}
@@ -244,7 +244,7 @@
 // undoDecrease restores the limit that preceded the pending decrease and clears
 // the rate curve, which was measured under other conditions. The caller holds
 // l.mu.
-func (l *Gate) undoDecrease() {
+func (l *AdaptiveLimiter) undoDecrease() {
 	previous := int(l.limit)
 	l.setLimit(l.pending.limitBefore)
 	l.pending = pendingDecrease{}
@@ -255,7 +255,7 @@
 }
 
 // decrease lowers the limit and pauses its growth. The caller holds l.mu.
-func (l *Gate) decrease(limit float64, reason string) {
+func (l *AdaptiveLimiter) decrease(limit float64, reason string) {
 	now := l.clock.Now()
 	if l.cfg.Fixed || now.Before(l.settledAt) || now.Before(l.cooldownEnd) || limit >= l.limit {
 		return
@@ -278,20 +278,20 @@
 
 // clearCurve discards the rates measured for each number of calls. The caller
 // holds l.mu.
-func (l *Gate) clearCurve() {
+func (l *AdaptiveLimiter) clearCurve() {
 	l.curve.clear()
 	l.overloadedAt = 0
 }
 
 // startSettling keeps samples out of the rate curve until settleTime after now.
 // The caller holds l.mu.
-func (l *Gate) startSettling(now time.Time) {
+func (l *AdaptiveLimiter) startSettling(now time.Time) {
 	l.settledAt = now.Add(settleTime)
 	l.window = window{}
 }
 
 // Reset implements Limiter.
-func (l *Gate) Reset() {
+func (l *AdaptiveLimiter) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resetToCold("restart")
@@ -299,7 +299,7 @@
 
 // resetToCold lowers the limit to the cold limit and sheds the calls above it.
 // The caller holds l.mu.
-func (l *Gate) resetToCold(reason string) {
+func (l *AdaptiveLimiter) resetToCold(reason string) {
 	if l.cfg.Fixed {
 		return
 	}
@@ -321,7 +321,7 @@
 
 // shedCalls ends up to n repeatable calls early, lowest priority first and newest
 // first within a priority. The caller holds l.mu.
-func (l *Gate) shedCalls(n int) {
+func (l *AdaptiveLimiter) shedCalls(n int) {
 	ended := 0
 	for priority := 0; priority <= maxPriority && ended < n; priority++ {
 		for i := len(l.calls) - 1; i >= 0 && ended < n; i-- {
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -12,8 +12,8 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// Ticket is a request for a slot to run a call.
-type Ticket struct {
+// SlotRequest is a request for a slot to run a call.
+type SlotRequest struct {
 	// Account is the name of the client account.
 	Account string
 	// Share is the account's weight when slots are scarce, at least 1.
@@ -53,7 +53,7 @@
 type Limiter interface {
 	// Acquire waits in the queue for a slot. It returns either a release function,
 	// which must be called exactly once, or the reason for the refusal.
-	Acquire(ctx context.Context, req Ticket) (release func(Outcome), refused frame.Reason)
+	Acquire(ctx context.Context, req SlotRequest) (release func(Outcome), refused frame.Reason)
 	// Observe passes on a sample of a running call, so that a server that has
 	// turned cold is detected before its calls end.
 	Observe(s Sample)
--- a/request/admission/gate.go
+++ b/request/admission/gate.go
@@ -17,13 +17,13 @@
 
 // Defaults of a Config.
 const (
-	// DefaultMaxWait is the longest wait in the queue.
-	DefaultMaxWait = 40 * time.Millisecond
-	// DefaultQueueShare is the maximum length of the queue, as a fraction of the
+	// DefaultMaxQueueWait is the longest wait in the queue.
+	DefaultMaxQueueWait = 40 * time.Millisecond
+	// DefaultQueueRatio is the maximum length of the queue, as a fraction of the
 	// limit.
-	DefaultQueueShare = 0.5
-	// DefaultGrowth is the growth of the limit per finished call.
-	DefaultGrowth = 0.5
+	DefaultQueueRatio = 0.5
+	// DefaultGrowthPerCall is the growth of the limit per finished call.
+	DefaultGrowthPerCall = 0.5
 	// minQueueLength is the lower bound of the maximum queue length.
 	minQueueLength = 4
 	// nearLimitRatio is the fraction of the limit that must be in use for a
@@ -41,13 +41,13 @@
 	Limit int
 	// ColdLimit is the largest number of concurrent calls of a cold server.
 	ColdLimit int
-	// MaxWait is the longest wait in the queue.
-	MaxWait time.Duration
-	// QueueShare is the maximum length of the queue, as a fraction of the limit.
-	QueueShare float64
-	// Growth is added to the limit by each finished call while the limit is in use
+	// MaxQueueWait is the longest wait in the queue.
+	MaxQueueWait time.Duration
+	// QueueRatio is the maximum length of the queue, as a fraction of the limit.
+	QueueRatio float64
+	// GrowthPerCall is added to the limit by each finished call while the limit is in use
 	// and calls do not slow down.
-	Growth float64
+	GrowthPerCall float64
 	// Fixed keeps the limit constant at Limit: no cold limit, no growth and no
 	// decreases.
 	Fixed bool
@@ -60,14 +60,14 @@
 func (c *Config) applyDefaults() {
 	c.Limit = max(c.Limit, 1)
 	c.ColdLimit = min(max(c.ColdLimit, 1), c.Limit)
-	if c.MaxWait <= 0 {
-		c.MaxWait = DefaultMaxWait
+	if c.MaxQueueWait <= 0 {
+		c.MaxQueueWait = DefaultMaxQueueWait
 	}
-	if c.QueueShare <= 0 {
-		c.QueueShare = DefaultQueueShare
+	if c.QueueRatio <= 0 {
+		c.QueueRatio = DefaultQueueRatio
 	}
-	if c.Growth <= 0 {
-		c.Growth = DefaultGrowth
+	if c.GrowthPerCall <= 0 {
+		c.GrowthPerCall = DefaultGrowthPerCall
 	}
 	if c.Log == nil {
 		c.Log = eventlog.Discard()
@@ -79,15 +79,15 @@
 
 // runningCall is a call that holds a slot.
 type runningCall struct {
-	request Ticket
+	request SlotRequest
 	start   time.Time
 	shed    bool
 }
 
-// Gate is an adaptive Limiter for the calls of one backend server. The limit
+// AdaptiveLimiter is an adaptive Limiter for the calls of one backend server. The limit
 // grows while the token rate grows with the number of calls and is decreased when
 // fewer calls have a higher token rate.
-type Gate struct {
+type AdaptiveLimiter struct {
 	cfg   Config
 	clock clockwork.Clock
 	gauge metrics.Gauge
@@ -137,12 +137,12 @@
 	meanSlotTime movingAverage
 }
 
-var _ Limiter = (*Gate)(nil)
+var _ Limiter = (*AdaptiveLimiter)(nil)
 
 // New returns a Gate whose limit is the cold limit.
-func New(cfg Config, clock clockwork.Clock) *Gate {
+func New(cfg Config, clock clockwork.Clock) *AdaptiveLimiter {
 	cfg.applyDefaults()
-	l := &Gate{
+	l := &AdaptiveLimiter{
 		cfg:              cfg,
 		clock:            clock,
 		gauge:            metrics.GetOrRegisterGauge("agent.limit", cfg.Metrics),
@@ -155,7 +155,7 @@
 }
 
 // setLimit sets the limit and its gauge. The caller holds l.mu.
-func (l *Gate) setLimit(limit float64) {
+func (l *AdaptiveLimiter) setLimit(limit float64) {
 	if l.cfg.Fixed {
 		limit = float64(l.cfg.Limit)
 	}
@@ -164,7 +164,7 @@
 }
 
 // Configure implements Limiter.
-func (l *Gate) Configure(limit, coldLimit int) {
+func (l *AdaptiveLimiter) Configure(limit, coldLimit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	cfg := l.cfg
@@ -181,7 +181,7 @@
 }
 
 // Acquire implements Limiter.
-func (l *Gate) Acquire(ctx context.Context, req Ticket) (release func(Outcome), refused frame.Reason) {
+func (l *AdaptiveLimiter) Acquire(ctx context.Context, req SlotRequest) (release func(Outcome), refused frame.Reason) {
 	l.mu.Lock()
 	if l.queue.len() == 0 && l.hasFreeSlot() {
 		call := l.admit(req)
@@ -199,8 +199,8 @@
 
 // enqueue adds w to the queue and reports whether it did. When the queue is full,
 // w may displace another waiter. The caller holds l.mu.
-func (l *Gate) enqueue(w *waiter) bool {
-	maxLength := max(minQueueLength, int(l.limit*l.cfg.QueueShare))
+func (l *AdaptiveLimiter) enqueue(w *waiter) bool {
+	maxLength := max(minQueueLength, int(l.limit*l.cfg.QueueRatio))
 	if l.queue.len() >= maxLength {
 		displaced := l.queue.displace(w.request, l.runningByAccount)
 		if displaced == nil {
@@ -213,8 +213,8 @@
 }
 
 // wait waits until w gets a slot or is refused.
-func (l *Gate) wait(ctx context.Context, w *waiter) (func(Outcome), frame.Reason) {
-	longest, reason := l.cfg.MaxWait, frame.ReasonFull
+func (l *AdaptiveLimiter) wait(ctx context.Context, w *waiter) (func(Outcome), frame.Reason) {
+	longest, reason := l.cfg.MaxQueueWait, frame.ReasonFull
 	if remaining := w.request.Deadline.Sub(l.clock.Now()); !w.request.Deadline.IsZero() && remaining < longest {
 		longest, reason = remaining, frame.ReasonExpired
 	}
@@ -238,7 +238,7 @@
 
 // acquireResult returns the results of Acquire for w. refused is the reason for
 // its refusal, or empty when w was given a slot.
-func (l *Gate) acquireResult(w *waiter, refused frame.Reason) (func(Outcome), frame.Reason) {
+func (l *AdaptiveLimiter) acquireResult(w *waiter, refused frame.Reason) (func(Outcome), frame.Reason) {
 	if refused != "" {
 		return nil, refused
 	}
@@ -248,10 +248,10 @@
 }
 
 // hasFreeSlot reports whether a slot is free. The caller holds l.mu.
-func (l *Gate) hasFreeSlot() bool { return l.inFlight() < int(l.limit) }
+func (l *AdaptiveLimiter) hasFreeSlot() bool { return l.inFlight() < int(l.limit) }
 
 // inFlight returns the number of slots in use. The caller holds l.mu.
-func (l *Gate) inFlight() int {
+func (l *AdaptiveLimiter) inFlight() int {
 	n := 0
 	for _, calls := range l.runningByAccount {
 		n += calls
@@ -260,21 +260,21 @@
 }
 
 // admit gives a slot to a call. The caller holds l.mu.
-func (l *Gate) admit(req Ticket) *runningCall {
+func (l *AdaptiveLimiter) admit(req SlotRequest) *runningCall {
 	l.runningByAccount[req.Account]++
 	return l.track(req)
 }
 
 // track adds a call to the running calls. Its slot must already be counted in
 // runningByAccount. The caller holds l.mu.
-func (l *Gate) track(req Ticket) *runningCall {
+func (l *AdaptiveLimiter) track(req SlotRequest) *runningCall {
 	call := &runningCall{request: req, start: l.clock.Now()}
 	l.calls = append(l.calls, call)
 	return call
 }
 
 // grantFreeSlots gives the free slots to waiters. The caller holds l.mu.
-func (l *Gate) grantFreeSlots() {
+func (l *AdaptiveLimiter) grantFreeSlots() {
 	for l.hasFreeSlot() {
 		w := l.queue.pop(l.runningByAccount)
 		if w == nil {
@@ -286,7 +286,7 @@
 }
 
 // releaseFunc returns the function that frees the slot of call.
-func (l *Gate) releaseFunc(call *runningCall) func(Outcome) {
+func (l *AdaptiveLimiter) releaseFunc(call *runningCall) func(Outcome) {
 	return func(o Outcome) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -302,10 +302,12 @@
 
 // nearLimit reports whether this number of calls uses most of the limit. The
 // caller holds l.mu.
-func (l *Gate) nearLimit(calls int) bool { return float64(calls) >= nearLimitRatio*math.Floor(l.limit) }
+func (l *AdaptiveLimiter) nearLimit(calls int) bool {
+	return float64(calls) >= nearLimitRatio*math.Floor(l.limit)
+}
 
 // freeSlot frees the slot of call. The caller holds l.mu.
-func (l *Gate) freeSlot(call *runningCall) {
+func (l *AdaptiveLimiter) freeSlot(call *runningCall) {
 	i := slices.Index(l.calls, call)
 	if i < 0 {
 		return
@@ -319,14 +321,14 @@
 }
 
 // Load implements Limiter.
-func (l *Gate) Load() frame.Load {
+func (l *AdaptiveLimiter) Load() frame.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return frame.Load{Limit: int(l.limit), InFlight: l.inFlight(), Queued: l.queue.len()}
 }
 
 // State implements Limiter.
-func (l *Gate) State() frame.State {
+func (l *AdaptiveLimiter) State() frame.State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
--- a/request/admission/gate_test.go
+++ b/request/admission/gate_test.go
@@ -12,7 +12,7 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-func newLimiter(cfg Config) (*Gate, *clockwork.FakeClock) {
+func newLimiter(cfg Config) (*AdaptiveLimiter, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	cfg.Metrics = metrics.NewRegistry()
 	return New(cfg, clock), clock
@@ -20,7 +20,7 @@
 
 // startAcquire calls Acquire in a goroutine and returns the channel that receives
 // the reason.
-func startAcquire(l *Gate, t Ticket) <-chan frame.Reason {
+func startAcquire(l *AdaptiveLimiter, t SlotRequest) <-chan frame.Reason {
 	reasons := make(chan frame.Reason, 1)
 	go func() {
 		_, reason := l.Acquire(context.Background(), t)
@@ -31,7 +31,7 @@
 
 // acquireQueued calls Acquire in a goroutine and returns once the request is in
 // the queue.
-func acquireQueued(l *Gate, t Ticket) <-chan frame.Reason {
+func acquireQueued(l *AdaptiveLimiter, t SlotRequest) <-chan frame.Reason {
 	queuedBefore := l.Load().Queued
 	reasons := startAcquire(l, t)
 	for deadline := time.Now().Add(5 * time.Second); l.Load().Queued == queuedBefore; {
@@ -46,48 +46,48 @@
 func TestLimiterQueue(t *testing.T) {
 	Convey("Given a limiter with one slot in use", t, func() {
 		l, clock := newLimiter(Config{Limit: 1})
-		release, reason := l.Acquire(context.Background(), Ticket{Account: "large"})
+		release, reason := l.Acquire(context.Background(), SlotRequest{Account: "large"})
 		So(reason, ShouldBeEmpty)
 
 		Convey("a waiter is refused after the longest wait", func() {
-			reasons := acquireQueued(l, Ticket{Account: "a"})
+			reasons := acquireQueued(l, SlotRequest{Account: "a"})
 			So(clock.BlockUntilContext(context.Background(), 1), ShouldBeNil)
-			clock.Advance(DefaultMaxWait)
+			clock.Advance(DefaultMaxQueueWait)
 			So(<-reasons, ShouldEqual, frame.ReasonFull)
 		})
 		Convey("a waiter is refused as expired when its deadline passes first", func() {
-			reasons := acquireQueued(l, Ticket{Account: "a", Deadline: clock.Now().Add(DefaultMaxWait / 2)})
+			reasons := acquireQueued(l, SlotRequest{Account: "a", Deadline: clock.Now().Add(DefaultMaxQueueWait / 2)})
 			So(clock.BlockUntilContext(context.Background(), 1), ShouldBeNil)
-			clock.Advance(DefaultMaxWait / 2)
+			clock.Advance(DefaultMaxQueueWait / 2)
 			So(<-reasons, ShouldEqual, frame.ReasonExpired)
 		})
 		Convey("a waiter of higher priority goes first, regardless of arrival", func() {
-			low := acquireQueued(l, Ticket{Account: "a"})
-			high := acquireQueued(l, Ticket{Account: "b", Priority: 5})
+			low := acquireQueued(l, SlotRequest{Account: "a"})
+			high := acquireQueued(l, SlotRequest{Account: "b", Priority: 5})
 			release(Outcome{})
 			So(<-high, ShouldBeEmpty)
 			So(low, ShouldBeEmpty)
 		})
 		Convey("a call of higher priority displaces the lowest priority from a full queue", func() {
-			low := acquireQueued(l, Ticket{Account: "a"})
+			low := acquireQueued(l, SlotRequest{Account: "a"})
 			for range minQueueLength - 1 {
-				acquireQueued(l, Ticket{Account: "b", Priority: 3})
+				acquireQueued(l, SlotRequest{Account: "b", Priority: 3})
 			}
-			high := startAcquire(l, Ticket{Account: "c", Priority: 5})
+			high := startAcquire(l, SlotRequest{Account: "c", Priority: 5})
 			So(<-low, ShouldEqual, frame.ReasonFull)
 			So(high, ShouldBeEmpty)
 		})
 		Convey("a full queue refuses the account that fills it, and another account's call displaces one of that account", func() {
 			l, _ := newLimiter(Config{Limit: 2, ColdLimit: 2})
-			release, _ := l.Acquire(context.Background(), Ticket{Account: "large"})
-			_, reason := l.Acquire(context.Background(), Ticket{Account: "large"})
+			release, _ := l.Acquire(context.Background(), SlotRequest{Account: "large"})
+			_, reason := l.Acquire(context.Background(), SlotRequest{Account: "large"})
 			So(reason, ShouldBeEmpty)
 			var large []<-chan frame.Reason
 			for range minQueueLength {
-				large = append(large, acquireQueued(l, Ticket{Account: "large"}))
+				large = append(large, acquireQueued(l, SlotRequest{Account: "large"}))
 			}
-			So(<-startAcquire(l, Ticket{Account: "large"}), ShouldEqual, frame.ReasonFull)
-			small := startAcquire(l, Ticket{Account: "small"})
+			So(<-startAcquire(l, SlotRequest{Account: "large"}), ShouldEqual, frame.ReasonFull)
+			small := startAcquire(l, SlotRequest{Account: "small"})
 			So(<-large[minQueueLength-1], ShouldEqual, frame.ReasonFull)
 			release(Outcome{})
 			So(<-small, ShouldBeEmpty)
@@ -95,13 +95,13 @@
 		Convey("the account with the fewest calls per share goes first", func() {
 			l, _ := newLimiter(Config{Limit: 4, ColdLimit: 4})
 			for range 3 {
-				_, reason := l.Acquire(context.Background(), Ticket{Account: "big", Share: 4})
+				_, reason := l.Acquire(context.Background(), SlotRequest{Account: "big", Share: 4})
 				So(reason, ShouldBeEmpty)
 			}
-			release, _ := l.Acquire(context.Background(), Ticket{Account: "small", Share: 1})
-			small := acquireQueued(l, Ticket{Account: "small", Share: 1})
-			big := acquireQueued(l, Ticket{Account: "big", Share: 4})
-			_, reason := l.Acquire(cancelled(), Ticket{Account: "other"})
+			release, _ := l.Acquire(context.Background(), SlotRequest{Account: "small", Share: 1})
+			small := acquireQueued(l, SlotRequest{Account: "small", Share: 1})
+			big := acquireQueued(l, SlotRequest{Account: "big", Share: 4})
+			_, reason := l.Acquire(cancelled(), SlotRequest{Account: "other"})
 			So(reason, ShouldEqual, frame.ReasonExpired)
 			release(Outcome{})
 			So(<-small, ShouldBeEmpty)
@@ -117,8 +117,8 @@
 }
 
 // runOneCall acquires a slot, if one is free, and releases it with the outcome.
-func runOneCall(l *Gate, o Outcome) {
-	release, reason := l.Acquire(context.Background(), Ticket{Account: "a"})
+func runOneCall(l *AdaptiveLimiter, o Outcome) {
+	release, reason := l.Acquire(context.Background(), SlotRequest{Account: "a"})
 	if reason == "" {
 		release(o)
 	}
@@ -131,7 +131,7 @@
 		shedCalls := make(chan struct{}, 64)
 		fillSlots := func() {
 			for l.Load().InFlight < l.Load().Limit {
-				_, reason := l.Acquire(context.Background(), Ticket{Account: "a", Shed: func() { shedCalls <- struct{}{} }})
+				_, reason := l.Acquire(context.Background(), SlotRequest{Account: "a", Shed: func() { shedCalls <- struct{}{} }})
 				So(reason, ShouldBeEmpty)
 			}
 		}
@@ -235,7 +235,7 @@
 		Convey("a limit of one grows although each finished call adds only a fraction", func() {
 			l, clock := newLimiter(Config{Limit: 4, ColdLimit: 1})
 			for range 2 {
-				release, _ := l.Acquire(context.Background(), Ticket{Account: "a"})
+				release, _ := l.Acquire(context.Background(), SlotRequest{Account: "a"})
 				clock.Advance(settleTime)
 				l.Observe(Sample{PerToken: time.Millisecond})
 				clock.Advance(windowTime)
@@ -264,7 +264,7 @@
 		// server, and then ends half of the calls.
 		cycle := func() {
 			for l.Load().InFlight < l.Load().Limit {
-				release, reason := l.Acquire(context.Background(), Ticket{Account: "a"})
+				release, reason := l.Acquire(context.Background(), SlotRequest{Account: "a"})
 				So(reason, ShouldBeEmpty)
 				releases = append(releases, release)
 			}
@@ -305,7 +305,7 @@
 		l, clock := newLimiter(Config{Limit: 11, ColdLimit: 8})
 		fillSlots := func() {
 			for l.Load().InFlight < l.Load().Limit {
-				_, reason := l.Acquire(context.Background(), Ticket{Account: "a"})
+				_, reason := l.Acquire(context.Background(), SlotRequest{Account: "a"})
 				So(reason, ShouldBeEmpty)
 			}
 		}
@@ -366,7 +366,7 @@
 	Convey("Given a limiter whose calls hold their slots for three seconds", t, func() {
 		l, clock := newLimiter(Config{Limit: 16, ColdLimit: 8})
 		for range 8 {
-			release, _ := l.Acquire(context.Background(), Ticket{Account: "a"})
+			release, _ := l.Acquire(context.Background(), SlotRequest{Account: "a"})
 			clock.Advance(3 * time.Second)
 			release(Outcome{})
 		}
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -8,7 +8,7 @@
 
 // waiter is a slot request in the queue.
 type waiter struct {
-	request Ticket
+	request SlotRequest
 	// result receives the empty reason when the waiter was given a slot, or else
 	// the reason of the refusal. Its buffer holds one value.
 	result chan frame.Reason
@@ -51,7 +51,7 @@
 }
 
 // goesBefore reports whether a precedes b, which arrived earlier.
-func goesBefore(a, b Ticket, runningByAccount map[string]int) bool {
+func goesBefore(a, b SlotRequest, runningByAccount map[string]int) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
 	}
@@ -59,7 +59,7 @@
 }
 
 // callsPerShare returns the number of calls of the account divided by its share.
-func callsPerShare(calls int, req Ticket) float64 {
+func callsPerShare(calls int, req SlotRequest) float64 {
 	return float64(calls) / float64(max(req.Share, 1))
 }
 
@@ -67,7 +67,7 @@
 // when the queue is full, or returns nil. It is a waiter of lower priority, or
 // else one of the account with the most calls per share, if that account has more
 // per share than the account of req would have.
-func (q *queue) displace(req Ticket, runningByAccount map[string]int) *waiter {
+func (q *queue) displace(req SlotRequest, runningByAccount map[string]int) *waiter {
 	calls := q.callsByAccount(runningByAccount)
 	worst := -1
 	for i, w := range q.waiting {
--- a/request/dispatch/coldrate.go
+++ b/request/dispatch/coldrate.go
@@ -5,20 +5,20 @@
 // coldWindow is the period over which the requests to a cold server are counted.
 const coldWindow = time.Second
 
-// ColdRate limits the requests that one entry instance sends per second to a
+// ColdRateLimiter limits the requests that one entry instance sends per second to a
 // cold server, one that started recently, to an equal share of the rate that
 // such a server can handle. The total then stays within that rate under full
 // load, even while the entry instances cannot reach each other.
-type ColdRate struct {
+type ColdRateLimiter struct {
 	sends slidingWindow
 }
 
 // Allows reports whether this entry instance, one of entries, may send one more
 // request at now to a server that can handle perSecond requests per second.
-func (c *ColdRate) Allows(now time.Time, perSecond float64, entries int) bool {
+func (c *ColdRateLimiter) Allows(now time.Time, perSecond float64, entries int) bool {
 	share := max(1, int(perSecond)/max(1, entries))
 	return c.sends.count(now, coldWindow) < share
 }
 
-// Sent records that a request was sent at now.
-func (c *ColdRate) Sent(now time.Time) { c.sends.add(now, coldWindow) }
+// RecordSend records that a request was sent at now.
+func (c *ColdRateLimiter) RecordSend(now time.Time) { c.sends.add(now, coldWindow) }
--- a/request/dispatch/decisions_test.go
+++ b/request/dispatch/decisions_test.go
@@ -11,16 +11,16 @@
 
 // candidate returns a candidate with a limit of 16 requests.
 func candidate(id string, running int, remote bool) Candidate {
-	return Candidate{Place: Place{Server: &catalog.Server{ID: id}, Running: running, Remote: remote}, Limit: 16}
+	return Candidate{Slot: Slot{Server: &catalog.Server{ID: id}, Running: running, Remote: remote}, Limit: 16}
 }
 
 func TestChooseCandidate(t *testing.T) {
 	choose := func(all ...Candidate) string {
-		i := ChooseUnevenZones(all, 0)
+		i := ChooseCandidate(all, 0)
 		if i < 0 {
 			return ""
 		}
-		return all[i].Place.Server.ID
+		return all[i].Slot.Server.ID
 	}
 
 	Convey("The least loaded server of the own data centre is chosen while the loads are similar", t, func() {
@@ -44,7 +44,7 @@
 		all := []Candidate{candidate("a", 3, false), candidate("b", 3, false), candidate("c", 3, false)}
 		seen := map[int]bool{}
 		for start := range 3 {
-			seen[ChooseUnevenZones(all, start)] = true
+			seen[ChooseCandidate(all, start)] = true
 		}
 		So(seen, ShouldHaveLength, 3)
 	})
@@ -53,14 +53,14 @@
 func TestColdRateOfServersThatComeBack(t *testing.T) {
 	Convey("All entry instances together stay within the cold rate in any second, whatever the load", t, func() {
 		const perSecond, entries = 28.0, 4
-		rates := make([]ColdRate, entries)
+		rates := make([]ColdRateLimiter, entries)
 		var sent []time.Time
 		start := time.Now()
 		for ms := range 5000 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
 			for i := range rates {
 				if rates[i].Allows(now, perSecond, entries) {
-					rates[i].Sent(now)
+					rates[i].RecordSend(now)
 					sent = append(sent, now)
 				}
 			}
@@ -85,11 +85,11 @@
 
 func TestRetryBudgetWhenEveryServerFails(t *testing.T) {
 	Convey("In any window all entry instances together send no more retries than the ratio and the slack allow", t, func() {
-		limits := RepeatLimits{Ratio: 0.2, Slack: 104, Window: 10 * time.Second}
+		limits := RetryLimits{Ratio: 0.2, Slack: 104, Window: 10 * time.Second}
 		const entries = 4
-		budgets := make([]*Repeats, entries)
+		budgets := make([]*RetryBudget, entries)
 		for i := range budgets {
-			budgets[i] = NewRepeats(limits)
+			budgets[i] = NewRetryBudget(limits)
 		}
 		var requests, retries []time.Time
 		start := time.Unix(1_000_000, 0)
@@ -101,10 +101,10 @@
 				continue
 			}
 			for _, budget := range budgets {
-				budget.First(now)
+				budget.CountRequest(now)
 				requests = append(requests, now)
 				for range 2 {
-					if budget.Take(now, entries) {
+					if budget.TakeRetry(now, entries) {
 						retries = append(retries, now)
 					}
 				}
@@ -119,14 +119,14 @@
 func TestBurstAtAServerThatBecomesFree(t *testing.T) {
 	Convey("Entry instances that see the same free slots share them, and do not each fill them all", t, func() {
 		const slots, entries = 16, 4
-		bursts := make([]Burst, entries)
+		bursts := make([]BurstLimiter, entries)
 		now := time.Now()
 		own := make([]int, entries)
 		for range 100 {
 			for i := range bursts {
 				// Each entry instance knows only its own requests.
 				if bursts[i].Allows(now, slots-own[i], entries) {
-					bursts[i].Sent(now)
+					bursts[i].RecordSend(now)
 					own[i]++
 				}
 			}
@@ -139,10 +139,10 @@
 		So(sum, ShouldBeGreaterThan, slots/2)
 	})
 	Convey("A single entry instance fills a server at once", t, func() {
-		var b Burst
+		var b BurstLimiter
 		now, own := time.Now(), 0
 		for b.Allows(now, 16-own, 1) && own < 16 {
-			b.Sent(now)
+			b.RecordSend(now)
 			own++
 		}
 		So(own, ShouldEqual, 16)
@@ -152,33 +152,33 @@
 func TestPassiveHealth(t *testing.T) {
 	now := time.Now()
 	Convey("A server that cannot be reached is in backoff after each failure, for less than the maximum time", t, func() {
-		var s Suspicion
+		var s PassiveHealth
 		last := time.Duration(0)
 		for range 10 {
-			s.Note(Unreachable, now)
-			So(s.Barred(now.Add(last)), ShouldBeTrue)
-			So(s.Barred(now.Add(maxBackoff)), ShouldBeFalse)
+			s.Record(Unreachable, now)
+			So(s.InBackoff(now.Add(last)), ShouldBeTrue)
+			So(s.InBackoff(now.Add(maxBackoff)), ShouldBeFalse)
 		}
 	})
 	Convey("A server that fails two of five requests has a penalty, which disappears after it recovers", t, func() {
-		var s Suspicion
+		var s PassiveHealth
 		for i := range 50 {
 			if i%5 < 2 {
-				s.Note(Broken, now)
+				s.Record(Broken, now)
 			} else {
-				s.Note(Served, now)
+				s.Record(Served, now)
 			}
 		}
 		So(s.Penalty(), ShouldBeGreaterThan, 4)
 		for range 30 {
-			s.Note(Served, now)
+			s.Record(Served, now)
 		}
 		So(s.Penalty(), ShouldBeLessThan, 1)
 	})
 	Convey("A client that leaves does not count against the server", t, func() {
-		var s Suspicion
-		s.Note(Ended, now)
-		So(s.Barred(now), ShouldBeFalse)
+		var s PassiveHealth
+		s.Record(Ended, now)
+		So(s.InBackoff(now), ShouldBeFalse)
 		So(s.Penalty(), ShouldEqual, 0)
 	})
 }
--- a/request/dispatch/demand.go
+++ b/request/dispatch/demand.go
@@ -6,8 +6,8 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// Demand describes a request that needs a slot at a server.
-type Demand struct {
+// Request describes a request that needs a slot at a server.
+type Request struct {
 	// ID is the ID of the request, for log lines.
 	ID string
 	// Service is the name of the service whose servers can run the request.
@@ -23,22 +23,22 @@
 	// Work is the estimated cost of the request for a server, in prompt tokens;
 	// 0 when unknown.
 	Work float64
-	// Rank orders waiting requests: the lowest value goes first.
-	Rank int
+	// Priority orders waiting requests: the lowest value goes first.
+	Priority int
 	// Arrived is when the request arrived, and Deadline the latest time at which
 	// its response may end.
 	Arrived, Deadline time.Time
 	// Objective is the target for the time to the first byte.
 	Objective time.Duration
-	// Patience is the minimum time that the request may wait for a slot at another
+	// RetryWait is the minimum time that the request may wait for a slot at another
 	// server after a failed attempt; 0 if the request has not run anywhere.
-	Patience time.Duration
+	RetryWait time.Duration
 	// Tried holds the IDs of the servers that must not receive the request again.
 	Tried map[string]bool
 }
 
-// Place is a server's capacity for one request, assigned to a request.
-type Place struct {
+// Slot is a server's capacity for one request, assigned to a request.
+type Slot struct {
 	// Server is the assigned server.
 	Server *catalog.Server
 	// Version is the version of the weights that the server holds according to
--- a/request/dispatch/desk.go
+++ b/request/dispatch/desk.go
@@ -19,27 +19,27 @@
 	// ErrFull is returned when servers could run the request, but none of them
 	// has a free slot now.
 	ErrFull = errors.New("every server is full")
-	// ErrNone is returned when no server can run the request.
-	ErrNone = errors.New("no server can run it")
-	// ErrRepeats is returned when the retry budget does not allow another
+	// ErrNoServer is returned when no server can run the request.
+	ErrNoServer = errors.New("no server can run it")
+	// ErrRetryBudget is returned when the retry budget does not allow another
 	// attempt.
-	ErrRepeats = errors.New("too many repeats")
+	ErrRetryBudget = errors.New("too many repeats")
 )
 
-// Config holds the settings of a [Desk].
+// Config holds the settings of a [Scheduler].
 type Config struct {
 	// DataCentre is the data centre of this entry instance.
 	DataCentre string
 	// Regions maps each data centre to its region.
 	Regions map[string]string
-	// Repeats limits the retries of requests.
-	Repeats RepeatLimits
-	// WeightsDue is the age from which a declared version of the weights is
+	// RetryLimits limits the retries of requests.
+	RetryLimits RetryLimits
+	// WeightsDueAfter is the age from which a declared version of the weights is
 	// mandatory: requests then run on this version or a newer one only.
-	WeightsDue time.Duration
-	// Patience is the fraction of a request's objective that it may spend
+	WeightsDueAfter time.Duration
+	// MaxWaitShare is the fraction of a request's objective that it may spend
 	// waiting for a slot.
-	Patience float64
+	MaxWaitShare float64
 }
 
 // serverQueueLength is the number of requests that may wait in a server's own
@@ -52,9 +52,9 @@
 // without a new message from it. Heartbeats arrive twice a second.
 const peerTimeout = 2 * time.Second
 
-// Desk assigns slots at servers to requests and keeps a queue of the requests
+// Scheduler assigns slots at servers to requests and keeps a queue of the requests
 // that wait for one. It is safe for concurrent use.
-type Desk struct {
+type Scheduler struct {
 	cfg    Config
 	holder *catalog.Holder
 	clock  clockwork.Clock
@@ -63,7 +63,7 @@
 	servers      map[string]*serverState
 	peers        map[string]*peerLoad
 	agents       map[string]agentReport
-	retryBudgets map[string]*Repeats
+	retryBudgets map[string]*RetryBudget
 	waiting      []*waiter
 	// rotation counts the choices made, so that consecutive choices prefer
 	// different ones of equally loaded servers.
@@ -76,10 +76,10 @@
 type serverState struct {
 	// running is the number of this entry instance's requests at the server.
 	running  int
-	coldRate ColdRate
-	burst    Burst
-	health   Suspicion
-	stall    Quiet
+	coldRate ColdRateLimiter
+	burst    BurstLimiter
+	health   PassiveHealth
+	stall    StallDetector
 }
 
 // peerLoad is the load reported by another entry instance.
@@ -99,42 +99,42 @@
 
 // waiter is a request that waits for a slot.
 type waiter struct {
-	request *Demand
+	request *Request
 	// slot receives the slot that is assigned to the request.
-	slot     chan Place
+	slot     chan Slot
 	assigned bool
 }
 
-// NewDesk returns a [Desk] that uses the servers and the configuration of
+// NewScheduler returns a [Scheduler] that uses the servers and the configuration of
 // holder.
-func NewDesk(cfg Config, holder *catalog.Holder, clock clockwork.Clock) *Desk {
-	return &Desk{
+func NewScheduler(cfg Config, holder *catalog.Holder, clock clockwork.Clock) *Scheduler {
+	return &Scheduler{
 		cfg: cfg, holder: holder, clock: clock,
 		servers: map[string]*serverState{}, peers: map[string]*peerLoad{},
-		agents: map[string]agentReport{}, retryBudgets: map[string]*Repeats{},
+		agents: map[string]agentReport{}, retryBudgets: map[string]*RetryBudget{},
 	}
 }
 
-// First counts a request in the retry budget of its service.
-func (s *Desk) First(service string) {
+// CountRequest counts a request in the retry budget of its service.
+func (s *Scheduler) CountRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.retryBudgetOf(service).First(s.clock.Now())
+	s.retryBudgetOf(service).CountRequest(s.clock.Now())
 }
 
-// Repeat counts a retry and returns true if the retry budget of the service
+// TakeRetry counts a retry and returns true if the retry budget of the service
 // allows the retry now.
-func (s *Desk) Repeat(service string) bool {
+func (s *Scheduler) TakeRetry(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.retryBudgetOf(service).Take(s.clock.Now(), s.knownEntries())
+	return s.retryBudgetOf(service).TakeRetry(s.clock.Now(), s.knownEntries())
 }
 
 // retryBudgetOf returns the retry budget of a service. The caller holds s.mu.
-func (s *Desk) retryBudgetOf(service string) *Repeats {
+func (s *Scheduler) retryBudgetOf(service string) *RetryBudget {
 	r, ok := s.retryBudgets[service]
 	if !ok {
-		r = NewRepeats(s.cfg.Repeats)
+		r = NewRetryBudget(s.cfg.RetryLimits)
 		s.retryBudgets[service] = r
 	}
 	return r
@@ -143,11 +143,11 @@
 // knownEntries returns the number of entry instances that may be sending
 // requests, including this one and those without recent messages. The caller
 // holds s.mu.
-func (s *Desk) knownEntries() int { return len(s.peers) + 1 }
+func (s *Scheduler) knownEntries() int { return len(s.peers) + 1 }
 
 // activeEntries returns the number of entry instances, including this one, that
 // have sent a message within peerTimeout. The caller holds s.mu.
-func (s *Desk) activeEntries(now time.Time) int {
+func (s *Scheduler) activeEntries(now time.Time) int {
 	n := 1
 	for _, p := range s.peers {
 		if now.Sub(p.lastMessage) < peerTimeout {
@@ -162,7 +162,7 @@
 const assignInterval = 20 * time.Millisecond
 
 // Run assigns slots to waiting requests periodically until ctx ends.
-func (s *Desk) Run(ctx context.Context) error {
+func (s *Scheduler) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -179,16 +179,16 @@
 
 // Acquire assigns a slot to a request, at once or after waiting for at most the
 // time that the request allows. The caller must give the slot back with Release.
-// The error is [ErrFull], [ErrNone] or that of ctx.
-func (s *Desk) Acquire(ctx context.Context, req *Demand) (Place, error) {
+// The error is [ErrFull], [ErrNoServer] or that of ctx.
+func (s *Scheduler) Acquire(ctx context.Context, req *Request) (Slot, error) {
 	s.mu.Lock()
 	slot, err := s.assign(req)
 	maxWait := s.maxWait(req)
-	if err == nil || errors.Is(err, ErrNone) || maxWait <= 0 {
+	if err == nil || errors.Is(err, ErrNoServer) || maxWait <= 0 {
 		s.mu.Unlock()
 		return slot, err
 	}
-	w := &waiter{request: req, slot: make(chan Place, 1)}
+	w := &waiter{request: req, slot: make(chan Slot, 1)}
 	s.enqueue(w)
 	s.mu.Unlock()
 	select {
@@ -205,29 +205,29 @@
 		return <-w.slot, nil
 	}
 	s.cancelWait(w)
-	return Place{}, err
+	return Slot{}, err
 }
 
 // maxWait returns how long a request may wait for a slot from now on.
-func (s *Desk) maxWait(req *Demand) time.Duration {
+func (s *Scheduler) maxWait(req *Request) time.Duration {
 	now := s.clock.Now()
-	objectiveWait := time.Duration(s.cfg.Patience*float64(req.Objective)) - now.Sub(req.Arrived)
-	return min(max(objectiveWait, req.Patience), req.Deadline.Sub(now))
+	objectiveWait := time.Duration(s.cfg.MaxWaitShare*float64(req.Objective)) - now.Sub(req.Arrived)
+	return min(max(objectiveWait, req.RetryWait), req.Deadline.Sub(now))
 }
 
-// HasRoom reports whether a server that the request has not tried yet has a free
+// HasFreeSlot reports whether a server that the request has not tried yet has a free
 // slot.
-func (s *Desk) HasRoom(req *Demand) bool {
+func (s *Scheduler) HasFreeSlot(req *Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return ChooseUnevenZones(s.candidates(req), 0) >= 0
+	return ChooseCandidate(s.candidates(req), 0) >= 0
 }
 
 // enqueue inserts a request into the queue, which is ordered by priority and then
 // by arrival. The caller holds s.mu.
-func (s *Desk) enqueue(w *waiter) {
+func (s *Scheduler) enqueue(w *waiter) {
 	i := len(s.waiting)
-	for i > 0 && w.request.Rank < s.waiting[i-1].request.Rank {
+	for i > 0 && w.request.Priority < s.waiting[i-1].request.Priority {
 		i--
 	}
 	s.waiting = slices.Insert(s.waiting, i, w)
@@ -235,33 +235,33 @@
 
 // Release gives a slot back and records the outcome of the request at its
 // server.
-func (s *Desk) Release(slot Place, o Outcome) {
+func (s *Scheduler) Release(slot Slot, o Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stateOf(slot.Server.ID)
 	st.running--
-	st.health.Note(o, s.clock.Now())
+	st.health.Record(o, s.clock.Now())
 	s.assignWaiting()
 }
 
-// Heard records that the server of a slot sent something.
-func (s *Desk) Heard(slot Place) {
+// RecordActivity records that the server of a slot sent something.
+func (s *Scheduler) RecordActivity(slot Slot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stateOf(slot.Server.ID).stall.Heard(s.clock.Now())
+	s.stateOf(slot.Server.ID).stall.RecordActivity(s.clock.Now())
 }
 
 // assignWaiting assigns free slots to waiting requests until no more can be
 // assigned. The caller holds s.mu.
-func (s *Desk) assignWaiting() {
+func (s *Scheduler) assignWaiting() {
 	for s.assignNext() {
 	}
 }
 
 // assignNext assigns a slot to the first waiting request that can get one, and
 // reports whether there was such a request. The caller holds s.mu.
-func (s *Desk) assignNext() bool {
-	for _, w := range OrderLastingOverload(s.waiting, s.assigned) {
+func (s *Scheduler) assignNext() bool {
+	for _, w := range OrderWaiting(s.waiting, s.assigned) {
 		slot, err := s.assign(w.request)
 		if err != nil {
 			continue
@@ -276,31 +276,31 @@
 }
 
 // assign chooses a server for a request and counts the request there. The error
-// is [ErrFull] or [ErrNone]. The caller holds s.mu.
-func (s *Desk) assign(req *Demand) (Place, error) {
+// is [ErrFull] or [ErrNoServer]. The caller holds s.mu.
+func (s *Scheduler) assign(req *Request) (Slot, error) {
 	all := s.candidates(req)
 	if len(all) == 0 {
-		return Place{}, ErrNone
+		return Slot{}, ErrNoServer
 	}
 	s.rotation++
-	i := ChooseUnevenZones(all, s.rotation%len(all))
+	i := ChooseCandidate(all, s.rotation%len(all))
 	if i < 0 {
-		return Place{}, ErrFull
+		return Slot{}, ErrFull
 	}
-	slot := all[i].Place
+	slot := all[i].Slot
 	st := s.stateOf(slot.Server.ID)
 	if st.running == 0 {
-		st.stall.Heard(s.clock.Now())
+		st.stall.RecordActivity(s.clock.Now())
 	}
 	st.running++
-	st.coldRate.Sent(s.clock.Now())
-	st.burst.Sent(s.clock.Now())
+	st.coldRate.RecordSend(s.clock.Now())
+	st.burst.RecordSend(s.clock.Now())
 	return slot, nil
 }
 
 // candidates returns the servers that could run a request. Servers that must not
 // get a request now have a limit of 0. The caller holds s.mu.
-func (s *Desk) candidates(req *Demand) []Candidate {
+func (s *Scheduler) candidates(req *Request) []Candidate {
 	snapshot := s.holder.Current()
 	now := s.clock.Now()
 	service := snapshot.Config.Services[req.Service]
@@ -308,8 +308,8 @@
 	all := make([]Candidate, 0, len(listed))
 	for _, server := range listed {
 		region := s.cfg.Regions[server.DataCentre]
-		if server.Leaving || snapshot.Out[server.DataCentre] || req.Tried[server.ID] ||
-			!catalog.Allowed(req.RouteRegions, region) || !catalog.Allowed(req.AccountRegions, region) {
+		if server.Leaving || snapshot.DataCentresOut[server.DataCentre] || req.Tried[server.ID] ||
+			!catalog.RegionAllowed(req.RouteRegions, region) || !catalog.RegionAllowed(req.AccountRegions, region) {
 			continue
 		}
 		version, ok := s.usableVersion(server, req, snapshot, now)
@@ -318,17 +318,17 @@
 		}
 		st, limit := s.stateOf(server.ID), server.Slots+serverQueueLength
 		c := Candidate{
-			Place: Place{
+			Slot: Slot{
 				Server: server, Version: version, Running: s.totalRunning(server.ID, st, now),
 				Remote: server.DataCentre != s.cfg.DataCentre,
 			},
 			Limit:   limit,
 			Penalty: st.health.Penalty(),
 		}
-		blocked := st.health.Barred(now) || st.stall.Barred(now, st.running, req.Objective) ||
-			!st.burst.Allows(now, limit-c.Place.Running, s.activeEntries(now))
-		if service != nil && service.ColdPerSecond > 0 && server.Cold(now) {
-			blocked = blocked || !st.coldRate.Allows(now, service.ColdPerSecond, s.knownEntries())
+		blocked := st.health.InBackoff(now) || st.stall.Stalled(now, st.running, req.Objective) ||
+			!st.burst.Allows(now, limit-c.Slot.Running, s.activeEntries(now))
+		if service != nil && service.ColdRequestsPerSecond > 0 && server.Cold(now) {
+			blocked = blocked || !st.coldRate.Allows(now, service.ColdRequestsPerSecond, s.knownEntries())
 		}
 		if blocked {
 			c.Limit = 0
@@ -340,27 +340,27 @@
 
 // usableVersion returns the version of the request's model that a server holds,
 // and whether the request may run on it. The caller holds s.mu.
-func (s *Desk) usableVersion(server *catalog.Server, req *Demand, snapshot *catalog.Snapshot, now time.Time) (int, bool) {
+func (s *Scheduler) usableVersion(server *catalog.Server, req *Request, snapshot *catalog.Snapshot, now time.Time) (int, bool) {
 	if req.Model == "" {
 		return 0, true
 	}
-	version := server.Weights[req.Model]
+	version := server.LoadedVersions[req.Model]
 	if agent, ok := s.agents[server.Addr]; ok {
 		if agent.state.Loading {
 			return 0, false
 		}
 		// The report of the server's own agent is newer than the server list.
-		version = agent.state.Weights[req.Model]
+		version = agent.state.LoadedVersions[req.Model]
 	}
 	if version == 0 || req.Version != 0 && req.Version != version {
 		return 0, false
 	}
-	return version, version >= snapshot.Weights[req.Model].Required(now, s.cfg.WeightsDue)
+	return version, version >= snapshot.Weights[req.Model].MinVersion(now, s.cfg.WeightsDueAfter)
 }
 
 // totalRunning returns the number of requests that all entry instances run at a
 // server. The caller holds s.mu.
-func (s *Desk) totalRunning(id string, st *serverState, now time.Time) int {
+func (s *Scheduler) totalRunning(id string, st *serverState, now time.Time) int {
 	n := st.running
 	for _, p := range s.peers {
 		if now.Sub(p.lastMessage) < peerTimeout {
@@ -371,7 +371,7 @@
 }
 
 // stateOf returns the state of a server. The caller holds s.mu.
-func (s *Desk) stateOf(id string) *serverState {
+func (s *Scheduler) stateOf(id string) *serverState {
 	st, ok := s.servers[id]
 	if !ok {
 		st = &serverState{}
@@ -380,9 +380,9 @@
 	return st
 }
 
-// Running returns the number of requests that this entry instance runs at each
+// RunningByServer returns the number of requests that this entry instance runs at each
 // server, by the server's ID.
-func (s *Desk) Running() map[string]int {
+func (s *Scheduler) RunningByServer() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]int, len(s.servers))
@@ -392,10 +392,10 @@
 	return out
 }
 
-// PeerLoads records the number of requests that another entry instance runs at
+// UpdatePeerLoads records the number of requests that another entry instance runs at
 // each server. running contains only the numbers that changed since the last
 // report.
-func (s *Desk) PeerLoads(peer string, running map[string]int) {
+func (s *Scheduler) UpdatePeerLoads(peer string, running map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.peers[peer]
@@ -410,17 +410,17 @@
 	s.assignWaiting()
 }
 
-// PeerBegan removes the recorded load of another entry instance, which has
+// ResetPeerLoads removes the recorded load of another entry instance, which has
 // opened a new connection and will report its whole load again.
-func (s *Desk) PeerBegan(peer string) {
+func (s *Scheduler) ResetPeerLoads(peer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers[peer] = &peerLoad{running: map[string]int{}, lastMessage: s.clock.Now()}
 }
 
-// Agent records the state that an agent reports for the server at an address;
+// SetAgentState records the state that an agent reports for the server at an address;
 // nil removes the recorded state.
-func (s *Desk) Agent(addr string, state *frame.AgentState) {
+func (s *Scheduler) SetAgentState(addr string, state *frame.AgentState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == nil {
@@ -435,9 +435,9 @@
 	s.assignWaiting()
 }
 
-// Forget removes the state of servers that are no longer listed and have no
+// RemoveUnlistedServers removes the state of servers that are no longer listed and have no
 // running requests of this entry instance.
-func (s *Desk) Forget() {
+func (s *Scheduler) RemoveUnlistedServers() {
 	listed := s.holder.Current().Servers
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -452,8 +452,8 @@
 // RetryAfter returns the pause to recommend to a client whose request got no
 // slot because of err.
 func RetryAfter(err error) time.Duration {
-	if errors.Is(err, ErrNone) {
-		return ReturnAfterDown(rand.Float64())
+	if errors.Is(err, ErrNoServer) {
+		return RetryAfterUnavailable(rand.Float64())
 	}
-	return ReturnAfterFull(rand.Float64())
+	return RetryAfterFull(rand.Float64())
 }
--- a/request/dispatch/desk_test.go
+++ b/request/dispatch/desk_test.go
@@ -14,9 +14,9 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// schedulerFixture is a [Desk] with a fake clock.
+// schedulerFixture is a [Scheduler] with a fake clock.
 type schedulerFixture struct {
-	scheduler *Desk
+	scheduler *Scheduler
 	holder    *catalog.Holder
 	clock     *clockwork.FakeClock
 }
@@ -26,19 +26,19 @@
 func newSchedulerFixture() *schedulerFixture {
 	f := &schedulerFixture{holder: catalog.NewHolder(eventlog.Discard()), clock: clockwork.NewFakeClock()}
 	f.holder.Apply([]catalog.Change{{Config: &catalog.Config{Version: 1, Services: map[string]*catalog.Service{
-		"label": {Name: "label", ColdPerSecond: 8},
+		"label": {Name: "label", ColdRequestsPerSecond: 8},
 	}}}}, true, false, f.clock.Now())
 	f.list(f.server("a", "palermo"), f.server("b", "catania"))
-	f.scheduler = NewDesk(Config{
+	f.scheduler = NewScheduler(Config{
 		DataCentre: "palermo", Regions: map[string]string{"palermo": "west", "catania": "east"},
-		Repeats: RepeatLimits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, WeightsDue: 7 * time.Second, Patience: 0.1,
+		RetryLimits: RetryLimits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, WeightsDueAfter: 7 * time.Second, MaxWaitShare: 0.1,
 	}, f.holder, f.clock)
 	return f
 }
 
 func (f *schedulerFixture) server(id, dataCentre string) *catalog.Server {
 	return &catalog.Server{
-		ID: id, Service: "label", Addr: id, DataCentre: dataCentre, Slots: 2, Weights: map[string]int{"herbs": 1},
+		ID: id, Service: "label", Addr: id, DataCentre: dataCentre, Slots: 2, LoadedVersions: map[string]int{"herbs": 1},
 	}
 }
 
@@ -51,16 +51,16 @@
 	f.holder.Apply(all, true, true, f.clock.Now())
 }
 
-func (f *schedulerFixture) request() *Demand {
+func (f *schedulerFixture) request() *Request {
 	now := f.clock.Now()
-	return &Demand{
+	return &Request{
 		Service: "label", Model: "herbs", Arrived: now, Deadline: now.Add(time.Second), Tried: map[string]bool{},
 	}
 }
 
 // acquire acquires a slot for a request that may not wait for one, and returns the
 // ID of the server.
-func (f *schedulerFixture) acquire(req *Demand) (string, error) {
+func (f *schedulerFixture) acquire(req *Request) (string, error) {
 	slot, err := f.scheduler.Acquire(context.Background(), req)
 	if err != nil {
 		return "", err
@@ -71,7 +71,7 @@
 func TestSchedulerFillsEverySlotAndNoMore(t *testing.T) {
 	Convey("Requests of other entry instances count until these instances stop sending messages", t, func() {
 		f := newSchedulerFixture()
-		f.scheduler.PeerLoads("other", map[string]int{"a": 3, "b": 3})
+		f.scheduler.UpdatePeerLoads("other", map[string]int{"a": 3, "b": 3})
 		_, err := f.acquire(f.request())
 		So(errors.Is(err, ErrFull), ShouldBeTrue)
 		f.clock.Advance(peerTimeout)
@@ -94,7 +94,7 @@
 
 	Convey("A slot that becomes free goes to the most urgent waiting request", t, func() {
 		f := newSchedulerFixture()
-		var slots []Place
+		var slots []Slot
 		for range 2 * (2 + serverQueueLength) {
 			slot, err := f.scheduler.Acquire(context.Background(), f.request())
 			So(err, ShouldBeNil)
@@ -107,7 +107,7 @@
 		results := make(chan result, 2)
 		for _, priority := range []int{2, 1} {
 			req := f.request()
-			req.Rank, req.Objective = priority, time.Second
+			req.Priority, req.Objective = priority, time.Second
 			go func() {
 				_, err := f.scheduler.Acquire(context.Background(), req)
 				results <- result{priority, err}
@@ -132,19 +132,19 @@
 		id, err := f.acquire(f.request())
 		So(err, ShouldBeNil)
 		So(id, ShouldEqual, "b")
-		f.holder.Apply([]catalog.Change{{Out: "catania"}}, false, false, f.clock.Now())
+		f.holder.Apply([]catalog.Change{{DataCentreOut: "catania"}}, false, false, f.clock.Now())
 		_, err = f.acquire(f.request())
-		So(errors.Is(err, ErrNone), ShouldBeTrue)
+		So(errors.Is(err, ErrNoServer), ShouldBeTrue)
 		f.list(f.server("a", "palermo"))
 		req := f.request()
 		req.AccountRegions = []string{"east"}
 		_, err = f.acquire(req)
-		So(errors.Is(err, ErrNone), ShouldBeTrue)
+		So(errors.Is(err, ErrNoServer), ShouldBeTrue)
 	})
 
 	Convey("Servers that load weights are skipped, and servers with older weights once the newest are mandatory", t, func() {
 		f := newSchedulerFixture()
-		f.scheduler.Agent("a", &frame.AgentState{Weights: map[string]int{"herbs": 1}, Loading: true})
+		f.scheduler.SetAgentState("a", &frame.AgentState{LoadedVersions: map[string]int{"herbs": 1}, Loading: true})
 		id, err := f.acquire(f.request())
 		So(err, ShouldBeNil)
 		So(id, ShouldEqual, "b")
@@ -154,8 +154,8 @@
 		So(err, ShouldBeNil)
 		f.clock.Advance(time.Second)
 		_, err = f.acquire(f.request())
-		So(errors.Is(err, ErrNone), ShouldBeTrue)
-		f.scheduler.Agent("a", &frame.AgentState{Weights: map[string]int{"herbs": 2}})
+		So(errors.Is(err, ErrNoServer), ShouldBeTrue)
+		f.scheduler.SetAgentState("a", &frame.AgentState{LoadedVersions: map[string]int{"herbs": 2}})
 		id, err = f.acquire(f.request())
 		So(err, ShouldBeNil)
 		So(id, ShouldEqual, "a")
@@ -167,7 +167,7 @@
 		cold.Slots, cold.ColdUntil = 100, f.clock.Now().Add(time.Minute)
 		f.list(cold)
 		for _, peer := range []string{"x", "y", "z"} {
-			f.scheduler.PeerBegan(peer)
+			f.scheduler.ResetPeerLoads(peer)
 		}
 		// The share stays the same when the other entry instances cannot be reached.
 		f.clock.Advance(2 * peerTimeout)
--- a/request/dispatch/move.go
+++ b/request/dispatch/move.go
@@ -21,26 +21,26 @@
 // serves no other request until its longest stream has ended. Under full load
 // the last few streams are therefore moved to servers that accept requests.
 type Move struct {
-	scheduler *Desk
+	scheduler *Scheduler
 	w         *waiter
 }
 
-// Move starts the search for another slot for a stream whose server loads new
+// StartMove starts the search for another slot for a stream whose server loads new
 // weights, and counts the move as a retry. It returns nil if the stream stays
 // at its server. The caller must end the search with Take or Cancel.
-func (s *Desk) Move(req *Demand, from Place) *Move {
+func (s *Scheduler) StartMove(req *Request, from Slot) *Move {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	agent, ok := s.agents[from.Server.Addr]
 	if !ok || !agent.state.Loading || now.Sub(agent.loadingSince) < moveAfter ||
-		!s.retryBudgetOf(req.Service).TakeSpare(now, s.knownEntries()) {
+		!s.retryBudgetOf(req.Service).TakeOptionalRetry(now, s.knownEntries()) {
 		return nil
 	}
 	moved := *req
-	moved.Rank, moved.Tried = movePriority, maps.Clone(req.Tried)
+	moved.Priority, moved.Tried = movePriority, maps.Clone(req.Tried)
 	moved.Tried[from.Server.ID] = true
-	w := &waiter{request: &moved, slot: make(chan Place, 1)}
+	w := &waiter{request: &moved, slot: make(chan Slot, 1)}
 	s.enqueue(w)
 	s.assignWaiting()
 	return &Move{s, w}
@@ -48,12 +48,12 @@
 
 // Take returns the slot that was assigned to the stream, and false if there is
 // none yet. Once it has returned a slot the search is over.
-func (m *Move) Take() (Place, bool) {
+func (m *Move) Take() (Slot, bool) {
 	select {
 	case slot := <-m.w.slot:
 		return slot, true
 	default:
-		return Place{}, false
+		return Slot{}, false
 	}
 }
 
@@ -66,7 +66,7 @@
 
 // cancelWait removes a request from the queue, or releases the slot if one has
 // been assigned to the request in the meantime. The caller holds s.mu.
-func (s *Desk) cancelWait(w *waiter) {
+func (s *Scheduler) cancelWait(w *waiter) {
 	if !w.assigned {
 		s.waiting = slices.DeleteFunc(s.waiting, func(other *waiter) bool { return other == w })
 		return
--- a/request/dispatch/move_test.go
+++ b/request/dispatch/move_test.go
@@ -12,13 +12,13 @@
 
 // newMoveFixture returns a fixture with a stream at the server "a", which began to
 // load weights moveAfter ago, and the slot of the stream.
-func newMoveFixture() (*schedulerFixture, Place) {
+func newMoveFixture() (*schedulerFixture, Slot) {
 	f := newSchedulerFixture()
 	from, err := f.scheduler.Acquire(context.Background(), f.request())
 	So(err, ShouldBeNil)
 	So(from.Server.ID, ShouldEqual, "a")
-	f.scheduler.Agent("a", &frame.AgentState{Weights: map[string]int{"herbs": 1}, Loading: true})
-	So(f.scheduler.Move(f.request(), from), ShouldBeNil)
+	f.scheduler.SetAgentState("a", &frame.AgentState{LoadedVersions: map[string]int{"herbs": 1}, Loading: true})
+	So(f.scheduler.StartMove(f.request(), from), ShouldBeNil)
 	f.clock.Advance(moveAfter)
 	return f, from
 }
@@ -26,17 +26,17 @@
 func TestMoveWhileServerLoadsWeights(t *testing.T) {
 	Convey("A stream at a server that loads weights gets a free slot at another server", t, func() {
 		f, from := newMoveFixture()
-		m := f.scheduler.Move(f.request(), from)
+		m := f.scheduler.StartMove(f.request(), from)
 		So(m, ShouldNotBeNil)
 		to, ok := m.Take()
 		So(ok, ShouldBeTrue)
 		So(to.Server.ID, ShouldEqual, "b")
-		So(f.scheduler.Running(), ShouldResemble, map[string]int{"a": 1, "b": 1})
+		So(f.scheduler.RunningByServer(), ShouldResemble, map[string]int{"a": 1, "b": 1})
 	})
 
 	Convey("Under full load the stream gets the next free slot, before every waiting request", t, func() {
 		f, from := newMoveFixture()
-		var slots []Place
+		var slots []Slot
 		for range 2 + serverQueueLength {
 			slot, err := f.scheduler.Acquire(context.Background(), f.request())
 			So(err, ShouldBeNil)
@@ -50,7 +50,7 @@
 			waited <- err
 		}()
 		So(f.clock.BlockUntilContext(t.Context(), 1), ShouldBeNil)
-		m := f.scheduler.Move(f.request(), from)
+		m := f.scheduler.StartMove(f.request(), from)
 		_, ok := m.Take()
 		So(ok, ShouldBeFalse)
 		f.scheduler.Release(slots[0], Served)
@@ -62,15 +62,15 @@
 
 	Convey("A stream that ends before it moves gives its new slot back", t, func() {
 		f, from := newMoveFixture()
-		f.scheduler.Move(f.request(), from).Cancel()
-		So(f.scheduler.Running(), ShouldResemble, map[string]int{"a": 1, "b": 0})
+		f.scheduler.StartMove(f.request(), from).Cancel()
+		So(f.scheduler.RunningByServer(), ShouldResemble, map[string]int{"a": 1, "b": 0})
 	})
 
 	Convey("Streams stay when little of the retry budget is left, and failed requests can still be retried", t, func() {
 		f, from := newMoveFixture()
 		moved := 0
 		for {
-			m := f.scheduler.Move(f.request(), from)
+			m := f.scheduler.StartMove(f.request(), from)
 			if m == nil {
 				break
 			}
@@ -79,8 +79,8 @@
 			f.scheduler.Release(to, Served)
 			moved++
 		}
-		allowed := retryMargin * f.scheduler.cfg.Repeats.Slack
+		allowed := retryMargin * f.scheduler.cfg.RetryLimits.Slack
 		So(moved, ShouldEqual, int(optionalRetryShare*allowed))
-		So(f.scheduler.Repeat("label"), ShouldBeTrue)
+		So(f.scheduler.TakeRetry("label"), ShouldBeTrue)
 	})
 }
--- a/request/dispatch/order_test.go
+++ b/request/dispatch/order_test.go
@@ -36,7 +36,7 @@
 	arrived := map[*waiter]time.Duration{}
 	assigned := 0
 	for now := time.Duration(0); now < time.Minute; now += interval {
-		w := &waiter{request: &Demand{Work: meanWork * math.Exp(0.75*random.NormFloat64()-0.28)}}
+		w := &waiter{request: &Request{Work: meanWork * math.Exp(0.75*random.NormFloat64()-0.28)}}
 		if w.request.Work > large {
 			result.large++
 		}
@@ -65,7 +65,7 @@
 	Convey("More requests are served than in order of arrival, and large requests at least half as often as all requests", t, func() {
 		byArrival := simulateOverload(func(waiting []*waiter, _ int) *waiter { return waiting[0] })
 		ordered := simulateOverload(func(waiting []*waiter, assigned int) *waiter {
-			return OrderLastingOverload(waiting, assigned)[0]
+			return OrderWaiting(waiting, assigned)[0]
 		})
 		t.Logf("of %d requests, %d were served by arrival and %d by OrderWaiting; of %d large requests, %d and %d",
 			ordered.requests, byArrival.served, ordered.served, ordered.large, byArrival.servedLarge, ordered.servedLarge)
@@ -75,10 +75,10 @@
 	})
 
 	Convey("The priority takes precedence over the work", t, func() {
-		urgent := &waiter{request: &Demand{Rank: 0, Work: 9}}
-		small := &waiter{request: &Demand{Rank: 1, Work: 1}}
+		urgent := &waiter{request: &Request{Priority: 0, Work: 9}}
+		small := &waiter{request: &Request{Priority: 1, Work: 1}}
 		for assigned := range 4 {
-			So(OrderLastingOverload([]*waiter{urgent, small}, assigned)[0], ShouldEqual, urgent)
+			So(OrderWaiting([]*waiter{urgent, small}, assigned)[0], ShouldEqual, urgent)
 		}
 	})
 }
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -16,8 +16,8 @@
 
 // Candidate is a server that could run a request, with its load.
 type Candidate struct {
-	// Place is the slot that the request gets if this candidate is chosen.
-	Place Place
+	// Slot is the slot that the request gets if this candidate is chosen.
+	Slot Slot
 	// Limit is the number of requests that the server may have at once; 0 if
 	// it must not get any now.
 	Limit int
@@ -27,19 +27,19 @@
 
 // scaledLoad returns the load with the penalty, scaled to referenceLimit.
 func (c *Candidate) scaledLoad() float64 {
-	return (float64(c.Place.Running) + c.Penalty) * referenceLimit / float64(max(1, c.Limit))
+	return (float64(c.Slot.Running) + c.Penalty) * referenceLimit / float64(max(1, c.Limit))
 }
 
 // hasFreeSlot reports whether the server runs fewer requests than its limit.
-func (c *Candidate) hasFreeSlot() bool { return c.Place.Running < c.Limit }
+func (c *Candidate) hasFreeSlot() bool { return c.Slot.Running < c.Limit }
 
-// ChooseUnevenZones returns the index of the least loaded candidate with a free
+// ChooseCandidate returns the index of the least loaded candidate with a free
 // slot in the own data centre, unless one in another data centre has a load
 // lower by more than localPreference. This evens out the load when clients are
 // distributed unevenly over the data centres. The search starts at index start,
 // which decides between equal loads. The result is -1 if no candidate has a
 // free slot.
-func ChooseUnevenZones(all []Candidate, start int) int {
+func ChooseCandidate(all []Candidate, start int) int {
 	local, remote := -1, -1
 	for k := range all {
 		i := (k + start) % len(all)
@@ -47,7 +47,7 @@
 		if !c.hasFreeSlot() {
 			continue
 		}
-		if c.Place.Remote {
+		if c.Slot.Remote {
 			if remote < 0 || c.scaledLoad() < all[remote].scaledLoad() {
 				remote = i
 			}
@@ -77,14 +77,14 @@
 	minRetryAfterNone = 2 * time.Second
 )
 
-// ReturnAfterFull returns the Retry-After of a refusal because all slots were
+// RetryAfterFull returns the Retry-After of a refusal because all slots were
 // taken. random is a random number in [0, 1).
-func ReturnAfterFull(random float64) time.Duration {
+func RetryAfterFull(random float64) time.Duration {
 	return minRetryAfterFull + time.Duration(random*float64(retryAfterJitter))
 }
 
-// ReturnAfterDown returns the Retry-After of a refusal because no server can
+// RetryAfterUnavailable returns the Retry-After of a refusal because no server can
 // run the request. random is a random number in [0, 1).
-func ReturnAfterDown(random float64) time.Duration {
+func RetryAfterUnavailable(random float64) time.Duration {
 	return minRetryAfterNone + time.Duration(random*float64(retryAfterJitter))
 }
--- a/request/dispatch/quiet.go
+++ b/request/dispatch/quiet.go
@@ -13,23 +13,23 @@
 	stallObjectives = 1.5
 )
 
-// Quiet detects servers that accept requests but send nothing, for example
+// StallDetector detects servers that accept requests but send nothing, for example
 // behind a link that has become slow, or after a loss of power. Such a server
 // gets no more requests until it sends something or this entry instance has no
 // more requests there. Requests sent anyway would wait in the link and reach the
 // server after their clients have left.
-type Quiet struct {
+type StallDetector struct {
 	lastActivity time.Time
 }
 
-// Heard records that the server sent something, or that it had no running
+// RecordActivity records that the server sent something, or that it had no running
 // requests.
-func (d *Quiet) Heard(now time.Time) { d.lastActivity = now }
+func (d *StallDetector) RecordActivity(now time.Time) { d.lastActivity = now }
 
-// Barred reports whether a server that has running requests of this entry
+// Stalled reports whether a server that has running requests of this entry
 // instance is stalled at now. objective is the objective of the next request;
 // without an objective the result is false.
-func (d *Quiet) Barred(now time.Time, running int, objective time.Duration) bool {
+func (d *StallDetector) Stalled(now time.Time, running int, objective time.Duration) bool {
 	if running == 0 || objective <= 0 {
 		return false
 	}
--- a/request/dispatch/quiet_test.go
+++ b/request/dispatch/quiet_test.go
@@ -17,7 +17,7 @@
 		f.list(a)
 		return f
 	}
-	request := func(f *schedulerFixture) *Demand {
+	request := func(f *schedulerFixture) *Request {
 		req := f.request()
 		req.Objective = 400 * time.Millisecond
 		req.Arrived = req.Arrived.Add(-time.Second) // too long ago to wait for a slot
@@ -32,7 +32,7 @@
 		f.clock.Advance(pause)
 		_, err = f.acquire(request(f))
 		So(errors.Is(err, ErrFull), ShouldBeTrue)
-		f.scheduler.Heard(first)
+		f.scheduler.RecordActivity(first)
 		_, err = f.acquire(request(f))
 		So(err, ShouldBeNil)
 	})
@@ -49,7 +49,7 @@
 
 	Convey("A longer objective allows a longer time without any response", t, func() {
 		f := newFixture()
-		slow := func() *Demand {
+		slow := func() *Request {
 			req := request(f)
 			req.Objective = 3 * time.Second
 			req.Arrived = req.Arrived.Add(-10 * time.Second)
--- a/request/dispatch/repeats.go
+++ b/request/dispatch/repeats.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RepeatLimits limits the retries of the requests to a service.
-type RepeatLimits struct {
+// RetryLimits limits the retries of the requests to a service.
+type RetryLimits struct {
 	// Ratio is the number of retries allowed per request.
 	Ratio float64
 	// Slack is the number of retries allowed per window beyond the ratio, for
@@ -24,23 +24,23 @@
 // retryBuckets is the number of buckets into which the window is divided.
 const retryBuckets = 20
 
-// Repeats is the retry budget of one entry instance for a service. It keeps
+// RetryBudget is the retry budget of one entry instance for a service. It keeps
 // retries from overloading the servers when many of them fail together. All
 // entry instances share the slack equally.
-type Repeats struct {
-	limits   RepeatLimits
+type RetryBudget struct {
+	limits   RetryLimits
 	requests [retryBuckets]int
 	retries  [retryBuckets]int
 	// newest is the number of the newest bucket since the Unix epoch.
 	newest int64
 }
 
-// NewRepeats returns a retry budget with no requests or retries counted.
-func NewRepeats(l RepeatLimits) *Repeats { return &Repeats{limits: l} }
+// NewRetryBudget returns a retry budget with no requests or retries counted.
+func NewRetryBudget(l RetryLimits) *RetryBudget { return &RetryBudget{limits: l} }
 
 // advance clears the buckets that have left the window, and returns the index of
 // the current bucket.
-func (b *Repeats) advance(now time.Time) int {
+func (b *RetryBudget) advance(now time.Time) int {
 	width := int64(max(1, b.limits.Window/retryBuckets))
 	current := now.UnixNano() / width
 	if current-b.newest >= retryBuckets {
@@ -53,22 +53,22 @@
 	return int(current % retryBuckets)
 }
 
-// First counts a request; its retries are counted by the other methods.
-func (b *Repeats) First(now time.Time) { b.requests[b.advance(now)]++ }
+// CountRequest counts a request; its retries are counted by the other methods.
+func (b *RetryBudget) CountRequest(now time.Time) { b.requests[b.advance(now)]++ }
 
-// Take counts a retry and returns true if the budget of this entry instance, one
+// TakeRetry counts a retry and returns true if the budget of this entry instance, one
 // of entries, allows the retry now.
-func (b *Repeats) Take(now time.Time, entries int) bool { return b.take(now, entries, 1) }
+func (b *RetryBudget) TakeRetry(now time.Time, entries int) bool { return b.take(now, entries, 1) }
 
-// TakeSpare is like [Repeats.Take] for an optional retry: one that a request can
+// TakeOptionalRetry is like [RetryBudget.TakeRetry] for an optional retry: one that a request can
 // do without. It leaves a part of the budget to requests that fail.
-func (b *Repeats) TakeSpare(now time.Time, entries int) bool {
+func (b *RetryBudget) TakeOptionalRetry(now time.Time, entries int) bool {
 	return b.take(now, entries, optionalRetryShare)
 }
 
 // take counts a retry and returns true if the retries stay within a share of the
 // budget.
-func (b *Repeats) take(now time.Time, entries int, share float64) bool {
+func (b *RetryBudget) take(now time.Time, entries int, share float64) bool {
 	i := b.advance(now)
 	var requests, retries int
 	for k := range retryBuckets {
--- a/request/dispatch/suspicion.go
+++ b/request/dispatch/suspicion.go
@@ -52,12 +52,12 @@
 	failurePenalty = 24
 )
 
-// Suspicion tracks the outcomes of the requests at one server. It detects
+// PassiveHealth tracks the outcomes of the requests at one server. It detects
 // servers that are down, or that fail some requests although their health check
 // succeeds. After a failed connection or a stall the server gets no requests for
 // a time that doubles with each such outcome in a row. A server that fails often
 // also gets a penalty on its load.
-type Suspicion struct {
+type PassiveHealth struct {
 	backoffUntil time.Time
 	// consecutive is the number of failed connections and stalls since the last
 	// served request.
@@ -65,8 +65,8 @@
 	failureRate float64
 }
 
-// Note records the outcome of a request that ended at now.
-func (h *Suspicion) Note(o Outcome, now time.Time) {
+// Record records the outcome of a request that ended at now.
+func (h *PassiveHealth) Record(o Outcome, now time.Time) {
 	switch o {
 	case Served:
 		h.consecutive, h.failureRate = 0, h.failureRate*(1-failureWeight)
@@ -84,14 +84,14 @@
 	}
 }
 
-func (h *Suspicion) raiseFailureRate() { h.failureRate += (1 - h.failureRate) * failureWeight }
+func (h *PassiveHealth) raiseFailureRate() { h.failureRate += (1 - h.failureRate) * failureWeight }
 
-// Barred reports whether the server must not get requests at now.
-func (h *Suspicion) Barred(now time.Time) bool { return now.Before(h.backoffUntil) }
+// InBackoff reports whether the server must not get requests at now.
+func (h *PassiveHealth) InBackoff(now time.Time) bool { return now.Before(h.backoffUntil) }
 
 // Penalty returns the number of requests to add to the server's load because of
 // its failure rate.
-func (h *Suspicion) Penalty() float64 { return h.failureRate * failurePenalty }
+func (h *PassiveHealth) Penalty() float64 { return h.failureRate * failurePenalty }
 
 // later returns the later of two times.
 func later(a, b time.Time) time.Time {
--- a/request/forward/config.go
+++ b/request/forward/config.go
@@ -40,8 +40,8 @@
 	// KeyScheme is not a header name but the scheme before a client's key in the
 	// Authorization header, with the space that follows.
 	KeyScheme string
-	// Own lists further headers that clients must not set.
-	Own []string
+	// Reserved lists further headers that clients must not set.
+	Reserved []string
 }
 
 // Config holds the settings and dependencies of a [Handler].
@@ -50,8 +50,8 @@
 	Headers Headers
 	// Holder provides the configuration and the list of servers.
 	Holder *catalog.Holder
-	// Desk assigns slots at servers to requests.
-	Desk *dispatch.Desk
+	// Scheduler assigns slots at servers to requests.
+	Scheduler *dispatch.Scheduler
 	// Pool provides connections to servers.
 	Pool *backend.Pool
 	// Log receives an event for each decision about a request.
--- a/request/forward/forward_test.go
+++ b/request/forward/forward_test.go
@@ -266,8 +266,8 @@
 		f := newFixture(t, nil, a, b)
 		// The other server is full until another entry instance reports free slots.
 		full := map[string]int{"s1": 0, "s2": 9}
-		f.scheduler.PeerLoads("other", full)
-		time.AfterFunc(300*time.Millisecond, func() { f.scheduler.PeerLoads("other", map[string]int{"s2": 0}) })
+		f.scheduler.UpdatePeerLoads("other", full)
+		time.AfterFunc(300*time.Millisecond, func() { f.scheduler.UpdatePeerLoads("other", map[string]int{"s2": 0}) })
 		r := f.send(t, http.MethodPost, "/resumable/", "prompt")
 		So(r.err, ShouldBeNil)
 		So(r.body, ShouldEqual, event(1)+event(2))
@@ -300,7 +300,7 @@
 		time.AfterFunc(100*time.Millisecond, func() {
 			for _, s := range []*fakeServer{a, b} {
 				if s.count() > 0 {
-					f.scheduler.Agent(s.listener.Addr().String(), &frame.AgentState{Loading: true})
+					f.scheduler.SetAgentState(s.listener.Addr().String(), &frame.AgentState{Loading: true})
 				}
 			}
 		})
--- a/request/forward/handler.go
+++ b/request/forward/handler.go
@@ -89,14 +89,14 @@
 	account  *catalog.Account
 	body     []byte
 	// dispatchReq is the request as the scheduler needs it.
-	dispatchReq dispatch.Demand
+	dispatchReq dispatch.Request
 
 	// attempts is the number of times that the request was sent.
 	attempts int
 	// mayHaveRunAt holds the IDs of the servers that may have run the request.
 	mayHaveRunAt map[string]bool
 	// movedTo is the slot at which the stream continues after it left its server.
-	movedTo *dispatch.Place
+	movedTo *dispatch.Slot
 	// headerSent is true once the response header was written to the client.
 	headerSent bool
 	// clientGone is true once the response cannot be written to the client.
@@ -124,7 +124,7 @@
 		Handler: h, w: w, httpReq: r, id: r.Header.Get(h.cfg.Headers.RequestID),
 		snapshot: h.cfg.Holder.Current(), mayHaveRunAt: map[string]bool{},
 	}
-	c.dispatchReq = dispatch.Demand{ID: c.id, Arrived: h.cfg.Clock.Now(), Tried: map[string]bool{}}
+	c.dispatchReq = dispatch.Request{ID: c.id, Arrived: h.cfg.Clock.Now(), Tried: map[string]bool{}}
 	c.lastEventID = r.Header.Get(h.cfg.Headers.LastEvent)
 	return c
 }
@@ -164,7 +164,7 @@
 	if ok {
 		c.account = c.snapshot.Account(strings.TrimSpace(key))
 	}
-	if c.account == nil && !c.route.Anonymous {
+	if c.account == nil && !c.route.AllowAnonymous {
 		return &refusal{status: http.StatusUnauthorized, reason: "no account has this key"}
 	}
 	return nil
@@ -176,13 +176,13 @@
 	req.Service = c.chooseService()
 	req.Model = c.httpReq.Header.Get(c.cfg.Headers.Model)
 	req.RouteRegions = c.route.Regions
-	req.Rank = c.route.Priority
+	req.Priority = c.route.Priority
 	req.Work = c.estimateWork()
-	req.Objective = c.route.Objective
+	req.Objective = c.route.FirstByteObjective
 	if c.account != nil {
 		req.AccountRegions = c.account.Regions
 		if c.account.Priority != nil {
-			req.Rank = *c.account.Priority
+			req.Priority = *c.account.Priority
 		}
 	}
 	left := c.route.Timeout
--- a/request/forward/head_test.go
+++ b/request/forward/head_test.go
@@ -37,7 +37,7 @@
 		c := &call{Handler: &Handler{cfg: Config{Headers: testHeaders, Clock: clock}}, httpReq: req, body: body}
 		c.account = &catalog.Account{Name: "growers"}
 		c.dispatchReq.Deadline = clock.Now().Add(time.Second)
-		head := c.requestHead(dispatch.Place{Server: &catalog.Server{ID: "s1"}, Version: 2})
+		head := c.requestHead(dispatch.Slot{Server: &catalog.Server{ID: "s1"}, Version: 2})
 
 		reader := bufio.NewReader(strings.NewReader(head + string(body)))
 		got, err := http.ReadRequest(reader)
@@ -58,7 +58,7 @@
 				t.Fatalf("header %s is %q, want only %q", name, values, want)
 			}
 		}
-		if got.Header.Get("Authorization") != "" || got.Header.Get(testHeaders.Own[0]) != "" {
+		if got.Header.Get("Authorization") != "" || got.Header.Get(testHeaders.Reserved[0]) != "" {
 			t.Fatalf("headers that must not be forwarded were forwarded: %q", head)
 		}
 		if _, err := http.ReadRequest(reader); !errors.Is(err, io.EOF) {
--- a/request/forward/move.go
+++ b/request/forward/move.go
@@ -10,7 +10,7 @@
 // another server has a slot for the stream.
 type streamMover struct {
 	call *call
-	from dispatch.Place
+	from dispatch.Slot
 	// search is nil while no search for another slot is in progress.
 	search *dispatch.Move
 }
@@ -24,7 +24,7 @@
 		return false
 	}
 	if m.search == nil {
-		m.search = c.cfg.Desk.Move(&c.dispatchReq, m.from)
+		m.search = c.cfg.Scheduler.StartMove(&c.dispatchReq, m.from)
 	}
 	if m.search == nil {
 		return false
--- a/request/forward/rig_test.go
+++ b/request/forward/rig_test.go
@@ -28,7 +28,7 @@
 	RequestID: "X-Id", Deadline: "X-Deadline", Receipt: "X-Receipt", NotRun: "X-Not-Run",
 	ExpectServer: "X-Expect-Server", ExpectVersion: "X-Expect-Version", Account: "X-Account", Model: "X-Model",
 	Tokens: "X-Tokens", AnswerTokens: "X-Answer-Tokens",
-	LastEvent: "Last-Event-Id", KeyScheme: "Token ", Own: []string{"X-Own"},
+	LastEvent: "Last-Event-Id", KeyScheme: "Token ", Reserved: []string{"X-Own"},
 }
 
 // receivedRequest is a request that a server received.
@@ -164,7 +164,7 @@
 	httpServer *httptest.Server
 	handler    *Handler
 	holder     *catalog.Holder
-	scheduler  *dispatch.Desk
+	scheduler  *dispatch.Scheduler
 	pool       *backend.Pool
 }
 
@@ -195,12 +195,12 @@
 		}})
 	}
 	f.holder.Apply(listed, true, true, time.Now())
-	f.scheduler = dispatch.NewDesk(dispatch.Config{
+	f.scheduler = dispatch.NewScheduler(dispatch.Config{
 		DataCentre: "palermo", Regions: map[string]string{"palermo": "sicily"},
-		Repeats: dispatch.RepeatLimits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, Patience: 0.1,
+		RetryLimits: dispatch.RetryLimits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, MaxWaitShare: 0.1,
 	}, f.holder, clock)
 	f.handler = New(Config{
-		Headers: testHeaders, Holder: f.holder, Desk: f.scheduler, Pool: f.pool,
+		Headers: testHeaders, Holder: f.holder, Scheduler: f.scheduler, Pool: f.pool,
 		Log: eventlog.Discard(), Clock: clock, Metrics: gometrics.NewRegistry(),
 	})
 	f.httpServer = httptest.NewServer(f.handler)
@@ -218,7 +218,7 @@
 func route(prefix string, kind catalog.Kind) catalog.Route {
 	return catalog.Route{
 		Name: prefix, Host: "example", Prefix: prefix, Kind: kind, Timeout: 5 * time.Second,
-		Objective: 300 * time.Millisecond, MaxServers: 2,
+		FirstByteObjective: 300 * time.Millisecond, MaxServers: 2,
 		Targets: []catalog.Target{{Service: "registry", Weight: 1}},
 	}
 }
--- a/request/forward/run.go
+++ b/request/forward/run.go
@@ -13,7 +13,7 @@
 // run sends the request to servers until one has answered it or no further
 // attempt is allowed.
 func (c *call) run(ctx context.Context) {
-	c.cfg.Desk.First(c.dispatchReq.Service)
+	c.cfg.Scheduler.CountRequest(c.dispatchReq.Service)
 	defer c.releaseUnused()
 	for {
 		slot, err := c.acquireSlot(ctx)
@@ -22,14 +22,14 @@
 			return
 		}
 		result := c.send(ctx, slot)
-		c.cfg.Desk.Release(slot, result.outcome)
+		c.cfg.Scheduler.Release(slot, result.outcome)
 		if result.outcome == dispatch.Served {
 			c.recordAnswered(slot)
 			return
 		}
 		c.dispatchReq.Tried[slot.Server.ID] = true
 		if result.mayHaveRun {
-			c.dispatchReq.Patience = retryWait
+			c.dispatchReq.RetryWait = retryWait
 		}
 		if err := c.decideRetry(ctx, slot, &result); err != nil {
 			c.giveUp(ctx, err)
@@ -39,25 +39,25 @@
 }
 
 // acquireSlot returns the slot to which the stream was moved, or acquires one.
-func (c *call) acquireSlot(ctx context.Context) (dispatch.Place, error) {
+func (c *call) acquireSlot(ctx context.Context) (dispatch.Slot, error) {
 	if c.movedTo != nil {
 		slot := *c.movedTo
 		c.movedTo = nil
 		return slot, nil
 	}
-	return c.cfg.Desk.Acquire(ctx, &c.dispatchReq)
+	return c.cfg.Scheduler.Acquire(ctx, &c.dispatchReq)
 }
 
 // releaseUnused releases the slot to which the stream was to be moved, if the
 // client left or the deadline passed before the move.
 func (c *call) releaseUnused() {
 	if c.movedTo != nil {
-		c.cfg.Desk.Release(*c.movedTo, dispatch.Ended)
+		c.cfg.Scheduler.Release(*c.movedTo, dispatch.Ended)
 	}
 }
 
 // recordAnswered logs and counts a request with a complete response.
-func (c *call) recordAnswered(slot dispatch.Place) {
+func (c *call) recordAnswered(slot dispatch.Slot) {
 	now := c.cfg.Clock.Now()
 	c.stats.answered.Inc(1)
 	c.stats.whole.Update(now.Sub(c.dispatchReq.Arrived))
@@ -71,7 +71,7 @@
 
 // decideRetry returns nil if the request must be sent again after a failed
 // attempt, or the reason why not, and logs the attempt.
-func (c *call) decideRetry(ctx context.Context, slot dispatch.Place, r *attemptResult) error {
+func (c *call) decideRetry(ctx context.Context, slot dispatch.Slot, r *attemptResult) error {
 	err := c.checkRetry(ctx, r)
 	follows := "sent again"
 	if err != nil {
@@ -107,8 +107,8 @@
 		return errors.Wrap(errNoRetry, "no server left to try")
 	case r.retryCounted:
 		return nil
-	case r.received && !c.cfg.Desk.Repeat(c.dispatchReq.Service):
-		return dispatch.ErrRepeats
+	case r.received && !c.cfg.Scheduler.TakeRetry(c.dispatchReq.Service):
+		return dispatch.ErrRetryBudget
 	}
 	return nil
 }
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -49,7 +49,7 @@
 
 // send sends the request once to the server of a slot, and forwards the response
 // if it is valid.
-func (c *call) send(ctx context.Context, slot dispatch.Place) attemptResult {
+func (c *call) send(ctx context.Context, slot dispatch.Slot) attemptResult {
 	c.attempts++
 	c.stats.sent.Inc(1)
 	c.triedServers = append(c.triedServers, slot.Server.ID)
@@ -78,7 +78,7 @@
 }
 
 // exchange sends the request on a connection and handles the response.
-func (c *call) exchange(ctx context.Context, conn *backend.Conn, slot dispatch.Place) attemptResult {
+func (c *call) exchange(ctx context.Context, conn *backend.Conn, slot dispatch.Slot) attemptResult {
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
 	watch := c.newStallWatch(ctx, conn, slot)
@@ -93,7 +93,7 @@
 		c.mayHaveRunAt[slot.Server.ID] = true
 		return c.markEnded(ctx, watch.markStalled(attemptResult{outcome: dispatch.Broken, err: err, received: true, mayHaveRun: true}))
 	}
-	c.cfg.Desk.Heard(slot)
+	c.cfg.Scheduler.RecordActivity(slot)
 	r := c.handleResponse(ctx, resp, slot, watch)
 	r.status = resp.StatusCode
 	if r.err != nil {
@@ -116,7 +116,7 @@
 }
 
 // handleResponse checks a response and forwards it if it is valid.
-func (c *call) handleResponse(ctx context.Context, resp *http.Response, slot dispatch.Place, watch *stallWatch) attemptResult {
+func (c *call) handleResponse(ctx context.Context, resp *http.Response, slot dispatch.Slot, watch *stallWatch) attemptResult {
 	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(c.cfg.Headers.NotRun) != "" {
 		return c.handleNotRun(resp)
 	}
@@ -227,7 +227,7 @@
 }
 
 // requestHead returns the request line and the header to send to the server.
-func (c *call) requestHead(slot dispatch.Place) string {
+func (c *call) requestHead(slot dispatch.Slot) string {
 	names := &c.cfg.Headers
 	var b strings.Builder
 	b.Grow(512)
@@ -275,7 +275,7 @@
 	case names.Deadline, names.ExpectServer, names.ExpectVersion, names.Account, names.LastEvent, "Authorization", "Expect":
 		return true
 	}
-	for _, reserved := range names.Own {
+	for _, reserved := range names.Reserved {
 		if name == reserved {
 			return true
 		}
@@ -288,7 +288,7 @@
 type stallWatch struct {
 	call *call
 	// retryReq is the request as it would be sent to another server.
-	retryReq dispatch.Demand
+	retryReq dispatch.Request
 	ctx      context.Context
 	conn     *backend.Conn
 	mu       sync.Mutex
@@ -298,7 +298,7 @@
 }
 
 // newStallWatch starts to watch for the first byte of a response.
-func (c *call) newStallWatch(ctx context.Context, conn *backend.Conn, slot dispatch.Place) *stallWatch {
+func (c *call) newStallWatch(ctx context.Context, conn *backend.Conn, slot dispatch.Slot) *stallWatch {
 	w := &stallWatch{call: c, ctx: ctx, conn: conn, retryReq: c.dispatchReq}
 	w.retryReq.Tried = maps.Clone(c.dispatchReq.Tried)
 	w.retryReq.Tried[slot.Server.ID] = true
@@ -307,7 +307,7 @@
 	}
 	timeout := firstEventTimeout
 	if c.route.Kind != catalog.KindStream {
-		timeout = responseTimeoutObjectives * c.route.Objective
+		timeout = responseTimeoutObjectives * c.route.FirstByteObjective
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -318,14 +318,14 @@
 // onTimeout ends the exchange if the request can be sent to another server.
 // Otherwise it leaves the connection open, because the server may still respond.
 func (w *stallWatch) onTimeout() {
-	scheduler := w.call.cfg.Desk
+	scheduler := w.call.cfg.Scheduler
 	switch {
 	case w.ctx.Err() != nil:
 		return
-	case !scheduler.HasRoom(&w.retryReq):
+	case !scheduler.HasFreeSlot(&w.retryReq):
 		w.resetTimer(stallRecheckInterval)
 		return
-	case !scheduler.Repeat(w.retryReq.Service):
+	case !scheduler.TakeRetry(w.retryReq.Service):
 		return
 	}
 	w.stalled.Store(true)
--- a/request/forward/stream.go
+++ b/request/forward/stream.go
@@ -37,7 +37,7 @@
 }
 
 // forwardStream forwards complete events as they arrive.
-func (c *call) forwardStream(ctx context.Context, resp *http.Response, slot dispatch.Place, watch *stallWatch) attemptResult {
+func (c *call) forwardStream(ctx context.Context, resp *http.Response, slot dispatch.Slot, watch *stallWatch) attemptResult {
 	r := attemptResult{outcome: dispatch.Broken, received: true, mayHaveRun: true}
 	reader := bufio.NewReaderSize(resp.Body, 1<<10)
 	mover := streamMover{call: c, from: slot}
@@ -54,7 +54,7 @@
 			return r
 		}
 		watch.recordActivity()
-		c.cfg.Desk.Heard(slot)
+		c.cfg.Scheduler.RecordActivity(slot)
 		if r.err = c.forwardEvent(resp, event); r.err != nil {
 			if c.clientGone {
 				r.outcome = dispatch.Ended
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -32,16 +32,16 @@
 
 // Errors of a Keeper.
 var (
-	// ErrMismatch is returned when the key was used before for another request.
-	ErrMismatch = errors.New("the key was used before for another request")
-	// ErrUnknown is returned when an earlier attempt may have run and its outcome
+	// ErrKeyReused is returned when the key was used before for another request.
+	ErrKeyReused = errors.New("the key was used before for another request")
+	// ErrOutcomeUnknown is returned when an earlier attempt may have run and its outcome
 	// cannot be determined.
-	ErrUnknown = errors.New("an earlier attempt may have run; its outcome is not known")
-	// ErrTable is returned when the record could not be read or written. The
+	ErrOutcomeUnknown = errors.New("an earlier attempt may have run; its outcome is not known")
+	// ErrTableUnavailable is returned when the record could not be read or written. The
 	// attempt was not started.
-	ErrTable = errors.New("the record of once-only calls cannot be reached")
-	// ErrTaken is returned when another submission claimed the call first.
-	ErrTaken = errors.New("another submission claimed the call")
+	ErrTableUnavailable = errors.New("the record of once-only calls cannot be reached")
+	// ErrAlreadyClaimed is returned when another submission claimed the call first.
+	ErrAlreadyClaimed = errors.New("another submission claimed the call")
 )
 
 var (
@@ -69,9 +69,9 @@
 	Entry string
 	// TableTimeout bounds one operation on the table; default 2 s.
 	TableTimeout time.Duration
-	// Poll is the interval at which the record of a running call is read; default
+	// PollInterval is the interval at which the record of a running call is read; default
 	// 200 ms.
-	Poll time.Duration
+	PollInterval time.Duration
 	// AskAfter is the time for which a resubmission must have found the call running
 	// before it asks the agent about the call; default 1 s.
 	AskAfter time.Duration
@@ -81,44 +81,44 @@
 	// TTL is the time for which records are kept. A resubmission after that time
 	// runs again. Default 48 h.
 	TTL time.Duration
-	// RowBodyBytes is the size of the largest body that is stored in a row. Larger
+	// MaxRowBodyBytes is the size of the largest body that is stored in a row. Larger
 	// bodies are stored in the object store. Default 32 KiB.
-	RowBodyBytes int
-	// RecordTries is the maximum number of tries to record one outcome; default 20.
-	RecordTries int
-	// SweepEvery is the mean interval between removals of expired records; default
+	MaxRowBodyBytes int
+	// MaxRecordTries is the maximum number of tries to record one outcome; default 20.
+	MaxRecordTries int
+	// SweepInterval is the mean interval between removals of expired records; default
 	// 10 min.
-	SweepEvery time.Duration
+	SweepInterval time.Duration
 }
 
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.TableTimeout, defaultTableTimeout)
-	core.SetDefault(&c.Poll, defaultPollInterval)
+	core.SetDefault(&c.PollInterval, defaultPollInterval)
 	core.SetDefault(&c.AskAfter, defaultAskAfter)
 	core.SetDefault(&c.RecordGrace, defaultRecordGrace)
 	core.SetDefault(&c.TTL, defaultTTL)
-	core.SetDefault(&c.RowBodyBytes, defaultMaxRowBodyBytes)
-	core.SetDefault(&c.RecordTries, defaultMaxRecordTries)
-	core.SetDefault(&c.SweepEvery, defaultSweepInterval)
+	core.SetDefault(&c.MaxRowBodyBytes, defaultMaxRowBodyBytes)
+	core.SetDefault(&c.MaxRecordTries, defaultMaxRecordTries)
+	core.SetDefault(&c.SweepInterval, defaultSweepInterval)
 }
 
-// Keeper reads and writes the records. It is safe for concurrent use.
-type Keeper struct {
+// RecordStore reads and writes the records. It is safe for concurrent use.
+type RecordStore struct {
 	config  Config
 	table   platform.Table
-	objects platform.Objects
+	objects platform.ObjectStore
 	log     *eventlog.Logger
 	clock   clockwork.Clock
 }
 
 // New returns a Keeper that uses the platform's table and object store.
-func New(c Config, table platform.Table, objects platform.Objects, log *eventlog.Logger, clock clockwork.Clock) *Keeper {
+func New(c Config, table platform.Table, objects platform.ObjectStore, log *eventlog.Logger, clock clockwork.Clock) *RecordStore {
 	c.applyDefaults()
-	return &Keeper{config: c, table: table, objects: objects, log: log, clock: clock}
+	return &RecordStore{config: c, table: table, objects: objects, log: log, clock: clock}
 }
 
-// Turn is an attempt that a submission may try to claim.
-type Turn struct {
+// NextAttempt is an attempt that a submission may try to claim.
+type NextAttempt struct {
 	// Attempt is the number of the attempt, from 1.
 	Attempt int
 	// revision is the revision of the row when it was read; 0 if there was no row.
@@ -127,7 +127,7 @@
 
 // Claim is the recorded right to run one attempt.
 type Claim struct {
-	keeper   *Keeper
+	keeper   *RecordStore
 	call     Call
 	record   record
 	revision uint64
@@ -137,9 +137,9 @@
 // ErrTaken if another submission claimed the call first, and ErrTable if it is
 // not certain that the claim was recorded. After either error the attempt must
 // not be run.
-func (k *Keeper) Claim(ctx context.Context, call Call, next Turn, agent core.Instance, incarnation string) (*Claim, error) {
+func (k *RecordStore) Claim(ctx context.Context, call Call, next NextAttempt, agent core.Instance, incarnation string) (*Claim, error) {
 	c := &Claim{keeper: k, call: call, revision: next.revision + 1, record: record{
-		Request:     call.Request,
+		Request:     call.RequestDigest,
 		State:       stateRunning,
 		Claim:       uuid.NewString(),
 		Attempt:     next.Attempt,
@@ -157,10 +157,10 @@
 		k.log.Event(eventClaimed, c.logFields())
 		return c, nil
 	case errors.Is(err, platform.ErrConflict):
-		return nil, ErrTaken
+		return nil, ErrAlreadyClaimed
 	}
-	k.log.Fail(eventTableFailed, err, c.logFields())
-	return nil, errors.Wrap(ErrTable, err.Error())
+	k.log.EventWithError(eventTableFailed, err, c.logFields())
+	return nil, errors.Wrap(ErrTableUnavailable, err.Error())
 }
 
 // confirm reads the record to find out whether a claim was stored although the
@@ -177,13 +177,13 @@
 	return nil
 }
 
-// Done records the outcome. It retries while the table is unavailable, up to
+// RecordOutcome records the outcome. It retries while the table is unavailable, up to
 // Config.RecordTries times or until ctx ends.
-func (c *Claim) Done(ctx context.Context, o Outcome) error {
-	if len(o.Body) > c.keeper.config.RowBodyBytes {
+func (c *Claim) RecordOutcome(ctx context.Context, o Outcome) error {
+	if len(o.Body) > c.keeper.config.MaxRowBodyBytes {
 		stored, err := c.keeper.storeBody(ctx, o)
 		if err != nil {
-			c.keeper.log.Fail(eventNotRecorded, err, c.logFields())
+			c.keeper.log.EventWithError(eventNotRecorded, err, c.logFields())
 			return err
 		}
 		o = stored
@@ -192,26 +192,26 @@
 	return c.writeFinalState(ctx, stateDone)
 }
 
-// NotRun records that the attempt did not run and never will.
-func (c *Claim) NotRun(ctx context.Context) error { return c.writeFinalState(ctx, stateNotRun) }
+// RecordNotRun records that the attempt did not run and never will.
+func (c *Claim) RecordNotRun(ctx context.Context) error { return c.writeFinalState(ctx, stateNotRun) }
 
-// Lost records that the attempt may have run and that its answer was lost.
-func (c *Claim) Lost(ctx context.Context) error { return c.writeFinalState(ctx, stateLost) }
+// RecordLost records that the attempt may have run and that its answer was lost.
+func (c *Claim) RecordLost(ctx context.Context) error { return c.writeFinalState(ctx, stateLost) }
 
 // writeFinalState records the final state of the claimed attempt.
 func (c *Claim) writeFinalState(ctx context.Context, s state) error {
 	c.record.State = s
 	var err error
-	for range c.keeper.config.RecordTries {
+	for range c.keeper.config.MaxRecordTries {
 		if err = c.tryWriteFinalState(ctx); err == nil {
 			c.keeper.log.Event(eventRecorded, c.logFields())
 			return nil
 		}
-		if errors.Is(err, ErrTaken) || c.keeper.sleep(ctx, c.keeper.config.Poll) != nil {
+		if errors.Is(err, ErrAlreadyClaimed) || c.keeper.sleep(ctx, c.keeper.config.PollInterval) != nil {
 			break
 		}
 	}
-	c.keeper.log.Fail(eventNotRecorded, err, c.logFields())
+	c.keeper.log.EventWithError(eventNotRecorded, err, c.logFields())
 	return err
 }
 
@@ -225,7 +225,7 @@
 		return err
 	}
 	if rec == nil || rec.Claim != c.record.Claim {
-		return ErrTaken
+		return ErrAlreadyClaimed
 	}
 	if rec.State == c.record.State {
 		return nil
@@ -237,7 +237,7 @@
 func (c *Claim) logFields() eventlog.Fields {
 	return eventlog.Fields{
 		"request":     c.call.RequestID,
-		"row":         c.call.Row(),
+		"row":         c.call.RowKey(),
 		"attempt":     c.record.Attempt,
 		"server":      c.record.Agent.ID,
 		"incarnation": c.record.Incarnation,
@@ -250,15 +250,15 @@
 
 // readRecord returns the record of the call and its revision, or nil and 0 if
 // there is none.
-func (k *Keeper) readRecord(ctx context.Context, call Call) (*record, uint64, error) {
+func (k *RecordStore) readRecord(ctx context.Context, call Call) (*record, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.config.TableTimeout)
 	defer cancel()
-	row, err := k.table.Get(ctx, call.Row(), 0)
+	row, err := k.table.Get(ctx, call.RowKey(), 0)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil, 0, nil
 	}
 	if err != nil {
-		return nil, 0, core.Step("read once-only record", "table", err)
+		return nil, 0, core.WrapStep("read once-only record", "table", err)
 	}
 	rec, err := decodeRecord(row.Value)
 	return rec, row.Revision, err
@@ -266,7 +266,7 @@
 
 // writeRecord replaces the row of the call if its revision is still the given
 // one.
-func (k *Keeper) writeRecord(ctx context.Context, call Call, r *record, revision uint64) error {
+func (k *RecordStore) writeRecord(ctx context.Context, call Call, r *record, revision uint64) error {
 	value, err := r.encode()
 	if err != nil {
 		return err
@@ -274,30 +274,30 @@
 	ctx, cancel := context.WithTimeout(ctx, k.config.TableTimeout)
 	defer cancel()
 	err = k.table.Commit(ctx, []platform.Write{{
-		Key: call.Row(), Value: value, If: platform.IfRevision(revision),
+		Key: call.RowKey(), Value: value, If: platform.IfRevision(revision),
 	}})
-	return core.Step("write once-only record", "table", err)
+	return core.WrapStep("write once-only record", "table", err)
 }
 
 // storeBody moves the body of o to the object store.
-func (k *Keeper) storeBody(ctx context.Context, o Outcome) (Outcome, error) {
+func (k *RecordStore) storeBody(ctx context.Context, o Outcome) (Outcome, error) {
 	name := rowPrefix + string(core.DigestOf(o.Body))
 	var err error
-	for range k.config.RecordTries {
+	for range k.config.MaxRecordTries {
 		if err = k.objects.Put(ctx, name, o.Body); err == nil {
 			o.Object = name
 			o.Body = nil
 			return o, nil
 		}
-		if k.sleep(ctx, k.config.Poll) != nil {
+		if k.sleep(ctx, k.config.PollInterval) != nil {
 			break
 		}
 	}
-	return o, core.Step("store once-only body", "objects", err)
+	return o, core.WrapStep("store once-only body", "objects", err)
 }
 
 // sleep waits for d or until ctx ends.
-func (k *Keeper) sleep(ctx context.Context, d time.Duration) error {
+func (k *RecordStore) sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -91,10 +91,10 @@
 type fixture struct {
 	platform *fakePlatform
 	clock    *clockwork.FakeClock
-	keeper   *Keeper
+	keeper   *RecordStore
 	call     Call
 	askCount int
-	answer   frame.Answer
+	answer   frame.AttemptStatus
 	askErr   error
 }
 
@@ -102,19 +102,19 @@
 	f := &fixture{
 		platform: &fakePlatform{rows: map[string]platform.Row{}, objects: map[string][]byte{}},
 		clock:    clockwork.NewFakeClock(),
-		call:     Call{Account: "toa", Service: "booking", Key: "k", Request: RequestDigest("POST", "/deposits", []byte("1"))},
+		call:     Call{Account: "toa", Service: "booking", Key: "k", RequestDigest: RequestDigest("POST", "/deposits", []byte("1"))},
 	}
-	f.keeper = New(Config{Entry: "entry-1", RowBodyBytes: 16}, f.platform, fakeObjects{f.platform}, eventlog.Discard(), f.clock)
+	f.keeper = New(Config{Entry: "entry-1", MaxRowBodyBytes: 16}, f.platform, fakeObjects{f.platform}, eventlog.Discard(), f.clock)
 	return f
 }
 
-func (f *fixture) ask(context.Context, core.Instance, string, int) (frame.Answer, error) {
+func (f *fixture) ask(context.Context, core.Instance, string, int) (frame.AttemptStatus, error) {
 	f.askCount++
 	return f.answer, f.askErr
 }
 
 // settle runs Settle while the fake clock advances.
-func (f *fixture) settle() (*Outcome, Turn, error) {
+func (f *fixture) settle() (*Outcome, NextAttempt, error) {
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -127,7 +127,7 @@
 			}
 		}
 	}()
-	return f.keeper.Settle(context.Background(), f.call, f.ask)
+	return f.keeper.Resolve(context.Background(), f.call, f.ask)
 }
 
 func (f *fixture) claim() *Claim {
@@ -145,7 +145,7 @@
 		Convey("a resubmission gets the recorded answer, small or large", func() {
 			for _, body := range []string{"short", strings.Repeat("long", 100)} {
 				f.platform.rows = map[string]platform.Row{}
-				So(f.claim().Done(ctx, Outcome{Status: 201, Body: []byte(body)}), ShouldBeNil)
+				So(f.claim().RecordOutcome(ctx, Outcome{Status: 201, Body: []byte(body)}), ShouldBeNil)
 				o, _, err := f.settle()
 				So(err, ShouldBeNil)
 				So(o.Status, ShouldEqual, 201)
@@ -155,33 +155,33 @@
 		})
 		Convey("the same key with another body is refused as a mismatch", func() {
 			f.claim()
-			f.call.Request = RequestDigest("POST", "/deposits", []byte("2"))
+			f.call.RequestDigest = RequestDigest("POST", "/deposits", []byte("2"))
 			_, _, err := f.settle()
-			So(err, ShouldEqual, ErrMismatch)
+			So(err, ShouldEqual, ErrKeyReused)
 		})
 		Convey("a claim is valid and its outcome can be recorded although the table's reply was lost", func() {
 			f.platform.loseReply = true
 			claim := f.claim()
 			f.platform.loseReply = true
-			So(claim.Done(ctx, Outcome{Status: 201}), ShouldBeNil)
+			So(claim.RecordOutcome(ctx, Outcome{Status: 201}), ShouldBeNil)
 		})
 		Convey("the second of two claims for one attempt is refused", func() {
 			_, next, _ := f.settle()
 			f.claim()
 			_, err := f.keeper.Claim(ctx, f.call, next, core.Instance{ID: "booking-2"}, "i2")
-			So(err, ShouldEqual, ErrTaken)
+			So(err, ShouldEqual, ErrAlreadyClaimed)
 		})
 		Convey("an unavailable table is reported as an error of the table", func() {
 			f.platform.getErr = platform.ErrUnavailable
 			_, _, err := f.settle()
-			So(errors.Is(err, ErrTable), ShouldBeTrue)
+			So(errors.Is(err, ErrTableUnavailable), ShouldBeTrue)
 			_, next, _ := f.settle()
 			f.platform.commitErr = platform.ErrUnavailable
 			_, err = f.keeper.Claim(ctx, f.call, next, core.Instance{}, "i1")
-			So(errors.Is(err, ErrTable), ShouldBeTrue)
+			So(errors.Is(err, ErrTableUnavailable), ShouldBeTrue)
 		})
 		Convey("expired records are removed, others kept", func() {
-			So(f.claim().Done(ctx, Outcome{Status: 201}), ShouldBeNil)
+			So(f.claim().RecordOutcome(ctx, Outcome{Status: 201}), ShouldBeNil)
 			n, err := f.keeper.Sweep(ctx)
 			So(n, ShouldEqual, 0)
 			So(err, ShouldBeNil)
@@ -198,25 +198,25 @@
 		f := newFixture()
 		claim := f.claim()
 		Convey("the next attempt may run if the same incarnation replies that the attempt never ran", func() {
-			f.answer = frame.Answer{Incarnation: "i1", Ran: frame.RanNo}
+			f.answer = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptNotRun}
 			So(f.claim().Attempt(), ShouldEqual, 2)
-			So(errors.Is(claim.Done(context.Background(), Outcome{}), ErrTaken), ShouldBeTrue)
+			So(errors.Is(claim.RecordOutcome(context.Background(), Outcome{}), ErrAlreadyClaimed), ShouldBeTrue)
 		})
 		Convey("the outcome is unknown if another incarnation replies that the attempt never ran", func() {
-			f.answer = frame.Answer{Incarnation: "i2", Ran: frame.RanNo}
+			f.answer = frame.AttemptStatus{Incarnation: "i2", State: frame.AttemptNotRun}
 			_, _, err := f.settle()
-			So(err, ShouldEqual, ErrUnknown)
+			So(err, ShouldEqual, ErrOutcomeUnknown)
 		})
 		Convey("the outcome is unknown if the attempt ran or the agent does not reply", func() {
-			f.answer = frame.Answer{Incarnation: "i1", Ran: frame.RanYes}
+			f.answer = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptRan}
 			_, _, err := f.settle()
-			So(err, ShouldEqual, ErrUnknown)
+			So(err, ShouldEqual, ErrOutcomeUnknown)
 			f.askErr = errors.New("no route")
 			_, _, err = f.settle()
-			So(err, ShouldEqual, ErrUnknown)
+			So(err, ShouldEqual, ErrOutcomeUnknown)
 		})
 		Convey("an outcome that the agent has kept is recorded and replayed", func() {
-			f.answer = frame.Answer{Incarnation: "i1", Ran: frame.RanYes, Outcome: &frame.Outcome{Status: 201, Body: []byte(strings.Repeat("b", 40))}}
+			f.answer = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptRan, Outcome: &frame.Outcome{Status: 201, Body: []byte(strings.Repeat("b", 40))}}
 			for range 2 {
 				o, _, err := f.settle()
 				So(err, ShouldBeNil)
@@ -225,8 +225,8 @@
 			So(f.askCount, ShouldEqual, 1)
 		})
 		Convey("the agent is asked about a lost attempt at once", func() {
-			So(claim.Lost(context.Background()), ShouldBeNil)
-			f.answer = frame.Answer{Incarnation: "i1", Ran: frame.RanNo}
+			So(claim.RecordLost(context.Background()), ShouldBeNil)
+			f.answer = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptNotRun}
 			_, next, err := f.settle()
 			So(err, ShouldBeNil)
 			So(next.Attempt, ShouldEqual, 2)
--- a/request/once/record.go
+++ b/request/once/record.go
@@ -22,14 +22,14 @@
 	Service string
 	// Key is the value of the caller's Idempotency-Key header.
 	Key string
-	// Request is the digest of method, path and body. A resubmission must have the
+	// RequestDigest is the digest of method, path and body. A resubmission must have the
 	// same digest.
-	Request core.Digest
+	RequestDigest core.Digest
 }
 
-// Row returns the key of the call's row. The same text identifies the call in
+// RowKey returns the key of the call's row. The same text identifies the call in
 // messages to agents.
-func (c Call) Row() string {
+func (c Call) RowKey() string {
 	return rowPrefix + c.Account + "/" + c.Service + "/" + string(core.DigestOf([]byte(c.Key)))
 }
 
--- a/request/once/settle.go
+++ b/request/once/settle.go
@@ -14,7 +14,7 @@
 
 // Asker asks the agent whether it ran an attempt at the call that key identifies,
 // and forbids the agent to run that attempt from now on.
-type Asker func(ctx context.Context, agent core.Instance, key string, attempt int) (frame.Answer, error)
+type Asker func(ctx context.Context, agent core.Instance, key string, attempt int) (frame.AttemptStatus, error)
 
 // waitState is the state of a resubmission that waits for the outcome of an
 // attempt.
@@ -28,17 +28,17 @@
 	unconfirmedSince time.Time
 }
 
-// Settle determines the outcome of a submission. It returns the recorded outcome,
+// Resolve determines the outcome of a submission. It returns the recorded outcome,
 // or a Turn if no earlier attempt ran or can still run, or ErrMismatch, ErrTable
 // (the first read failed) or ErrUnknown. While an earlier attempt is running, it
 // waits for its outcome until ctx ends.
-func (k *Keeper) Settle(ctx context.Context, call Call, ask Asker) (*Outcome, Turn, error) {
+func (k *RecordStore) Resolve(ctx context.Context, call Call, ask Asker) (*Outcome, NextAttempt, error) {
 	w := waitState{}
 	for polls := 0; ; polls++ {
 		rec, revision, err := k.readRecord(ctx, call)
 		if err != nil && polls == 0 {
-			k.log.Fail(eventTableFailed, err, eventlog.Fields{"request": call.RequestID, "row": call.Row()})
-			return nil, Turn{}, errors.Wrap(ErrTable, err.Error())
+			k.log.EventWithError(eventTableFailed, err, eventlog.Fields{"request": call.RequestID, "row": call.RowKey()})
+			return nil, NextAttempt{}, errors.Wrap(ErrTableUnavailable, err.Error())
 		}
 		if err == nil {
 			done, outcome, next, err := k.decide(ctx, call, rec, revision, &w, ask)
@@ -47,17 +47,17 @@
 				return outcome, next, err
 			}
 		}
-		if k.sleep(ctx, k.config.Poll) != nil {
-			return nil, Turn{}, ErrUnknown
+		if k.sleep(ctx, k.config.PollInterval) != nil {
+			return nil, NextAttempt{}, ErrOutcomeUnknown
 		}
 	}
 }
 
-// Moved reports whether another submission has changed the record since Settle
+// ChangedSince reports whether another submission has changed the record since Settle
 // returned next, so that "not run" may no longer be true. claim is the claim made
-// with next, or nil. If the record cannot be read, Moved returns false, because
+// with next, or nil. If the record cannot be read, ChangedSince returns false, because
 // no attempt had run when Settle returned next.
-func (k *Keeper) Moved(ctx context.Context, call Call, next Turn, claim *Claim) bool {
+func (k *RecordStore) ChangedSince(ctx context.Context, call Call, next NextAttempt, claim *Claim) bool {
 	rec, revision, err := k.readRecord(ctx, call)
 	if err != nil || revision == next.revision || rec == nil {
 		return false
@@ -67,30 +67,30 @@
 
 // decide determines the result of Settle from one read of the record. done is
 // false if the record must be read again.
-func (k *Keeper) decide(ctx context.Context, call Call, rec *record, revision uint64, w *waitState, ask Asker) (done bool, o *Outcome, next Turn, err error) {
+func (k *RecordStore) decide(ctx context.Context, call Call, rec *record, revision uint64, w *waitState, ask Asker) (done bool, o *Outcome, next NextAttempt, err error) {
 	if rec == nil {
-		return true, nil, Turn{Attempt: 1}, nil
+		return true, nil, NextAttempt{Attempt: 1}, nil
 	}
-	if rec.Request != call.Request {
-		return true, nil, Turn{}, ErrMismatch
+	if rec.Request != call.RequestDigest {
+		return true, nil, NextAttempt{}, ErrKeyReused
 	}
 	switch rec.State {
 	case stateDone:
 		o, err := k.replayOutcome(ctx, call, rec)
-		return true, o, Turn{}, err
+		return true, o, NextAttempt{}, err
 	case stateNotRun:
-		return true, nil, Turn{Attempt: rec.Attempt + 1}, nil
+		return true, nil, NextAttempt{Attempt: rec.Attempt + 1}, nil
 	}
 	result := k.probeAgent(ctx, call, rec, w, ask)
 	switch {
 	case result.neverRuns:
-		return true, nil, Turn{Attempt: rec.Attempt + 1}, nil
+		return true, nil, NextAttempt{Attempt: rec.Attempt + 1}, nil
 	case result.outcomeUnknown:
-		return true, nil, Turn{}, ErrUnknown
+		return true, nil, NextAttempt{}, ErrOutcomeUnknown
 	case result.outcome != nil && k.recordAgentOutcome(ctx, call, *rec, revision, *result.outcome) == nil:
-		return true, result.outcome, Turn{}, nil
+		return true, result.outcome, NextAttempt{}, nil
 	}
-	return false, nil, Turn{}, nil
+	return false, nil, NextAttempt{}, nil
 }
 
 // probeResult is the result of asking an agent about an attempt without a
@@ -106,7 +106,7 @@
 
 // probeAgent asks the agent about an attempt without a recorded outcome. A zero
 // result means that the resubmission must keep waiting.
-func (k *Keeper) probeAgent(ctx context.Context, call Call, rec *record, w *waitState, ask Asker) probeResult {
+func (k *RecordStore) probeAgent(ctx context.Context, call Call, rec *record, w *waitState, ask Asker) probeResult {
 	now := k.clock.Now()
 	if w.attempt != rec.Attempt {
 		*w = waitState{attempt: rec.Attempt, firstSeen: now}
@@ -115,16 +115,16 @@
 	if !lost && now.Sub(w.firstSeen) < k.config.AskAfter {
 		return probeResult{}
 	}
-	answer, err := ask(ctx, rec.Agent, call.Row(), rec.Attempt)
+	answer, err := ask(ctx, rec.Agent, call.RowKey(), rec.Attempt)
 	k.log.Event(eventAsked, eventlog.Fields{
-		"request": call.RequestID, "row": call.Row(), "attempt": rec.Attempt, "server": rec.Agent.ID,
-		"incarnation": rec.Incarnation, "answered": answer.Incarnation, "ran": answer.Ran, "error": errorText(err),
+		"request": call.RequestID, "row": call.RowKey(), "attempt": rec.Attempt, "server": rec.Agent.ID,
+		"incarnation": rec.Incarnation, "answered": answer.Incarnation, "ran": answer.State, "error": errorText(err),
 	})
 	sameIncarnation := err == nil && answer.Incarnation == rec.Incarnation
-	if sameIncarnation && answer.Ran == frame.RanNo {
+	if sameIncarnation && answer.State == frame.AttemptNotRun {
 		return probeResult{neverRuns: true}
 	}
-	if sameIncarnation && answer.Ran == frame.RanRunning {
+	if sameIncarnation && answer.State == frame.AttemptRunning {
 		w.unconfirmedSince = time.Time{}
 		return probeResult{}
 	}
@@ -139,8 +139,8 @@
 
 // recordAgentOutcome records the outcome that the agent has kept, in place of the
 // entry instance that claimed the attempt and has not recorded it.
-func (k *Keeper) recordAgentOutcome(ctx context.Context, call Call, rec record, revision uint64, o Outcome) error {
-	if len(o.Body) > k.config.RowBodyBytes {
+func (k *RecordStore) recordAgentOutcome(ctx context.Context, call Call, rec record, revision uint64, o Outcome) error {
+	if len(o.Body) > k.config.MaxRowBodyBytes {
 		stored, err := k.storeBody(ctx, o)
 		if err != nil {
 			return err
@@ -153,7 +153,7 @@
 		return err
 	}
 	k.log.Event(eventAdopted, eventlog.Fields{
-		"request": call.RequestID, "row": call.Row(), "attempt": rec.Attempt, "server": rec.Agent.ID,
+		"request": call.RequestID, "row": call.RowKey(), "attempt": rec.Attempt, "server": rec.Agent.ID,
 	})
 	return nil
 }
@@ -166,20 +166,20 @@
 }
 
 // replayOutcome returns the recorded outcome with its body.
-func (k *Keeper) replayOutcome(ctx context.Context, call Call, rec *record) (*Outcome, error) {
+func (k *RecordStore) replayOutcome(ctx context.Context, call Call, rec *record) (*Outcome, error) {
 	o := *rec.Outcome
 	if o.Object != "" {
 		body, err := k.objects.Get(ctx, o.Object, 0, -1)
 		if err != nil {
-			return nil, errors.Wrap(ErrUnknown, core.Step("read once-only body", "objects", err).Error())
+			return nil, errors.Wrap(ErrOutcomeUnknown, core.WrapStep("read once-only body", "objects", err).Error())
 		}
 		if !core.Digest(strings.TrimPrefix(o.Object, rowPrefix)).Matches(body) {
-			return nil, errors.Wrap(ErrUnknown, "the recorded body does not match its digest")
+			return nil, errors.Wrap(ErrOutcomeUnknown, "the recorded body does not match its digest")
 		}
 		o.Body = body
 	}
 	k.log.Event(eventReplayed, eventlog.Fields{
-		"request": call.RequestID, "row": call.Row(), "attempt": rec.Attempt, "status": o.Status,
+		"request": call.RequestID, "row": call.RowKey(), "attempt": rec.Attempt, "status": o.Status,
 	})
 	return &o, nil
 }
--- a/request/once/sweep.go
+++ b/request/once/sweep.go
@@ -15,15 +15,15 @@
 // Run removes expired records at random intervals until ctx ends. Random
 // intervals make it unlikely that several entry instances do this at the same
 // time.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *RecordStore) Run(ctx context.Context) error {
 	for {
-		pause := k.config.SweepEvery/2 + rand.N(k.config.SweepEvery)
+		pause := k.config.SweepInterval/2 + rand.N(k.config.SweepInterval)
 		if err := k.sleep(ctx, pause); err != nil {
 			return nil
 		}
 		n, err := k.Sweep(ctx)
 		if err != nil {
-			k.log.Fail(eventTableFailed, err, eventlog.Fields{"step": "sweep"})
+			k.log.EventWithError(eventTableFailed, err, eventlog.Fields{"step": "sweep"})
 			continue
 		}
 		if n > 0 {
@@ -33,12 +33,12 @@
 }
 
 // Sweep removes the expired records and returns their number.
-func (k *Keeper) Sweep(ctx context.Context) (int, error) {
+func (k *RecordStore) Sweep(ctx context.Context) (int, error) {
 	removed := 0
 	for after := ""; ; {
 		rows, err := k.table.List(ctx, rowPrefix, after, sweepPage)
 		if err != nil {
-			return removed, core.Step("list once-only records", "table", err)
+			return removed, core.WrapStep("list once-only records", "table", err)
 		}
 		for _, row := range rows {
 			ok, err := k.removeIfExpired(ctx, row)
@@ -58,7 +58,7 @@
 
 // removeIfExpired removes row if its record has expired, and reports whether it
 // did.
-func (k *Keeper) removeIfExpired(ctx context.Context, row platform.Row) (bool, error) {
+func (k *RecordStore) removeIfExpired(ctx context.Context, row platform.Row) (bool, error) {
 	rec, err := decodeRecord(row.Value)
 	if err != nil {
 		return false, err
@@ -69,5 +69,5 @@
 	err = k.table.Commit(ctx, []platform.Write{{
 		Key: row.Key, Delete: true, If: platform.IfRevision(row.Revision),
 	}})
-	return err == nil, core.Step("remove once-only record", "table", err)
+	return err == nil, core.WrapStep("remove once-only record", "table", err)
 }
--- a/request/ops/client.go
+++ b/request/ops/client.go
@@ -36,51 +36,51 @@
 }
 
 // Plan previews the changes that the declarations in req would make.
-func (c *Client) Plan(ctx context.Context, req PlanRequest) (PlanAnswer, error) {
-	var response PlanAnswer
+func (c *Client) Plan(ctx context.Context, req PlanRequest) (PlanResponse, error) {
+	var response PlanResponse
 	err := c.callJSON(ctx, http.MethodPost, "/ops/plan", req, &response)
 	return response, err
 }
 
 // Apply makes the declarations in req the next configuration version.
-func (c *Client) Apply(ctx context.Context, req ApplyRequest) (Accepted, error) {
-	var response Accepted
+func (c *Client) Apply(ctx context.Context, req ApplyRequest) (ChangeResponse, error) {
+	var response ChangeResponse
 	err := c.callJSON(ctx, http.MethodPost, "/ops/apply", req, &response)
 	return response, err
 }
 
 // Revert makes the content of an old version the next version.
-func (c *Client) Revert(ctx context.Context, req RevertRequest) (Accepted, error) {
-	var response Accepted
+func (c *Client) Revert(ctx context.Context, req RevertRequest) (ChangeResponse, error) {
+	var response ChangeResponse
 	err := c.callJSON(ctx, http.MethodPost, "/ops/revert", req, &response)
 	return response, err
 }
 
 // SetDataCentreOut takes a data centre out of service or back in.
-func (c *Client) SetDataCentreOut(ctx context.Context, name string, out bool, cause Cause) (Accepted, error) {
+func (c *Client) SetDataCentreOut(ctx context.Context, name string, out bool, cause ChangeMetadata) (ChangeResponse, error) {
 	action := "in"
 	if out {
 		action = "out"
 	}
-	var response Accepted
+	var response ChangeResponse
 	err := c.callJSON(ctx, http.MethodPost, "/ops/datacentres/"+url.PathEscape(name)+"/"+action, cause, &response)
 	return response, err
 }
 
 // SetBackendServerLeaving takes a backend server out of service or back in.
-func (c *Client) SetBackendServerLeaving(ctx context.Context, name string, leaving bool, cause Cause) (Accepted, error) {
+func (c *Client) SetBackendServerLeaving(ctx context.Context, name string, leaving bool, cause ChangeMetadata) (ChangeResponse, error) {
 	action := "staying"
 	if leaving {
 		action = "leaving"
 	}
-	var response Accepted
+	var response ChangeResponse
 	err := c.callJSON(ctx, http.MethodPost, "/ops/backendservers/"+url.PathEscape(name)+"/"+action, cause, &response)
 	return response, err
 }
 
 // History returns up to limit versions, the newest first.
-func (c *Client) History(ctx context.Context, limit int) (HistoryAnswer, error) {
-	var response HistoryAnswer
+func (c *Client) History(ctx context.Context, limit int) (HistoryResponse, error) {
+	var response HistoryResponse
 	err := c.callJSON(ctx, http.MethodGet, "/ops/history?limit="+strconv.Itoa(limit), nil, &response)
 	return response, err
 }
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	return core.Step("read response", c.addr, json.Unmarshal(raw, response))
+	return core.WrapStep("read response", c.addr, json.Unmarshal(raw, response))
 }
 
 // send sends a request and returns the response body, or the *Problem of a
@@ -119,21 +119,21 @@
 	operation := method + " " + path
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.addr+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, core.Step(operation, c.addr, err)
+		return nil, core.WrapStep(operation, c.addr, err)
 	}
 	req.Header.Set("Authorization", "Bearer "+c.token)
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, core.Step(operation, c.addr, err)
+		return nil, core.WrapStep(operation, c.addr, err)
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, core.Step(operation, c.addr, err)
+		return nil, core.WrapStep(operation, c.addr, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, core.Step(operation, c.addr, parseProblem(resp.StatusCode, raw))
+		return nil, core.WrapStep(operation, c.addr, parseProblem(resp.StatusCode, raw))
 	}
 	return raw, nil
 }
--- a/request/ops/fuzz_test.go
+++ b/request/ops/fuzz_test.go
@@ -86,7 +86,7 @@
 		if p.Type == TypeInternal {
 			t.Fatalf("internal error: %s", p.Detail)
 		}
-		refused := p.Type == TypeBadRequest || p.Type == TypeInvalid
+		refused := p.Type == TypeBadRequest || p.Type == TypeInvalidDeclarations
 		if refused && table.commits != commitsBefore {
 			t.Fatal("a refused request committed a write to the platform")
 		}
--- a/request/ops/messages.go
+++ b/request/ops/messages.go
@@ -13,8 +13,8 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Cause describes who makes a change and why.
-type Cause struct {
+// ChangeMetadata describes who makes a change and why.
+type ChangeMetadata struct {
 	// Author is the person who makes the change. If the operator's token is
 	// configured with a name, that name is recorded instead.
 	Author string `json:"author,omitempty"`
@@ -27,7 +27,7 @@
 // ApplyRequest requests that a complete set of declarations replaces the
 // configuration in force.
 type ApplyRequest struct {
-	Cause
+	ChangeMetadata
 	// Base is the number of the version that the change is based on. It is
 	// required.
 	Base *uint64 `json:"base"`
@@ -37,7 +37,7 @@
 
 // RevertRequest requests a new version with the content of an old one.
 type RevertRequest struct {
-	Cause
+	ChangeMetadata
 	// Base is the number of the version that the change is based on; nil
 	// means the newest version.
 	Base *uint64 `json:"base,omitempty"`
@@ -52,8 +52,8 @@
 	Files []declare.File `json:"files"`
 }
 
-// PlanAnswer lists the changes that a set of declarations would make.
-type PlanAnswer struct {
+// PlanResponse lists the changes that a set of declarations would make.
+type PlanResponse struct {
 	// Base is the number of the version that the declarations are compared
 	// with.
 	Base uint64 `json:"base"`
@@ -63,8 +63,8 @@
 	Effects []string `json:"effects"`
 }
 
-// Accepted is the response to a change that is in force.
-type Accepted struct {
+// ChangeResponse is the response to a change that is in force.
+type ChangeResponse struct {
 	// Number is the number of the version in force.
 	Number uint64 `json:"number"`
 	// Digest is the digest of the version's content.
@@ -74,10 +74,10 @@
 	Unchanged bool `json:"unchanged,omitempty"`
 }
 
-// HistoryAnswer lists accepted versions, the newest first.
-type HistoryAnswer struct {
+// HistoryResponse lists accepted versions, the newest first.
+type HistoryResponse struct {
 	// Entries are the versions.
-	Entries []confstore.Entry `json:"entries"`
+	Entries []confstore.HistoryEntry `json:"entries"`
 }
 
 // Status describes an entry instance and the backend servers registered at it.
@@ -132,7 +132,7 @@
 	// Problems are the faults found in the declarations.
 	Problems []declare.Problem `json:"problems,omitempty"`
 	// Winner is set for a conflict: the version that was accepted first.
-	Winner *confstore.Entry `json:"winner,omitempty"`
+	Winner *confstore.HistoryEntry `json:"winner,omitempty"`
 	// InForce is set for a conflict: the number of the newest version.
 	InForce uint64 `json:"inForce,omitempty"`
 	// Changes is set for a conflict: the differences between the base and the
@@ -142,17 +142,17 @@
 
 // The types of problem documents.
 const (
-	TypeBadRequest   = "urn:rattanway:bad-request"
-	TypeToken        = "urn:rattanway:wrong-token"
-	TypeInvalid      = "urn:rattanway:invalid-declarations"
-	TypeConflict     = "urn:rattanway:conflict"
-	TypeChangeID     = "urn:rattanway:change-id-used"
-	TypeNotFound     = "urn:rattanway:not-found"
-	TypeNotApplied   = "urn:rattanway:platform-unavailable"
-	TypeUnknown      = "urn:rattanway:outcome-unknown"
-	TypeDamaged      = "urn:rattanway:record-damaged"
-	TypeInternal     = "urn:rattanway:internal"
-	problemMediaType = "application/problem+json"
+	TypeBadRequest          = "urn:rattanway:bad-request"
+	TypeWrongToken          = "urn:rattanway:wrong-token"
+	TypeInvalidDeclarations = "urn:rattanway:invalid-declarations"
+	TypeConflict            = "urn:rattanway:conflict"
+	TypeChangeIDUsed        = "urn:rattanway:change-id-used"
+	TypeNotFound            = "urn:rattanway:not-found"
+	TypePlatformUnavailable = "urn:rattanway:platform-unavailable"
+	TypeOutcomeUnknown      = "urn:rattanway:outcome-unknown"
+	TypeRecordDamaged       = "urn:rattanway:record-damaged"
+	TypeInternal            = "urn:rattanway:internal"
+	problemMediaType        = "application/problem+json"
 )
 
 // Error implements error. Each declaration problem and each change is on a
--- a/request/ops/ops.go
+++ b/request/ops/ops.go
@@ -74,12 +74,12 @@
 	// Operators are the permitted users; if there are none, every request is
 	// refused.
 	Operators []Operator
-	// Live returns the agents' instances that take part in placement. Plans
+	// LiveInstances returns the agents' instances that take part in placement. Plans
 	// are computed with it; nil means the registered backend servers.
-	Live func() []core.Instance
-	// Weights stores the weight manifests, from which plans compute amounts of
+	LiveInstances func() []core.Instance
+	// WeightStore stores the weight manifests, from which plans compute amounts of
 	// data; nil leaves the amounts out.
-	Weights platform.Objects
+	WeightStore platform.ObjectStore
 }
 
 // Server serves the operator API.
@@ -127,7 +127,7 @@
 		if !ok {
 			s.log.Event(eventTokenRefused, eventlog.Fields{"peer": c.Request().RemoteAddr, "path": c.Path()})
 			return writeProblem(c, &Problem{
-				Type: TypeToken, Title: "wrong token", Status: http.StatusUnauthorized,
+				Type: TypeWrongToken, Title: "wrong token", Status: http.StatusUnauthorized,
 				Detail: "want an operator's token in the Authorization header",
 			})
 		}
@@ -178,7 +178,7 @@
 
 // newChange returns a change with the author, reason and id of cause. The caller
 // sets its base and its declarations.
-func newChange(c echo.Context, cause Cause) confstore.Change {
+func newChange(c echo.Context, cause ChangeMetadata) confstore.Change {
 	author := cause.Author
 	if operator, ok := c.Get(operatorKey).(Operator); ok && operator.Name != "" {
 		author = operator.Name
@@ -197,9 +197,9 @@
 	}
 	parsed, problems := declare.Check(req.Files)
 	if len(problems) > 0 {
-		return s.refuseChange(req.Cause, &declare.InvalidError{Problems: problems})
+		return s.refuseChange(req.ChangeMetadata, &declare.InvalidError{Problems: problems})
 	}
-	change := newChange(c, req.Cause)
+	change := newChange(c, req.ChangeMetadata)
 	change.Base = *req.Base
 	change.Set = parsed.Set
 	snapshot, err := s.publisher.Apply(c.Request().Context(), change)
@@ -217,13 +217,13 @@
 		return err
 	}
 	ctx := c.Request().Context()
-	change := newChange(c, req.Cause)
+	change := newChange(c, req.ChangeMetadata)
 	if req.Base != nil {
 		change.Base = *req.Base
 	} else {
 		head, err := s.publisher.Head(ctx)
 		if err != nil {
-			return s.refuseChange(req.Cause, err)
+			return s.refuseChange(req.ChangeMetadata, err)
 		}
 		change.Base = head.Number
 	}
@@ -247,7 +247,7 @@
 // names.
 func (s *Server) editHandler(edit func(set *declare.Set, name string) error) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		var cause Cause
+		var cause ChangeMetadata
 		if err := decodeBody(c, &cause); err != nil {
 			return err
 		}
@@ -266,7 +266,7 @@
 		return s.respondUnchanged(c)
 	}
 	if err != nil {
-		return s.refuseChange(Cause{Author: change.Author, Reason: change.Reason, ChangeID: change.ChangeID}, err)
+		return s.refuseChange(ChangeMetadata{Author: change.Author, Reason: change.Reason, ChangeID: change.ChangeID}, err)
 	}
 	s.holder.Offer(snapshot)
 	s.log.Event(eventChangeAccepted, eventlog.Fields{
@@ -276,7 +276,7 @@
 		"change": change.ChangeID,
 		"reason": change.Reason,
 	})
-	return c.JSON(http.StatusOK, Accepted{Number: snapshot.Number, Digest: snapshot.Digest})
+	return c.JSON(http.StatusOK, ChangeResponse{Number: snapshot.Number, Digest: snapshot.Digest})
 }
 
 // respondUnchanged sends the version in force as the result of a change that
@@ -286,14 +286,14 @@
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, Accepted{Number: head.Number, Digest: head.Digest, Unchanged: true})
+	return c.JSON(http.StatusOK, ChangeResponse{Number: head.Number, Digest: head.Digest, Unchanged: true})
 }
 
 // refuseChange logs a refused change and returns its problem document.
-func (s *Server) refuseChange(cause Cause, err error) error {
-	s.log.Fail(eventChangeRefused, err, eventlog.Fields{"author": cause.Author, "change": cause.ChangeID})
+func (s *Server) refuseChange(cause ChangeMetadata, err error) error {
+	s.log.EventWithError(eventChangeRefused, err, eventlog.Fields{"author": cause.Author, "change": cause.ChangeID})
 	problem := problemOf(err)
-	if problem.Type == TypeNotApplied {
+	if problem.Type == TypePlatformUnavailable {
 		problem.Detail = "nothing was changed: " + problem.Detail
 	}
 	return problem
@@ -313,7 +313,7 @@
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, HistoryAnswer{Entries: entries})
+	return c.JSON(http.StatusOK, HistoryResponse{Entries: entries})
 }
 
 // snapshot serves GET /ops/snapshots/NUMBER as YAML documents.
@@ -340,7 +340,7 @@
 		ConfirmedMillis: -1,
 		Servers:         []ServerStatus{},
 	}
-	if age, ok := s.holder.Age(); ok {
+	if age, ok := s.holder.ConfirmationAge(); ok {
 		response.ConfirmedMillis = age.Milliseconds()
 	}
 	for _, server := range s.servers() {
--- a/request/ops/ops_test.go
+++ b/request/ops/ops_test.go
@@ -70,7 +70,7 @@
 	server := New(Config{
 		Instance:  core.Instance{ID: fmt.Sprintf("entry-%d", i)},
 		Operators: []Operator{{Name: "ann", Token: namedToken}, {Token: unnamedToken}},
-	}, confstore.NewPublisher(p.Table, p.Objects, clockwork.NewRealClock()), e.holder, nil, eventlog.Discard())
+	}, confstore.NewPublisher(p.Table, p.ObjectStore, clockwork.NewRealClock()), e.holder, nil, eventlog.Discard())
 	router := echo.New()
 	server.Register(router.Group(""))
 	e.server = httptest.NewServer(router)
@@ -118,9 +118,9 @@
 // applyRequest returns a request to apply declarations of the given regions.
 func applyRequest(base uint64, changeID string, regions ...string) ApplyRequest {
 	return ApplyRequest{
-		Cause: Cause{Author: "ben", Reason: "test", ChangeID: changeID},
-		Base:  &base,
-		Files: declarations(regions...),
+		ChangeMetadata: ChangeMetadata{Author: "ben", Reason: "test", ChangeID: changeID},
+		Base:           &base,
+		Files:          declarations(regions...),
 	}
 }
 
@@ -178,7 +178,7 @@
 			So(bytes.Equal(first, second), ShouldBeTrue)
 		})
 		Convey("a data centre is taken out of service once and back in; the last one in service cannot be taken out", func() {
-			cause := Cause{Author: "ben", Reason: "power", ChangeID: "d1"}
+			cause := ChangeMetadata{Author: "ben", Reason: "power", ChangeID: "d1"}
 			out, err := entryB.client.SetDataCentreOut(ctx, "palermo", true, cause)
 			So(err, ShouldBeNil)
 			So(out.Number, ShouldEqual, 2)
@@ -189,34 +189,34 @@
 			cause.ChangeID = "d3"
 			_, err = entryA.client.SetDataCentreOut(ctx, "trapani", true, cause)
 			p := requireProblem(err)
-			So(p.Type, ShouldEqual, TypeInvalid)
-			So(p.Problems[0].Why, ShouldContainSubstring, "every data centre")
+			So(p.Type, ShouldEqual, TypeInvalidDeclarations)
+			So(p.Problems[0].Message, ShouldContainSubstring, "every data centre")
 			back, err := entryA.client.SetDataCentreOut(ctx, "palermo", false, cause)
 			So(err, ShouldBeNil)
 			So(back.Number, ShouldEqual, 3)
 		})
 		Convey("a drain repeated with the same change id takes effect once, another drain with that id is refused", func() {
-			cause := Cause{Author: "ben", Reason: "repair", ChangeID: "s1"}
+			cause := ChangeMetadata{Author: "ben", Reason: "repair", ChangeID: "s1"}
 			first, err := entryA.client.SetBackendServerLeaving(ctx, "gpu-1", true, cause)
 			So(err, ShouldBeNil)
 			second, err := entryB.client.SetBackendServerLeaving(ctx, "gpu-1", true, cause)
 			So(err, ShouldBeNil)
 			So(second.Number, ShouldEqual, first.Number)
 			_, err = entryB.client.SetBackendServerLeaving(ctx, "gpu-2", true, cause)
-			So(requireProblem(err).Type, ShouldEqual, TypeChangeID)
+			So(requireProblem(err).Type, ShouldEqual, TypeChangeIDUsed)
 		})
 		Convey("a drain of an unknown backend server is refused", func() {
-			_, err := entryA.client.SetBackendServerLeaving(ctx, "gpu-9", true, Cause{Author: "ben", Reason: "x", ChangeID: "s1"})
+			_, err := entryA.client.SetBackendServerLeaving(ctx, "gpu-9", true, ChangeMetadata{Author: "ben", Reason: "x", ChangeID: "s1"})
 			So(requireProblem(err).Type, ShouldEqual, TypeNotFound)
 		})
 		Convey("a revert creates a new version with the old content", func() {
 			_, err := entryA.client.Apply(ctx, applyRequest(1, "c2", "east"))
 			So(err, ShouldBeNil)
-			back, err := entryB.client.Revert(ctx, RevertRequest{Cause: Cause{Author: "ben", Reason: "undo", ChangeID: "r1"}, Number: 1})
+			back, err := entryB.client.Revert(ctx, RevertRequest{ChangeMetadata: ChangeMetadata{Author: "ben", Reason: "undo", ChangeID: "r1"}, Number: 1})
 			So(err, ShouldBeNil)
 			So(back.Number, ShouldEqual, 3)
 			So(back.Digest, ShouldEqual, accepted.Digest)
-			again, err := entryA.client.Revert(ctx, RevertRequest{Cause: Cause{Author: "ben", Reason: "undo", ChangeID: "r1"}, Number: 1})
+			again, err := entryA.client.Revert(ctx, RevertRequest{ChangeMetadata: ChangeMetadata{Author: "ben", Reason: "undo", ChangeID: "r1"}, Number: 1})
 			So(err, ShouldBeNil)
 			So(again.Number, ShouldEqual, 3)
 		})
@@ -224,7 +224,7 @@
 			_, err := entryA.client.Apply(ctx, applyRequest(1, "c2", "east"))
 			So(err, ShouldBeNil)
 			base := uint64(1)
-			_, err = entryB.client.Revert(ctx, RevertRequest{Cause: Cause{Author: "ben", Reason: "undo", ChangeID: "r1"}, Base: &base, Number: 1})
+			_, err = entryB.client.Revert(ctx, RevertRequest{ChangeMetadata: ChangeMetadata{Author: "ben", Reason: "undo", ChangeID: "r1"}, Base: &base, Number: 1})
 			So(requireProblem(err).Type, ShouldEqual, TypeConflict)
 			So(requireProblem(err).Winner.ChangeID, ShouldEqual, "c2")
 		})
@@ -247,7 +247,7 @@
 		Convey("requests with a wrong or an empty token are refused", func() {
 			for _, token := range []string{"wrong", "", namedToken + "x"} {
 				_, err := NewClient(e.addr, token).Apply(ctx, applyRequest(1, "c2", "east"))
-				So(requireProblem(err).Type, ShouldEqual, TypeToken)
+				So(requireProblem(err).Type, ShouldEqual, TypeWrongToken)
 			}
 			assertNoNewVersion()
 		})
@@ -279,7 +279,7 @@
 			req.Files = append(req.Files, declare.File{Name: "bomb.yaml", Body: []byte("a: &a [1]\nb: [*a]\n")})
 			_, err := e.client.Apply(ctx, req)
 			p := requireProblem(err)
-			So(p.Type, ShouldEqual, TypeInvalid)
+			So(p.Type, ShouldEqual, TypeInvalidDeclarations)
 			So(len(p.Problems), ShouldEqual, 2)
 			So(p.Problems[0].File, ShouldEqual, "all.yaml")
 			So(p.Problems[0].Line, ShouldEqual, 17)
@@ -298,8 +298,8 @@
 			req.Files[0].Body = bytes.ReplaceAll(req.Files[0].Body, []byte("herbs-1"), []byte("herbs-2"))
 			_, err := e.client.Apply(ctx, req)
 			p := requireProblem(err)
-			So(p.Type, ShouldEqual, TypeInvalid)
-			So(p.Problems[0].Why, ShouldContainSubstring, "still answers from it")
+			So(p.Type, ShouldEqual, TypeInvalidDeclarations)
+			So(p.Problems[0].Message, ShouldContainSubstring, "still answers from it")
 			assertNoNewVersion()
 		})
 		Convey("while the platform is down a change is refused, and succeeds afterwards", func() {
@@ -307,7 +307,7 @@
 			f.setFaults(standin.FaultRequest{Unavailable: &down})
 			_, err := e.client.Apply(ctx, applyRequest(1, "c2", "east"))
 			p := requireProblem(err)
-			So(p.Type, ShouldEqual, TypeNotApplied)
+			So(p.Type, ShouldEqual, TypePlatformUnavailable)
 			So(p.Detail, ShouldContainSubstring, "nothing was changed")
 			So(e.holder.Current().Number, ShouldEqual, 1)
 			down = false
--- a/request/ops/plan.go
+++ b/request/ops/plan.go
@@ -32,19 +32,19 @@
 	if problems := declare.ValidateChange(base.Set, parsed.Set); len(problems) > 0 {
 		return &declare.InvalidError{Problems: parsed.Positions.Locate(problems)}
 	}
-	return c.JSON(http.StatusOK, PlanAnswer{
+	return c.JSON(http.StatusOK, PlanResponse{
 		Base:    base.Number,
 		Changes: declare.Diff(base.Set, parsed.Set),
 		Effects: plan.Effects(ctx, plan.Input{
-			Old: base.Set, New: parsed.Set, Live: s.liveInstances(), Weights: s.config.Weights,
+			Old: base.Set, New: parsed.Set, LiveInstances: s.liveInstances(), WeightStore: s.config.WeightStore,
 		}),
 	})
 }
 
 // liveInstances returns the agents' instances that take part in placement.
 func (s *Server) liveInstances() []core.Instance {
-	if s.config.Live != nil {
-		return s.config.Live()
+	if s.config.LiveInstances != nil {
+		return s.config.LiveInstances()
 	}
 	var instances []core.Instance
 	for _, server := range s.servers() {
--- a/request/ops/problems.go
+++ b/request/ops/problems.go
@@ -26,7 +26,7 @@
 		return &Problem{Type: TypeNotFound, Title: "no such call", Status: httpErr.Code, Detail: fmt.Sprint(httpErr.Message)}
 	case errors.As(err, &invalid):
 		return &Problem{
-			Type: TypeInvalid, Title: "declarations refused", Status: http.StatusUnprocessableEntity,
+			Type: TypeInvalidDeclarations, Title: "declarations refused", Status: http.StatusUnprocessableEntity,
 			Detail:   fmt.Sprintf("%d problems; nothing was changed", len(invalid.Problems)),
 			Problems: invalid.Problems,
 		}
@@ -55,19 +55,19 @@
 func sentinelProblem(err error) *Problem {
 	p := &Problem{Detail: err.Error()}
 	switch {
-	case errors.Is(err, confstore.ErrChange):
+	case errors.Is(err, confstore.ErrInvalidChange):
 		p.Type, p.Title, p.Status = TypeBadRequest, "bad request", http.StatusBadRequest
-	case errors.Is(err, confstore.ErrChangeID):
-		p.Type, p.Title, p.Status = TypeChangeID, "change id used before", http.StatusConflict
-	case errors.Is(err, confstore.ErrNoVersion), errors.Is(err, declare.ErrNoObject):
+	case errors.Is(err, confstore.ErrChangeIDReused):
+		p.Type, p.Title, p.Status = TypeChangeIDUsed, "change id used before", http.StatusConflict
+	case errors.Is(err, confstore.ErrVersionNotFound), errors.Is(err, declare.ErrNoObject):
 		p.Type, p.Title, p.Status = TypeNotFound, "not found", http.StatusNotFound
 	case errors.Is(err, platform.ErrUnknownOutcome):
-		p.Type, p.Title, p.Status = TypeUnknown, "outcome unknown", http.StatusGatewayTimeout
+		p.Type, p.Title, p.Status = TypeOutcomeUnknown, "outcome unknown", http.StatusGatewayTimeout
 		p.Detail = "the platform's answer was lost; repeat the command with the same change id: " + err.Error()
 	case errors.Is(err, platform.ErrUnavailable):
-		p.Type, p.Title, p.Status = TypeNotApplied, "platform unavailable", http.StatusServiceUnavailable
+		p.Type, p.Title, p.Status = TypePlatformUnavailable, "platform unavailable", http.StatusServiceUnavailable
 	case errors.Is(err, confstore.ErrIntegrity):
-		p.Type, p.Title, p.Status = TypeDamaged, "record damaged", http.StatusBadGateway
+		p.Type, p.Title, p.Status = TypeRecordDamaged, "record damaged", http.StatusBadGateway
 	default:
 		p.Type, p.Title, p.Status = TypeInternal, "internal error", http.StatusInternalServerError
 	}
--- a/request/relay/attempt.go
+++ b/request/relay/attempt.go
@@ -85,7 +85,7 @@
 		return m.ID
 	case *frame.Fail:
 		return m.ID
-	case *frame.Answer:
+	case *frame.AttemptStatus:
 		return m.ID
 	}
 	return ""
@@ -137,7 +137,7 @@
 			return attemptResult{result: routing.ResultRefused, load: &m.Load, refusal: m}
 		case *frame.Fail:
 			err := fmt.Errorf("%w: %s", errResponseFailed, m.Detail)
-			return attemptResult{result: routing.ResultFailed, load: &m.Load, failOutcome: m.Word, err: err}
+			return attemptResult{result: routing.ResultFailed, load: &m.Load, failOutcome: m.Refusal, err: err}
 		case *frame.Head:
 			if m.Digest != rd.digest {
 				return failedAttempt(fmt.Errorf("%w: %s", errWrongDigest, m.Digest.Short()))
--- a/request/relay/budget_test.go
+++ b/request/relay/budget_test.go
@@ -18,7 +18,7 @@
 func attemptsUnderOverload(t *testing.T, ratio float64) int {
 	stall := func(x *fakeExchange, _ frame.Kind, _ any) { <-x.closed }
 	fx := newFixture(t, Config{
-		RetryBudgetRatio: ratio, MinRetries: 2, BudgetWait: 100 * time.Millisecond, FirstTokenTimeout: 200 * time.Millisecond,
+		RetryBudgetRatio: ratio, MinConcurrentRetries: 2, RetryBudgetTimeout: 100 * time.Millisecond, FirstTokenTimeout: 200 * time.Millisecond,
 	}, nil, map[string]fakeAgent{"a": stall, "b": stall, "c": stall, "d": stall})
 	var calls sync.WaitGroup
 	for range overloadCalls {
--- a/request/relay/fakes_test.go
+++ b/request/relay/fakes_test.go
@@ -115,7 +115,7 @@
 
 // newFixture starts a Relay with the given agents. An agent whose id begins with
 // "booking" runs the plain service booking, and any other one an engine.
-func newFixture(t *testing.T, config Config, keeper *once.Keeper, agents map[string]fakeAgent) *fixture {
+func newFixture(t *testing.T, config Config, keeper *once.RecordStore, agents map[string]fakeAgent) *fixture {
 	t.Helper()
 	fx := &fixture{opener: &fakeOpener{agents: agents}, holder: confstore.NewHolder()}
 	reg := registry.New()
--- a/request/relay/handlers.go
+++ b/request/relay/handlers.go
@@ -78,7 +78,7 @@
 		if r.configStore.Current().Set.Models[body.Model] == nil {
 			return false, newProblem(http.StatusNotFound, core.RefusalNotRun, "no model "+body.Model)
 		}
-		digest, ok := r.picker.Pin(body.Model)
+		digest, ok := r.picker.PinnedDigest(body.Model)
 		if !ok {
 			p := newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, "no server can answer for model "+body.Model)
 			return false, p.withRetryAfter(r.config.RetryAfter)
@@ -135,12 +135,12 @@
 	if p != nil {
 		return r.refuseCall(c, id, p)
 	}
-	admitted, err := r.accounts.Enter(call.account, r.picker.Short(call.routingQuery(nil)))
+	admitted, err := r.accounts.Admit(call.account, r.picker.NoFreeSlot(call.routingQuery(nil)))
 	if err != nil {
 		return r.refuseCall(c, id, r.problemFromAccountError(err))
 	}
-	defer admitted.Leave()
-	call.withinFairShare = admitted.Due
+	defer admitted.Release()
+	call.withinFairShare = admitted.WithinFairShare
 	defer r.retryBudget.addCall()()
 	ctx, cancel := context.WithTimeout(c.Request().Context(), r.config.DefaultDeadline)
 	defer cancel()
@@ -154,7 +154,7 @@
 // accounts.Book.Enter.
 func (r *Relay) problemFromAccountError(err error) *Problem {
 	status := http.StatusTooManyRequests
-	if errors.Is(err, accounts.ErrShare) {
+	if errors.Is(err, accounts.ErrFairShare) {
 		status = http.StatusServiceUnavailable
 	}
 	return newProblem(status, core.RefusalNotRun, err.Error()).withRetryAfter(r.config.RetryAfter)
--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -91,7 +91,7 @@
 	// executions and outcomes are by key and attempt. All are of the current
 	// incarnation.
 	forbidden  map[string]int
-	executions map[string]frame.Ran
+	executions map[string]frame.AttemptState
 	outcomes   map[string]*frame.Outcome
 	runCount   int
 }
@@ -112,7 +112,7 @@
 	s.incarnation++
 	s.killed = make(chan struct{})
 	s.forbidden = map[string]int{}
-	s.executions = map[string]frame.Ran{}
+	s.executions = map[string]frame.AttemptState{}
 	s.outcomes = map[string]*frame.Outcome{}
 }
 
@@ -125,10 +125,10 @@
 	if s.faults.happens(0.01) { // paused before it processes the message
 		sleepUnlessKilled(killed, 150*time.Millisecond)
 	}
-	if kind == frame.KindAsk {
-		ask := msg.(frame.Ask)
+	if kind == frame.KindAttemptQuery {
+		ask := msg.(frame.AttemptQuery)
 		if ran, alive := s.answerAsk(ask, incarnation); alive {
-			x.sendToEntry(&frame.Answer{ID: ask.ID, Incarnation: incarnation, Ran: ran, Outcome: s.keptOutcome(ask, ran)})
+			x.sendToEntry(&frame.AttemptStatus{ID: ask.ID, Incarnation: incarnation, State: ran, Outcome: s.keptOutcome(ask, ran)})
 		}
 		return
 	}
@@ -154,7 +154,7 @@
 // answerAsk returns the state of an attempt in an incarnation, and forbids an
 // attempt that has not started. alive is false when the incarnation has been
 // killed.
-func (s *fakeServer) answerAsk(a frame.Ask, incarnation string) (ran frame.Ran, alive bool) {
+func (s *fakeServer) answerAsk(a frame.AttemptQuery, incarnation string) (ran frame.AttemptState, alive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if incarnation != strconv.Itoa(s.incarnation) {
@@ -164,13 +164,13 @@
 		return ran, true
 	}
 	s.forbidden[a.Key] = max(s.forbidden[a.Key], a.Attempt)
-	return frame.RanNo, true
+	return frame.AttemptNotRun, true
 }
 
 // keptOutcome returns the outcome of an attempt that ran, or, with a
 // probability, nil as if it were no longer kept.
-func (s *fakeServer) keptOutcome(a frame.Ask, ran frame.Ran) *frame.Outcome {
-	if ran != frame.RanYes || s.faults.happens(0.3) {
+func (s *fakeServer) keptOutcome(a frame.AttemptQuery, ran frame.AttemptState) *frame.Outcome {
+	if ran != frame.AttemptRan || s.faults.happens(0.3) {
 		return nil
 	}
 	s.mu.Lock()
@@ -189,19 +189,19 @@
 	if req.Key != "" && req.Attempt <= s.forbidden[req.Key] {
 		return "", false
 	}
-	s.setRan(req, frame.RanRunning)
+	s.setRan(req, frame.AttemptRunning)
 	s.runCount++
 	result = s.id + "/" + incarnation + "/" + strconv.Itoa(s.runCount)
-	s.history.Add(history.Line{
-		Kind: history.KindRun, Call: string(req.Body), Submission: req.ID, Server: s.id,
-		Incarnation: incarnation, Body: core.DigestOf([]byte(result)),
+	s.history.Add(history.Record{
+		Kind: history.KindExecution, CallID: string(req.Body), SubmissionID: req.ID, Server: s.id,
+		Incarnation: incarnation, BodyDigest: core.DigestOf([]byte(result)),
 	})
 	return result, true
 }
 
 // setRan records the state of an attempt of a keyed call. The caller must hold
 // s.mu.
-func (s *fakeServer) setRan(req frame.Request, ran frame.Ran) {
+func (s *fakeServer) setRan(req frame.Request, ran frame.AttemptState) {
 	if req.Key != "" {
 		s.executions[req.Key+"#"+strconv.Itoa(req.Attempt)] = ran
 	}
@@ -218,7 +218,7 @@
 	sleepUnlessKilled(killed, time.Millisecond)
 	s.mu.Lock()
 	if incarnation == strconv.Itoa(s.incarnation) {
-		s.setRan(req, frame.RanYes)
+		s.setRan(req, frame.AttemptRan)
 		s.outcomes[req.Key+"#"+strconv.Itoa(req.Attempt)] = &frame.Outcome{Status: 201, Body: []byte(result)}
 	}
 	s.mu.Unlock()
--- a/request/relay/once_test.go
+++ b/request/relay/once_test.go
@@ -90,11 +90,11 @@
 	}
 	connections := &entryConnections{fakeTable: fx.table, opener: fx.opener, killed: make(chan struct{})}
 	keeper := once.New(once.Config{
-		Poll: 5 * time.Millisecond, AskAfter: 20 * time.Millisecond, RecordGrace: 60 * time.Millisecond,
+		PollInterval: 5 * time.Millisecond, AskAfter: 20 * time.Millisecond, RecordGrace: 60 * time.Millisecond,
 	}, connections, nil, log, clock)
 	router := routing.New(routing.Config{}, reg, fx.holder, log, clock)
-	r := New(Config{AskTimeout: 50 * time.Millisecond, AdmitTimeout: 100 * time.Millisecond,
-		AnswerTimeout: 100 * time.Millisecond, DefaultDeadline: 2 * time.Second},
+	r := New(Config{AttemptQueryTimeout: 50 * time.Millisecond, AdmitTimeout: 100 * time.Millisecond,
+		ResponseTimeout: 100 * time.Millisecond, DefaultDeadline: 2 * time.Second},
 		fx.holder, router, connections, keeper, log, clock)
 	e := echo.New()
 	r.Register(e)
@@ -122,11 +122,11 @@
 
 // submit sends a call through entry instance i, and returns the line that it adds
 // to the history.
-func (fx *onceFixture) submit(client *http.Client, i int, id, key string) history.Line {
+func (fx *onceFixture) submit(client *http.Client, i int, id, key string) history.Record {
 	fx.mu.Lock()
 	entry := fx.entries[i]
 	fx.mu.Unlock()
-	line := history.Line{Kind: history.KindAnswer, Call: id, Entry: strconv.Itoa(i), Sent: fx.history.Now()}
+	line := history.Record{Kind: history.KindAnswer, CallID: id, Entry: strconv.Itoa(i), SentAt: fx.history.Elapsed()}
 	req, err := http.NewRequest(http.MethodPost, entry.http.URL+"/services/booking/deposits", strings.NewReader(id))
 	if err != nil {
 		return line
@@ -144,13 +144,13 @@
 }
 
 // recordResponse copies a response to line if the response is complete.
-func (fx *onceFixture) recordResponse(resp *http.Response, line *history.Line) {
+func (fx *onceFixture) recordResponse(resp *http.Response, line *history.Record) {
 	got, err := readBody(resp)
 	if err != nil {
 		return
 	}
 	line.Status = resp.StatusCode
-	line.Submission = resp.Header.Get(core.HeaderRequestID)
+	line.SubmissionID = resp.Header.Get(core.HeaderRequestID)
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), problemType) {
 		var p Problem
 		if json.Unmarshal([]byte(got), &p) == nil {
@@ -158,7 +158,7 @@
 		}
 		return
 	}
-	line.Body = core.DigestOf([]byte(got))
+	line.BodyDigest = core.DigestOf([]byte(got))
 }
 
 // runCall makes call n. Calls with an even number have no Idempotency-Key and are
@@ -223,7 +223,7 @@
 		res, err := history.Check(&out)
 		So(err, ShouldBeNil)
 		t.Logf("seed %d: %d calls, %d runs, %d answers: %d whole, %d not-run, %d unknown, %d broken",
-			onceSeed, res.Calls, res.Runs, res.Answers, res.Whole, res.NotRun, res.Unknown, res.Broken)
+			onceSeed, res.Calls, res.Executions, res.Submissions, res.Whole, res.NotRun, res.Unknown, res.Broken)
 		So(res.Violations, ShouldBeEmpty)
 		So(res.Calls, ShouldEqual, onceCalls)
 		So(res.Whole, ShouldBeGreaterThan, onceCalls/2)
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -25,27 +25,27 @@
 
 // Default values of the fields of Config.
 const (
-	defaultDeadline          = 2 * time.Minute
-	defaultFirstTokenTimeout = 10 * time.Second
-	defaultStallTimeout      = 3 * time.Second
-	defaultAnswerTimeout     = time.Minute
-	defaultAdmitTimeout      = 5 * time.Second
-	defaultAskTimeout        = time.Second
-	defaultRetryBudgetRatio  = 0.2
-	defaultMinRetries        = 10
-	defaultMaxAttempts       = 4
-	defaultMaxRefusals       = 4
-	defaultRefuseAfter       = 50 * time.Millisecond
-	defaultDueWithin         = 250 * time.Millisecond
-	defaultBudgetWait        = 2 * time.Second
-	defaultResumeWithin      = 10 * time.Second
-	defaultResumePause       = 50 * time.Millisecond
-	defaultMaxBodyBytes      = 8 << 20
-	defaultHoldBackBytes     = 1 << 20
-	defaultMaxAnswerBytes    = 8 << 20
-	defaultRetryAfter        = time.Second
-	defaultConfigWait        = time.Second
-	defaultRecordTimeout     = 30 * time.Second
+	defaultDeadline             = 2 * time.Minute
+	defaultFirstTokenTimeout    = 10 * time.Second
+	defaultStallTimeout         = 3 * time.Second
+	defaultResponseTimeout      = time.Minute
+	defaultAdmitTimeout         = 5 * time.Second
+	defaultAttemptQueryTimeout  = time.Second
+	defaultRetryBudgetRatio     = 0.2
+	defaultMinConcurrentRetries = 10
+	defaultMaxAttempts          = 4
+	defaultMaxRefusals          = 4
+	defaultRefuseAfter          = 50 * time.Millisecond
+	defaultFairShareMaxAge      = 250 * time.Millisecond
+	defaultRetryBudgetTimeout   = 2 * time.Second
+	defaultResumeTimeout        = 10 * time.Second
+	defaultRetryPause           = 50 * time.Millisecond
+	defaultMaxBodyBytes         = 8 << 20
+	defaultResponseBufferBytes  = 1 << 20
+	defaultMaxResponseBytes     = 8 << 20
+	defaultRetryAfter           = time.Second
+	defaultStaleConfigTimeout   = time.Second
+	defaultRecordTimeout        = 30 * time.Second
 )
 
 var (
@@ -81,27 +81,27 @@
 	// StallTimeout bounds the wait for each further piece of a streamed
 	// response; default 3 s.
 	StallTimeout time.Duration
-	// AnswerTimeout bounds the wait for each piece, including the first, of a
+	// ResponseTimeout bounds the wait for each piece, including the first, of a
 	// response that is not streamed; default 1 min.
-	AnswerTimeout time.Duration
+	ResponseTimeout time.Duration
 	// AdmitTimeout bounds the wait for an agent to admit or refuse a once-only
 	// call; default 5 s.
 	AdmitTimeout time.Duration
-	// AskTimeout bounds one request to an agent for the state of an earlier
+	// AttemptQueryTimeout bounds one request to an agent for the state of an earlier
 	// attempt; default 1 s.
-	AskTimeout time.Duration
+	AttemptQueryTimeout time.Duration
 	// RetryBudgetRatio bounds the retries that wait for their first byte, as
 	// a share of the calls in flight; default 0.2. A negative value removes
 	// the bound.
 	RetryBudgetRatio float64
-	// MinRetries is the number of retries that may wait for their first byte
+	// MinConcurrentRetries is the number of retries that may wait for their first byte
 	// at the same time however few calls are in flight; default 10.
-	MinRetries int
+	MinConcurrentRetries int
 	// MaxAttempts bounds the attempts of one call; default 4.
 	MaxAttempts int
-	// BudgetWait bounds the time that a retry waits until the retry budget
+	// RetryBudgetTimeout bounds the time that a retry waits until the retry budget
 	// admits it; default 2 s.
-	BudgetWait time.Duration
+	RetryBudgetTimeout time.Duration
 	// MaxRefusals is the number of refusals by agents after which a call whose
 	// response has not begun is refused; default 4.
 	MaxRefusals int
@@ -109,31 +109,31 @@
 	// refused when no other server is known to have a free slot; default
 	// 50 ms.
 	RefuseAfter time.Duration
-	// DueWithin is the age up to which a call within the fair share of its
+	// FairShareMaxAge is the age up to which a call within the fair share of its
 	// client account is offered to further servers after a refusal; default
 	// 250 ms.
-	DueWithin time.Duration
-	// ResumeWithin bounds the search for a server that resumes a response that
+	FairShareMaxAge time.Duration
+	// ResumeTimeout bounds the search for a server that resumes a response that
 	// has begun; default 10 s.
-	ResumeWithin time.Duration
-	// ResumePause is the time between two rounds of that search. It is also the
+	ResumeTimeout time.Duration
+	// RetryPause is the time between two rounds of that search. It is also the
 	// pause before a call is offered again to agents with an old configuration,
 	// or to the servers of another version; default 50 ms.
-	ResumePause time.Duration
+	RetryPause time.Duration
 	// MaxBodyBytes is the largest request body; default 8 MiB.
 	MaxBodyBytes int64
-	// HoldBackBytes is the largest part of a response that is not streamed that
+	// ResponseBufferBytes is the largest part of a response that is not streamed that
 	// is buffered until the response is known to be complete; default 1 MiB.
-	HoldBackBytes int
-	// MaxAnswerBytes is the largest response body of a once-only call; default
+	ResponseBufferBytes int
+	// MaxResponseBytes is the largest response body of a once-only call; default
 	// 8 MiB.
-	MaxAnswerBytes int
+	MaxResponseBytes int
 	// RetryAfter is the Retry-After time of refused calls for which the agent
 	// suggested none; default 1 s.
 	RetryAfter time.Duration
-	// ConfigWait is the age up to which a call waits for agents that have not
+	// StaleConfigTimeout is the age up to which a call waits for agents that have not
 	// received the newest configuration yet; default 1 s.
-	ConfigWait time.Duration
+	StaleConfigTimeout time.Duration
 	// RecordTimeout bounds the recording of the outcome of a once-only call;
 	// default 30 s.
 	RecordTimeout time.Duration
@@ -143,23 +143,23 @@
 	core.SetDefault(&c.DefaultDeadline, defaultDeadline)
 	core.SetDefault(&c.FirstTokenTimeout, defaultFirstTokenTimeout)
 	core.SetDefault(&c.StallTimeout, defaultStallTimeout)
-	core.SetDefault(&c.AnswerTimeout, defaultAnswerTimeout)
+	core.SetDefault(&c.ResponseTimeout, defaultResponseTimeout)
 	core.SetDefault(&c.AdmitTimeout, defaultAdmitTimeout)
-	core.SetDefault(&c.AskTimeout, defaultAskTimeout)
+	core.SetDefault(&c.AttemptQueryTimeout, defaultAttemptQueryTimeout)
 	core.SetDefault(&c.RetryBudgetRatio, defaultRetryBudgetRatio)
-	core.SetDefault(&c.MinRetries, defaultMinRetries)
+	core.SetDefault(&c.MinConcurrentRetries, defaultMinConcurrentRetries)
 	core.SetDefault(&c.MaxAttempts, defaultMaxAttempts)
-	core.SetDefault(&c.BudgetWait, defaultBudgetWait)
+	core.SetDefault(&c.RetryBudgetTimeout, defaultRetryBudgetTimeout)
 	core.SetDefault(&c.MaxRefusals, defaultMaxRefusals)
 	core.SetDefault(&c.RefuseAfter, defaultRefuseAfter)
-	core.SetDefault(&c.DueWithin, defaultDueWithin)
-	core.SetDefault(&c.ResumeWithin, defaultResumeWithin)
-	core.SetDefault(&c.ResumePause, defaultResumePause)
+	core.SetDefault(&c.FairShareMaxAge, defaultFairShareMaxAge)
+	core.SetDefault(&c.ResumeTimeout, defaultResumeTimeout)
+	core.SetDefault(&c.RetryPause, defaultRetryPause)
 	core.SetDefault(&c.MaxBodyBytes, defaultMaxBodyBytes)
-	core.SetDefault(&c.HoldBackBytes, defaultHoldBackBytes)
-	core.SetDefault(&c.MaxAnswerBytes, defaultMaxAnswerBytes)
+	core.SetDefault(&c.ResponseBufferBytes, defaultResponseBufferBytes)
+	core.SetDefault(&c.MaxResponseBytes, defaultMaxResponseBytes)
 	core.SetDefault(&c.RetryAfter, defaultRetryAfter)
-	core.SetDefault(&c.ConfigWait, defaultConfigWait)
+	core.SetDefault(&c.StaleConfigTimeout, defaultStaleConfigTimeout)
 	core.SetDefault(&c.RecordTimeout, defaultRecordTimeout)
 }
 
@@ -170,8 +170,8 @@
 	configStore  *confstore.Holder
 	picker       routing.Picker
 	opener       work.Opener
-	onceKeeper   *once.Keeper
-	accounts     *accounts.Book
+	onceKeeper   *once.RecordStore
+	accounts     *accounts.Controller
 	retryBudget  *retryBudget
 	stallMonitor *stallMonitor
 	log          *eventlog.Logger
@@ -189,7 +189,7 @@
 
 // New returns a Relay. keeper may be nil if there is no table for the records
 // of once-only calls; once-only calls with an Idempotency-Key are then refused.
-func New(config Config, configStore *confstore.Holder, picker routing.Picker, opener work.Opener, keeper *once.Keeper, log *eventlog.Logger, clock clockwork.Clock) *Relay {
+func New(config Config, configStore *confstore.Holder, picker routing.Picker, opener work.Opener, keeper *once.RecordStore, log *eventlog.Logger, clock clockwork.Clock) *Relay {
 	config.applyDefaults()
 	return &Relay{
 		config:       config,
@@ -198,7 +198,7 @@
 		opener:       opener,
 		onceKeeper:   keeper,
 		accounts:     accounts.New(configStore),
-		retryBudget:  newRetryBudget(config.RetryBudgetRatio, config.MinRetries),
+		retryBudget:  newRetryBudget(config.RetryBudgetRatio, config.MinConcurrentRetries),
 		stallMonitor: newStallMonitor(picker.Suspended, clock),
 		log:          log,
 		clock:        clock,
@@ -230,7 +230,7 @@
 	case <-r.allDone:
 		return nil
 	case <-ctx.Done():
-		return core.Step("drain", "", ctx.Err())
+		return core.WrapStep("drain", "", ctx.Err())
 	}
 }
 
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -56,7 +56,7 @@
 			So(fx.opener.opened, ShouldHaveLength, 3)
 		})
 		Convey("a response that no server can resume is aborted with an error event", func() {
-			fx := newFixture(t, Config{ResumeWithin: 200 * time.Millisecond}, nil, map[string]fakeAgent{"a": streamingAgent(50, 20)})
+			fx := newFixture(t, Config{ResumeTimeout: 200 * time.Millisecond}, nil, map[string]fakeAgent{"a": streamingAgent(50, 20)})
 			resp, err := fx.post("/v1/completions", streamBody)
 			So(err, ShouldBeNil)
 			got, err := readBody(resp)
@@ -132,7 +132,7 @@
 		staleTwice := func(next fakeAgent) fakeAgent {
 			return func(x *fakeExchange, kind frame.Kind, msg any) {
 				if offers.Add(1) <= 2 {
-					x.sendToEntry(&frame.Refuse{ID: msg.(frame.Request).ID, Reason: frame.ReasonStale, Load: frame.Load{Limit: 100}})
+					x.sendToEntry(&frame.Refuse{ID: msg.(frame.Request).ID, Reason: frame.ReasonStaleConfig, Load: frame.Load{Limit: 100}})
 					return
 				}
 				next(x, kind, msg)
--- a/request/relay/repeat.go
+++ b/request/relay/repeat.go
@@ -48,14 +48,14 @@
 	rc.response = &callerResponse{
 		w:               c.Response(),
 		streamRequested: call.streamRequested,
-		bufferLimit:     r.config.HoldBackBytes,
+		bufferLimit:     r.config.ResponseBufferBytes,
 		beforeFirstByte: func() { observeFirstByte(r.clock.Since(call.arrivedAt)) },
 	}
 	defer func() { rc.releaseRetry() }()
 	p, err := rc.run(ctx)
 	switch {
 	case err != nil:
-		r.log.Fail(eventCallerGone, err, eventlog.Fields{"request": call.id, "tokens": rc.response.tokensSent})
+		r.log.EventWithError(eventCallerGone, err, eventlog.Fields{"request": call.id, "tokens": rc.response.tokensSent})
 		panic(http.ErrAbortHandler)
 	case p == nil:
 		incrementCounter(metricCallsAnswered)
@@ -124,24 +124,24 @@
 	rc.lastRefusal = refusal
 	rc.refusals++
 	if rc.response.headerSent {
-		if rc.relay.picker.Short(rc.call.routingQuery(rc.tried)) && !rc.startNextRound(ctx) {
+		if rc.relay.picker.NoFreeSlot(rc.call.routingQuery(rc.tried)) && !rc.startNextRound(ctx) {
 			return rc.finalProblem("no backend server goes on with the answer: " + string(refusal.Reason))
 		}
 		return nil
 	}
-	if refusal.Reason == frame.ReasonStale && rc.relay.pauseBeforeOffer(ctx, rc.call, config.ConfigWait) {
+	if refusal.Reason == frame.ReasonStaleConfig && rc.relay.pauseBeforeOffer(ctx, rc.call, config.StaleConfigTimeout) {
 		clear(rc.tried)
 		return nil
 	}
 	age := rc.relay.clock.Since(rc.call.arrivedAt)
-	if rc.call.withinFairShare && age < config.DueWithin {
+	if rc.call.withinFairShare && age < config.FairShareMaxAge {
 		if rc.refusals%config.MaxRefusals == 0 {
 			clear(rc.tried)
 		}
 		return nil
 	}
 	pastRefuseAge := age >= config.RefuseAfter
-	if rc.refusals >= config.MaxRefusals || pastRefuseAge && rc.relay.picker.Short(rc.call.routingQuery(rc.tried)) {
+	if rc.refusals >= config.MaxRefusals || pastRefuseAge && rc.relay.picker.NoFreeSlot(rc.call.routingQuery(rc.tried)) {
 		if rc.switchVersion(ctx) {
 			return nil
 		}
@@ -159,8 +159,8 @@
 		return false
 	}
 	currentDigest := rc.call.request.Digest
-	otherDigest, ok := rc.relay.picker.Alternative(rc.call.request.Model, currentDigest)
-	if !ok || rc.versionSwitches > 0 && !rc.relay.pauseBeforeOffer(ctx, rc.call, rc.relay.config.DueWithin) {
+	otherDigest, ok := rc.relay.picker.AlternativeDigest(rc.call.request.Model, currentDigest)
+	if !ok || rc.versionSwitches > 0 && !rc.relay.pauseBeforeOffer(ctx, rc.call, rc.relay.config.FairShareMaxAge) {
 		return false
 	}
 	rc.versionSwitches++
@@ -183,7 +183,7 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-r.clock.After(r.config.ResumePause):
+	case <-r.clock.After(r.config.RetryPause):
 		return true
 	}
 }
@@ -194,16 +194,16 @@
 // has passed since the last failure, or when ctx ends.
 func (rc *repeatableCall) startNextRound(ctx context.Context) bool {
 	config := rc.relay.config
-	if !rc.response.headerSent || rc.relay.clock.Since(rc.failedAt) >= config.ResumeWithin {
+	if !rc.response.headerSent || rc.relay.clock.Since(rc.failedAt) >= config.ResumeTimeout {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-rc.relay.clock.After(config.ResumePause):
+	case <-rc.relay.clock.After(config.RetryPause):
 	}
 	clear(rc.tried)
-	if rc.relay.clock.Since(rc.failedAt) < config.ResumeWithin/2 {
+	if rc.relay.clock.Since(rc.failedAt) < config.ResumeTimeout/2 {
 		maps.Copy(rc.tried, rc.failed)
 	}
 	return true
@@ -222,7 +222,7 @@
 	if rc.response.headerSent && !rc.response.isEventStream() {
 		return rc.finalProblem("the answer broke off")
 	}
-	ctx, cancel := context.WithTimeout(ctx, config.BudgetWait)
+	ctx, cancel := context.WithTimeout(ctx, config.RetryBudgetTimeout)
 	defer cancel()
 	releaseRetry, ok := rc.relay.retryBudget.acquire(ctx)
 	if !ok {
@@ -254,7 +254,7 @@
 // runAttempt makes one attempt of the call at server.
 func (rc *repeatableCall) runAttempt(ctx context.Context, server registry.Server) attemptResult {
 	config := rc.relay.config
-	firstTimeout, nextTimeout := config.AnswerTimeout, config.AnswerTimeout
+	firstTimeout, nextTimeout := config.ResponseTimeout, config.ResponseTimeout
 	if rc.call.streamRequested {
 		firstTimeout, nextTimeout = config.FirstTokenTimeout, config.StallTimeout
 	}
--- a/request/relay/runonce.go
+++ b/request/relay/runonce.go
@@ -38,7 +38,7 @@
 		buffered:        outcome.Body,
 	}
 	if err := resp.finish(); err != nil {
-		r.log.Fail(eventCallerGone, err, eventlog.Fields{"request": call.id})
+		r.log.EventWithError(eventCallerGone, err, eventlog.Fields{"request": call.id})
 		panic(http.ErrAbortHandler)
 	}
 	incrementCounter(metricCallsAnswered)
@@ -56,30 +56,30 @@
 		return runOutcome, p
 	}
 	if r.onceKeeper == nil {
-		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, once.ErrTable.Error())
+		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, once.ErrTableUnavailable.Error())
 	}
 	keyed := &keyedCall{Call: once.Call{
-		RequestID: call.id,
-		Account:   call.account.Name,
-		Service:   call.service,
-		Key:       call.idempotencyKey,
-		Request:   once.RequestDigest(call.request.Method, call.request.Path, call.request.Body),
+		RequestID:     call.id,
+		Account:       call.account.Name,
+		Service:       call.service,
+		Key:           call.idempotencyKey,
+		RequestDigest: once.RequestDigest(call.request.Method, call.request.Path, call.request.Body),
 	}}
 	for {
-		outcome, turn, err := r.onceKeeper.Settle(ctx, keyed.Call, r.queryAttempt)
+		outcome, turn, err := r.onceKeeper.Resolve(ctx, keyed.Call, r.queryAttempt)
 		if err != nil {
 			return nil, r.problemFromKeeperError(err)
 		}
 		if outcome != nil {
 			return outcome, nil
 		}
-		keyed.turn = turn
+		keyed.nextAttempt = turn
 		keyed.claim = nil
 		runOutcome, p, err := r.offerToServers(ctx, call, keyed)
-		if errors.Is(err, once.ErrTaken) {
+		if errors.Is(err, once.ErrAlreadyClaimed) {
 			continue
 		}
-		if p != nil && p.Outcome == core.RefusalNotRun && r.onceKeeper.Moved(ctx, keyed.Call, turn, keyed.claim) {
+		if p != nil && p.Outcome == core.RefusalNotRun && r.onceKeeper.ChangedSince(ctx, keyed.Call, turn, keyed.claim) {
 			continue
 		}
 		return runOutcome, p
@@ -90,8 +90,8 @@
 // to claim its next attempt, and claim is nil until the attempt is claimed.
 type keyedCall struct {
 	once.Call
-	turn  once.Turn
-	claim *once.Claim
+	nextAttempt once.NextAttempt
+	claim       *once.Claim
 }
 
 // problemFromKeeperError returns the Problem for an error of
@@ -99,12 +99,12 @@
 // "unknown" instead of "not-run", because an earlier submission with the same key
 // may have run.
 func (r *Relay) problemFromKeeperError(err error) *Problem {
-	if errors.Is(err, once.ErrMismatch) {
-		return newProblem(http.StatusUnprocessableEntity, core.RefusalNotRun, once.ErrMismatch.Error())
+	if errors.Is(err, once.ErrKeyReused) {
+		return newProblem(http.StatusUnprocessableEntity, core.RefusalNotRun, once.ErrKeyReused.Error())
 	}
-	status, detail := http.StatusBadGateway, once.ErrUnknown.Error()
-	if errors.Is(err, once.ErrTable) {
-		status, detail = http.StatusServiceUnavailable, once.ErrTable.Error()
+	status, detail := http.StatusBadGateway, once.ErrOutcomeUnknown.Error()
+	if errors.Is(err, once.ErrTableUnavailable) {
+		status, detail = http.StatusServiceUnavailable, once.ErrTableUnavailable.Error()
 	}
 	return newProblem(status, core.RefusalUnknown, detail).withRetryAfter(r.config.RetryAfter)
 }
@@ -125,17 +125,17 @@
 		tried[server.Instance.ID] = true
 		attempt := &onceAttempt{relay: r, call: call, keyed: keyed, server: server}
 		outcome, p, err := attempt.run(ctx)
-		if outcome != nil || p != nil || errors.Is(err, once.ErrTaken) {
+		if outcome != nil || p != nil || errors.Is(err, once.ErrAlreadyClaimed) {
 			return outcome, p, err
 		}
 		detail = attempt.refusalDetail(err)
 		if attempt.retryAfter > 0 {
 			retryAfter = attempt.retryAfter
 		}
-		if attempt.refusalReason == frame.ReasonStale && r.pauseBeforeOffer(ctx, call, r.config.ConfigWait) {
+		if attempt.refusalReason == frame.ReasonStaleConfig && r.pauseBeforeOffer(ctx, call, r.config.StaleConfigTimeout) {
 			clear(tried)
 		}
-		if ctx.Err() != nil || errors.Is(err, once.ErrTable) {
+		if ctx.Err() != nil || errors.Is(err, once.ErrTableUnavailable) {
 			break
 		}
 	}
@@ -143,16 +143,16 @@
 }
 
 // queryAttempt implements once.Asker.
-func (r *Relay) queryAttempt(ctx context.Context, agent core.Instance, key string, attempt int) (frame.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.config.AskTimeout)
+func (r *Relay) queryAttempt(ctx context.Context, agent core.Instance, key string, attempt int) (frame.AttemptStatus, error) {
+	ctx, cancel := context.WithTimeout(ctx, r.config.AttemptQueryTimeout)
 	defer cancel()
 	id := key
-	x, err := r.opener.Open(ctx, agent, id, frame.KindAsk, frame.Ask{ID: id, Key: key, Attempt: attempt})
+	x, err := r.opener.Open(ctx, agent, id, frame.KindAttemptQuery, frame.AttemptQuery{ID: id, Key: key, Attempt: attempt})
 	if err != nil {
-		return frame.Answer{}, err
+		return frame.AttemptStatus{}, err
 	}
-	msg, err := receiveWithTimeout(ctx, x, id, r.config.AskTimeout)
-	answer, ok := msg.(*frame.Answer)
+	msg, err := receiveWithTimeout(ctx, x, id, r.config.AttemptQueryTimeout)
+	answer, ok := msg.(*frame.AttemptStatus)
 	x.Close(ok)
 	if ok {
 		return withForwardedHeader(*answer), nil
@@ -160,13 +160,13 @@
 	if err == nil {
 		err = errUnexpectedFrame
 	}
-	return frame.Answer{}, core.Step("ask", agent.ID, err)
+	return frame.AttemptStatus{}, core.WrapStep("ask", agent.ID, err)
 }
 
 // withForwardedHeader removes the header fields that are not forwarded from the
 // outcome that an agent kept. They are not recorded either, so the caller gets
 // the same response from the agent's copy and from the record.
-func withForwardedHeader(answer frame.Answer) frame.Answer {
+func withForwardedHeader(answer frame.AttemptStatus) frame.AttemptStatus {
 	if answer.Outcome == nil {
 		return answer
 	}
@@ -221,8 +221,8 @@
 	switch {
 	case oa.refusalReason != "":
 		return "backend servers refused the call: " + string(oa.refusalReason)
-	case errors.Is(err, once.ErrTable):
-		return once.ErrTable.Error()
+	case errors.Is(err, once.ErrTableUnavailable):
+		return once.ErrTableUnavailable.Error()
 	}
 	return "the call was not run: no backend server could be reached in time"
 }
@@ -238,8 +238,8 @@
 func (oa *onceAttempt) offer(ctx context.Context) (work.Exchange, admission, attemptResult) {
 	req := oa.call.attemptRequest(ctx, 0)
 	if oa.keyed != nil {
-		req.Key = oa.keyed.Row()
-		req.Attempt = oa.keyed.turn.Attempt
+		req.Key = oa.keyed.RowKey()
+		req.Attempt = oa.keyed.nextAttempt.Attempt
 	}
 	offeredAt := oa.relay.clock.Now()
 	x, err := oa.relay.opener.Open(ctx, oa.server.Instance, oa.call.id, frame.KindOffer, req)
@@ -269,7 +269,7 @@
 // ended.
 func (oa *onceAttempt) claimAndCheckHold(ctx context.Context, admission admission) error {
 	if oa.keyed != nil {
-		claim, err := oa.relay.onceKeeper.Claim(ctx, oa.keyed.Call, oa.keyed.turn, oa.server.Instance, admission.Incarnation)
+		claim, err := oa.relay.onceKeeper.Claim(ctx, oa.keyed.Call, oa.keyed.nextAttempt, oa.server.Instance, admission.Incarnation)
 		if err != nil {
 			return err
 		}
@@ -280,7 +280,7 @@
 	if !expired && ctx.Err() == nil {
 		return nil
 	}
-	oa.recordInBackground(ctx, (*once.Claim).NotRun)
+	oa.recordInBackground(ctx, (*once.Claim).RecordNotRun)
 	if expired {
 		return errHoldExpired
 	}
@@ -304,7 +304,7 @@
 	if err := x.Send(frame.KindGo, frame.Go{ID: oa.call.id}); err != nil {
 		return nil, failedAttempt(err)
 	}
-	attemptCtx, monitored := oa.relay.stallMonitor.add(ctx, oa.server.Instance.ID, oa.relay.config.AnswerTimeout, oa.relay.config.AnswerTimeout)
+	attemptCtx, monitored := oa.relay.stallMonitor.add(ctx, oa.server.Instance.ID, oa.relay.config.ResponseTimeout, oa.relay.config.ResponseTimeout)
 	defer oa.relay.stallMonitor.remove(monitored)
 	outcome := &once.Outcome{}
 	reader := &responseReader{
@@ -317,7 +317,7 @@
 		},
 		onData: func(data frame.Data) error {
 			outcome.Body = append(outcome.Body, data.Body...)
-			if len(outcome.Body) > oa.relay.config.MaxAnswerBytes {
+			if len(outcome.Body) > oa.relay.config.MaxResponseBytes {
 				return errResponseTooLarge
 			}
 			return nil
@@ -331,19 +331,19 @@
 func (oa *onceAttempt) conclude(ctx context.Context, outcome *once.Outcome, res attemptResult) (*once.Outcome, *Problem, error) {
 	retryAfter := oa.relay.config.RetryAfter
 	if res.result == routing.ResultOK {
-		oa.recordInBackground(ctx, func(c *once.Claim, ctx context.Context) error { return c.Done(ctx, *outcome) })
+		oa.recordInBackground(ctx, func(c *once.Claim, ctx context.Context) error { return c.RecordOutcome(ctx, *outcome) })
 		return outcome, nil, nil
 	}
 	if res.refusal != nil {
-		oa.recordInBackground(ctx, (*once.Claim).NotRun)
+		oa.recordInBackground(ctx, (*once.Claim).RecordNotRun)
 		detail := "the server did not run the call: " + string(res.refusal.Reason)
 		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter), nil
 	}
 	if res.failOutcome == core.RefusalNotRun {
-		oa.recordInBackground(ctx, (*once.Claim).NotRun)
+		oa.recordInBackground(ctx, (*once.Claim).RecordNotRun)
 		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, "the server did not run the call").withRetryAfter(retryAfter), nil
 	}
-	oa.recordInBackground(ctx, (*once.Claim).Lost)
+	oa.recordInBackground(ctx, (*once.Claim).RecordLost)
 	return nil, newProblem(http.StatusBadGateway, core.RefusalUnknown, "the server was lost after it was told to run the call").withRetryAfter(retryAfter), nil
 }
 
--- a/request/routing/candidates.go
+++ b/request/routing/candidates.go
@@ -139,7 +139,7 @@
 	if q.Service != "" && s.Service == q.Service {
 		return ""
 	}
-	if q.Service == "" && s.Service == "" && s.Holds(q.Model, q.Digest) {
+	if q.Service == "" && s.Service == "" && s.HasLoaded(q.Model, q.Digest) {
 		return ""
 	}
 	return skipHoldsOther
--- a/request/routing/pin.go
+++ b/request/routing/pin.go
@@ -6,10 +6,10 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Pin implements Picker. It returns the declared version once half of the
+// PinnedDigest implements Picker. It returns the declared version once half of the
 // replicas have loaded it. Until then it returns the version of the model that
 // most servers have loaded, so that the model stays available during a rollout.
-func (r *Router) Pin(model string) (core.Digest, bool) {
+func (r *Router) PinnedDigest(model string) (core.Digest, bool) {
 	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
 	if !ok {
@@ -31,11 +31,11 @@
 	return best, true
 }
 
-// Alternative implements Picker. During a rollout over servers that have no room
+// AlternativeDigest implements Picker. During a rollout over servers that have no room
 // for two versions, the declared version and the one that it replaces share the
-// servers until every replica has loaded the declared version. Alternative returns
+// servers until every replica has loaded the declared version. AlternativeDigest returns
 // the one of them that is not pinned.
-func (r *Router) Alternative(model string, pinned core.Digest) (core.Digest, bool) {
+func (r *Router) AlternativeDigest(model string, pinned core.Digest) (core.Digest, bool) {
 	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
 	if !ok {
--- a/request/routing/router.go
+++ b/request/routing/router.go
@@ -151,8 +151,8 @@
 	return *chosen.server, true
 }
 
-// Short implements Picker.
-func (r *Router) Short(q Query) bool {
+// NoFreeSlot implements Picker.
+func (r *Router) NoFreeSlot(q Query) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.findCandidates(q).candidates {
@@ -192,7 +192,7 @@
 		s.Report.Limit = load.Limit
 		s.Report.InFlight = load.InFlight
 		s.Report.Queued = load.Queued
-		s.Heard = now
+		s.LastSeen = now
 	})
 	state.reportedAt = now
 	state.inFlightAtReport = state.inFlight
@@ -227,8 +227,8 @@
 		state.incarnation = s.Incarnation
 		state.ejection = ejection{}
 	}
-	if !state.reportedAt.Equal(s.Heard) {
-		state.reportedAt = s.Heard
+	if !state.reportedAt.Equal(s.LastSeen) {
+		state.reportedAt = s.LastSeen
 		state.inFlightAtReport = state.inFlight
 	}
 	return state
--- a/request/routing/router_test.go
+++ b/request/routing/router_test.go
@@ -153,28 +153,28 @@
 		f := newFixture(PolicyTwoChoices, map[string]int{"palermo-1": 10, "palermo-2": 10, "trapani-1": 10, "catania-1": 10})
 		ready := frame.Report{State: frame.StateReady, Limit: 10}
 		pin := func() core.Digest {
-			d, _ := f.router.Pin("herbs")
+			d, _ := f.router.PinnedDigest("herbs")
 			return d
 		}
 		f.put("palermo-1", newDigest, ready)
 		So(pin(), ShouldEqual, oldDigest)
 		f.put("palermo-2", newDigest, ready)
 		So(pin(), ShouldEqual, newDigest)
-		_, ok := f.router.Pin("none")
+		_, ok := f.router.PinnedDigest("none")
 		So(ok, ShouldBeFalse)
 
 		Convey("both versions may answer until every replica has loaded the new one", func() {
-			other, ok := f.router.Alternative("herbs", newDigest)
+			other, ok := f.router.AlternativeDigest("herbs", newDigest)
 			So(ok, ShouldBeTrue)
 			So(other, ShouldEqual, oldDigest)
-			other, ok = f.router.Alternative("herbs", oldDigest)
+			other, ok = f.router.AlternativeDigest("herbs", oldDigest)
 			So(ok, ShouldBeTrue)
 			So(other, ShouldEqual, newDigest)
 			f.put("trapani-1", newDigest, ready)
 			f.put("catania-1", newDigest, ready)
-			_, ok = f.router.Alternative("herbs", newDigest)
+			_, ok = f.router.AlternativeDigest("herbs", newDigest)
 			So(ok, ShouldBeFalse)
-			_, ok = f.router.Alternative("none", newDigest)
+			_, ok = f.router.AlternativeDigest("none", newDigest)
 			So(ok, ShouldBeFalse)
 		})
 	})
@@ -296,7 +296,7 @@
 	for _, s := range f.reg.All() {
 		f.reg.Update(s.Instance.ID, "1", func(s *registry.Server) {
 			s.Report.InFlight = load[s.Instance.ID]
-			s.Heard = f.clock.Now()
+			s.LastSeen = f.clock.Now()
 		})
 	}
 }
--- a/request/routing/routing.go
+++ b/request/routing/routing.go
@@ -26,16 +26,16 @@
 
 // Picker chooses backend servers and is informed of the results of attempts.
 type Picker interface {
-	// Pin returns the manifest digest of the version that answers new calls to
+	// PinnedDigest returns the manifest digest of the version that answers new calls to
 	// model, or false if no server can answer.
-	Pin(model string) (core.Digest, bool)
-	// Alternative returns another version of model for a call that finds no free
+	PinnedDigest(model string) (core.Digest, bool)
+	// AlternativeDigest returns another version of model for a call that finds no free
 	// slot at servers with the pinned version. It returns false unless a rollout is
 	// in progress, during which each version is loaded on a part of the servers.
-	Alternative(model string, pinned core.Digest) (core.Digest, bool)
-	// Short reports whether none of the servers that could run the call has a free
+	AlternativeDigest(model string, pinned core.Digest) (core.Digest, bool)
+	// NoFreeSlot reports whether none of the servers that could run the call has a free
 	// slot, by the estimate of this entry instance.
-	Short(q Query) bool
+	NoFreeSlot(q Query) bool
 	// Suspended reports whether the server with this id is registered but gets no
 	// calls, because its reports are overdue or because it is ejected.
 	Suspended(id string) bool
--- a/request/serve/bench_test.go
+++ b/request/serve/bench_test.go
@@ -46,10 +46,10 @@
 const doneEvent = "data: [DONE]\n\n"
 
 // Do implements engine.Engine.
-func (e instantEngine) Do(_ context.Context, c engine.Call) (engine.Answer, error) {
+func (e instantEngine) Do(_ context.Context, c engine.Call) (engine.Response, error) {
 	event := `data: {"id":"` + c.ID + `","object":"chat.completion.chunk","model":"oregano","system_fingerprint":"` +
 		string(testDigest) + `","choices":[{"index":0,"delta":{"content":"oregano "},"finish_reason":null}]}` + "\n\n"
-	return engine.Answer{
+	return engine.Response{
 		ID: c.ID, Status: 200, Digest: testDigest,
 		Header: map[string][]string{"Content-Type": {eventStreamType}, core.HeaderRequestID: {c.ID}},
 		Body:   &eventBody{event: []byte(event), readsLeft: e.tokens + 1},
--- a/request/serve/check.go
+++ b/request/serve/check.go
@@ -24,16 +24,16 @@
 	unconfirmed := h.configUnconfirmed()
 	current := h.holder.Current()
 	if unconfirmed || req.Config > current.Number {
-		return frame.ReasonStale
+		return frame.ReasonStaleConfig
 	}
 	if h.Leaving() {
 		return frame.ReasonLeaving
 	}
 	if dc := current.Set.DataCentres[h.cfg.Self.DataCentre]; dc != nil && dc.Out {
-		return frame.ReasonOut
+		return frame.ReasonDataCentreOut
 	}
 	if !h.servesCall(current.Set, req, repeatable) {
-		return frame.ReasonUnknown
+		return frame.ReasonUnknownOperation
 	}
 	return h.engineRefusalReason(req)
 }
@@ -41,10 +41,10 @@
 // configUnconfirmed reports whether the configuration was last confirmed more
 // than MaxConfirmAge ago, for example because this process was paused.
 func (h *Handler) configUnconfirmed() bool {
-	if h.cfg.Confirmed == nil {
+	if h.cfg.LastConfirmed == nil {
 		return false
 	}
-	return hasElapsed(h.cfg.Confirmed(), h.clock.Now(), h.cfg.MaxConfirmAge)
+	return hasElapsed(h.cfg.LastConfirmed(), h.clock.Now(), h.cfg.MaxConfirmAge)
 }
 
 // declaredLeaving reports whether the configuration marks this backend server
@@ -89,9 +89,9 @@
 	if !ok {
 		return frame.ReasonDown
 	}
-	h.NoteBoot(status.Boot)
+	h.SetBootID(status.Boot)
 	if req.Digest != "" && !hasLoaded(status, req) {
-		return frame.ReasonDigest
+		return frame.ReasonDigestMismatch
 	}
 	return ""
 }
@@ -107,9 +107,9 @@
 	return false
 }
 
-// NoteBoot stores the engine's boot id and resets the limiter when it has
+// SetBootID stores the engine's boot id and resets the limiter when it has
 // changed, which means that the engine restarted or turned cold.
-func (h *Handler) NoteBoot(boot string) {
+func (h *Handler) SetBootID(boot string) {
 	h.mu.Lock()
 	previous := h.bootID
 	h.bootID = boot
--- a/request/serve/faults_test.go
+++ b/request/serve/faults_test.go
@@ -24,7 +24,7 @@
 		req := completionRequest("r1", "20")
 
 		Convey("an answer to another request is never forwarded", func() {
-			h.engine.SetFaults(standin.Faults{Crossed: true})
+			h.engine.SetFaults(standin.Faults{ForeignResponse: true})
 			r := h.do(frame.KindRequest, req)
 			So(r.summary(), ShouldEqual, "failed incomplete")
 			So(r.head, ShouldBeNil)
@@ -35,7 +35,7 @@
 			r := h.do(frame.KindRequest, req)
 			So(r.summary(), ShouldEqual, "failed incomplete")
 			So(r.tokens, ShouldEqual, 7)
-			whole, err := standin.Expected(testDigest, req.Body)
+			whole, err := standin.ExpectedText(testDigest, req.Body)
 			So(err, ShouldBeNil)
 			So(strings.HasPrefix(whole, joinTokens(r.body)), ShouldBeTrue)
 		})
@@ -45,10 +45,10 @@
 			So(h.engine.Counters().Started, ShouldEqual, 0)
 		})
 		Convey("a call for a version that the engine reports as loaded without holding it is refused and does not run", func() {
-			h.engine.SetFaults(standin.Faults{Claim: &frame.Loaded{Model: testModel, Version: "v2", Digest: otherDigest}})
+			h.engine.SetFaults(standin.Faults{FalseLoaded: &frame.Loaded{Model: testModel, Version: "v2", Digest: otherDigest}})
 			req.Digest = otherDigest
 			reported := make(chan core.Digest, 1)
-			h.handler.cfg.Distrust = func(d core.Digest) { reported <- d }
+			h.handler.cfg.OnWrongVersion = func(d core.Digest) { reported <- d }
 			So(h.do(frame.KindRequest, req).summary(), ShouldEqual, "refused digest")
 			So(h.engine.Counters().Started, ShouldEqual, 0)
 			So(<-reported, ShouldEqual, otherDigest)
@@ -98,7 +98,7 @@
 func TestChecksBeforeNewWork(t *testing.T) {
 	Convey("Given an agent in front of an engine", t, func() {
 		confirmed, onConfirmCheck := time.Now(), func() {}
-		h := newHarness(t, options{serve: Config{Confirmed: func() time.Time {
+		h := newHarness(t, options{serve: Config{LastConfirmed: func() time.Time {
 			onConfirmCheck()
 			return confirmed
 		}}})
@@ -151,21 +151,21 @@
 // an engine that mixes up its connections. The first call gets no answer.
 type crossedEngine struct {
 	engine.Engine
-	firstAnswer engine.Answer
+	firstAnswer engine.Response
 }
 
 // Do implements engine.Engine.
-func (e *crossedEngine) Do(ctx context.Context, c engine.Call) (engine.Answer, error) {
+func (e *crossedEngine) Do(ctx context.Context, c engine.Call) (engine.Response, error) {
 	if e.firstAnswer.Body != nil {
 		return e.firstAnswer, nil
 	}
 	var err error
 	e.firstAnswer, err = e.Engine.Do(context.WithoutCancel(ctx), c)
 	if err != nil {
-		return engine.Answer{}, err
+		return engine.Response{}, err
 	}
 	<-ctx.Done()
-	return engine.Answer{}, ctx.Err()
+	return engine.Response{}, ctx.Err()
 }
 
 func TestLateAnswer(t *testing.T) {
--- a/request/serve/ledger.go
+++ b/request/serve/ledger.go
@@ -154,7 +154,7 @@
 // queryAndForbid reports whether the attempt ran, with its outcome if the ledger
 // still has it. It forbids the attempt and earlier attempts with the same key
 // unless they have started.
-func (l *ledger) queryAndForbid(id attemptID) (frame.Ran, *frame.Outcome) {
+func (l *ledger) queryAndForbid(id attemptID) (frame.AttemptState, *frame.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for n := max(1, id.attempt-maxEarlierForbidden); n < id.attempt; n++ {
@@ -162,22 +162,22 @@
 	}
 	r := l.find(id)
 	if r == nil && l.evicted {
-		return frame.RanUnknown, nil
+		return frame.AttemptUnknown, nil
 	}
 	if r == nil {
 		r = l.add(id)
 	}
 	if r == nil {
-		return frame.RanUnknown, nil
+		return frame.AttemptUnknown, nil
 	}
 	switch r.state {
 	case attemptRunning:
-		return frame.RanRunning, nil
+		return frame.AttemptRunning, nil
 	case attemptFinished:
-		return frame.RanYes, r.outcome
+		return frame.AttemptRan, r.outcome
 	default:
 		r.state = attemptForbidden
-		return frame.RanNo, nil
+		return frame.AttemptNotRun, nil
 	}
 }
 
--- a/request/serve/load_test.go
+++ b/request/serve/load_test.go
@@ -170,7 +170,7 @@
 	return baseline.closedLoop(coldCapacity, capacityTestTime)
 }
 
-func TestColdEngine(t *testing.T) { inprocess.Virtually(t, coldEngine) }
+func TestColdEngine(t *testing.T) { inprocess.RunInVirtualTime(t, coldEngine) }
 
 func coldEngine(t *testing.T) {
 	capacity := coldCallRate(t)
@@ -194,7 +194,7 @@
 	})
 }
 
-func TestTwiceTheCapacity(t *testing.T) { inprocess.Virtually(t, twiceTheCapacity) }
+func TestTwiceTheCapacity(t *testing.T) { inprocess.RunInVirtualTime(t, twiceTheCapacity) }
 
 func twiceTheCapacity(t *testing.T) {
 	Convey("Given a warm engine, a declared limit of four times its capacity, and a load of twice its capacity, mostly from one large account", t, func() {
--- a/request/serve/once.go
+++ b/request/serve/once.go
@@ -46,7 +46,7 @@
 func (h *Handler) handleOffer(ctx context.Context, first frame.Frame, exchange work.AgentExchange) error {
 	var req frame.Request
 	if err := first.Decode(&req); err != nil {
-		return core.Step("serve offer", exchange.Peer(), err)
+		return core.WrapStep("serve offer", exchange.Peer(), err)
 	}
 	received := h.clock.Now()
 	if reason := h.refusalReason(&req, false); reason != "" {
@@ -57,22 +57,22 @@
 		return h.sendRefusal(exchange, &req, frame.ReasonDuplicate)
 	}
 	defer h.ledger.endOffer(id)
-	release, reason := h.limiter.Acquire(ctx, h.newTicket(&req, received))
+	release, reason := h.limiter.Acquire(ctx, h.newSlotRequest(&req, received))
 	if reason != "" {
 		return h.sendRefusal(exchange, &req, reason)
 	}
 	slot := &heldSlot{release: release}
 	defer slot.free(admission.Outcome{Cancelled: true})
 	heldSince := h.clock.Now()
-	h.logCall(eventSlotHeld, &req, eventlog.Fields{"hold_ms": h.cfg.Hold.Milliseconds()})
-	admit := frame.Admit{ID: req.ID, Incarnation: h.cfg.Incarnation, HoldMillis: h.cfg.Hold.Milliseconds()}
+	h.logCall(eventSlotHeld, &req, eventlog.Fields{"hold_ms": h.cfg.HoldTimeout.Milliseconds()})
+	admit := frame.Admit{ID: req.ID, Incarnation: h.cfg.Incarnation, HoldMillis: h.cfg.HoldTimeout.Milliseconds()}
 	if err := exchange.Send(frame.KindAdmit, admit); err != nil {
 		return err
 	}
 	if err := h.awaitGo(ctx, &req, exchange, slot); err != nil {
 		return err
 	}
-	if hasElapsed(heldSince, h.clock.Now(), h.cfg.Hold) {
+	if hasElapsed(heldSince, h.clock.Now(), h.cfg.HoldTimeout) {
 		return h.sendRefusal(exchange, &req, frame.ReasonExpired)
 	}
 	if !h.ledger.start(id) {
@@ -108,7 +108,7 @@
 // awaitGo waits for the entry instance's Go frame. When the hold expires first,
 // it frees the slot and keeps waiting, so that a late Go can be refused.
 func (h *Handler) awaitGo(ctx context.Context, req *frame.Request, exchange work.AgentExchange, slot *heldSlot) error {
-	holdCtx, cancel := context.WithTimeout(ctx, h.cfg.Hold)
+	holdCtx, cancel := context.WithTimeout(ctx, h.cfg.HoldTimeout)
 	defer cancel()
 	f, err := exchange.Receive(holdCtx)
 	if err != nil && ctx.Err() == nil {
@@ -119,14 +119,14 @@
 		return err
 	}
 	if f.Kind != frame.KindGo {
-		return core.Step("await go", exchange.Peer(), errors.Wrapf(frame.ErrUnexpected, "kind %d", f.Kind))
+		return core.WrapStep("await go", exchange.Peer(), errors.Wrapf(frame.ErrUnexpectedKind, "kind %d", f.Kind))
 	}
 	var msg frame.Go
 	if err := f.Decode(&msg); err != nil {
-		return core.Step("await go", exchange.Peer(), err)
+		return core.WrapStep("await go", exchange.Peer(), err)
 	}
 	if msg.ID != req.ID {
-		return core.Step("await go", exchange.Peer(), errors.Wrapf(frame.ErrUnexpected, "go for %s, offered %s", msg.ID, req.ID))
+		return core.WrapStep("await go", exchange.Peer(), errors.Wrapf(frame.ErrUnexpectedKind, "go for %s, offered %s", msg.ID, req.ID))
 	}
 	return nil
 }
@@ -165,7 +165,7 @@
 	case <-deadline:
 		return h.sendFailure(exchange, req, core.RefusalUnknown, errStillRunning)
 	case <-ctx.Done():
-		return core.Step("serve offer", exchange.Peer(), ctx.Err())
+		return core.WrapStep("serve offer", exchange.Peer(), ctx.Err())
 	}
 }
 
@@ -181,7 +181,7 @@
 		h.ledger.finish(id, outcome)
 	}
 	if err != nil {
-		h.log.Fail(eventOnceEnded, err, eventlog.Fields{"request": req.ID, "key": req.Key, "attempt": req.Attempt})
+		h.log.EventWithError(eventOnceEnded, err, eventlog.Fields{"request": req.ID, "key": req.Key, "attempt": req.Attempt})
 		return onceResult{err: err}
 	}
 	h.logCall(eventOnceEnded, req, eventlog.Fields{"status": outcome.Status, "bytes": len(outcome.Body)})
@@ -233,13 +233,13 @@
 // handleAsk answers whether an attempt ran in this incarnation of the agent, and
 // forbids the attempt unless it has started.
 func (h *Handler) handleAsk(first frame.Frame, exchange work.AgentExchange) error {
-	var msg frame.Ask
+	var msg frame.AttemptQuery
 	if err := first.Decode(&msg); err != nil {
-		return core.Step("serve ask", exchange.Peer(), err)
+		return core.WrapStep("serve ask", exchange.Peer(), err)
 	}
 	ran, outcome := h.ledger.queryAndForbid(attemptID{key: "key/" + msg.Key, attempt: msg.Attempt})
 	h.log.Event(eventAttemptQueried, eventlog.Fields{"request": msg.ID, "key": msg.Key, "attempt": msg.Attempt, "ran": ran})
-	return exchange.Send(frame.KindAnswer, frame.Answer{
-		ID: msg.ID, Incarnation: h.cfg.Incarnation, Ran: ran, Outcome: outcome,
+	return exchange.Send(frame.KindAttemptStatus, frame.AttemptStatus{
+		ID: msg.ID, Incarnation: h.cfg.Incarnation, State: ran, Outcome: outcome,
 	})
 }
