--- a/request/serve/once_test.go
+++ b/request/serve/once_test.go
@@ -55,23 +55,23 @@
 
 // askAttempt sends an Ask about an attempt and returns the answer, or nil if
 // there is none.
-func (h *harness) askAttempt(key string, attempt int) *frame.Answer {
+func (h *harness) askAttempt(key string, attempt int) *frame.AttemptStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	msg := frame.Ask{ID: "ask", Key: key, Attempt: attempt}
-	exchange, err := h.pool.Open(ctx, h.agent, msg.ID, frame.KindAsk, msg)
+	msg := frame.AttemptQuery{ID: "ask", Key: key, Attempt: attempt}
+	exchange, err := h.pool.Open(ctx, h.agent, msg.ID, frame.KindAttemptQuery, msg)
 	if err != nil {
 		return nil
 	}
 	got, err := exchange.Receive(ctx)
 	exchange.Close(err == nil)
-	answer, _ := got.(*frame.Answer)
+	answer, _ := got.(*frame.AttemptStatus)
 	return answer
 }
 
 func TestOnceOnlyCall(t *testing.T) {
 	Convey("Given an agent in front of a plain service", t, func() {
-		h := newHarness(t, options{service: true, serve: Config{Hold: 300 * time.Millisecond}})
+		h := newHarness(t, options{service: true, serve: Config{HoldTimeout: 300 * time.Millisecond}})
 
 		Convey("an offered call runs once after Go, and its outcome is kept", func() {
 			exchange, msg := h.openOffer(lotRequest("r1", "k1", 1))
@@ -81,7 +81,7 @@
 			So(r.summary(), ShouldEqual, "whole")
 			So(h.service.Executions()["k1"], ShouldEqual, 1)
 			answer := h.askAttempt("k1", 1)
-			So(answer.Ran, ShouldEqual, frame.RanYes)
+			So(answer.State, ShouldEqual, frame.AttemptRan)
 			So(string(answer.Outcome.Body), ShouldEqual, string(r.body))
 		})
 		Convey("an attempt that ran is refused when it is offered again", func() {
@@ -99,7 +99,7 @@
 		})
 		Convey("an Ask before Go forbids the attempt, and Go is refused", func() {
 			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
-			So(h.askAttempt("k1", 1).Ran, ShouldEqual, frame.RanNo)
+			So(h.askAttempt("k1", 1).State, ShouldEqual, frame.AttemptNotRun)
 			So(sendGo(exchange, "r1").summary(), ShouldEqual, "refused duplicate")
 			So(h.service.Executions()["k1"], ShouldEqual, 0)
 		})
@@ -115,13 +115,13 @@
 			So(exchange.Send(frame.KindGo, frame.Go{ID: "r1"}), ShouldBeNil)
 			eventually(t, "the call runs", func() bool { return h.service.Executions()["k1"] == 1 })
 			exchange.Close(false)
-			So(h.askAttempt("k1", 1).Ran, ShouldEqual, frame.RanRunning)
+			So(h.askAttempt("k1", 1).State, ShouldEqual, frame.AttemptRunning)
 			h.handler.Leave()
 			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			So(h.handler.Drain(ctx), ShouldBeNil)
 			answer := h.askAttempt("k1", 1)
-			So(answer.Ran, ShouldEqual, frame.RanYes)
+			So(answer.State, ShouldEqual, frame.AttemptRan)
 			So(answer.Outcome.Status, ShouldEqual, http.StatusOK)
 		})
 		Convey("when the connection to the service is lost during the call, the outcome is unknown and the attempt counts as run", func() {
@@ -130,7 +130,7 @@
 			So(sendGo(exchange, "r1").summary(), ShouldEqual, "failed unknown")
 			So(h.service.Executions()["k1"], ShouldEqual, 1)
 			answer := h.askAttempt("k1", 1)
-			So(answer.Ran, ShouldEqual, frame.RanYes)
+			So(answer.State, ShouldEqual, frame.AttemptRan)
 			So(answer.Outcome, ShouldBeNil)
 		})
 		Convey("a non-repeatable call is refused without an offer", func() {
@@ -158,7 +158,7 @@
 		h.gate.Configure(64, 64)
 		type raceResult struct {
 			replies [2]reply
-			answer  *frame.Answer
+			answer  *frame.AttemptStatus
 		}
 		results := make([]raceResult, keys)
 		var races sync.WaitGroup
@@ -186,7 +186,7 @@
 		}
 		races.Wait()
 		executions := h.service.Executions()
-		answers := map[frame.Ran]int{}
+		answers := map[frame.AttemptState]int{}
 		for i, result := range results {
 			n := executions[fmt.Sprintf("k%d", i)]
 			complete := 0
@@ -195,11 +195,11 @@
 					complete++
 				}
 			}
-			answers[result.answer.Ran]++
+			answers[result.answer.State]++
 			if n > 1 || complete != n {
 				t.Errorf("key %d: %d executions, %d complete answers", i, n, complete)
 			}
-			if result.answer.Ran == frame.RanNo && n != 0 {
+			if result.answer.State == frame.AttemptNotRun && n != 0 {
 				t.Errorf("key %d: Ask was answered no, but the attempt ran %d times", i, n)
 			}
 		}
@@ -255,13 +255,13 @@
 			l.finish(attemptID{key: "a", attempt: 1}, &frame.Outcome{Body: []byte("done")})
 			So(l.beginOffer(c), ShouldBeTrue)
 			ran, _ := l.queryAndForbid(attemptID{key: "a", attempt: 1})
-			So(ran, ShouldEqual, frame.RanUnknown)
+			So(ran, ShouldEqual, frame.AttemptUnknown)
 		})
 		Convey("outcomes beyond the size limit are dropped, but the attempts still count as run", func() {
 			l.finish(attemptID{key: "a", attempt: 1}, &frame.Outcome{Body: make([]byte, 8)})
 			l.finish(attemptID{key: "b", attempt: 1}, &frame.Outcome{Body: make([]byte, 8)})
 			ran, outcome := l.queryAndForbid(attemptID{key: "a", attempt: 1})
-			So(ran, ShouldEqual, frame.RanYes)
+			So(ran, ShouldEqual, frame.AttemptRan)
 			So(outcome, ShouldBeNil)
 		})
 	})
--- a/request/serve/run.go
+++ b/request/serve/run.go
@@ -101,14 +101,14 @@
 		end := frame.End{ID: f.req.ID, Bytes: f.bodyBytes, Sum: f.checksum.Sum64(), Load: f.handler.limiter.Load()}
 		return f.exchange.Send(frame.KindEnd, end)
 	case errors.As(err, &sendErr), errors.Is(err, context.Canceled):
-		f.handler.log.Fail(eventCallFailed, err, eventlog.Fields{"request": f.req.ID, "account": f.req.Account, "why": "entry gone"})
+		f.handler.log.EventWithError(eventCallFailed, err, eventlog.Fields{"request": f.req.ID, "account": f.req.Account, "why": "entry gone"})
 		return err
 	case f.headSent:
 		return f.handler.sendFailure(f.exchange, f.req, core.RefusalIncomplete, err)
 	case errors.Is(err, errOverloaded):
 		return f.handler.sendRefusal(f.exchange, f.req, frame.ReasonFull)
 	case errors.Is(err, errNotLoaded):
-		return f.handler.sendRefusal(f.exchange, f.req, frame.ReasonDigest)
+		return f.handler.sendRefusal(f.exchange, f.req, frame.ReasonDigestMismatch)
 	case errors.Is(err, engine.ErrNotSent):
 		return f.handler.sendRefusal(f.exchange, f.req, frame.ReasonDown)
 	default:
@@ -148,7 +148,7 @@
 		Header:       req.Header,
 		Body:         req.Body,
 		Digest:       req.Digest,
-		Once:         once,
+		OnceOnly:     once,
 		ResumeTokens: req.ResumeTokens,
 		Priority:     req.Priority,
 	}
@@ -157,7 +157,7 @@
 // checkAnswer returns an error unless the answer belongs to this request and
 // comes from the pinned model version, or is a client error (4xx) to be
 // forwarded. It is called before any of the answer is forwarded.
-func (f *answerForwarder) checkAnswer(answer engine.Answer) error {
+func (f *answerForwarder) checkAnswer(answer engine.Response) error {
 	if f.req.Digest == "" {
 		if answer.ID != "" && answer.ID != f.req.ID {
 			return f.logMismatch(errWrongRequest, answer)
@@ -186,14 +186,14 @@
 // reportWrongVersion calls Config.Distrust with the pinned version, which the
 // engine reports as loaded but did not answer from.
 func (f *answerForwarder) reportWrongVersion() {
-	if f.handler.cfg.Distrust != nil {
-		f.handler.cfg.Distrust(f.req.Digest)
+	if f.handler.cfg.OnWrongVersion != nil {
+		f.handler.cfg.OnWrongVersion(f.req.Digest)
 	}
 }
 
 // logMismatch logs an answer that must not be forwarded, and returns err.
-func (f *answerForwarder) logMismatch(err error, answer engine.Answer) error {
-	f.handler.log.Fail(eventAnswerMismatch, err, eventlog.Fields{
+func (f *answerForwarder) logMismatch(err error, answer engine.Response) error {
+	f.handler.log.EventWithError(eventAnswerMismatch, err, eventlog.Fields{
 		"request": f.req.ID, "answered": answer.ID, "want": f.req.Digest.Short(), "digest": answer.Digest.Short(), "status": answer.Status,
 	})
 	return err
--- a/request/serve/serve.go
+++ b/request/serve/serve.go
@@ -25,9 +25,9 @@
 
 // Default values of Config.
 const (
-	// DefaultHold is how long a slot is held for an offered call until the
+	// DefaultHoldTimeout is how long a slot is held for an offered call until the
 	// entry instance sends Go.
-	DefaultHold = 2 * time.Second
+	DefaultHoldTimeout = 2 * time.Second
 	// DefaultFirstByteTimeout is the longest wait for the first byte of an
 	// answer.
 	DefaultFirstByteTimeout = 10 * time.Second
@@ -60,9 +60,9 @@
 	// Service is the name of the plain service that this agent serves; empty
 	// when it serves a model engine.
 	Service string
-	// Hold is how long a slot is held for an offered call until the entry
+	// HoldTimeout is how long a slot is held for an offered call until the entry
 	// instance sends Go.
-	Hold time.Duration
+	HoldTimeout time.Duration
 	// FirstByteTimeout is the longest wait for the first byte of an answer.
 	FirstByteTimeout time.Duration
 	// StallTimeout is the longest time between two reads of an answer that
@@ -72,12 +72,12 @@
 	// outcome of a call that exceeds it is recorded as unknown. It is also the
 	// longest wait for an engine's answer that is not streamed.
 	OnceTimeout time.Duration
-	// Distrust is called with the manifest digest of a version that the
+	// OnWrongVersion is called with the manifest digest of a version that the
 	// engine reports as loaded but did not answer from. It may be nil.
-	Distrust func(core.Digest)
-	// Confirmed returns when an entry instance last confirmed that the
+	OnWrongVersion func(core.Digest)
+	// LastConfirmed returns when an entry instance last confirmed that the
 	// agent's configuration is the newest. Nil disables the check.
-	Confirmed func() time.Time
+	LastConfirmed func() time.Time
 	// MaxConfirmAge is the longest time since Confirmed during which new
 	// calls are accepted.
 	MaxConfirmAge time.Duration
@@ -90,7 +90,7 @@
 }
 
 func (c *Config) applyDefaults() {
-	core.SetDefault(&c.Hold, DefaultHold)
+	core.SetDefault(&c.HoldTimeout, DefaultHoldTimeout)
 	core.SetDefault(&c.FirstByteTimeout, DefaultFirstByteTimeout)
 	core.SetDefault(&c.StallTimeout, DefaultStallTimeout)
 	core.SetDefault(&c.OnceTimeout, DefaultOnceTimeout)
@@ -155,10 +155,10 @@
 		return h.handleRequest(ctx, first, exchange)
 	case frame.KindOffer:
 		return h.handleOffer(ctx, first, exchange)
-	case frame.KindAsk:
+	case frame.KindAttemptQuery:
 		return h.handleAsk(first, exchange)
 	default:
-		return core.Step("serve", exchange.Peer(), errors.Wrapf(frame.ErrUnexpected, "kind %d", first.Kind))
+		return core.WrapStep("serve", exchange.Peer(), errors.Wrapf(frame.ErrUnexpectedKind, "kind %d", first.Kind))
 	}
 }
 
@@ -200,7 +200,7 @@
 		select {
 		case <-idle:
 		case <-ctx.Done():
-			return core.Step("drain", "", ctx.Err())
+			return core.WrapStep("drain", "", ctx.Err())
 		}
 	}
 }
@@ -228,13 +228,13 @@
 func (h *Handler) handleRequest(ctx context.Context, first frame.Frame, exchange work.AgentExchange) error {
 	var req frame.Request
 	if err := first.Decode(&req); err != nil {
-		return core.Step("serve request", exchange.Peer(), err)
+		return core.WrapStep("serve request", exchange.Peer(), err)
 	}
 	if reason := h.refusalReason(&req, true); reason != "" {
 		return h.sendRefusal(exchange, &req, reason)
 	}
 	if !h.versions.begin(req.Digest) {
-		return h.sendRefusal(exchange, &req, frame.ReasonDigest)
+		return h.sendRefusal(exchange, &req, frame.ReasonDigestMismatch)
 	}
 	defer h.versions.end(req.Digest)
 	received := h.clock.Now()
@@ -245,7 +245,7 @@
 	}
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	ticket := h.newTicket(&req, received)
+	ticket := h.newSlotRequest(&req, received)
 	ticket.Shed = func() { cancel(errShed) }
 	release, reason := h.limiter.Acquire(runCtx, ticket)
 	if reason != "" {
@@ -255,9 +255,9 @@
 	return h.runRepeatable(runCtx, cancel, &req, exchange, release)
 }
 
-// newTicket returns the ticket with which req asks the limiter for a slot.
-func (h *Handler) newTicket(req *frame.Request, received time.Time) admission.Ticket {
-	t := admission.Ticket{Account: req.Account, Share: req.Share, Priority: req.Priority}
+// newSlotRequest returns the ticket with which req asks the limiter for a slot.
+func (h *Handler) newSlotRequest(req *frame.Request, received time.Time) admission.SlotRequest {
+	t := admission.SlotRequest{Account: req.Account, Share: req.Share, Priority: req.Priority}
 	if req.TimeoutMillis > 0 {
 		t.Deadline = received.Add(time.Duration(req.TimeoutMillis) * time.Millisecond)
 	}
@@ -280,8 +280,8 @@
 // sendFailure sends a Fail frame for a call without a complete answer. word is
 // the refusal word for the caller, cause the reason for the logs.
 func (h *Handler) sendFailure(exchange work.AgentExchange, req *frame.Request, word core.Refusal, cause error) error {
-	h.log.Fail(eventCallFailed, cause, eventlog.Fields{"request": req.ID, "account": req.Account, "word": word})
-	return exchange.Send(frame.KindFail, frame.Fail{ID: req.ID, Word: word, Detail: cause.Error(), Load: h.limiter.Load()})
+	h.log.EventWithError(eventCallFailed, cause, eventlog.Fields{"request": req.ID, "account": req.Account, "word": word})
+	return exchange.Send(frame.KindFail, frame.Fail{ID: req.ID, Refusal: word, Detail: cause.Error(), Load: h.limiter.Load()})
 }
 
 // logCall logs an event about req, with the fields that identify the call.
--- a/request/serve/serve_test.go
+++ b/request/serve/serve_test.go
@@ -42,7 +42,7 @@
 	engine  *standin.Engine
 	service *service.Service
 	holder  *confstore.Holder
-	gate    *admission.Gate
+	gate    *admission.AdaptiveLimiter
 	handler *Handler
 	agent   core.Instance
 	opener  work.Opener
@@ -77,9 +77,9 @@
 
 // newVirtualHarness returns a harness without sockets, for tests in virtual time.
 func newVirtualHarness(t testing.TB, o options) *harness {
-	h := assemble(t, o, func(_ *harness, handler http.Handler) engine.Engine { return inprocess.NewEngine(handler) })
+	h := assemble(t, o, func(_ *harness, handler http.Handler) engine.Engine { return inprocess.NewEngineClient(handler) })
 	h.agent = core.Instance{ID: "s1"}
-	h.opener = inprocess.Opener{Agents: map[string]work.Handler{"s1": h.handler}}
+	h.opener = inprocess.Opener{AgentHandlers: map[string]work.Handler{"s1": h.handler}}
 	return h
 }
 
@@ -137,9 +137,9 @@
 	h.t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	addr := strings.TrimPrefix(server.URL, "http://")
 	if h.service != nil {
-		return engine.NewServiceHTTP(addr, "")
+		return engine.NewServiceHTTPClient(addr, "")
 	}
-	return engine.NewHTTP(addr, "")
+	return engine.NewHTTPClient(addr, "")
 }
 
 // configure puts a configuration with the given number in force. change modifies
@@ -184,7 +184,7 @@
 	case r.refuse != nil:
 		return "refused " + string(r.refuse.Reason)
 	case r.fail != nil:
-		return "failed " + string(r.fail.Word)
+		return "failed " + string(r.fail.Refusal)
 	}
 	return "broken"
 }
@@ -268,7 +268,7 @@
 			req := completionRequest("r1", "20")
 			r := h.do(frame.KindRequest, req)
 			So(r.summary(), ShouldEqual, "whole")
-			want, err := standin.Expected(testDigest, req.Body)
+			want, err := standin.ExpectedText(testDigest, req.Body)
 			So(err, ShouldBeNil)
 			So(joinTokens(r.body), ShouldEqual, want)
 			So(r.tokens, ShouldEqual, 20)
@@ -278,7 +278,7 @@
 		})
 		Convey("a resumed stream continues after the tokens that the caller already has", func() {
 			req := completionRequest("r1", "20")
-			whole, err := standin.Expected(testDigest, req.Body)
+			whole, err := standin.ExpectedText(testDigest, req.Body)
 			So(err, ShouldBeNil)
 			req.ResumeTokens = 12
 			r := h.do(frame.KindRequest, req)
@@ -290,7 +290,7 @@
 			req.Body = []byte(strings.Replace(string(req.Body), `"stream":true,`, "", 1))
 			r := h.do(frame.KindRequest, req)
 			So(r.summary(), ShouldEqual, "whole")
-			want, err := standin.Expected(testDigest, req.Body)
+			want, err := standin.ExpectedText(testDigest, req.Body)
 			So(err, ShouldBeNil)
 			So(string(r.body), ShouldContainSubstring, want)
 		})
--- a/request/serve/versions.go
+++ b/request/serve/versions.go
@@ -75,7 +75,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return core.Step("drain version", "", ctx.Err())
+			return core.WrapStep("drain version", "", ctx.Err())
 		}
 	}
 }
--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -87,7 +87,7 @@
 		return r, echo.NewHTTPError(http.StatusNotFound, "model "+parsed.Model+" is not loaded")
 	}
 	prompt := parsed.promptText()
-	if r.faults.Crossed {
+	if r.faults.ForeignResponse {
 		r.id, prompt = uuid.NewString(), prompt+" of another caller"
 	}
 	r.seed = tokenSeed(r.digest, prompt)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -97,9 +97,9 @@
 	// Overloaded is the number of requests whose start made the number of
 	// running requests exceed the capacity, or found it exceeded.
 	Overloaded int `json:"overloaded"`
-	// Bears is the current capacity: the number of requests that run at full
+	// Capacity is the current capacity: the number of requests that run at full
 	// speed.
-	Bears float64 `json:"bears"`
+	Capacity float64 `json:"bears"`
 	// LoadError is the error of the last load; empty if it succeeded.
 	LoadError string `json:"loadError,omitempty"`
 }
@@ -193,8 +193,8 @@
 // status returns the current status. The caller must hold e.mu.
 func (e *Engine) status() engine.Status {
 	loaded := append([]frame.Loaded{}, e.loaded...)
-	if e.faults.Claim != nil {
-		loaded = append(loaded, *e.faults.Claim)
+	if e.faults.FalseLoaded != nil {
+		loaded = append(loaded, *e.faults.FalseLoaded)
 	}
 	return engine.Status{Loaded: loaded, InFlight: e.inFlight, Queued: e.queued, Fence: e.fence, Boot: e.boot}
 }
@@ -209,6 +209,6 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	counters := e.counters
-	counters.Bears = e.warmUp.capacity(e.clock.Now())
+	counters.Capacity = e.warmUp.capacity(e.clock.Now())
 	return counters
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -66,11 +66,11 @@
 
 func TestOrders(t *testing.T) {
 	Convey("Given an engine and an agent that serves weights", t, func() {
-		startEngine := func(fencing bool) (*Engine, *engine.HTTP) {
+		startEngine := func(fencing bool) (*Engine, *engine.HTTPClient) {
 			e := New(Config{Fencing: fencing, PeerToken: testToken}, clockwork.NewRealClock())
 			server := httptest.NewServer(e.Handler())
 			t.Cleanup(server.Close)
-			return e, engine.NewHTTP(strings.TrimPrefix(server.URL, "http://"), testToken)
+			return e, engine.NewHTTPClient(strings.TrimPrefix(server.URL, "http://"), testToken)
 		}
 		weights := newWeightSource("oregano")
 		agent := httptest.NewServer(weights)
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -21,8 +21,8 @@
 	// StayCold stops the warm-up: neither finished requests nor time increase
 	// the capacity.
 	StayCold bool `json:"stayCold,omitempty"`
-	// Crossed makes responses contain the ID and the text of another request.
-	Crossed bool `json:"crossed,omitempty"`
+	// ForeignResponse makes responses contain the ID and the text of another request.
+	ForeignResponse bool `json:"crossed,omitempty"`
 	// Stall makes requests hang after StallAfter tokens.
 	Stall bool `json:"stall,omitempty"`
 	// StallAfter is the number of tokens before a stall.
@@ -33,8 +33,8 @@
 	CutAfter int `json:"cutAfter,omitempty"`
 	// Refuse makes the engine respond to every request with status 503.
 	Refuse bool `json:"refuse,omitempty"`
-	// Claim is a version that is reported as loaded although it is not.
-	Claim *frame.Loaded `json:"claim,omitempty"`
+	// FalseLoaded is a version that is reported as loaded although it is not.
+	FalseLoaded *frame.Loaded `json:"claim,omitempty"`
 	// Swap makes streams continue after SwapAfter tokens with the tokens of the
 	// version that has this manifest digest.
 	Swap core.Digest `json:"swap,omitempty"`
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -128,17 +128,17 @@
 func (e *Engine) readObject(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, core.Step("read weights", url, err)
+		return nil, core.WrapStep("read weights", url, err)
 	}
 	req.Header.Set(core.HeaderPeerToken, e.cfg.PeerToken)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, core.Step("read weights", url, err)
+		return nil, core.WrapStep("read weights", url, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, core.Step("read weights", url, errors.Errorf("status %d", resp.StatusCode))
+		return nil, core.WrapStep("read weights", url, errors.Errorf("status %d", resp.StatusCode))
 	}
 	body, err := io.ReadAll(resp.Body)
-	return body, core.Step("read weights", url, err)
+	return body, core.WrapStep("read weights", url, err)
 }
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -73,9 +73,9 @@
 	return fmt.Sprintf("%08x ", uint32(hash>>32))
 }
 
-// Expected returns the text of the response to a request with this body from the
+// ExpectedText returns the text of the response to a request with this body from the
 // version with this manifest digest. Tests use it to check responses.
-func Expected(digest core.Digest, body []byte) (string, error) {
+func ExpectedText(digest core.Digest, body []byte) (string, error) {
 	c, err := parseCompletion(body)
 	if err != nil {
 		return "", err
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -139,9 +139,9 @@
 	l.version++
 }
 
-// Show replaces the listed instances. It is for use without Run, which lists the
+// SetInstanceList replaces the listed instances. It is for use without Run, which lists the
 // instances by their health checks.
-func (s *Server) Show(live []core.Instance) { s.instances.set(live) }
+func (s *Server) SetInstanceList(live []core.Instance) { s.instances.set(live) }
 
 // get returns the listed instances and the ETag of the list.
 func (l *instanceList) get() ([]core.Instance, string) {
--- a/test/configuration/freeze_test.go
+++ b/test/configuration/freeze_test.go
@@ -58,7 +58,7 @@
 	for _, p := range frozen {
 		r.signal(p, syscall.SIGSTOP)
 	}
-	cause := ops.Cause{Author: "ada", Reason: "test", ChangeID: fmt.Sprintf("out-%d", round)}
+	cause := ops.ChangeMetadata{Author: "ada", Reason: "test", ChangeID: fmt.Sprintf("out-%d", round)}
 	out, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], true, cause)
 	r.must(err)
 	r.awaitInForce(out.Number, propagationTimeout, r.entries[1], r.agents[1], r.agents[2])
--- a/test/configuration/leaving_test.go
+++ b/test/configuration/leaving_test.go
@@ -40,7 +40,7 @@
 		r.eventually("the server runs calls", startTimeout, func() bool { return r.executions(0) > callersPerEntry })
 
 		Convey("a leaving server gets no new calls after 3 s, and no call is cut off", func() {
-			cause := ops.Cause{Author: "ada", Reason: "repair", ChangeID: "leave"}
+			cause := ops.ChangeMetadata{Author: "ada", Reason: "repair", ChangeID: "leave"}
 			requested := time.Now()
 			_, err := r.operatorClient(r.entries[3]).SetBackendServerLeaving(t.Context(), leaving.id, true, cause)
 			So(err, ShouldBeNil)
--- a/test/configuration/never_falls_test.go
+++ b/test/configuration/never_falls_test.go
@@ -156,7 +156,7 @@
 		return
 	}
 	var p *ops.Problem
-	if !errors.As(err, &p) || p.Type == ops.TypeUnknown {
+	if !errors.As(err, &p) || p.Type == ops.TypeOutcomeUnknown {
 		return
 	}
 	s.refused[id] = true
--- a/test/configuration/outage_test.go
+++ b/test/configuration/outage_test.go
@@ -38,7 +38,7 @@
 
 		Convey("changes are refused, new processes get the version from peers, and nothing is lost", func() {
 			_, err := r.apply(r.entries[1], first, "second", "east")
-			So(problemType(err), ShouldEqual, ops.TypeNotApplied)
+			So(problemType(err), ShouldEqual, ops.TypePlatformUnavailable)
 
 			r.kill(r.entries[2])
 			r.start(r.entries[2])
--- a/test/configuration/retry_test.go
+++ b/test/configuration/retry_test.go
@@ -76,7 +76,7 @@
 			So(err, ShouldBeNil)
 			r.awaitInForce(second, propagationTimeout, r.all...)
 			_, err = r.apply(isolated, second, "third", "north")
-			So(problemType(err), ShouldEqual, ops.TypeNotApplied)
+			So(problemType(err), ShouldEqual, ops.TypePlatformUnavailable)
 		})
 	})
 }
--- a/test/configuration/rig_test.go
+++ b/test/configuration/rig_test.go
@@ -361,9 +361,9 @@
 // entry instance and returns the accepted version.
 func (r *rig) apply(entry *process, base uint64, id string, regions ...string) (uint64, error) {
 	accepted, err := r.operatorClient(entry).Apply(context.Background(), ops.ApplyRequest{
-		Cause: ops.Cause{Author: "ada", Reason: "test", ChangeID: id},
-		Base:  &base,
-		Files: r.declarations(regions...),
+		ChangeMetadata: ops.ChangeMetadata{Author: "ada", Reason: "test", ChangeID: id},
+		Base:           &base,
+		Files:          r.declarations(regions...),
 	})
 	return accepted.Number, err
 }
--- a/test/configuration/slow_test.go
+++ b/test/configuration/slow_test.go
@@ -43,7 +43,7 @@
 
 			r.delayPlatform(excessiveDelay)
 			_, err = r.apply(r.entries[0], second, "third", "north")
-			So(problemType(err), ShouldEqual, ops.TypeNotApplied)
+			So(problemType(err), ShouldEqual, ops.TypePlatformUnavailable)
 			So(r.callTime(), ShouldBeLessThan, maxCallTime)
 
 			r.delayPlatform(0)
--- a/test/faults/agent_once_test.go
+++ b/test/faults/agent_once_test.go
@@ -100,10 +100,10 @@
 }
 
 // queryAttempt returns the agent's status of the first attempt of key.
-func (a *agentClient) queryAttempt(key string) *frame.Answer {
-	x := a.open("ask", frame.KindAsk, frame.Ask{ID: "ask", Key: key, Attempt: 1})
+func (a *agentClient) queryAttempt(key string) *frame.AttemptStatus {
+	x := a.open("ask", frame.KindAttemptQuery, frame.AttemptQuery{ID: "ask", Key: key, Attempt: 1})
 	defer x.Close(true)
-	return a.receive(x).(*frame.Answer)
+	return a.receive(x).(*frame.AttemptStatus)
 }
 
 // executions returns how often the service beside an agent has executed the
@@ -129,13 +129,13 @@
 		x := agent.offer("frozen")
 		c.freeze(server)
 		So(x.Send(frame.KindGo, frame.Go{ID: "offer-frozen"}), ShouldBeNil)
-		<-time.After(serve.DefaultHold + time.Second)
+		<-time.After(serve.DefaultHoldTimeout + time.Second)
 		c.signal(server, syscall.SIGCONT)
 		refused, ok := agent.receive(x).(*frame.Refuse)
 		So(ok, ShouldBeTrue)
 		So(refused.Reason, ShouldEqual, frame.ReasonExpired)
 		So(c.executions(server, "frozen"), ShouldEqual, 0)
-		So(agent.queryAttempt("frozen").Ran, ShouldEqual, frame.RanNo)
+		So(agent.queryAttempt("frozen").State, ShouldEqual, frame.AttemptNotRun)
 
 		c.setServiceFaults(server, `{"delayMillis":1500}`)
 		agent.awaitAdmitting()
--- a/test/faults/entry_cluster_test.go
+++ b/test/faults/entry_cluster_test.go
@@ -120,7 +120,7 @@
 // below the ephemeral ports of outgoing connections.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	addrs, err := ports.Free(1)
+	addrs, err := ports.FreeAddrs(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -308,7 +308,7 @@
 	c.eventually("every entry instance serves", func() bool {
 		for _, addr := range c.entryAddrs() {
 			result, err := requests.Run(context.Background(), c.scenario("probe", 200*time.Millisecond, 20, 5, addr))
-			if err != nil || result.All.Calls == 0 || result.All.Words[requests.WordWhole] < result.All.Calls {
+			if err != nil || result.All.Calls == 0 || result.All.Outcomes[requests.OutcomeWhole] < result.All.Calls {
 				return false
 			}
 		}
@@ -339,7 +339,7 @@
 	return &requests.Scenario{
 		Name: name, Seed: 5, Duration: d, Entries: entries,
 		Accounts: []requests.Account{{
-			Name: "erbe", Key: accountKey, Rate: rate, Model: "herbs", Stream: 0.9,
+			Name: "erbe", Key: accountKey, Rate: rate, Model: "herbs", StreamShare: 0.9,
 			Tokens: requests.Range{Min: tokens, Max: tokens}, PromptWords: requests.Range{Min: 5, Max: 50},
 		}},
 	}
--- a/test/faults/entry_datacentre_test.go
+++ b/test/faults/entry_datacentre_test.go
@@ -82,7 +82,7 @@
 			drainedDataCentre, before, after-before, returned-after, overloadedAfter-overloaded)
 		t.Logf("first token p95: quiet %.1f ms, change %.1f ms", quiet.All.FirstToken.P95, r.All.FirstToken.P95)
 		So(r.MaxInFlight, ShouldBeGreaterThanOrEqualTo, 200)
-		So(r.All.Words[requests.WordWhole], ShouldEqual, r.All.Calls)
+		So(r.All.Outcomes[requests.OutcomeWhole], ShouldEqual, r.All.Calls)
 		So(after, ShouldEqual, before)
 		So(returned, ShouldBeGreaterThan, after)
 		So(overloadedAfter, ShouldEqual, overloaded)
@@ -103,7 +103,7 @@
 				c.start(name)
 			}
 		})
-		So(r.All.Words[requests.WordWhole], ShouldEqual, r.All.Calls)
+		So(r.All.Outcomes[requests.OutcomeWhole], ShouldEqual, r.All.Calls)
 		assertAtMostOnce(r)
 
 		r = c.runWithFault(c.scenario("stop-all", faultDelay, streamRate, streamTokens, c.entryAddrs()...), func() {
@@ -115,9 +115,9 @@
 			}
 			stops.Wait()
 		})
-		So(r.All.Words[requests.WordCut], ShouldEqual, 0)
-		So(r.All.Words[requests.WordWrong], ShouldEqual, 0)
-		So(r.All.Words["unknown"]+r.All.Words["incomplete"], ShouldEqual, 0)
+		So(r.All.Outcomes[requests.OutcomeCut], ShouldEqual, 0)
+		So(r.All.Outcomes[requests.OutcomeWrong], ShouldEqual, 0)
+		So(r.All.Outcomes["unknown"]+r.All.Outcomes["incomplete"], ShouldEqual, 0)
 		So(c.procs["entry-1"].cmd.ProcessState.Sys().(syscall.WaitStatus).ExitStatus(), ShouldEqual, 0)
 	})
 }
--- a/test/faults/entry_engine_test.go
+++ b/test/faults/entry_engine_test.go
@@ -90,7 +90,7 @@
 				c.signal(name, syscall.SIGCONT)
 			}
 		})
-		So(r.All.Words[requests.WordWhole], ShouldEqual, r.All.Calls)
+		So(r.All.Outcomes[requests.OutcomeWhole], ShouldEqual, r.All.Calls)
 		c.awaitServing()
 	})
 }
--- a/test/faults/entry_freeze_test.go
+++ b/test/faults/entry_freeze_test.go
@@ -26,7 +26,7 @@
 func (c *cluster) withOnceOnlyCalls(s *requests.Scenario) *requests.Scenario {
 	s.Services = c.serviceAddrs()
 	s.Accounts = append(s.Accounts, requests.Account{
-		Name: "lots", Key: accountKey, Rate: 20, Once: 1, Keyed: 0.5, OncePath: "/services/lots/lots",
+		Name: "lots", Key: accountKey, Rate: 20, OnceShare: 1, KeyedShare: 0.5, OncePath: "/services/lots/lots",
 		Tokens: requests.Range{Min: 1, Max: 1},
 	})
 	return s
@@ -36,7 +36,7 @@
 // that none ran that was reported as not run.
 func assertAtMostOnce(r *requests.Result) {
 	So(r.Executions, ShouldBeGreaterThan, 0)
-	So(r.Doubled, ShouldEqual, 0)
+	So(r.DuplicateExecutions, ShouldEqual, 0)
 	So(r.FalseNotRun, ShouldEqual, 0)
 }
 
@@ -49,14 +49,14 @@
 			c.freezeAndResume("gpu-palermo-1", "lots-palermo")
 		})
 		models := r.Accounts["erbe"]
-		So(models.Words[requests.WordWhole], ShouldEqual, models.Calls)
+		So(models.Outcomes[requests.OutcomeWhole], ShouldEqual, models.Calls)
 		assertAtMostOnce(r)
 
 		r = c.runWithFault(c.withOnceOnlyCalls(c.scenario("freeze-entry", duration, streamRate, streamTokens, c.entryAddrs()...)), func() {
 			c.freezeAndResume("entry-4")
 		})
 		models = r.Accounts["erbe"]
-		So(models.Words[requests.WordWhole], ShouldEqual, models.Calls)
+		So(models.Outcomes[requests.OutcomeWhole], ShouldEqual, models.Calls)
 		assertAtMostOnce(r)
 	})
 }
--- a/test/faults/entry_kill_test.go
+++ b/test/faults/entry_kill_test.go
@@ -88,9 +88,9 @@
 // entry instance.
 func assertAllWhole(r *requests.Result, maxLost int) {
 	So(r.MaxInFlight, ShouldBeGreaterThanOrEqualTo, 200)
-	So(r.All.Words[requests.WordWrong], ShouldEqual, 0)
-	So(r.All.Words[requests.WordDoubled], ShouldEqual, 0)
-	So(r.All.Words[requests.WordWhole], ShouldBeGreaterThanOrEqualTo, r.All.Calls-maxLost)
+	So(r.All.Outcomes[requests.OutcomeWrong], ShouldEqual, 0)
+	So(r.All.Outcomes[requests.OutcomeDoubled], ShouldEqual, 0)
+	So(r.All.Outcomes[requests.OutcomeWhole], ShouldBeGreaterThanOrEqualTo, r.All.Calls-maxLost)
 }
 
 func TestKillsUnderLoad(t *testing.T) {
@@ -114,6 +114,6 @@
 		})
 		// The killed entry instance had a quarter of the calls.
 		assertAllWhole(r, r.MaxInFlight/2)
-		So(r.All.Words[requests.WordCut]+r.All.Words[requests.WordLost], ShouldEqual, r.All.Calls-r.All.Words[requests.WordWhole])
+		So(r.All.Outcomes[requests.OutcomeCut]+r.All.Outcomes[requests.OutcomeLost], ShouldEqual, r.All.Calls-r.All.Outcomes[requests.OutcomeWhole])
 	})
 }
--- a/test/faults/entry_once_test.go
+++ b/test/faults/entry_once_test.go
@@ -59,13 +59,13 @@
 		c := warmCluster(t)
 		s := c.scenario("once", onceCalls*time.Second/onceRate, onceRate, 1, c.entryAddrs()...)
 		s.Services = c.serviceAddrs()
-		s.Accounts[0].Once = 1
-		s.Accounts[0].Keyed = 0.5
+		s.Accounts[0].OnceShare = 1
+		s.Accounts[0].KeyedShare = 0.5
 		s.Accounts[0].OncePath = "/services/lots/lots"
 		r := c.runWithFault(s, c.runFaultSequence)
 		assertAtMostOnce(r)
-		So(r.All.Words[requests.WordWrong], ShouldEqual, 0)
+		So(r.All.Outcomes[requests.OutcomeWrong], ShouldEqual, 0)
 		So(r.All.Calls, ShouldBeGreaterThan, onceCalls*9/10)
-		So(r.All.Words[requests.WordWhole], ShouldBeGreaterThan, onceCalls/2)
+		So(r.All.Outcomes[requests.OutcomeWhole], ShouldBeGreaterThan, onceCalls/2)
 	})
 }
--- a/test/faults/entry_overload_test.go
+++ b/test/faults/entry_overload_test.go
@@ -22,7 +22,7 @@
 // accounts, total calls per second in all.
 func (c *cluster) overloadScenario(name string, total float64) *requests.Scenario {
 	s := c.scenario(name, overloadDuration, total-3*smallAccountRate, streamTokens, c.entryAddrs()...)
-	s.Accounts[0].Stream = 1
+	s.Accounts[0].StreamShare = 1
 	s.Accounts[0].Tokens = requests.Range{Min: streamTokens / 2, Max: streamTokens * 3 / 2}
 	for _, small := range []string{"small-1", "small-2", "small-3"} {
 		a := s.Accounts[0]
@@ -43,10 +43,10 @@
 		load := c.overloadScenario("twice", 2*float64(slots)/streamTime.Seconds())
 
 		r := c.runWithFault(load, func() {})
-		So(r.All.Words[requests.WordWrong]+r.All.Words[requests.WordCut], ShouldEqual, 0)
-		So(r.All.Words[requests.WordDoubled]+r.All.Words[requests.WordLost], ShouldEqual, 0)
+		So(r.All.Outcomes[requests.OutcomeWrong]+r.All.Outcomes[requests.OutcomeCut], ShouldEqual, 0)
+		So(r.All.Outcomes[requests.OutcomeDoubled]+r.All.Outcomes[requests.OutcomeLost], ShouldEqual, 0)
 		for _, a := range r.Accounts {
-			So(a.Words[requests.WordWhole], ShouldBeGreaterThan, 0)
+			So(a.Outcomes[requests.OutcomeWhole], ShouldBeGreaterThan, 0)
 		}
 	})
 }
--- a/test/faults/weights_rollout_test.go
+++ b/test/faults/weights_rollout_test.go
@@ -104,8 +104,8 @@
 		// logged but not asserted.
 		t.Logf("origin %.3f copies, first token 95th percentile %.1f ms quiet, %.1f ms during the rollout",
 			copies, quiet.All.FirstToken.P95, duringRollout.All.FirstToken.P95)
-		So(duringRollout.All.Words[requests.WordWrong], ShouldEqual, 0)
-		So(duringRollout.All.Words[requests.WordWhole], ShouldEqual, duringRollout.All.Calls)
+		So(duringRollout.All.Outcomes[requests.OutcomeWrong], ShouldEqual, 0)
+		So(duringRollout.All.Outcomes[requests.OutcomeWhole], ShouldEqual, duringRollout.All.Calls)
 		So(copies, ShouldBeLessThanOrEqualTo, regionCount*maxOriginCopies)
 
 		// Another version arrives although an agent is killed, another one is
@@ -124,8 +124,8 @@
 		c.awaitVersion(v3Digest)
 		copies = c.copiesSince(before)
 		t.Logf("origin %.3f copies with faults", copies)
-		So(duringRollout.All.Words[requests.WordWrong], ShouldEqual, 0)
-		So(duringRollout.All.Words[requests.WordWhole], ShouldEqual, duringRollout.All.Calls)
+		So(duringRollout.All.Outcomes[requests.OutcomeWrong], ShouldEqual, 0)
+		So(duringRollout.All.Outcomes[requests.OutcomeWhole], ShouldEqual, duringRollout.All.Calls)
 		So(copies, ShouldBeLessThanOrEqualTo, regionCount*maxOriginCopiesWithFaults)
 
 		// A rollback reads nothing from the origin for agents that still hold the
--- a/test/inprocess/cluster_test.go
+++ b/test/inprocess/cluster_test.go
@@ -55,7 +55,7 @@
 type server struct {
 	id, dataCentre, region string
 	engine                 *standin.Engine
-	gate                   *admission.Gate
+	gate                   *admission.AdaptiveLimiter
 	handler                *serve.Handler
 
 	mu     sync.Mutex
@@ -103,7 +103,7 @@
 	}
 	c.holder.Offer(&declare.Snapshot{Number: 1, Set: c.declarations(coldLimit)})
 	for n := range entryCount {
-		c.startEntry(n, Opener{Agents: agents})
+		c.startEntry(n, Opener{AgentHandlers: agents})
 	}
 	go c.sendReports(ctx)
 	return c
@@ -113,7 +113,7 @@
 	clock := clockwork.NewRealClock()
 	s.engine = standin.New(cfg, clock)
 	s.engine.Preload(frame.Loaded{Model: testModel, Version: "v1", Digest: testDigest})
-	client := NewEngine(s.engine.Handler())
+	client := NewEngineClient(s.engine.Handler())
 	s.gate = admission.New(admission.Config{Limit: engineLimit, ColdLimit: coldLimit, Metrics: metrics.NewRegistry()}, clock)
 	monitor := engine.NewMonitor(client, 0, eventlog.Discard(), clock)
 	ctx, stop := context.WithCancel(context.Background())
@@ -185,7 +185,7 @@
 			State: s.gate.State(), Limit: load.Limit, InFlight: load.InFlight, Queued: load.Queued, Config: 1,
 			Loaded: s.loadedVersions(),
 		},
-		Heard: time.Now(),
+		LastSeen: time.Now(),
 	}
 }
 
@@ -194,7 +194,7 @@
 	s := &requests.Scenario{
 		Name: name, Seed: 5, Duration: d, Transport: c.transport,
 		Accounts: []requests.Account{{
-			Name: "erbe", Key: "erbe-key", Rate: rate, Model: testModel, Stream: 1,
+			Name: "erbe", Key: "erbe-key", Rate: rate, Model: testModel, StreamShare: 1,
 			Tokens: tokens, PromptWords: requests.Range{Min: 5, Max: 50},
 		}},
 	}
--- a/test/inprocess/opener.go
+++ b/test/inprocess/opener.go
@@ -24,15 +24,15 @@
 // Opener is a work.Opener that calls agents' handlers in this process. Frames
 // are encoded and decoded as on a connection.
 type Opener struct {
-	// Agents maps the id of each agent to its handler.
-	Agents map[string]work.Handler
+	// AgentHandlers maps the id of each agent to its handler.
+	AgentHandlers map[string]work.Handler
 }
 
 var _ work.Opener = Opener{}
 
 // Open implements work.Opener.
 func (o Opener) Open(_ context.Context, agent core.Instance, _ string, kind frame.Kind, msg any) (work.Exchange, error) {
-	handler, ok := o.Agents[agent.ID]
+	handler, ok := o.AgentHandlers[agent.ID]
 	if !ok {
 		return nil, errors.Errorf("no handler for agent %q", agent.ID)
 	}
--- a/test/inprocess/overload_test.go
+++ b/test/inprocess/overload_test.go
@@ -48,7 +48,7 @@
 func callsPerSecond(slots int) float64 { return float64(slots) / streamTime.Seconds() }
 
 func TestTwiceTheCapacityOfNineServers(t *testing.T) {
-	Virtually(t, func(t *testing.T) {
+	RunInVirtualTime(t, func(t *testing.T) {
 		Convey("Given nine warm engines and twice the load of their capacity, most of it from one large client account", t, func() {
 			c := newCluster(t, engineConfig(engineLimit, 1), engineLimit)
 			slots := engineLimit * serverCount
@@ -59,14 +59,14 @@
 				s.Accounts = append(s.Accounts, a)
 			}
 			r, goodput := c.runScenario(s, slots, fillTime, nil)
-			t.Logf("goodput %.3f of capacity; refusals p95 %.1f ms; %v", goodput, r.All.Refusal.P95, r.All.Words)
-			So(r.All.Words[requests.WordWrong]+r.All.Words[requests.WordCut], ShouldEqual, 0)
+			t.Logf("goodput %.3f of capacity; refusals p95 %.1f ms; %v", goodput, r.All.NotWhole.P95, r.All.Outcomes)
+			So(r.All.Outcomes[requests.OutcomeWrong]+r.All.Outcomes[requests.OutcomeCut], ShouldEqual, 0)
 			So(goodput, ShouldBeGreaterThanOrEqualTo, minWarmGoodput)
-			So(r.All.Refusal.P95, ShouldBeLessThanOrEqualTo, maxRefusalMs)
+			So(r.All.NotWhole.P95, ShouldBeLessThanOrEqualTo, maxRefusalMs)
 			for name, a := range r.Accounts {
 				if strings.HasPrefix(name, "small") {
-					t.Logf("%s: %v %v", name, a.Words, a.Details)
-					So(float64(a.Words[requests.WordWhole])/float64(a.Calls), ShouldBeGreaterThanOrEqualTo, minWarmGoodput)
+					t.Logf("%s: %v %v", name, a.Outcomes, a.Details)
+					So(float64(a.Outcomes[requests.OutcomeWhole])/float64(a.Calls), ShouldBeGreaterThanOrEqualTo, minWarmGoodput)
 				}
 			}
 		})
@@ -74,20 +74,20 @@
 }
 
 func TestColdServersUnderFullLoad(t *testing.T) {
-	Virtually(t, func(t *testing.T) {
+	RunInVirtualTime(t, func(t *testing.T) {
 		Convey("Given nine engines that stay cold, and four times the load of their cold capacity", t, func() {
 			c := newCluster(t, engineConfig(engineColdLimit, 0.0001), engineColdLimit)
 			slots := engineColdLimit * serverCount
 			r, goodput := c.runScenario(c.scenario("cold", fillTime+countTime, 4*callsPerSecond(slots), requests.Range{Min: streamTokens, Max: streamTokens}), slots, fillTime, nil)
-			t.Logf("goodput %.3f of cold capacity; %v", goodput, r.All.Words)
-			So(r.All.Words[requests.WordWrong]+r.All.Words[requests.WordCut], ShouldEqual, 0)
+			t.Logf("goodput %.3f of cold capacity; %v", goodput, r.All.Outcomes)
+			So(r.All.Outcomes[requests.OutcomeWrong]+r.All.Outcomes[requests.OutcomeCut], ShouldEqual, 0)
 			So(goodput, ShouldBeGreaterThanOrEqualTo, minColdGoodput)
 		})
 	})
 }
 
 func TestAllServersTurnedCold(t *testing.T) {
-	Virtually(t, func(t *testing.T) {
+	RunInVirtualTime(t, func(t *testing.T) {
 		Convey("Given nine engines that have warmed up under four times the load of their cold capacity and all turn cold", t, func() {
 			c := newCluster(t, engineConfig(engineColdLimit, 1), engineColdLimit)
 			slots := engineColdLimit * serverCount
@@ -98,8 +98,8 @@
 					s.engine.SetFaults(standin.Faults{Cold: true, StayCold: true})
 				}
 			})
-			t.Logf("goodput %.3f of cold capacity; %v", goodput, r.All.Words)
-			So(r.All.Words[requests.WordWrong]+r.All.Words[requests.WordDoubled], ShouldEqual, 0)
+			t.Logf("goodput %.3f of cold capacity; %v", goodput, r.All.Outcomes)
+			So(r.All.Outcomes[requests.OutcomeWrong]+r.All.Outcomes[requests.OutcomeDoubled], ShouldEqual, 0)
 			So(goodput, ShouldBeGreaterThanOrEqualTo, minColdGoodput)
 		})
 	})
--- a/test/inprocess/rollout_test.go
+++ b/test/inprocess/rollout_test.go
@@ -42,13 +42,13 @@
 }
 
 func TestRolloutOverColdServers(t *testing.T) {
-	Virtually(t, func(t *testing.T) {
+	RunInVirtualTime(t, func(t *testing.T) {
 		Convey("Given nine cold servers under load, the rollout of a new version causes no refusal", t, func() {
 			c := newCluster(t, engineConfig(engineColdLimit, 0.0001), engineColdLimit)
 			load := c.scenario("rollout", 20*time.Second, rolloutRate, requests.Range{Min: rolloutTokens, Max: rolloutTokens})
 			r, _ := c.runScenario(load, engineColdLimit*serverCount, fillTime, c.rollOut)
-			t.Logf("%v %v", r.All.Words, r.All.Details)
-			So(r.All.Words[requests.WordWhole], ShouldEqual, r.All.Calls)
+			t.Logf("%v %v", r.All.Outcomes, r.All.Details)
+			So(r.All.Outcomes[requests.OutcomeWhole], ShouldEqual, r.All.Calls)
 		})
 	})
 }
--- a/test/inprocess/transport.go
+++ b/test/inprocess/transport.go
@@ -12,10 +12,10 @@
 	"github.com/rattanway/rattanway/connection/engine"
 )
 
-// NewEngine returns a client of the engine with this HTTP handler, which the
+// NewEngineClient returns a client of the engine with this HTTP handler, which the
 // client calls in this process.
-func NewEngine(handler http.Handler) engine.Engine {
-	return engine.NewHTTPOver(Transport{"engine": handler})
+func NewEngineClient(handler http.Handler) engine.Engine {
+	return engine.NewHTTPClientWithTransport(Transport{"engine": handler})
 }
 
 // Transport is an http.RoundTripper that maps each host to a handler and calls
--- a/test/ports/ports.go
+++ b/test/ports/ports.go
@@ -30,10 +30,10 @@
 	reservations []net.PacketConn
 )
 
-// Free returns n different addresses ("127.0.0.1:port") on which nothing
+// FreeAddrs returns n different addresses ("127.0.0.1:port") on which nothing
 // listens. They stay reserved until the calling process ends. It returns an
 // error when it finds fewer than n.
-func Free(n int) ([]string, error) {
+func FreeAddrs(n int) ([]string, error) {
 	mu.Lock()
 	defer mu.Unlock()
 	var addrs []string
--- a/test/sessions/sessions_test.go
+++ b/test/sessions/sessions_test.go
@@ -41,7 +41,7 @@
 		},
 		UpdateScripts: os.Getenv("UPDATE_SESSIONS") != "",
 		Setup: func(env *testscript.Env) error {
-			addrs, err := ports.Free(len(addrNames))
+			addrs, err := ports.FreeAddrs(len(addrNames))
 			if err != nil {
 				return err
 			}
--- a/version/catalog/follower.go
+++ b/version/catalog/follower.go
@@ -34,17 +34,17 @@
 	missingGrace = 2 * time.Second
 )
 
-// State is the content of one table, as entry instances send it to each other.
-type State struct {
+// TableContent is the content of one table, as entry instances send it to each other.
+type TableContent struct {
 	// Rows are the rows of the table without the deleted ones.
 	Rows []Row `cbor:"1,keyasint"`
-	// Changed is the store's revision of the newest change to the table.
-	Changed uint64 `cbor:"2,keyasint"`
-	// Read is the store's revision up to which the table has been read.
-	Read uint64 `cbor:"3,keyasint"`
-	// Ages are the ages of the newest declared weights in milliseconds, by
+	// ChangeRevision is the store's revision of the newest change to the table.
+	ChangeRevision uint64 `cbor:"2,keyasint"`
+	// ReadRevision is the store's revision up to which the table has been read.
+	ReadRevision uint64 `cbor:"3,keyasint"`
+	// WeightsAgeMs are the ages of the newest declared weights in milliseconds, by
 	// model.
-	Ages map[string]int64 `cbor:"4,keyasint,omitempty"`
+	WeightsAgeMs map[string]int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Follower keeps the content of one table up to date in a Holder.
@@ -134,10 +134,10 @@
 			return err
 		}
 		f.markAvailable()
-		f.replace(State{Rows: rows, Changed: newestRevision(rows), Read: rev}, false)
+		f.replace(TableContent{Rows: rows, ChangeRevision: newestRevision(rows), ReadRevision: rev}, false)
 		return nil
 	}
-	rows, rev, err := f.source.Feed(ctx, f.table, since, f.pollTimeout())
+	rows, rev, err := f.source.ChangesSince(ctx, f.table, since, f.pollTimeout())
 	if err != nil {
 		return err
 	}
@@ -215,61 +215,61 @@
 		return
 	}
 	f.unavailable = true
-	f.log.Fail(eventStoreLost, err, eventlog.Fields{"table": f.table.Name(), "revision": f.readRevision})
+	f.log.EventWithError(eventStoreLost, err, eventlog.Fields{"table": f.table.Name(), "revision": f.readRevision})
 }
 
-// Lost reports whether the store does not respond at present, or whether nothing
+// StoreUnavailable reports whether the store does not respond at present, or whether nothing
 // has been read yet.
-func (f *Follower) Lost() bool {
+func (f *Follower) StoreUnavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unavailable || f.changeRevision == 0
 }
 
-// Changed returns the store's revision of the newest change that has been
+// ChangeRevision returns the store's revision of the newest change that has been
 // applied; 0 when nothing has been read yet.
-func (f *Follower) Changed() uint64 {
+func (f *Follower) ChangeRevision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changeRevision
 }
 
-// State returns the table's content, to be sent to another entry instance.
-func (f *Follower) State() State {
+// Content returns the table's content, to be sent to another entry instance.
+func (f *Follower) Content() TableContent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := State{Changed: f.changeRevision, Read: f.readRevision}
+	s := TableContent{ChangeRevision: f.changeRevision, ReadRevision: f.readRevision}
 	for _, r := range f.rows {
 		s.Rows = append(s.Rows, r)
 	}
 	if f.table == TableDeclared {
 		now := f.clock.Now()
-		s.Ages = map[string]int64{}
+		s.WeightsAgeMs = map[string]int64{}
 		for model, w := range f.holder.Current().Weights {
-			s.Ages[model] = now.Sub(w.Known).Milliseconds()
+			s.WeightsAgeMs[model] = now.Sub(w.DeclaredAt).Milliseconds()
 		}
 	}
 	return s
 }
 
-// Relay replaces the table's content by s, which the entry instance from sent,
+// AdoptIfNewer replaces the table's content by s, which the entry instance from sent,
 // when s is newer.
-func (f *Follower) Relay(s State, from string) {
-	if s.Changed <= f.Changed() {
+func (f *Follower) AdoptIfNewer(s TableContent, from string) {
+	if s.ChangeRevision <= f.ChangeRevision() {
 		return
 	}
 	f.log.Event(eventTableFromPeer, eventlog.Fields{
-		"table": f.table.Name(), "from": from, "revision": s.Changed, "before": f.Changed(),
+		"table": f.table.Name(), "from": from, "revision": s.ChangeRevision, "before": f.ChangeRevision(),
 	})
 	f.replace(s, true)
 }
 
 // replace replaces the whole content of the table. With fromPeer set, it does so
 // only if s is newer than the content here.
-func (f *Follower) replace(s State, fromPeer bool) {
+func (f *Follower) replace(s TableContent, fromPeer bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if fromPeer && s.Changed <= f.changeRevision {
+	if fromPeer && s.ChangeRevision <= f.changeRevision {
 		return
 	}
 	now := f.clock.Now()
@@ -305,7 +305,7 @@
 			changes = append(changes, Change{Server: server})
 		}
 	}
-	f.changeRevision, f.readRevision = max(f.changeRevision, s.Changed), s.Read
+	f.changeRevision, f.readRevision = max(f.changeRevision, s.ChangeRevision), s.ReadRevision
 	f.holder.Apply(changes, true, f.table == TableServers, now)
 }
 
@@ -316,15 +316,15 @@
 
 // setKnown sets the Known time of a change to declared weights: from the age in s
 // if there is one, or by estimate on the first read from the store.
-func (f *Follower) setKnown(c *Change, s State, firstRead bool, now time.Time) {
+func (f *Follower) setKnown(c *Change, s TableContent, firstRead bool, now time.Time) {
 	if c.Weights == nil {
 		return
 	}
-	switch ms, ok := s.Ages[c.Weights.Model]; {
+	switch ms, ok := s.WeightsAgeMs[c.Weights.Model]; {
 	case ok:
-		c.Weights.Known = now.Add(-time.Duration(ms) * time.Millisecond)
+		c.Weights.DeclaredAt = now.Add(-time.Duration(ms) * time.Millisecond)
 	case firstRead:
-		c.Weights.Known, c.Weights.Guessed = now.Add(-estimatedAge), true
+		c.Weights.DeclaredAt, c.Weights.Estimated = now.Add(-estimatedAge), true
 	}
 }
 
@@ -388,8 +388,8 @@
 	if err == nil {
 		return c, true
 	}
-	if !errors.Is(err, ErrUnused) {
-		f.log.Fail(eventRowRejected, err, eventlog.Fields{"table": f.table.Name(), "key": r.Key, "revision": r.Revision})
+	if !errors.Is(err, ErrUnusedRow) {
+		f.log.EventWithError(eventRowRejected, err, eventlog.Fields{"table": f.table.Name(), "key": r.Key, "revision": r.Revision})
 	}
 	// A server whose row cannot be decoded must not be used; c removes it.
 	return c, c.Server != nil
--- a/version/catalog/follower_test.go
+++ b/version/catalog/follower_test.go
@@ -54,7 +54,7 @@
 	return s.next(ctx)
 }
 
-func (s *scriptedSource) Feed(ctx context.Context, _ Table, since uint64, _ time.Duration) ([]Row, uint64, error) {
+func (s *scriptedSource) ChangesSince(ctx context.Context, _ Table, since uint64, _ time.Duration) ([]Row, uint64, error) {
 	s.mu.Lock()
 	s.feedSince = append(s.feedSince, since)
 	s.mu.Unlock()
@@ -74,7 +74,7 @@
 
 func (s *scriptedSource) decodeDeclared(r Row) (Change, error) {
 	if out, ok := strings.CutPrefix(r.Key, "out/"); ok {
-		return Change{Out: out, Removed: r.Deleted}, nil
+		return Change{DataCentreOut: out, Removed: r.Deleted}, nil
 	}
 	n, err := strconv.ParseInt(string(r.Value), 10, 64)
 	return Change{Config: &Config{Version: n}}, err
@@ -185,11 +185,11 @@
 	Convey("A newer table from another entry instance is taken over, an older one is not", t, func() {
 		f, source, _ := newFollower(TableServers)
 		pollAll(f, source, response{rows: []Row{newRow("a", "ready", 3)}, rev: 9}, response{err: errDown})
-		f.Relay(State{Rows: []Row{newRow("b", "ready", 2)}, Changed: 2, Read: 30}, "peer")
+		f.AdoptIfNewer(TableContent{Rows: []Row{newRow("b", "ready", 2)}, ChangeRevision: 2, ReadRevision: 30}, "peer")
 		So(listServers(f.holder), ShouldEqual, "a")
-		f.Relay(State{Rows: []Row{newRow("a", "leaving", 12)}, Changed: 12, Read: 30}, "peer")
+		f.AdoptIfNewer(TableContent{Rows: []Row{newRow("a", "leaving", 12)}, ChangeRevision: 12, ReadRevision: 30}, "peer")
 		So(listServers(f.holder), ShouldEqual, "a!")
-		So(f.Changed(), ShouldEqual, 12)
+		So(f.ChangeRevision(), ShouldEqual, 12)
 	})
 
 	Convey("A row that is read again does not start another cold period", t, func() {
@@ -206,16 +206,16 @@
 		f, source, _ := newFollower(TableDeclared)
 		pollAll(f, source, response{rows: []Row{newRow("config", "7", 3)}, rev: 9}, response{rows: []Row{newRow("config", "5", 10)}, rev: 10})
 		So(f.holder.Current().Config.Version, ShouldEqual, 7)
-		f.Relay(State{Rows: []Row{newRow("config", "6", 20)}, Changed: 20, Read: 20}, "peer")
+		f.AdoptIfNewer(TableContent{Rows: []Row{newRow("config", "6", 20)}, ChangeRevision: 20, ReadRevision: 20}, "peer")
 		So(f.holder.Current().Config.Version, ShouldEqual, 7)
 	})
 
 	Convey("A data centre stays out of service until its row is missing from a read of the whole table", t, func() {
 		f, source, _ := newFollower(TableDeclared)
 		pollAll(f, source, response{rows: []Row{newRow("out/palermo", "", 3)}, rev: 9})
-		So(f.holder.Current().Out["palermo"], ShouldBeTrue)
+		So(f.holder.Current().DataCentresOut["palermo"], ShouldBeTrue)
 		pollAll(f, source, response{err: ErrHistoryLost}, response{rows: []Row{newRow("config", "7", 12)}, rev: 12})
-		So(f.holder.Current().Out["palermo"], ShouldBeFalse)
+		So(f.holder.Current().DataCentresOut["palermo"], ShouldBeFalse)
 	})
 }
 
--- a/version/catalog/holder.go
+++ b/version/catalog/holder.go
@@ -18,9 +18,9 @@
 	// Server is a listed backend server. When Removed is set, only its ID is
 	// used.
 	Server *Server
-	// Out is the name of a data centre that is taken out of service, or put
+	// DataCentreOut is the name of a data centre that is taken out of service, or put
 	// back when Removed is set.
-	Out string
+	DataCentreOut string
 	// Weights is a declared version of a model's weights.
 	Weights *Weights
 	// Removed reports whether the row was deleted, or could not be decoded.
@@ -65,7 +65,7 @@
 		next.ServersKnown = true
 	}
 	if replaceAll && !serverTable {
-		next.Out = map[string]bool{}
+		next.DataCentresOut = map[string]bool{}
 	}
 	before := h.current.Load()
 	for i := range changes {
@@ -82,7 +82,7 @@
 func (h *Holder) copyCurrent() *Snapshot {
 	next := *h.current.Load()
 	next.Servers = cloneMap(next.Servers)
-	next.Out = cloneMap(next.Out)
+	next.DataCentresOut = cloneMap(next.DataCentresOut)
 	next.Weights = cloneMap(next.Weights)
 	return &next
 }
@@ -104,14 +104,14 @@
 		delete(next.Servers, c.Server.ID)
 	case c.Server != nil:
 		next.Servers[c.Server.ID] = c.Server
-	case c.Out != "" && c.Removed:
-		delete(next.Out, c.Out)
-		h.log.Event(eventDataCentre, eventlog.Fields{"dataCentre": c.Out, "out": false})
-	case c.Out != "":
-		if !h.current.Load().Out[c.Out] {
-			h.log.Event(eventDataCentre, eventlog.Fields{"dataCentre": c.Out, "out": true})
+	case c.DataCentreOut != "" && c.Removed:
+		delete(next.DataCentresOut, c.DataCentreOut)
+		h.log.Event(eventDataCentre, eventlog.Fields{"dataCentre": c.DataCentreOut, "out": false})
+	case c.DataCentreOut != "":
+		if !h.current.Load().DataCentresOut[c.DataCentreOut] {
+			h.log.Event(eventDataCentre, eventlog.Fields{"dataCentre": c.DataCentreOut, "out": true})
 		}
-		next.Out[c.Out] = true
+		next.DataCentresOut[c.DataCentreOut] = true
 	case c.Weights != nil && !c.Removed:
 		h.applyWeights(next, *c.Weights, now)
 	}
@@ -148,24 +148,24 @@
 		return
 	}
 	if ok {
-		w.Before = append([]Weights{{Model: old.Model, Version: old.Version, Known: old.Known}}, old.Before...)
-		w.Before = w.Before[:min(len(w.Before), maxEarlierVersions)]
+		w.EarlierVersions = append([]Weights{{Model: old.Model, Version: old.Version, DeclaredAt: old.DeclaredAt}}, old.EarlierVersions...)
+		w.EarlierVersions = w.EarlierVersions[:min(len(w.EarlierVersions), maxEarlierVersions)]
 	}
-	if w.Known.IsZero() {
-		w.Known = now
+	if w.DeclaredAt.IsZero() {
+		w.DeclaredAt = now
 	}
 	next.Weights[w.Model] = w
 	h.log.Event(eventWeights, eventlog.Fields{
-		"model": w.Model, "version": w.Version, "ageMs": now.Sub(w.Known).Milliseconds(),
+		"model": w.Model, "version": w.Version, "ageMs": now.Sub(w.DeclaredAt).Milliseconds(),
 	})
 }
 
-// Learn merges a declared version that another process reported; its Known time
-// is the one of that process. If the version is the newest one here, Learn
+// MergeWeights merges a declared version that another process reported; its Known time
+// is the one of that process. If the version is the newest one here, MergeWeights
 // corrects a Known time that is only an estimate, or that is later than reported.
 // It adds an earlier version that is missing here, and applies a newer version
 // even if the store has not delivered it yet.
-func (h *Holder) Learn(w Weights, now time.Time) {
+func (h *Holder) MergeWeights(w Weights, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next := h.copyCurrent()
@@ -173,11 +173,11 @@
 	switch {
 	case !ok || w.Version > current.Version:
 		h.applyWeights(next, w, now)
-	case w.Version == current.Version && (current.Guessed || knownEarlier(w, current)):
-		current.Known, current.Guessed = w.Known, false
+	case w.Version == current.Version && (current.Estimated || knownEarlier(w, current)):
+		current.DeclaredAt, current.Estimated = w.DeclaredAt, false
 		next.Weights[w.Model] = current
 		h.log.Event(eventWeights, eventlog.Fields{
-			"model": w.Model, "version": w.Version, "ageMs": now.Sub(w.Known).Milliseconds(), "told": true,
+			"model": w.Model, "version": w.Version, "ageMs": now.Sub(w.DeclaredAt).Milliseconds(), "told": true,
 		})
 	case w.Version < current.Version && addEarlierVersion(&current, w):
 		next.Weights[w.Model] = current
@@ -197,23 +197,23 @@
 // knownEarlier reports whether the Known time of reported is earlier than that
 // of current by more than ageTolerance.
 func knownEarlier(reported, current Weights) bool {
-	return current.Known.Sub(reported.Known) > ageTolerance
+	return current.DeclaredAt.Sub(reported.DeclaredAt) > ageTolerance
 }
 
 // addEarlierVersion adds w to the versions before current, or corrects the Known
 // time of the same version there. It reports whether anything changed.
 func addEarlierVersion(current *Weights, w Weights) bool {
-	i, found := slices.BinarySearchFunc(current.Before, w.Version, func(earlier Weights, version int) int { return version - earlier.Version })
-	if found && !knownEarlier(w, current.Before[i]) || !found && len(current.Before) >= maxEarlierVersions {
+	i, found := slices.BinarySearchFunc(current.EarlierVersions, w.Version, func(earlier Weights, version int) int { return version - earlier.Version })
+	if found && !knownEarlier(w, current.EarlierVersions[i]) || !found && len(current.EarlierVersions) >= maxEarlierVersions {
 		return false
 	}
-	versions := slices.Clone(current.Before)
+	versions := slices.Clone(current.EarlierVersions)
 	if found {
-		versions[i].Known = w.Known
+		versions[i].DeclaredAt = w.DeclaredAt
 	} else {
 		versions = slices.Insert(versions, i, w)
 	}
-	current.Before = versions
+	current.EarlierVersions = versions
 	return true
 }
 
@@ -222,12 +222,12 @@
 func (h *Holder) logServerChanges(before, after *Snapshot) {
 	for id, server := range after.Servers {
 		old, ok := before.Servers[id]
-		if ok && old.Leaving == server.Leaving && old.Addr == server.Addr && maps.Equal(old.Weights, server.Weights) {
+		if ok && old.Leaving == server.Leaving && old.Addr == server.Addr && maps.Equal(old.LoadedVersions, server.LoadedVersions) {
 			continue
 		}
 		h.log.Event(eventServer, eventlog.Fields{
 			"server": id, "service": server.Service, "addr": server.Addr, "dataCentre": server.DataCentre,
-			"leaving": server.Leaving, "weights": server.Weights,
+			"leaving": server.Leaving, "weights": server.LoadedVersions,
 		})
 	}
 	for id, server := range before.Servers {
--- a/version/catalog/snapshot.go
+++ b/version/catalog/snapshot.go
@@ -17,9 +17,9 @@
 	ServersKnown bool
 	// Servers are the listed backend servers by ID.
 	Servers map[string]*Server
-	// Out contains the names of the data centres that operators have taken
+	// DataCentresOut contains the names of the data centres that operators have taken
 	// out of service.
-	Out map[string]bool
+	DataCentresOut map[string]bool
 	// Weights is the newest declared version of each model's weights, by
 	// model.
 	Weights map[string]Weights
@@ -99,15 +99,15 @@
 	return nil
 }
 
-// Declared returns the versions of all models that have been known for less
+// RecentVersions returns the versions of all models that have been known for less
 // than maxAge at now, whether or not a newer version exists. Versions whose
 // Known time is only an estimate are left out.
-func (s *Snapshot) Declared(now time.Time, maxAge time.Duration) []Weights {
+func (s *Snapshot) RecentVersions(now time.Time, maxAge time.Duration) []Weights {
 	var recent []Weights
 	for _, newest := range s.Weights {
-		for _, w := range append([]Weights{newest}, newest.Before...) {
-			if !w.Guessed && now.Sub(w.Known) < maxAge {
-				recent = append(recent, Weights{Model: w.Model, Version: w.Version, Known: w.Known})
+		for _, w := range append([]Weights{newest}, newest.EarlierVersions...) {
+			if !w.Estimated && now.Sub(w.DeclaredAt) < maxAge {
+				recent = append(recent, Weights{Model: w.Model, Version: w.Version, DeclaredAt: w.DeclaredAt})
 			}
 		}
 	}
@@ -117,8 +117,8 @@
 // Cold reports whether the server is in its cold period at now.
 func (s *Server) Cold(now time.Time) bool { return now.Before(s.ColdUntil) }
 
-// Allowed reports whether region is in a list of regions; an empty list allows
+// RegionAllowed reports whether region is in a list of regions; an empty list allows
 // every region.
-func Allowed(regions []string, region string) bool {
+func RegionAllowed(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
--- a/version/catalog/source.go
+++ b/version/catalog/source.go
@@ -41,19 +41,19 @@
 	// ErrHistoryLost is returned when the store no longer keeps all changes
 	// since the requested revision; the whole table must be read instead.
 	ErrHistoryLost = errors.New("history no longer available")
-	// ErrUnused is returned when this module does not use the row.
-	ErrUnused = errors.New("row not used")
+	// ErrUnusedRow is returned when this module does not use the row.
+	ErrUnusedRow = errors.New("row not used")
 )
 
 // Source reads the platform's store.
 type Source interface {
 	// List returns all rows of a table and the store's revision.
 	List(ctx context.Context, t Table) ([]Row, uint64, error)
-	// Feed returns the rows of a table that changed after the revision since,
+	// ChangesSince returns the rows of a table that changed after the revision since,
 	// oldest change first, and the store's revision. It returns as soon as
 	// there is a change, or without rows after wait. It returns
 	// ErrHistoryLost when the changes are no longer available.
-	Feed(ctx context.Context, t Table, since uint64, wait time.Duration) ([]Row, uint64, error)
+	ChangesSince(ctx context.Context, t Table, since uint64, wait time.Duration) ([]Row, uint64, error)
 	// Decode returns the change that a row makes, or ErrUnused. For a server's
 	// row that cannot be decoded it returns both the error and a Change that
 	// removes the server.
--- a/version/catalog/types.go
+++ b/version/catalog/types.go
@@ -29,10 +29,10 @@
 	Kind Kind
 	// Timeout is the maximum time that a request may wait for its response.
 	Timeout time.Duration
-	// Objective is the target for the time to the first byte of a response.
-	Objective time.Duration
-	// Gap is the target for the longest pause between two events of a stream.
-	Gap time.Duration
+	// FirstByteObjective is the target for the time to the first byte of a response.
+	FirstByteObjective time.Duration
+	// EventGapObjective is the target for the longest pause between two events of a stream.
+	EventGapObjective time.Duration
 	// Priority orders waiting requests; 0 is the most urgent.
 	Priority int
 	// Targets are the services that run the requests, with their weights.
@@ -40,8 +40,8 @@
 	// MaxServers is the maximum number of servers to which one request may be
 	// sent.
 	MaxServers int
-	// Anonymous reports whether requests need no API key.
-	Anonymous bool
+	// AllowAnonymous reports whether requests need no API key.
+	AllowAnonymous bool
 	// Resumable reports whether a stream may be continued after its last
 	// received event.
 	Resumable bool
@@ -73,11 +73,11 @@
 	// MaxConnections is the maximum number of connections that one server
 	// accepts from all its clients together.
 	MaxConnections int
-	// ColdFor is the length of the cold period after a server's start.
-	ColdFor time.Duration
-	// ColdPerSecond is the maximum number of requests per second for a server
+	// ColdDuration is the length of the cold period after a server's start.
+	ColdDuration time.Duration
+	// ColdRequestsPerSecond is the maximum number of requests per second for a server
 	// in its cold period; 0 means no limit.
-	ColdPerSecond float64
+	ColdRequestsPerSecond float64
 	// Engine describes the model servers of the service; nil for a service
 	// without models.
 	Engine *Engine
@@ -89,25 +89,25 @@
 type Engine struct {
 	// Slots is the maximum number of requests that run at once.
 	Slots int
-	// Step is the base duration of one token step, without any request.
-	Step time.Duration
-	// StepPerRequest is added to Step for each request that is generating
+	// StepTime is the base duration of one token step, without any request.
+	StepTime time.Duration
+	// StepTimePerRequest is added to Step for each request that is generating
 	// tokens.
-	StepPerRequest time.Duration
-	// StepPerContext is added to Step for each request per 1,000 tokens of
+	StepTimePerRequest time.Duration
+	// StepTimePerContext is added to Step for each request per 1,000 tokens of
 	// its context.
-	StepPerContext time.Duration
-	// ReadPerSecond is the number of prompt tokens processed per second.
-	ReadPerSecond float64
-	// Stride is the number of token steps in one pass of the engine.
-	Stride int
-	// UsualPrompt and UsualAnswer are the mean numbers of tokens in a prompt
+	StepTimePerContext time.Duration
+	// PromptTokensPerSecond is the number of prompt tokens processed per second.
+	PromptTokensPerSecond float64
+	// StepsPerPass is the number of token steps in one pass of the engine.
+	StepsPerPass int
+	// MeanPromptTokens and MeanAnswerTokens are the mean numbers of tokens in a prompt
 	// and in an answer.
-	UsualPrompt, UsualAnswer int
-	// Layers is the number of layers of the model.
-	Layers int
-	// Chunks is the number of chunks of a model's weights.
-	Chunks int
+	MeanPromptTokens, MeanAnswerTokens int
+	// LayerCount is the number of layers of the model.
+	LayerCount int
+	// ChunkCount is the number of chunks of a model's weights.
+	ChunkCount int
 	// ChunkBytes is the size of each chunk in bytes.
 	ChunkBytes int
 	// Models are the names of the models.
@@ -181,11 +181,11 @@
 	Leaving bool
 	// ColdUntil is the end of the cold period, by the clock of this process.
 	ColdUntil time.Time
-	// Started is the server's start time, in Unix milliseconds.
-	Started int64
-	// Weights is the version of each model of which the server holds every
+	// StartUnixMs is the server's start time, in Unix milliseconds.
+	StartUnixMs int64
+	// LoadedVersions is the version of each model of which the server holds every
 	// layer, by model.
-	Weights map[string]int
+	LoadedVersions map[string]int
 }
 
 // Weights is a declared version of a model's weights.
@@ -194,25 +194,25 @@
 	Model string
 	// Version is the version number, from 1.
 	Version int
-	// Known is the time at which this process learned of the version, or the
+	// DeclaredAt is the time at which this process learned of the version, or the
 	// earlier time at which another process did.
-	Known time.Time
-	// Guessed reports whether Known is only an estimate, because the version
+	DeclaredAt time.Time
+	// Estimated reports whether Known is only an estimate, because the version
 	// was declared before this process started.
-	Guessed bool
-	// Before are the versions that were declared earlier, newest first.
-	Before []Weights
+	Estimated bool
+	// EarlierVersions are the versions that were declared earlier, newest first.
+	EarlierVersions []Weights
 }
 
-// Required returns the oldest version that may still be used at now. A declared
-// version becomes required once it has been known for dueAfter. Required
+// MinVersion returns the oldest version that may still be used at now. A declared
+// version becomes required once it has been known for dueAfter. MinVersion
 // returns 0 when no version is required yet.
-func (w Weights) Required(now time.Time, dueAfter time.Duration) int {
-	if now.Sub(w.Known) >= dueAfter {
+func (w Weights) MinVersion(now time.Time, dueAfter time.Duration) int {
+	if now.Sub(w.DeclaredAt) >= dueAfter {
 		return w.Version
 	}
-	for _, earlier := range w.Before {
-		if now.Sub(earlier.Known) >= dueAfter {
+	for _, earlier := range w.EarlierVersions {
+		if now.Sub(earlier.DeclaredAt) >= dueAfter {
 			return earlier.Version
 		}
 	}
--- a/version/catalog/weights_test.go
+++ b/version/catalog/weights_test.go
@@ -20,9 +20,9 @@
 		declare(3, 2*time.Second)
 		dueAfter := 7 * time.Second
 		w := h.Current().Weights["herbs"]
-		So(w.Required(start.Add(6*time.Second), dueAfter), ShouldEqual, 0)
-		So(w.Required(start.Add(8*time.Second), dueAfter), ShouldEqual, 2)
-		So(w.Required(start.Add(9*time.Second), dueAfter), ShouldEqual, 3)
+		So(w.MinVersion(start.Add(6*time.Second), dueAfter), ShouldEqual, 0)
+		So(w.MinVersion(start.Add(8*time.Second), dueAfter), ShouldEqual, 2)
+		So(w.MinVersion(start.Add(9*time.Second), dueAfter), ShouldEqual, 3)
 	})
 }
 
@@ -32,13 +32,13 @@
 	Convey("A process that starts after two declarations takes their times from other processes", t, func() {
 		h := NewHolder(eventlog.Discard())
 		now := time.Now()
-		estimated := &Weights{Model: "herbs", Version: 3, Known: now.Add(-4 * time.Second), Guessed: true}
+		estimated := &Weights{Model: "herbs", Version: 3, DeclaredAt: now.Add(-4 * time.Second), Estimated: true}
 		h.Apply([]Change{{Weights: estimated}}, true, false, now)
-		h.Learn(Weights{Model: "herbs", Version: 2, Known: now.Add(-7 * time.Second)}, now)
-		h.Learn(Weights{Model: "herbs", Version: 3, Known: now.Add(-5 * time.Second)}, now)
+		h.MergeWeights(Weights{Model: "herbs", Version: 2, DeclaredAt: now.Add(-7 * time.Second)}, now)
+		h.MergeWeights(Weights{Model: "herbs", Version: 3, DeclaredAt: now.Add(-5 * time.Second)}, now)
 		w := h.Current().Weights["herbs"]
-		So(w.Required(now.Add(500*time.Millisecond), 7*time.Second), ShouldEqual, 2)
-		So(w.Required(now.Add(2*time.Second), 7*time.Second), ShouldEqual, 3)
+		So(w.MinVersion(now.Add(500*time.Millisecond), 7*time.Second), ShouldEqual, 2)
+		So(w.MinVersion(now.Add(2*time.Second), 7*time.Second), ShouldEqual, 3)
 	})
 }
 
@@ -51,9 +51,9 @@
 		now := time.Now()
 		h.Apply([]Change{{Weights: &Weights{Model: "herbs", Version: 2}}}, false, false, now)
 		h.Apply([]Change{{Weights: &Weights{Model: "herbs", Version: 3}}}, false, false, now)
-		h.Learn(Weights{Model: "herbs", Version: 2, Known: now.Add(-3 * time.Second)}, now)
+		h.MergeWeights(Weights{Model: "herbs", Version: 2, DeclaredAt: now.Add(-3 * time.Second)}, now)
 		w := h.Current().Weights["herbs"]
-		So(w.Required(now.Add(4*time.Second), 7*time.Second), ShouldEqual, 2)
-		So(w.Required(now.Add(3*time.Second), 7*time.Second), ShouldEqual, 0)
+		So(w.MinVersion(now.Add(4*time.Second), 7*time.Second), ShouldEqual, 2)
+		So(w.MinVersion(now.Add(3*time.Second), 7*time.Second), ShouldEqual, 0)
 	})
 }
--- a/version/confstore/confstore_test.go
+++ b/version/confstore/confstore_test.go
@@ -35,7 +35,7 @@
 
 // newPublisher returns a Publisher that uses p.
 func newPublisher(p *platform.Platform) *Publisher {
-	return NewPublisher(p.Table, p.Objects, clockwork.NewRealClock())
+	return NewPublisher(p.Table, p.ObjectStore, clockwork.NewRealClock())
 }
 
 // setWithRegions returns a set that declares the named regions.
@@ -78,12 +78,12 @@
 	defer f.mu.Unlock()
 	if f.dropCommits > 0 {
 		f.dropCommits--
-		return core.Step("commit", "fake", platform.ErrUnknownOutcome)
+		return core.WrapStep("commit", "fake", platform.ErrUnknownOutcome)
 	}
 	err := f.Table.Commit(ctx, writes)
 	if f.loseResponses > 0 {
 		f.loseResponses--
-		return core.Step("commit", "fake", platform.ErrUnknownOutcome)
+		return core.WrapStep("commit", "fake", platform.ErrUnknownOutcome)
 	}
 	return err
 }
@@ -146,7 +146,7 @@
 		})
 		Convey("another change with the same change id is refused", func() {
 			_, err := pub.Apply(ctx, changeToRegions(1, "c1", "q"))
-			So(err, ShouldWrap, ErrChangeID)
+			So(err, ShouldWrap, ErrChangeIDReused)
 		})
 		Convey("an equal set creates no version", func() {
 			_, err := pub.Apply(ctx, changeToRegions(1, "c2", "a"))
@@ -165,7 +165,7 @@
 			bad := changeToRegions(1, "c2", "a", "b")
 			bad.Reason = ""
 			_, err := pub.Apply(ctx, bad)
-			So(err, ShouldWrap, ErrChange)
+			So(err, ShouldWrap, ErrInvalidChange)
 		})
 		Convey("a version has the same documents at each replay, and reverting to it creates a new version", func() {
 			_, err := pub.Apply(ctx, changeToRegions(1, "c2", "b"))
@@ -188,7 +188,7 @@
 	Convey("Given a table whose responses are lost", t, func() {
 		p := newPlatform(t)
 		table := &faultyTable{Table: p.Table}
-		pub := NewPublisher(table, p.Objects, clockwork.NewRealClock())
+		pub := NewPublisher(table, p.ObjectStore, clockwork.NewRealClock())
 		ctx := context.Background()
 
 		Convey("a change whose response was lost after the commit is found again", func() {
@@ -269,14 +269,14 @@
 		pub := newPublisher(p)
 		ctx := context.Background()
 		holder := NewHolder()
-		f := NewFollower(FollowerConfig{}, p.Table, p.Objects, holder, eventlog.Discard(), clockwork.NewRealClock())
+		f := NewFollower(FollowerConfig{}, p.Table, p.ObjectStore, holder, eventlog.Discard(), clockwork.NewRealClock())
 
 		Convey("it reads the first version as a full snapshot and the next ones by deltas", func() {
 			_, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
 			So(f.poll(ctx), ShouldBeNil)
 			So(holder.Current().Number, ShouldEqual, 1)
-			p.Objects = nil
+			p.ObjectStore = nil
 			_, err = pub.Apply(ctx, changeToRegions(1, "c2", "a", "b"))
 			So(err, ShouldBeNil)
 			_, err = pub.Apply(ctx, changeToRegions(2, "c3", "b"))
@@ -316,14 +316,14 @@
 		}
 
 		Convey("a peer a few versions behind gets a delta", func() {
-			e, err := EncodeFor(holder, 1)
+			e, err := EncodeForPeer(holder, 1)
 			So(err, ShouldBeNil)
 			So(e.Base, ShouldEqual, 1)
 			So(OfferEncoded(peer, e), ShouldBeNil)
 			So(peer.Current().Digest, ShouldEqual, holder.Current().Digest)
 		})
 		Convey("a new peer gets the full configuration", func() {
-			e, err := EncodeFor(holder, 0)
+			e, err := EncodeForPeer(holder, 0)
 			So(err, ShouldBeNil)
 			So(e.Base, ShouldEqual, 0)
 			fresh := NewHolder()
@@ -331,13 +331,13 @@
 			So(fresh.Current().Number, ShouldEqual, 3)
 		})
 		Convey("a delta with another base is refused", func() {
-			e, err := EncodeFor(holder, 2)
+			e, err := EncodeForPeer(holder, 2)
 			So(err, ShouldBeNil)
-			So(OfferEncoded(peer, e), ShouldWrap, ErrBase)
+			So(OfferEncoded(peer, e), ShouldWrap, ErrBaseMismatch)
 			So(peer.Current().Number, ShouldEqual, 1)
 		})
 		Convey("a damaged body changes nothing", func() {
-			e, err := EncodeFor(holder, 0)
+			e, err := EncodeForPeer(holder, 0)
 			So(err, ShouldBeNil)
 			e.Body = append([]byte{}, e.Body...)
 			e.Body[len(e.Body)-1] ^= 1
@@ -345,8 +345,8 @@
 			So(peer.Current().Number, ShouldEqual, 1)
 		})
 		Convey("a peer that has the current version gets nothing", func() {
-			_, err := EncodeFor(holder, 3)
-			So(err, ShouldWrap, ErrNothingNewer)
+			_, err := EncodeForPeer(holder, 3)
+			So(err, ShouldWrap, ErrPeerUpToDate)
 		})
 	})
 }
@@ -362,7 +362,7 @@
 			So(holder.Offer(snapshotWithRegions(3, "other")), ShouldBeFalse)
 			older := NewHolder()
 			older.Offer(snapshotWithRegions(2, "b"))
-			e, err := EncodeFor(older, 0)
+			e, err := EncodeForPeer(older, 0)
 			So(err, ShouldBeNil)
 			So(OfferEncoded(holder, e), ShouldBeNil)
 			So(holder.Current().Digest, ShouldEqual, snapshotWithRegions(3, "c").Digest)
@@ -378,7 +378,7 @@
 func TestConfirmation(t *testing.T) {
 	Convey("Given a confirmed holder", t, func() {
 		clock := clockwork.NewFakeClock()
-		h := NewHolderAt(clock)
+		h := NewHolderWithClock(clock)
 		h.Offer(&declare.Snapshot{Number: 4, Set: setWithRegions("a")})
 		h.Confirm(clock.Now())
 		So(h.ConfirmedWithin(time.Second), ShouldBeTrue)
--- a/version/confstore/encoded.go
+++ b/version/confstore/encoded.go
@@ -9,17 +9,17 @@
 
 // Errors of the exchange of configurations between peers.
 var (
-	// ErrNothingNewer is returned when the peer already has the current
+	// ErrPeerUpToDate is returned when the peer already has the current
 	// version.
-	ErrNothingNewer = errors.New("peer already has the current version")
-	// ErrBase is returned when the base of a delta is not the current version
+	ErrPeerUpToDate = errors.New("peer already has the current version")
+	// ErrBaseMismatch is returned when the base of a delta is not the current version
 	// here; the full configuration must be requested instead.
-	ErrBase = errors.New("base of the delta is not the current version")
+	ErrBaseMismatch = errors.New("base of the delta is not the current version")
 )
 
-// Encoded is an encoded configuration to be sent to a peer: either the full
+// EncodedVersion is an encoded configuration to be sent to a peer: either the full
 // configuration, or a delta from the version Base.
-type Encoded struct {
+type EncodedVersion struct {
 	// Number is the version number of the configuration.
 	Number uint64
 	// Digest is the digest of the full encoded configuration, also for a
@@ -32,15 +32,15 @@
 	Body []byte
 }
 
-// EncodeFor returns the current version encoded for a peer that has peerVersion:
+// EncodeForPeer returns the current version encoded for a peer that has peerVersion:
 // a delta when h still keeps peerVersion, otherwise the full configuration. It
 // returns ErrNothingNewer when peerVersion is not older than the current version.
 // Encodings are cached until the next version, so that the same encoding is not
 // computed again for each peer.
-func EncodeFor(h *Holder, peerVersion uint64) (Encoded, error) {
+func EncodeForPeer(h *Holder, peerVersion uint64) (EncodedVersion, error) {
 	current, base := h.currentAndBase(peerVersion)
 	if current.Number <= peerVersion {
-		return Encoded{}, ErrNothingNewer
+		return EncodedVersion{}, ErrPeerUpToDate
 	}
 	baseNumber := uint64(0)
 	if base != nil {
@@ -51,15 +51,15 @@
 	}
 	e, err := encode(current, base)
 	if err != nil {
-		return Encoded{}, err
+		return EncodedVersion{}, err
 	}
 	h.cacheEncoding(e)
 	return e, nil
 }
 
 // encode encodes current: as a delta from base, or in full when base is nil.
-func encode(current, base *declare.Snapshot) (Encoded, error) {
-	e := Encoded{Number: current.Number, Digest: current.Digest}
+func encode(current, base *declare.Snapshot) (EncodedVersion, error) {
+	e := EncodedVersion{Number: current.Number, Digest: current.Digest}
 	if base != nil {
 		body, err := declare.EncodeDelta(base.Set, current.Set)
 		e.Base, e.Body = base.Number, body
@@ -67,7 +67,7 @@
 	}
 	body, digest, err := declare.Encode(current.Set)
 	if err == nil && digest != current.Digest {
-		err = errors.Wrapf(declare.ErrDigest, "version %d", current.Number)
+		err = errors.Wrapf(declare.ErrDigestMismatch, "version %d", current.Number)
 	}
 	e.Body = body
 	return e, err
@@ -88,7 +88,7 @@
 
 // cachedEncoding returns the cached encoding of version number as a delta from
 // version base, or in full when base is 0. It reports whether there is one.
-func (h *Holder) cachedEncoding(number, base uint64) (Encoded, bool) {
+func (h *Holder) cachedEncoding(number, base uint64) (EncodedVersion, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	e, ok := h.encodings[base]
@@ -96,7 +96,7 @@
 }
 
 // cacheEncoding caches e if its version is still the current one.
-func (h *Holder) cacheEncoding(e Encoded) {
+func (h *Holder) cacheEncoding(e EncodedVersion) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if e.Number == h.current.Number {
@@ -107,7 +107,7 @@
 // OfferEncoded checks a configuration from a peer and makes it the current version
 // of h when it is newer. It returns ErrBase when the caller must request the full
 // configuration.
-func OfferEncoded(h *Holder, e Encoded) error {
+func OfferEncoded(h *Holder, e EncodedVersion) error {
 	current := h.Current()
 	if e.Number <= current.Number {
 		return nil
@@ -121,12 +121,12 @@
 }
 
 // decodeAgainst decodes e. If e is a delta, its base must be current.
-func decodeAgainst(current *declare.Snapshot, e Encoded) (*declare.Set, error) {
+func decodeAgainst(current *declare.Snapshot, e EncodedVersion) (*declare.Set, error) {
 	if e.Base == 0 {
 		return declare.Decode(e.Body, e.Digest)
 	}
 	if e.Base != current.Number {
-		return nil, errors.Wrapf(ErrBase, "base %d, current %d", e.Base, current.Number)
+		return nil, errors.Wrapf(ErrBaseMismatch, "base %d, current %d", e.Base, current.Number)
 	}
 	return declare.ApplyDelta(current.Set, e.Body, e.Digest)
 }
--- a/version/confstore/errors.go
+++ b/version/confstore/errors.go
@@ -11,18 +11,18 @@
 
 // Errors of a Publisher.
 var (
-	// ErrChangeID is returned when the change id was already used for another
+	// ErrChangeIDReused is returned when the change id was already used for another
 	// change.
-	ErrChangeID = errors.New("change id was used for another change")
-	// ErrNoVersion is returned when a version does not exist, or when the
+	ErrChangeIDReused = errors.New("change id was used for another change")
+	// ErrVersionNotFound is returned when a version does not exist, or when the
 	// history no longer keeps it.
-	ErrNoVersion = errors.New("no such version in the history")
+	ErrVersionNotFound = errors.New("no such version in the history")
 	// ErrUnchanged is returned when the set equals the newest version, so that
 	// no new version is created.
 	ErrUnchanged = errors.New("nothing differs from the version in force")
-	// ErrChange is returned when the author, reason or change id of a change is
+	// ErrInvalidChange is returned when the author, reason or change id of a change is
 	// missing, too long or not UTF-8.
-	ErrChange = errors.New("bad change")
+	ErrInvalidChange = errors.New("bad change")
 )
 
 // ConflictError is returned when another change was accepted first on the same
@@ -32,7 +32,7 @@
 	Base uint64
 	// Winner is the version that another change created on Base. If its record
 	// cannot be read, Winner is the newest version.
-	Winner Entry
+	Winner HistoryEntry
 	// InForce is the newest version.
 	InForce uint64
 	// Changes are the differences between Base and the newest version; nil
--- a/version/confstore/follower.go
+++ b/version/confstore/follower.go
@@ -55,7 +55,7 @@
 type Follower struct {
 	config  FollowerConfig
 	table   platform.Table
-	objects platform.Objects
+	objects platform.ObjectStore
 	holder  *Holder
 	log     *eventlog.Logger
 	clock   clockwork.Clock
@@ -68,7 +68,7 @@
 }
 
 // NewFollower returns a Follower that does nothing until Run is called.
-func NewFollower(config FollowerConfig, table platform.Table, objects platform.Objects, holder *Holder, log *eventlog.Logger, clock clockwork.Clock) *Follower {
+func NewFollower(config FollowerConfig, table platform.Table, objects platform.ObjectStore, holder *Holder, log *eventlog.Logger, clock clockwork.Clock) *Follower {
 	config.applyDefaults()
 	return &Follower{config: config, table: table, objects: objects, holder: holder, log: log, clock: clock}
 }
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.updateTo(ctx, head.Entry); err != nil {
+	if err := f.updateTo(ctx, head.HistoryEntry); err != nil {
 		return err
 	}
 	f.revision = row.Revision
@@ -124,7 +124,7 @@
 // updateTo offers the version of head to the Holder if it is newer than the current
 // one. It logs an event if head is older, or differs from the current version with
 // the same number.
-func (f *Follower) updateTo(ctx context.Context, head Entry) error {
+func (f *Follower) updateTo(ctx context.Context, head HistoryEntry) error {
 	current := f.holder.Current()
 	if head.Number < current.Number || head.Number == current.Number && head.Digest != current.Digest {
 		f.log.Event(eventPlatformBehind, eventlog.Fields{"number": head.Number, "in_force": current.Number})
@@ -135,7 +135,7 @@
 	}
 	snapshot, how, err := f.fetch(ctx, current, head)
 	if err != nil {
-		f.log.Fail(eventFetchFailed, err, eventlog.Fields{"number": head.Number, "in_force": current.Number})
+		f.log.EventWithError(eventFetchFailed, err, eventlog.Fields{"number": head.Number, "in_force": current.Number})
 		return err
 	}
 	if f.holder.Offer(snapshot) {
@@ -154,7 +154,7 @@
 // fetch reads the version of head: by deltas if current is at most maxDeltas
 // versions older, otherwise, or if that fails, as a full snapshot. how is
 // "difference" or "whole" accordingly, for the log.
-func (f *Follower) fetch(ctx context.Context, current *declare.Snapshot, head Entry) (s *declare.Snapshot, how string, err error) {
+func (f *Follower) fetch(ctx context.Context, current *declare.Snapshot, head HistoryEntry) (s *declare.Snapshot, how string, err error) {
 	if current.Number > 0 && head.Number-current.Number <= maxDeltas {
 		if s, err := f.fetchDeltas(ctx, current, head); err == nil {
 			return s, "difference", nil
@@ -166,7 +166,7 @@
 
 // fetchDeltas applies the deltas of the history rows after current, up to the
 // version of head.
-func (f *Follower) fetchDeltas(ctx context.Context, current *declare.Snapshot, head Entry) (*declare.Snapshot, error) {
+func (f *Follower) fetchDeltas(ctx context.Context, current *declare.Snapshot, head HistoryEntry) (*declare.Snapshot, error) {
 	count := int(head.Number - current.Number)
 	rows, err := f.table.List(ctx, historyPrefix, historyKey(current.Number), count)
 	if err != nil {
@@ -182,7 +182,7 @@
 		}
 	}
 	if current.Number != head.Number || current.Digest != head.Digest {
-		return nil, core.Step("follow history", "", ErrIntegrity)
+		return nil, core.WrapStep("follow history", "", ErrIntegrity)
 	}
 	return current, nil
 }
@@ -205,7 +205,7 @@
 func (f *Follower) logAvailability(err error) {
 	lost := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrRefused)
 	if lost && !f.platformLost {
-		f.log.Fail(eventPlatformLost, err, eventlog.Fields{"in_force": f.holder.Current().Number})
+		f.log.EventWithError(eventPlatformLost, err, eventlog.Fields{"in_force": f.holder.Current().Number})
 	}
 	if err == nil && f.platformLost {
 		f.log.Event(eventPlatformBack, eventlog.Fields{"in_force": f.holder.Current().Number})
--- a/version/confstore/history.go
+++ b/version/confstore/history.go
@@ -23,35 +23,35 @@
 }
 
 // Head returns the newest accepted version; its Number is 0 when there is none.
-func (p *Publisher) Head(ctx context.Context) (Entry, error) {
+func (p *Publisher) Head(ctx context.Context) (HistoryEntry, error) {
 	head, _, err := p.readHead(ctx)
 	return head, err
 }
 
 // readHead reads the head row and returns its entry and revision; both are zero
 // when there is no version yet.
-func (p *Publisher) readHead(ctx context.Context) (Entry, uint64, error) {
+func (p *Publisher) readHead(ctx context.Context) (HistoryEntry, uint64, error) {
 	row, err := p.table.Get(ctx, headKey, 0)
 	if errors.Is(err, platform.ErrNotFound) {
-		return Entry{}, 0, nil
+		return HistoryEntry{}, 0, nil
 	}
 	if err != nil {
-		return Entry{}, 0, err
+		return HistoryEntry{}, 0, err
 	}
 	rec, err := decodeRecord(headKey, row.Value)
-	return rec.Entry, row.Revision, err
+	return rec.HistoryEntry, row.Revision, err
 }
 
 // findChange returns the version that was created with a change id, or
 // platform.ErrNotFound when there is none.
-func (p *Publisher) findChange(ctx context.Context, changeID string) (Entry, error) {
+func (p *Publisher) findChange(ctx context.Context, changeID string) (HistoryEntry, error) {
 	key := changeKey(changeID)
 	row, err := p.table.Get(ctx, key, 0)
 	if err != nil {
-		return Entry{}, err
+		return HistoryEntry{}, err
 	}
 	rec, err := decodeRecord(key, row.Value)
-	return rec.Entry, err
+	return rec.HistoryEntry, err
 }
 
 // readRecord reads the history row of one version. It returns ErrNoVersion when
@@ -60,7 +60,7 @@
 	key := historyKey(number)
 	row, err := p.table.Get(ctx, key, 0)
 	if errors.Is(err, platform.ErrNotFound) {
-		return record{}, errors.Wrapf(ErrNoVersion, "version %d", number)
+		return record{}, errors.Wrapf(ErrVersionNotFound, "version %d", number)
 	}
 	if err != nil {
 		return record{}, err
@@ -74,7 +74,7 @@
 
 // History returns up to limit versions, newest first. It returns ErrIntegrity when
 // a row is damaged, or when the numbers or parent digests are not consecutive.
-func (p *Publisher) History(ctx context.Context, limit int) ([]Entry, error) {
+func (p *Publisher) History(ctx context.Context, limit int) ([]HistoryEntry, error) {
 	head, err := p.Head(ctx)
 	if err != nil || head.Number == 0 {
 		return nil, err
@@ -97,8 +97,8 @@
 }
 
 // entriesAfter returns the entries of all versions after number, oldest first.
-func (p *Publisher) entriesAfter(ctx context.Context, number uint64) ([]Entry, error) {
-	var entries []Entry
+func (p *Publisher) entriesAfter(ctx context.Context, number uint64) ([]HistoryEntry, error) {
+	var entries []HistoryEntry
 	after := historyKey(number)
 	for {
 		rows, err := p.table.List(ctx, historyPrefix, after, historyPageRows)
@@ -110,7 +110,7 @@
 			if err != nil {
 				return nil, err
 			}
-			entries = append(entries, rec.Entry)
+			entries = append(entries, rec.HistoryEntry)
 			after = row.Key
 		}
 		if len(rows) < historyPageRows {
@@ -121,7 +121,7 @@
 
 // checkChain returns ErrIntegrity unless each entry is the successor of the entry
 // before it, by version number and parent digest.
-func checkChain(entries []Entry) error {
+func checkChain(entries []HistoryEntry) error {
 	for i := 1; i < len(entries); i++ {
 		previous, entry := entries[i-1], entries[i]
 		if entry.Number != previous.Number+1 || entry.Parent != previous.Digest {
@@ -134,31 +134,31 @@
 // Load returns a version from the history. Version 0 is the empty set.
 func (p *Publisher) Load(ctx context.Context, number uint64) (*declare.Snapshot, error) {
 	if number == 0 {
-		return p.loadEntry(ctx, Entry{})
+		return p.loadEntry(ctx, HistoryEntry{})
 	}
 	rec, err := p.readRecord(ctx, number)
 	if err != nil {
 		return nil, err
 	}
-	return p.loadEntry(ctx, rec.Entry)
+	return p.loadEntry(ctx, rec.HistoryEntry)
 }
 
 // loadEntry reads the snapshot of an entry and checks its digest.
-func (p *Publisher) loadEntry(ctx context.Context, e Entry) (*declare.Snapshot, error) {
+func (p *Publisher) loadEntry(ctx context.Context, e HistoryEntry) (*declare.Snapshot, error) {
 	return loadSnapshot(ctx, p.objects, e)
 }
 
 // loadSnapshot reads the snapshot of an entry from objects and checks its digest.
 // It returns ErrNoVersion when the object does not exist, and ErrIntegrity when it
 // is damaged.
-func loadSnapshot(ctx context.Context, objects platform.Objects, e Entry) (*declare.Snapshot, error) {
+func loadSnapshot(ctx context.Context, objects platform.ObjectStore, e HistoryEntry) (*declare.Snapshot, error) {
 	if e.Number == 0 {
 		return &declare.Snapshot{Set: declare.NewSet()}, nil
 	}
 	name := snapshotName(e.Number, e.Digest)
 	body, err := objects.Get(ctx, name, 0, -1)
 	if errors.Is(err, platform.ErrNotFound) {
-		return nil, errors.Wrapf(ErrNoVersion, "version %d", e.Number)
+		return nil, errors.Wrapf(ErrVersionNotFound, "version %d", e.Number)
 	}
 	if err != nil {
 		return nil, err
@@ -172,17 +172,17 @@
 
 // Replay returns the declarations of a version as documents, and its entry. The
 // documents of a version are always the same bytes.
-func (p *Publisher) Replay(ctx context.Context, number uint64) ([]byte, Entry, error) {
+func (p *Publisher) Replay(ctx context.Context, number uint64) ([]byte, HistoryEntry, error) {
 	rec, err := p.readRecord(ctx, number)
 	if err != nil {
-		return nil, Entry{}, err
+		return nil, HistoryEntry{}, err
 	}
-	snapshot, err := p.loadEntry(ctx, rec.Entry)
+	snapshot, err := p.loadEntry(ctx, rec.HistoryEntry)
 	if err != nil {
-		return nil, Entry{}, err
+		return nil, HistoryEntry{}, err
 	}
-	body, err := declare.Documents(snapshot.Set)
-	return body, rec.Entry, err
+	body, err := declare.EncodeYAML(snapshot.Set)
+	return body, rec.HistoryEntry, err
 }
 
 // Revert creates the next version with the content of version number. c.Set is
@@ -238,7 +238,7 @@
 		return p.Apply(ctx, c)
 	}
 	if len(declare.Diff(snapshot.Set, c.Set)) > 0 {
-		return nil, errors.Wrapf(ErrChangeID, "change id %q became version %d", c.ChangeID, base.Number)
+		return nil, errors.Wrapf(ErrChangeIDReused, "change id %q became version %d", c.ChangeID, base.Number)
 	}
 	return snapshot, nil
 }
--- a/version/confstore/history_test.go
+++ b/version/confstore/history_test.go
@@ -52,7 +52,7 @@
 		})
 		Convey("the older versions are removed, rows and objects alike", func() {
 			_, _, err := pub.Replay(ctx, 3)
-			So(err, ShouldWrap, ErrNoVersion)
+			So(err, ShouldWrap, ErrVersionNotFound)
 			rows, err := p.Table.List(ctx, "config/", "", 100)
 			So(err, ShouldBeNil)
 			So(len(rows), ShouldEqual, 1+3+3)
@@ -60,20 +60,20 @@
 		Convey("a follower far behind reads the full snapshot", func() {
 			holder := NewHolder()
 			holder.Offer(snapshotWithRegions(1, "r0"))
-			f := NewFollower(FollowerConfig{}, p.Table, p.Objects, holder, eventlog.Discard(), clockwork.NewRealClock())
+			f := NewFollower(FollowerConfig{}, p.Table, p.ObjectStore, holder, eventlog.Discard(), clockwork.NewRealClock())
 			So(f.poll(ctx), ShouldBeNil)
 			So(holder.Current().Number, ShouldEqual, 6)
 		})
 		Convey("a version that is no longer kept cannot be reverted to", func() {
 			_, err := pub.Revert(ctx, 1, changeToRegions(6, "back"))
-			So(err, ShouldWrap, ErrNoVersion)
+			So(err, ShouldWrap, ErrVersionNotFound)
 		})
 	})
 }
 
 // trackedObjects keeps the names of the objects that have been put and not deleted.
 type trackedObjects struct {
-	platform.Objects
+	platform.ObjectStore
 	mu    sync.Mutex
 	names map[string]bool
 }
@@ -83,7 +83,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.names[name] = true
-	return o.Objects.Put(ctx, name, body)
+	return o.ObjectStore.Put(ctx, name, body)
 }
 
 // Delete implements Deleter.
@@ -91,14 +91,14 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.names, name)
-	return o.Objects.(Deleter).Delete(ctx, name)
+	return o.ObjectStore.(Deleter).Delete(ctx, name)
 }
 
 func TestObjectsOfRaces(t *testing.T) {
 	Convey("Given operators who apply changes at once", t, func() {
 		p := newPlatform(t)
-		objects := &trackedObjects{Objects: p.Objects, names: map[string]bool{}}
-		p.Objects = objects
+		objects := &trackedObjects{ObjectStore: p.ObjectStore, names: map[string]bool{}}
+		p.ObjectStore = objects
 		const rounds = 10
 		for round := range uint64(rounds) {
 			applyAtOnce(context.Background(), p, 5, round)
@@ -154,7 +154,7 @@
 			damageRow(p, historyKey(2))
 			holder := NewHolder()
 			holder.Offer(snapshotWithRegions(1, "r0"))
-			f := NewFollower(FollowerConfig{}, p.Table, p.Objects, holder, eventlog.Discard(), clockwork.NewRealClock())
+			f := NewFollower(FollowerConfig{}, p.Table, p.ObjectStore, holder, eventlog.Discard(), clockwork.NewRealClock())
 			So(f.poll(ctx), ShouldBeNil)
 			So(holder.Current().Number, ShouldEqual, 3)
 		})
@@ -166,7 +166,7 @@
 		Convey("when the head row is damaged, a follower keeps its version and no change is accepted", func() {
 			damageRow(p, headKey)
 			holder := NewHolder()
-			f := NewFollower(FollowerConfig{}, p.Table, p.Objects, holder, eventlog.Discard(), clockwork.NewRealClock())
+			f := NewFollower(FollowerConfig{}, p.Table, p.ObjectStore, holder, eventlog.Discard(), clockwork.NewRealClock())
 			So(f.poll(ctx), ShouldWrap, ErrIntegrity)
 			So(holder.Current().Number, ShouldEqual, 0)
 			_, err := pub.Apply(ctx, changeToRegions(3, "c4", "z"))
@@ -176,10 +176,10 @@
 			head, err := pub.Head(ctx)
 			So(err, ShouldBeNil)
 			name := snapshotName(head.Number, head.Digest)
-			So(p.Objects.(Deleter).Delete(ctx, name), ShouldBeNil)
+			So(p.ObjectStore.(Deleter).Delete(ctx, name), ShouldBeNil)
 			other, _, err := declare.Encode(setWithRegions("other"))
 			So(err, ShouldBeNil)
-			So(p.Objects.Put(ctx, name, other), ShouldBeNil)
+			So(p.ObjectStore.Put(ctx, name, other), ShouldBeNil)
 			_, _, err = pub.Replay(ctx, 3)
 			So(err, ShouldWrap, ErrIntegrity)
 		})
--- a/version/confstore/holder.go
+++ b/version/confstore/holder.go
@@ -33,7 +33,7 @@
 	recent []*declare.Snapshot
 	// encodings are the cached encodings of current by the number of their
 	// base; 0 for the full configuration.
-	encodings map[uint64]Encoded
+	encodings map[uint64]EncodedVersion
 	// confirmedAt is the time as of which current was last known to be the
 	// newest version.
 	confirmedAt time.Time
@@ -41,22 +41,22 @@
 }
 
 // NewHolder returns a Holder with the empty configuration, which is version 0.
-func NewHolder() *Holder { return NewHolderAt(clockwork.NewRealClock()) }
+func NewHolder() *Holder { return NewHolderWithClock(clockwork.NewRealClock()) }
 
-// NewHolderAt is like NewHolder, but the Holder reads the time from clock.
-func NewHolderAt(clock clockwork.Clock) *Holder {
+// NewHolderWithClock is like NewHolder, but the Holder reads the time from clock.
+func NewHolderWithClock(clock clockwork.Clock) *Holder {
 	return &Holder{
 		clock:     clock,
 		log:       eventlog.Discard(),
 		current:   &declare.Snapshot{Set: declare.NewSet()},
-		encodings: map[uint64]Encoded{},
+		encodings: map[uint64]EncodedVersion{},
 		changed:   make(chan struct{}),
 	}
 }
 
-// LogTo makes the Holder log an event for each new current version. It must be
+// SetLogger makes the Holder log an event for each new current version. It must be
 // called before the first use.
-func (h *Holder) LogTo(log *eventlog.Logger) { h.log = log }
+func (h *Holder) SetLogger(log *eventlog.Logger) { h.log = log }
 
 // Current returns the current snapshot, which must not be changed.
 func (h *Holder) Current() *declare.Snapshot {
@@ -83,7 +83,7 @@
 		h.recent = h.recent[1:]
 	}
 	h.current = s
-	h.encodings = map[uint64]Encoded{}
+	h.encodings = map[uint64]EncodedVersion{}
 	close(h.changed)
 	h.changed = make(chan struct{})
 	return true
@@ -116,9 +116,9 @@
 	}
 }
 
-// Age returns the time since the last confirmation of the current version, and
+// ConfirmationAge returns the time since the last confirmation of the current version, and
 // false if there has been none.
-func (h *Holder) Age() (time.Duration, bool) {
+func (h *Holder) ConfirmationAge() (time.Duration, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	if h.confirmedAt.IsZero() {
@@ -130,7 +130,7 @@
 // ConfirmedWithin reports whether the last confirmation of the current version was
 // at most d ago, including time in which the process was paused.
 func (h *Holder) ConfirmedWithin(d time.Duration) bool {
-	age, ok := h.Age()
+	age, ok := h.ConfirmationAge()
 	return ok && age <= d
 }
 
--- a/version/confstore/poll_test.go
+++ b/version/confstore/poll_test.go
@@ -70,7 +70,7 @@
 		})
 		ctx := context.Background()
 		applyVersions(newPublisher(p), 3)
-		f := NewFollower(FollowerConfig{}, p.Table, p.Objects, NewHolder(), eventlog.Discard(), clockwork.NewRealClock())
+		f := NewFollower(FollowerConfig{}, p.Table, p.ObjectStore, NewHolder(), eventlog.Discard(), clockwork.NewRealClock())
 		So(f.poll(ctx), ShouldBeNil)
 
 		Convey("a poll that finds no newer version transfers far less than the limit for one second", func() {
--- a/version/confstore/publisher.go
+++ b/version/confstore/publisher.go
@@ -53,13 +53,13 @@
 		{"change id", c.ChangeID, maxChangeIDBytes},
 	} {
 		if f.value == "" {
-			return fmt.Errorf("%w: %s is missing", ErrChange, f.name)
+			return fmt.Errorf("%w: %s is missing", ErrInvalidChange, f.name)
 		}
 		if len(f.value) > f.maxBytes {
-			return fmt.Errorf("%w: %s has %d bytes, more than %d", ErrChange, f.name, len(f.value), f.maxBytes)
+			return fmt.Errorf("%w: %s has %d bytes, more than %d", ErrInvalidChange, f.name, len(f.value), f.maxBytes)
 		}
 		if !utf8.ValidString(f.value) {
-			return fmt.Errorf("%w: %s is not UTF-8", ErrChange, f.name)
+			return fmt.Errorf("%w: %s is not UTF-8", ErrInvalidChange, f.name)
 		}
 	}
 	return nil
@@ -74,12 +74,12 @@
 	HistoryLimit uint64
 
 	table   platform.Table
-	objects platform.Objects
+	objects platform.ObjectStore
 	clock   clockwork.Clock
 }
 
 // NewPublisher returns a Publisher that keeps DefaultHistoryLimit versions.
-func NewPublisher(table platform.Table, objects platform.Objects, clock clockwork.Clock) *Publisher {
+func NewPublisher(table platform.Table, objects platform.ObjectStore, clock clockwork.Clock) *Publisher {
 	return &Publisher{HistoryLimit: DefaultHistoryLimit, table: table, objects: objects, clock: clock}
 }
 
@@ -221,7 +221,7 @@
 		return nil, err
 	}
 	if entry.Digest != e.digest {
-		return nil, errors.Wrapf(ErrChangeID, "change id %q became version %d", e.change.ChangeID, entry.Number)
+		return nil, errors.Wrapf(ErrChangeIDReused, "change id %q became version %d", e.change.ChangeID, entry.Number)
 	}
 	return e.asVersion(entry.Number), nil
 }
@@ -229,13 +229,13 @@
 // conflictError returns the error for a change whose base is not head. If this same
 // change was accepted since it was last looked up, or if that cannot be determined,
 // the error is platform.ErrConflict, so that the next attempt looks it up again.
-func (e *encodedChange) conflictError(ctx context.Context, head Entry) error {
+func (e *encodedChange) conflictError(ctx context.Context, head HistoryEntry) error {
 	if applied, err := e.findApplied(ctx); err != nil || applied != nil {
 		return errors.Wrap(platform.ErrConflict, "the change was accepted meanwhile")
 	}
 	conflict := &ConflictError{Base: e.change.Base, Winner: head, InForce: head.Number}
 	if winner, err := e.publisher.readRecord(ctx, e.change.Base+1); err == nil {
-		conflict.Winner = winner.Entry
+		conflict.Winner = winner.HistoryEntry
 	}
 	base, err := e.publisher.Load(ctx, e.change.Base)
 	if err != nil {
@@ -309,7 +309,7 @@
 		delta = nil
 	}
 	return record{
-		Entry: Entry{
+		HistoryEntry: HistoryEntry{
 			Number:   previous.Number + 1,
 			Digest:   e.digest,
 			Parent:   previous.Digest,
@@ -331,7 +331,7 @@
 	if err != nil {
 		return nil, err
 	}
-	head, err := encodeRecord(record{Entry: rec.Entry})
+	head, err := encodeRecord(record{HistoryEntry: rec.HistoryEntry})
 	if err != nil {
 		return nil, err
 	}
--- a/version/confstore/records.go
+++ b/version/confstore/records.go
@@ -40,8 +40,8 @@
 // package.
 var ErrIntegrity = errors.New("record is damaged")
 
-// Entry describes one accepted version in the history.
-type Entry struct {
+// HistoryEntry describes one accepted version in the history.
+type HistoryEntry struct {
 	// Number is the version number, from 1.
 	Number uint64 `json:"number"`
 	// Digest is the digest of the encoded set.
@@ -62,7 +62,7 @@
 
 // record is the stored form of an Entry, with a delta and a checksum.
 type record struct {
-	Entry
+	HistoryEntry
 	// Delta is the encoded delta from the previous version; empty when it is
 	// larger than maxDeltaBytes, and in the rows that only refer to a version.
 	Delta []byte `json:"delta,omitempty"`
--- a/version/declare/delta.go
+++ b/version/declare/delta.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	if got != want {
-		return nil, errors.Wrapf(ErrDigest, "apply difference: got %s, want %s", got.Short(), want.Short())
+		return nil, errors.Wrapf(ErrDigestMismatch, "apply difference: got %s, want %s", got.Short(), want.Short())
 	}
 	return set, nil
 }
--- a/version/declare/encode.go
+++ b/version/declare/encode.go
@@ -15,8 +15,8 @@
 // accept.
 const MaxEncodedBytes = 8 << 20
 
-// ErrDigest is returned when content does not have the expected digest.
-var ErrDigest = errors.New("digest does not match")
+// ErrDigestMismatch is returned when content does not have the expected digest.
+var ErrDigestMismatch = errors.New("digest does not match")
 
 var (
 	encMode = newEncMode()
@@ -66,7 +66,7 @@
 		return nil, errors.Errorf("decode declarations: %d bytes, more than %d", len(body), MaxEncodedBytes)
 	}
 	if !want.Matches(body) {
-		return nil, errors.Wrapf(ErrDigest, "decode declarations %s", want.Short())
+		return nil, errors.Wrapf(ErrDigestMismatch, "decode declarations %s", want.Short())
 	}
 	s := NewSet()
 	if err := decMode.Unmarshal(body, s); err != nil {
@@ -91,9 +91,9 @@
 	return nil
 }
 
-// Documents encodes the set as YAML, with one document for each object, ordered
+// EncodeYAML encodes the set as YAML, with one document for each object, ordered
 // by kind and name. Equal sets give equal bytes, and Parse returns the same set.
-func Documents(s *Set) ([]byte, error) {
+func EncodeYAML(s *Set) ([]byte, error) {
 	var out bytes.Buffer
 	for _, c := range collections {
 		for _, name := range c.names(s) {
--- a/version/declare/fields.go
+++ b/version/declare/fields.go
@@ -22,12 +22,12 @@
 // addProblem adds a problem with a field of the object.
 func (d *objectDecoder) addProblem(line int, field, message string) {
 	d.problems = append(d.problems, Problem{
-		File:  d.file,
-		Line:  line,
-		Kind:  d.ref.Kind,
-		Name:  shorten(d.ref.Name),
-		Field: field,
-		Why:   message,
+		File:    d.file,
+		Line:    line,
+		Kind:    d.ref.Kind,
+		Name:    shorten(d.ref.Name),
+		Field:   field,
+		Message: message,
 	})
 }
 
--- a/version/declare/fuzz_test.go
+++ b/version/declare/fuzz_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	documents, err := Documents(decoded)
+	documents, err := EncodeYAML(decoded)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/version/declare/parse.go
+++ b/version/declare/parse.go
@@ -88,8 +88,8 @@
 	return File{Name: filepath.ToSlash(name), Body: body}, err
 }
 
-// Parsed is the result of parsing files.
-type Parsed struct {
+// ParseResult is the result of parsing files.
+type ParseResult struct {
 	// Set holds the objects.
 	Set *Set
 	// Positions holds the positions of the objects in the files.
@@ -99,7 +99,7 @@
 // parser collects the objects and problems of all files. file is the path of the
 // file that is being parsed.
 type parser struct {
-	parsed   Parsed
+	parsed   ParseResult
 	problems []Problem
 	file     string
 }
@@ -107,8 +107,8 @@
 // Parse parses the documents of files. It returns all problems of syntax, type
 // and name together, up to MaxProblems; Validate checks the references between
 // objects.
-func Parse(files []File) (Parsed, []Problem) {
-	p := &parser{parsed: Parsed{Set: NewSet(), Positions: Positions{}}}
+func Parse(files []File) (ParseResult, []Problem) {
+	p := &parser{parsed: ParseResult{Set: NewSet(), Positions: Positions{}}}
 	total := 0
 	for _, f := range files {
 		total += len(f.Body)
@@ -127,7 +127,7 @@
 }
 
 // Check parses files and, if that finds no problem, validates the set.
-func Check(files []File) (Parsed, []Problem) {
+func Check(files []File) (ParseResult, []Problem) {
 	parsed, problems := Parse(files)
 	if len(problems) > 0 {
 		return parsed, problems
@@ -137,7 +137,7 @@
 
 // addProblem adds a problem of the current file that belongs to no object.
 func (p *parser) addProblem(line int, message string) {
-	p.problems = append(p.problems, Problem{File: p.file, Line: line, Why: message})
+	p.problems = append(p.problems, Problem{File: p.file, Line: line, Message: message})
 }
 
 // parseFile parses the documents of one file up to the first syntax error.
--- a/version/declare/parse_test.go
+++ b/version/declare/parse_test.go
@@ -100,12 +100,12 @@
 		})
 		Convey("parsing the documents of a set gives the same set", func() {
 			set := validSet()
-			body, err := Documents(set)
+			body, err := EncodeYAML(set)
 			So(err, ShouldBeNil)
 			parsed, problems := Check(oneFile(string(body)))
 			So(problems, ShouldBeEmpty)
 			So(Diff(set, parsed.Set), ShouldBeEmpty)
-			again, err := Documents(parsed.Set)
+			again, err := EncodeYAML(parsed.Set)
 			So(err, ShouldBeNil)
 			So(bytes.Equal(body, again), ShouldBeTrue)
 		})
@@ -191,14 +191,14 @@
 			other := old.Clone()
 			delete(other.Models, "herbs")
 			_, err = ApplyDelta(other, body, want)
-			So(err, ShouldWrap, ErrDigest)
+			So(err, ShouldWrap, ErrDigestMismatch)
 		})
 		Convey("an encoding with a changed byte is refused", func() {
 			body, digest, err := Encode(old)
 			So(err, ShouldBeNil)
 			body[len(body)/2] ^= 1
 			_, err = Decode(body, digest)
-			So(err, ShouldWrap, ErrDigest)
+			So(err, ShouldWrap, ErrDigestMismatch)
 		})
 	})
 }
--- a/version/declare/problem.go
+++ b/version/declare/problem.go
@@ -18,8 +18,8 @@
 	Name string `json:"name,omitempty"`
 	// Field is the field's name in the document.
 	Field string `json:"field,omitempty"`
-	// Why is the message: the fault and the expected value.
-	Why string `json:"why"`
+	// Message is the message: the fault and the expected value.
+	Message string `json:"why"`
 }
 
 // String returns the problem as one line.
@@ -34,7 +34,7 @@
 	if p.Field != "" {
 		fmt.Fprintf(&b, "%s: ", p.Field)
 	}
-	b.WriteString(p.Why)
+	b.WriteString(p.Message)
 	return b.String()
 }
 
--- a/version/declare/validate.go
+++ b/version/declare/validate.go
@@ -46,10 +46,10 @@
 			continue
 		}
 		problems = append(problems, Problem{
-			Kind:  KindVersion,
-			Name:  model.Version,
-			Field: "name",
-			Why:   fmt.Sprintf("removed while Model %q still answers from it; switch the model first and remove the version in a later change", name),
+			Kind:    KindVersion,
+			Name:    model.Version,
+			Field:   "name",
+			Message: fmt.Sprintf("removed while Model %q still answers from it; switch the model first and remove the version in a later change", name),
 		})
 	}
 	return problems
@@ -57,7 +57,7 @@
 
 // addProblem adds a problem with a field of an object.
 func (v *validator) addProblem(kind Kind, name, field, format string, args ...any) {
-	v.problems = append(v.problems, Problem{Kind: kind, Name: name, Field: field, Why: fmt.Sprintf(format, args...)})
+	v.problems = append(v.problems, Problem{Kind: kind, Name: name, Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
 // checkReference adds a problem if the value of a field is not the name of an
@@ -156,7 +156,7 @@
 // service and those taken out of service.
 func (v *validator) allowedDataCentres(m *Model) (inService, outOfService []string) {
 	for _, name := range sortedNames(v.set.DataCentres) {
-		if !m.MayStandIn(name) {
+		if !m.AllowsDataCentre(name) {
 			continue
 		}
 		if v.set.DataCentres[name].Out {
@@ -168,9 +168,9 @@
 	return inService, outOfService
 }
 
-// MayStandIn reports whether replicas of the model may be placed in the data
+// AllowsDataCentre reports whether replicas of the model may be placed in the data
 // centre.
-func (m *Model) MayStandIn(dataCentre string) bool {
+func (m *Model) AllowsDataCentre(dataCentre string) bool {
 	if len(m.DataCentres) == 0 {
 		return true
 	}
@@ -318,7 +318,7 @@
 func (v *validator) countEngines(m *Model) int {
 	count := 0
 	for _, b := range v.set.BackendServers {
-		if b.Service == "" && m.MayStandIn(b.DataCentre) {
+		if b.Service == "" && m.AllowsDataCentre(b.DataCentre) {
 			count++
 		}
 	}
--- a/version/freshness/freshness.go
+++ b/version/freshness/freshness.go
@@ -56,10 +56,10 @@
 	}
 }
 
-// Vouch reports whether this process may confirm the configuration of a peer. It
+// MayConfirmPeers reports whether this process may confirm the configuration of a peer. It
 // may if its own configuration has been confirmed since its start and its last
 // pause.
-func (g *Gate) Vouch() bool {
+func (g *Gate) MayConfirmPeers() bool {
 	age, ok := g.confirmationAge()
 	if !ok || !g.Fresh() {
 		return false
@@ -72,7 +72,7 @@
 // Fresh reports whether the process may act on the configuration now. Until
 // then it requests confirmations in the background.
 func (g *Gate) Fresh() bool {
-	pauses := g.detector.Pauses()
+	pauses := g.detector.PauseCount()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if pauses == g.acceptedPauses {
--- a/version/freshness/freshness_test.go
+++ b/version/freshness/freshness_test.go
@@ -21,7 +21,7 @@
 
 		Convey("it requests a confirmation, may not act on its configuration, and may not confirm that of a peer", func() {
 			So(gate.Fresh(), ShouldBeFalse)
-			So(gate.Vouch(), ShouldBeFalse)
+			So(gate.MayConfirmPeers(), ShouldBeFalse)
 			<-requests
 		})
 		Convey("a confirmation from before the start does not count", func() {
@@ -31,12 +31,12 @@
 		Convey("once confirmed, it may act on its configuration and confirm that of a peer", func() {
 			confirmed = true
 			So(gate.Fresh(), ShouldBeTrue)
-			So(gate.Vouch(), ShouldBeTrue)
+			So(gate.MayConfirmPeers(), ShouldBeTrue)
 		})
 		Convey("without a confirmation, it may act on its configuration after a timeout, but may not confirm that of a peer", func() {
 			gate.waitingSince = gate.waitingSince.Add(-2 * confirmTimeout)
 			So(gate.Fresh(), ShouldBeTrue)
-			So(gate.Vouch(), ShouldBeFalse)
+			So(gate.MayConfirmPeers(), ShouldBeFalse)
 		})
 	})
 }
--- a/version/loading/digests.go
+++ b/version/loading/digests.go
@@ -48,7 +48,7 @@
 }
 
 // find returns the digests of a version from another agent or from the origin.
-func (f *digestFinder) find(ctx context.Context, w Wanted, t Target) ([]core.Digest, error) {
+func (f *digestFinder) find(ctx context.Context, w WantedVersion, t Target) ([]core.Digest, error) {
 	requests := 0
 	for _, peer := range sortedByHash(w, t.Agents) {
 		if peer.ID == f.self || requests == maxDigestRequests {
@@ -63,15 +63,15 @@
 		return nil, errors.New("no origin of weights is declared")
 	}
 	digests, err := f.origin.Digests(ctx, t.Origin, w.Model, w.Version)
-	if err == nil && w.Chunks > 0 && len(digests) != w.Chunks {
-		err = errors.Errorf("origin names %d pieces, want %d", len(digests), w.Chunks)
+	if err == nil && w.ChunkCount > 0 && len(digests) != w.ChunkCount {
+		err = errors.Errorf("origin names %d pieces, want %d", len(digests), w.ChunkCount)
 	}
 	return digests, err
 }
 
 // sortedByHash returns the agents in the order of orderHash for a version, which
 // is the same on every agent.
-func sortedByHash(w Wanted, agents []spread.Peer) []spread.Peer {
+func sortedByHash(w WantedVersion, agents []spread.Peer) []spread.Peer {
 	sorted := append([]spread.Peer(nil), agents...)
 	for i := range sorted {
 		for k := i; k > 0 && orderHash(w, sorted[k].ID) < orderHash(w, sorted[k-1].ID); k-- {
@@ -82,7 +82,7 @@
 }
 
 // requestFrom requests the digests of a version from the agent at addr.
-func (f *digestFinder) requestFrom(ctx context.Context, addr string, w Wanted) ([]core.Digest, error) {
+func (f *digestFinder) requestFrom(ctx context.Context, addr string, w WantedVersion) ([]core.Digest, error) {
 	ctx, cancel := context.WithTimeout(ctx, digestRequestTimeout)
 	defer cancel()
 	address := "http://" + addr + DigestsPath + url.PathEscape(w.Model) + "/" + strconv.Itoa(w.Version)
@@ -93,22 +93,22 @@
 	req.Header.Set(core.HeaderPeerToken, f.token)
 	resp, err := f.client.Do(req)
 	if err != nil {
-		return nil, core.Step("request digests", addr, err)
+		return nil, core.WrapStep("request digests", addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, core.Step("request digests", addr, errors.Errorf("status %d", resp.StatusCode))
+		return nil, core.WrapStep("request digests", addr, errors.Errorf("status %d", resp.StatusCode))
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxDigestResponseBytes))
 	if err != nil {
-		return nil, core.Step("request digests", addr, err)
+		return nil, core.WrapStep("request digests", addr, err)
 	}
 	var digests []core.Digest
 	if err := cbor.Unmarshal(body, &digests); err != nil {
-		return nil, core.Step("request digests", addr, err)
+		return nil, core.WrapStep("request digests", addr, err)
 	}
-	if w.Chunks > 0 && len(digests) != w.Chunks {
-		return nil, core.Step("request digests", addr, errors.Errorf("%d digests, want %d", len(digests), w.Chunks))
+	if w.ChunkCount > 0 && len(digests) != w.ChunkCount {
+		return nil, core.WrapStep("request digests", addr, errors.Errorf("%d digests, want %d", len(digests), w.ChunkCount))
 	}
 	return digests, nil
 }
--- a/version/loading/loader.go
+++ b/version/loading/loader.go
@@ -46,14 +46,14 @@
 	// Server is the backend server beside the agent.
 	Server Server
 	// Origin is the remote store of the weights; Pieces lets the swarm read it.
-	Origin Origin
-	Pieces *Pieces
+	Origin       Origin
+	OriginChunks *OriginChunks
 	// Swarm fetches chunks from other agents and the origin, and stores them.
 	Swarm *spread.Swarm
-	// Turns schedules the load within the rolling update.
-	Turns Turns
+	// RollingUpdate schedules the load within the rolling update.
+	RollingUpdate RollingUpdate
 	// Publish is called with the server's state whenever the state changes.
-	Publish func(State)
+	Publish func(ServerState)
 	// Client sends the requests for digests to other agents.
 	Client *http.Client
 	// Log receives an event for each decision.
@@ -84,7 +84,7 @@
 	fetched  map[versionKey]bool
 	fetching map[versionKey]bool
 	staged   map[string]int
-	state    State
+	state    ServerState
 	// serverStart is the start time in the last report of the server, and
 	// hasReport is true once there was a report.
 	serverStart int64
@@ -119,7 +119,7 @@
 		if d.add(w) {
 			l.cfg.Log.Event(eventWanted, eventlog.Fields{
 				"model": model, "version": w.Version, "agents": len(t.Agents), "holders": len(t.Holders),
-				"ageMs": l.cfg.Clock.Now().Sub(w.Known).Milliseconds(),
+				"ageMs": l.cfg.Clock.Now().Sub(w.DeclaredAt).Milliseconds(),
 			})
 		}
 	}
@@ -140,7 +140,7 @@
 		pause := idlePollInterval
 		if err != nil {
 			l.logFailure("read report", versionKey{}, err)
-			l.publish(State{})
+			l.publish(ServerState{})
 		} else {
 			l.recordReport(report)
 			pause = l.reconcile(ctx, report)
@@ -155,25 +155,25 @@
 }
 
 func (l *Loader) logFailure(step string, k versionKey, err error) {
-	l.cfg.Log.Fail(eventFailed, err, eventlog.Fields{"step": step, "model": k.model, "version": k.version})
+	l.cfg.Log.EventWithError(eventFailed, err, eventlog.Fields{"step": step, "model": k.model, "version": k.version})
 }
 
 // recordReport logs changes since the previous report and publishes the state.
 func (l *Loader) recordReport(r Report) {
 	l.mu.Lock()
-	restarted := l.hasReport && r.Started != l.serverStart
-	l.hasReport, l.serverStart = true, r.Started
+	restarted := l.hasReport && r.StartUnixMs != l.serverStart
+	l.hasReport, l.serverStart = true, r.StartUnixMs
 	loading := l.state.Loading
 	same := maps.Equal(l.state.Weights, r.Weights)
 	l.mu.Unlock()
 	if restarted || !same {
-		l.cfg.Log.Event(eventServerChanged, eventlog.Fields{"weights": r.Weights, "startedAnew": restarted, "orders": r.Orders})
+		l.cfg.Log.Event(eventServerChanged, eventlog.Fields{"weights": r.Weights, "startedAnew": restarted, "orders": r.AcceptedOrders})
 	}
-	l.publish(State{Weights: r.Weights, Loading: loading && r.Busy})
+	l.publish(ServerState{Weights: r.Weights, Loading: loading && r.Busy})
 }
 
 // publish stores the state and calls Config.Publish if the state has changed.
-func (l *Loader) publish(s State) {
+func (l *Loader) publish(s ServerState) {
 	l.mu.Lock()
 	same := maps.Equal(l.state.Weights, s.Weights) && l.state.Loading == s.Loading
 	l.state = s
@@ -192,12 +192,12 @@
 	return pause
 }
 
-// Declared returns every version whose declaration this agent has received.
+// DeclaredVersions returns every version whose declaration this agent has received.
 // Entry instances that restart learn the declaration times from this list.
-func (l *Loader) Declared() []Wanted {
+func (l *Loader) DeclaredVersions() []WantedVersion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []Wanted
+	var all []WantedVersion
 	for _, d := range l.declared {
 		all = append(all, *d...)
 	}
@@ -238,7 +238,7 @@
 		return loadingPollInterval
 	}
 	if held > 0 {
-		loadTime := l.cfg.Turns.Turn(pending, target.Agents, l.cfg.Self)
+		loadTime := l.cfg.RollingUpdate.LoadTime(pending, target.Agents, l.cfg.Self)
 		if wait := loadTime.Sub(l.cfg.Clock.Now()); wait > 0 {
 			return min(idlePollInterval, wait)
 		}
@@ -269,7 +269,7 @@
 
 // newestFetched returns the newest of the pending versions whose chunks are in
 // the store.
-func (l *Loader) newestFetched(pending []Wanted) (Wanted, bool) {
+func (l *Loader) newestFetched(pending []WantedVersion) (WantedVersion, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := len(pending) - 1; i >= 0; i-- {
@@ -277,13 +277,13 @@
 			return pending[i], true
 		}
 	}
-	return Wanted{}, false
+	return WantedVersion{}, false
 }
 
 // startFetch starts to fetch a version into the store, unless that is done or in
 // progress. If held is true, the server holds the version, and its chunks are
 // copied from the server so that other agents can fetch them here.
-func (l *Loader) startFetch(ctx context.Context, w Wanted, held bool) {
+func (l *Loader) startFetch(ctx context.Context, w WantedVersion, held bool) {
 	k := versionKey{w.Model, w.Version}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -347,7 +347,7 @@
 		delete(l.lookups, k)
 		if err == nil {
 			l.digests[k] = found
-			l.cfg.Pieces.Know(target.Origin, k, found)
+			l.cfg.OriginChunks.AddVersion(target.Origin, k, found)
 		}
 		l.mu.Unlock()
 		close(done)
@@ -358,22 +358,22 @@
 }
 
 // declaredVersion returns a declared version. The caller must hold l.mu.
-func (l *Loader) declaredVersion(k versionKey) (Wanted, bool) {
+func (l *Loader) declaredVersion(k versionKey) (WantedVersion, bool) {
 	d, ok := l.declared[k.model]
 	if !ok {
-		return Wanted{}, false
+		return WantedVersion{}, false
 	}
 	for _, w := range *d {
 		if w.Version == k.version {
 			return w, true
 		}
 	}
-	return Wanted{}, false
+	return WantedVersion{}, false
 }
 
 // fetch puts the manifest and the chunks of a version into the store. If held is
 // true, it copies the chunks from the server.
-func (l *Loader) fetch(ctx context.Context, w Wanted, held bool) error {
+func (l *Loader) fetch(ctx context.Context, w WantedVersion, held bool) error {
 	digests, err := l.digestsFor(ctx, versionKey{w.Model, w.Version})
 	if err != nil {
 		return err
@@ -392,17 +392,17 @@
 		return l.copyStagedToStore(ctx, w, digests)
 	}
 	l.cfg.Log.Event(eventFetching, eventlog.Fields{
-		"model": w.Model, "version": w.Version, "sources": len(l.Sources()), "agents": len(l.currentTarget().Agents),
+		"model": w.Model, "version": w.Version, "sources": len(l.ChunkSources()), "agents": len(l.currentTarget().Agents),
 	})
-	_, err = l.cfg.Swarm.Fetch(ctx, digest, l.Sources)
+	_, err = l.cfg.Swarm.Fetch(ctx, digest, l.ChunkSources)
 	return err
 }
 
-// Sources returns the agents among which the chunks are divided. An agent needs
+// ChunkSources returns the agents among which the chunks are divided. An agent needs
 // the same list as the others even before it starts to fetch: without the list,
 // an agent that receives a request for a chunk would consider itself the owner
 // of the chunk and read it from the origin.
-func (l *Loader) Sources() []spread.Peer {
+func (l *Loader) ChunkSources() []spread.Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.target.sources()
@@ -433,7 +433,7 @@
 }
 
 // stage stages the chunks of a version at the server unless it has done so before.
-func (l *Loader) stage(ctx context.Context, w Wanted) error {
+func (l *Loader) stage(ctx context.Context, w WantedVersion) error {
 	l.mu.Lock()
 	digests, alreadyStaged := l.digests[versionKey{w.Model, w.Version}], l.staged[w.Model] == w.Version
 	delete(l.staged, w.Model)
@@ -464,7 +464,7 @@
 
 // markNotFetched causes a version to be fetched again because a chunk is missing
 // from the store. It returns the error to report.
-func (l *Loader) markNotFetched(w Wanted, number int) error {
+func (l *Loader) markNotFetched(w WantedVersion, number int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.fetched, versionKey{w.Model, w.Version})
@@ -474,7 +474,7 @@
 // manifestOf returns a manifest that describes the chunks of a version as one
 // file. Every agent builds the same manifest, so that its digest identifies the
 // version in the swarm.
-func manifestOf(w Wanted, digests []core.Digest) *manifest.Manifest {
+func manifestOf(w WantedVersion, digests []core.Digest) *manifest.Manifest {
 	f := manifest.File{Path: w.Model}
 	for _, d := range digests {
 		f.Chunks = append(f.Chunks, manifest.Chunk{Digest: d, Size: int64(w.ChunkBytes)})
@@ -485,9 +485,9 @@
 
 // copyStagedToStore copies the staged chunks of a version from the server into
 // the store. It skips chunks that are missing or do not match their digests.
-func (l *Loader) copyStagedToStore(ctx context.Context, w Wanted, digests []core.Digest) error {
+func (l *Loader) copyStagedToStore(ctx context.Context, w WantedVersion, digests []core.Digest) error {
 	for i, d := range digests {
-		chunk, err := l.cfg.Server.Staged(ctx, w.Model, i)
+		chunk, err := l.cfg.Server.ReadStaged(ctx, w.Model, i)
 		if err != nil || !d.Matches(chunk) {
 			continue
 		}
--- a/version/loading/loader_test.go
+++ b/version/loading/loader_test.go
@@ -42,7 +42,7 @@
 func (f *fakeServer) Report(context.Context) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := Report{Weights: map[string]int{}, Orders: f.orders, Started: f.started}
+	r := Report{Weights: map[string]int{}, AcceptedOrders: f.orders, StartUnixMs: f.started}
 	if f.held > 0 {
 		r.Weights[model] = f.held
 	}
@@ -59,7 +59,7 @@
 	return nil
 }
 
-func (f *fakeServer) Staged(_ context.Context, _ string, number int) ([]byte, error) {
+func (f *fakeServer) ReadStaged(_ context.Context, _ string, number int) ([]byte, error) {
 	f.mu.Lock()
 	chunk, ok := f.staged[number]
 	f.mu.Unlock()
@@ -131,7 +131,7 @@
 	return all, nil
 }
 
-func (fakeOrigin) Piece(_ context.Context, _, _ string, version, number int) ([]byte, error) {
+func (fakeOrigin) Chunk(_ context.Context, _, _ string, version, number int) ([]byte, error) {
 	return chunkOf(version, number), nil
 }
 
@@ -149,13 +149,13 @@
 		self:   spread.Peer{ID: "agent-1", Addr: "127.0.0.1:1", DataCentre: "palermo", Region: "palermo"},
 	}
 	clock := clockwork.NewRealClock()
-	originChunks := NewPieces(fakeOrigin{})
-	swarm := spread.NewFetcher(spread.Config{
-		Self: f.self, Token: "test-token", OneOriginCopy: true, Metrics: gometrics.NewRegistry(),
-	}, spread.NewStore(1<<20), originChunks, eventlog.Discard(), clock)
+	originChunks := NewOriginChunks(fakeOrigin{})
+	swarm := spread.NewSwarm(spread.Config{
+		Self: f.self, Token: "test-token", ReadOriginOnce: true, Metrics: gometrics.NewRegistry(),
+	}, spread.NewMemStore(1<<20), originChunks, eventlog.Discard(), clock)
 	f.loader = New(Config{
-		Self: f.self.ID, Token: "test-token", Server: f.server, Origin: fakeOrigin{}, Pieces: originChunks, Swarm: swarm,
-		Turns: Turns{}, Publish: func(State) {}, Client: http.DefaultClient, Log: eventlog.Discard(), Clock: clock,
+		Self: f.self.ID, Token: "test-token", Server: f.server, Origin: fakeOrigin{}, OriginChunks: originChunks, Swarm: swarm,
+		RollingUpdate: RollingUpdate{}, Publish: func(ServerState) {}, Client: http.DefaultClient, Log: eventlog.Discard(), Clock: clock,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -174,8 +174,8 @@
 // declare declares a version to the Loader.
 func (f *fixture) declare(version int) {
 	f.loader.SetTarget(Target{
-		Wanted: map[string]Wanted{model: {
-			Model: model, Version: version, Known: time.Now(), Chunks: chunks, ChunkBytes: chunkBytes,
+		Wanted: map[string]WantedVersion{model: {
+			Model: model, Version: version, DeclaredAt: time.Now(), ChunkCount: chunks, ChunkBytes: chunkBytes,
 		}},
 		Origin: "origin", Agents: []spread.Peer{f.self},
 	})
--- a/version/loading/loading.go
+++ b/version/loading/loading.go
@@ -15,13 +15,13 @@
 	Weights map[string]int
 	// Busy reports whether the server is carrying out a load order.
 	Busy bool
-	// Orders counts the load orders that the server accepted since its start.
-	Orders int64
+	// AcceptedOrders counts the load orders that the server accepted since its start.
+	AcceptedOrders int64
 	// Running and Queued count the requests that the server is executing and
 	// those that wait in its queue.
 	Running, Queued int
-	// Started is the Unix time in milliseconds at which the server started.
-	Started int64
+	// StartUnixMs is the Unix time in milliseconds at which the server started.
+	StartUnixMs int64
 }
 
 // Server is the backend server beside the agent.
@@ -31,8 +31,8 @@
 	// Stage stores a chunk where the server loads it from. The server does
 	// not verify the chunk.
 	Stage(ctx context.Context, model string, number int, chunk []byte) error
-	// Staged reads a staged chunk back.
-	Staged(ctx context.Context, model string, number int) ([]byte, error)
+	// ReadStaged reads a staged chunk back.
+	ReadStaged(ctx context.Context, model string, number int) ([]byte, error)
 	// Load orders the server to load the staged chunks. The server refuses
 	// the order unless it has accepted exactly the given number of orders.
 	Load(ctx context.Context, model string, version int, orders int64) error
@@ -42,27 +42,27 @@
 type Origin interface {
 	// Digests returns the digests of the chunks of a version, in order.
 	Digests(ctx context.Context, addr, model string, version int) ([]core.Digest, error)
-	// Piece returns one chunk of a version.
-	Piece(ctx context.Context, addr, model string, version, number int) ([]byte, error)
+	// Chunk returns one chunk of a version.
+	Chunk(ctx context.Context, addr, model string, version, number int) ([]byte, error)
 }
 
-// Wanted is a version of a model that the server should hold.
-type Wanted struct {
+// WantedVersion is a version of a model that the server should hold.
+type WantedVersion struct {
 	// Model and Version identify the version.
 	Model   string
 	Version int
-	// Known is the earliest declaration time of the version that this agent
+	// DeclaredAt is the earliest declaration time of the version that this agent
 	// has received.
-	Known time.Time
-	// Chunks is the number of chunks, and ChunkBytes the size of each.
-	Chunks, ChunkBytes int
+	DeclaredAt time.Time
+	// ChunkCount is the number of chunks, and ChunkBytes the size of each.
+	ChunkCount, ChunkBytes int
 }
 
 // Target holds the versions that the agent's server should hold and the places
 // that their chunks can be fetched from.
 type Target struct {
 	// Wanted maps each model to its wanted version.
-	Wanted map[string]Wanted
+	Wanted map[string]WantedVersion
 	// Origin is the address of the origin.
 	Origin string
 	// Agents are the agents that hold or need the weights, including this one.
@@ -87,8 +87,8 @@
 	return t.Agents
 }
 
-// State is the state of its server that an agent publishes to entry instances.
-type State struct {
+// ServerState is the state of its server that an agent publishes to entry instances.
+type ServerState struct {
 	// Weights maps each model to the version that the server serves.
 	Weights map[string]int
 	// Loading reports whether the server accepts no new requests because it
--- a/version/loading/order.go
+++ b/version/loading/order.go
@@ -10,42 +10,42 @@
 
 // loadVersion orders the server to load a staged version and waits until the
 // server holds it.
-func (l *Loader) loadVersion(ctx context.Context, w Wanted, r Report) error {
+func (l *Loader) loadVersion(ctx context.Context, w WantedVersion, r Report) error {
 	if err := l.orderLoad(ctx, w, r); err != nil {
 		return err
 	}
 	l.cfg.Log.Event(eventOrdered, eventlog.Fields{
 		"model": w.Model, "version": w.Version, "held": r.Weights[w.Model], "running": r.Running,
-		"ageMs": l.cfg.Clock.Now().Sub(w.Known).Milliseconds(),
+		"ageMs": l.cfg.Clock.Now().Sub(w.DeclaredAt).Milliseconds(),
 	})
 	return l.awaitLoaded(ctx, versionKey{w.Model, w.Version})
 }
 
 // orderLoad verifies the staged chunks and orders the load. It publishes the
 // load first, so that entry instances send no more requests to the server.
-func (l *Loader) orderLoad(ctx context.Context, w Wanted, r Report) error {
+func (l *Loader) orderLoad(ctx context.Context, w WantedVersion, r Report) error {
 	if err := l.verifyStaged(ctx, w); err != nil {
 		return err
 	}
 	if len(r.Weights) > 0 {
-		l.publish(State{Weights: r.Weights, Loading: true})
+		l.publish(ServerState{Weights: r.Weights, Loading: true})
 		l.cfg.Clock.Sleep(loadNoticeTime)
 	}
-	err := l.cfg.Server.Load(ctx, w.Model, w.Version, r.Orders)
+	err := l.cfg.Server.Load(ctx, w.Model, w.Version, r.AcceptedOrders)
 	if err != nil {
-		l.publish(State{Weights: r.Weights})
+		l.publish(ServerState{Weights: r.Weights})
 	}
 	return err
 }
 
 // verifyStaged reads every staged chunk back and stages each chunk again that
 // is missing or does not match its digest.
-func (l *Loader) verifyStaged(ctx context.Context, w Wanted) error {
+func (l *Loader) verifyStaged(ctx context.Context, w WantedVersion) error {
 	l.mu.Lock()
 	digests := l.digests[versionKey{w.Model, w.Version}]
 	l.mu.Unlock()
 	for i, d := range digests {
-		chunk, err := l.cfg.Server.Staged(ctx, w.Model, i)
+		chunk, err := l.cfg.Server.ReadStaged(ctx, w.Model, i)
 		if err == nil && d.Matches(chunk) {
 			continue
 		}
--- a/version/loading/pieces.go
+++ b/version/loading/pieces.go
@@ -16,10 +16,10 @@
 // version within about 100 ms of each other.
 const unknownChunkWait = 800 * time.Millisecond
 
-// Pieces gives a swarm read access to the chunks at the origin as objects that
+// OriginChunks gives a swarm read access to the chunks at the origin as objects that
 // are named by their digests. It implements platform.Objects, but Put always
 // fails.
-type Pieces struct {
+type OriginChunks struct {
 	origin Origin
 
 	mu         sync.Mutex
@@ -39,13 +39,13 @@
 	number int
 }
 
-// NewPieces returns a Pieces without chunks.
-func NewPieces(origin Origin) *Pieces {
-	return &Pieces{origin: origin, locations: map[string]chunkLocation{}, readSlot: make(chan struct{}, 1), added: make(chan struct{})}
+// NewOriginChunks returns a Pieces without chunks.
+func NewOriginChunks(origin Origin) *OriginChunks {
+	return &OriginChunks{origin: origin, locations: map[string]chunkLocation{}, readSlot: make(chan struct{}, 1), added: make(chan struct{})}
 }
 
-// Know adds the chunks of a version and sets the address of the origin.
-func (p *Pieces) Know(addr string, k versionKey, digests []core.Digest) {
+// AddVersion adds the chunks of a version and sets the address of the origin.
+func (p *OriginChunks) AddVersion(addr string, k versionKey, digests []core.Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.originAddr = addr
@@ -59,7 +59,7 @@
 // locate returns the address of the origin and the location of an object there.
 // Another agent may request a chunk of a version before this agent has received
 // the declaration of the version, so locate waits up to unknownChunkWait.
-func (p *Pieces) locate(ctx context.Context, name string) (addr string, location chunkLocation, ok bool) {
+func (p *OriginChunks) locate(ctx context.Context, name string) (addr string, location chunkLocation, ok bool) {
 	timer := time.NewTimer(unknownChunkWait)
 	defer timer.Stop()
 	for {
@@ -82,10 +82,10 @@
 
 // Get implements platform.Objects. It ignores offset and length and returns the
 // whole chunk.
-func (p *Pieces) Get(ctx context.Context, name string, _, _ int64) ([]byte, error) {
+func (p *OriginChunks) Get(ctx context.Context, name string, _, _ int64) ([]byte, error) {
 	addr, location, ok := p.locate(ctx, name)
 	if !ok || addr == "" {
-		return nil, core.Step("find chunk", strings.TrimPrefix(name, "chunks/"), platform.ErrNotFound)
+		return nil, core.WrapStep("find chunk", strings.TrimPrefix(name, "chunks/"), platform.ErrNotFound)
 	}
 	return p.read(ctx, addr, location)
 }
@@ -98,7 +98,7 @@
 // so that all agents together stay below the connection limit of the origin.
 // Parallel reads would not be faster, because the link of the origin is the
 // bottleneck.
-func (p *Pieces) read(ctx context.Context, addr string, location chunkLocation) ([]byte, error) {
+func (p *OriginChunks) read(ctx context.Context, addr string, location chunkLocation) ([]byte, error) {
 	select {
 	case p.readSlot <- struct{}{}:
 		defer func() { <-p.readSlot }()
@@ -107,7 +107,7 @@
 	}
 	var lastErr error
 	for range originAttempts {
-		body, err := p.origin.Piece(ctx, addr, location.model, location.version, location.number)
+		body, err := p.origin.Chunk(ctx, addr, location.model, location.version, location.number)
 		if err == nil || ctx.Err() != nil {
 			return body, err
 		}
@@ -118,4 +118,4 @@
 
 // Put implements platform.Objects. It always returns platform.ErrUnavailable,
 // because the origin is read-only.
-func (p *Pieces) Put(context.Context, string, []byte) error { return platform.ErrUnavailable }
+func (p *OriginChunks) Put(context.Context, string, []byte) error { return platform.ErrUnavailable }
--- a/version/loading/turn.go
+++ b/version/loading/turn.go
@@ -10,14 +10,14 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// Turns schedules the rolling update of the servers to a new version. From its
+// RollingUpdate schedules the rolling update of the servers to a new version. From its
 // load order until its running requests have ended and the weights are loaded,
 // a server accepts no new requests. The loads are therefore spread over the time
 // in which the previous version may still be served, also under full load.
-type Turns struct {
-	// First is the age of a version at which the first server loads it, and
-	// Last the age at which the last server does.
-	First, Last time.Duration
+type RollingUpdate struct {
+	// FirstAge is the age of a version at which the first server loads it, and
+	// LastAge the age at which the last server does.
+	FirstAge, LastAge time.Duration
 }
 
 // minUpdateWindow is the shortest time over which the loads may be spread when
@@ -25,17 +25,17 @@
 // at once.
 const minUpdateWindow = 1500 * time.Millisecond
 
-// Turn returns the time at which the server of agent self should load. declared
+// LoadTime returns the time at which the server of agent self should load. declared
 // are the versions newer than the one that the server holds, oldest first. The
 // loads lie between the ages First and Last of the oldest of these versions. If
 // the newest version reaches the age First at least minUpdateWindow before the
 // last load, the loads start only then, so that the servers can load the newest
 // version instead. The order of the agents is the same on every agent and
 // differs between versions.
-func (t Turns) Turn(declared []Wanted, agents []spread.Peer, self string) time.Time {
+func (t RollingUpdate) LoadTime(declared []WantedVersion, agents []spread.Peer, self string) time.Time {
 	oldest, newest := declared[0], declared[len(declared)-1]
-	first, last := oldest.Known.Add(t.First), oldest.Known.Add(t.Last)
-	if newestFirst := newest.Known.Add(t.First); newestFirst.After(first) && last.Sub(newestFirst) >= minUpdateWindow {
+	first, last := oldest.DeclaredAt.Add(t.FirstAge), oldest.DeclaredAt.Add(t.LastAge)
+	if newestFirst := newest.DeclaredAt.Add(t.FirstAge); newestFirst.After(first) && last.Sub(newestFirst) >= minUpdateWindow {
 		first = newestFirst
 	}
 	position := 0
@@ -50,33 +50,33 @@
 }
 
 // orderHash returns the sort key of an agent in the order for a version.
-func orderHash(w Wanted, agent string) uint64 {
+func orderHash(w WantedVersion, agent string) uint64 {
 	return xxhash.Sum64String(w.Model + "/" + strconv.Itoa(w.Version) + "/" + agent)
 }
 
 // declaredVersions holds the declared versions of one model, oldest first.
-type declaredVersions []Wanted
+type declaredVersions []WantedVersion
 
 // add adds a version, or moves the declaration time of a version already present
 // to the earlier time. It reports whether the version is new.
-func (d *declaredVersions) add(w Wanted) bool {
-	i, found := slices.BinarySearchFunc(*d, w.Version, func(o Wanted, v int) int { return o.Version - v })
+func (d *declaredVersions) add(w WantedVersion) bool {
+	i, found := slices.BinarySearchFunc(*d, w.Version, func(o WantedVersion, v int) int { return o.Version - v })
 	if !found {
 		*d = slices.Insert(*d, i, w)
 		return true
 	}
-	if w.Known.Before((*d)[i].Known) {
-		(*d)[i].Known = w.Known
+	if w.DeclaredAt.Before((*d)[i].DeclaredAt) {
+		(*d)[i].DeclaredAt = w.DeclaredAt
 	}
 	return false
 }
 
 // newerThan returns the versions that are newer than held. If held is 0, which
 // means that the server holds no version, it returns only the newest version.
-func (d declaredVersions) newerThan(held int) []Wanted {
+func (d declaredVersions) newerThan(held int) []WantedVersion {
 	if held == 0 && len(d) > 0 {
 		return slices.Clone(d[len(d)-1:])
 	}
-	i, _ := slices.BinarySearchFunc(d, held+1, func(o Wanted, v int) int { return o.Version - v })
+	i, _ := slices.BinarySearchFunc(d, held+1, func(o WantedVersion, v int) int { return o.Version - v })
 	return slices.Clone(d[i:])
 }
--- a/version/manifest/cut.go
+++ b/version/manifest/cut.go
@@ -9,16 +9,16 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Emit is called once for each distinct chunk, in the order in which the chunks
+// EmitFunc is called once for each distinct chunk, in the order in which the chunks
 // first appear. It may retain body.
-type Emit func(c Chunk, body []byte) error
+type EmitFunc func(c Chunk, body []byte) error
 
-// Cut splits every regular file of fsys into chunks, calls emit for each distinct
+// Split splits every regular file of fsys into chunks, calls emit for each distinct
 // chunk, and returns the manifest. chunkBytes is the size of a chunk in bytes; 0
 // means DefaultChunkBytes. base is the manifest digest of the base version of an
-// adapter, and empty for a full model. Cut itself holds one chunk in memory at a
+// adapter, and empty for a full model. Split itself holds one chunk in memory at a
 // time. It returns an error if fsys has no regular files.
-func Cut(fsys fs.FS, chunkBytes int64, base core.Digest, emit Emit) (*Manifest, error) {
+func Split(fsys fs.FS, chunkBytes int64, base core.Digest, emit EmitFunc) (*Manifest, error) {
 	if chunkBytes <= 0 {
 		chunkBytes = DefaultChunkBytes
 	}
@@ -35,7 +35,7 @@
 		}
 		file, err := s.splitFile(fsys, path)
 		if err != nil {
-			return core.Step("split file", path, err)
+			return core.WrapStep("split file", path, err)
 		}
 		m.Files = append(m.Files, file)
 		return nil
@@ -52,7 +52,7 @@
 // splitter is the state that one call of Cut uses for all files.
 type splitter struct {
 	chunkBytes int64
-	emit       Emit
+	emit       EmitFunc
 	emitted    map[core.Digest]bool
 }
 
@@ -91,7 +91,7 @@
 	for _, c := range file.Chunks {
 		body, err := get(c)
 		if err != nil {
-			return core.Step("read chunk "+c.Digest.Short(), "", err)
+			return core.WrapStep("read chunk "+c.Digest.Short(), "", err)
 		}
 		if !c.Digest.Matches(body) {
 			return errors.Errorf("chunk %s of %s: digest does not match its bytes", c.Digest.Short(), file.Path)
--- a/version/manifest/cut_test.go
+++ b/version/manifest/cut_test.go
@@ -19,7 +19,7 @@
 		}
 		chunks := map[core.Digest][]byte{}
 		emitted := 0
-		m, err := Cut(fsys, 4, "", func(c Chunk, body []byte) error {
+		m, err := Split(fsys, 4, "", func(c Chunk, body []byte) error {
 			emitted++
 			chunks[c.Digest] = body
 			return nil
@@ -46,9 +46,9 @@
 		})
 		Convey("the digest depends only on the content and the base", func() {
 			discard := func(Chunk, []byte) error { return nil }
-			again, err := Cut(fsys, 4, "", discard)
+			again, err := Split(fsys, 4, "", discard)
 			So(err, ShouldBeNil)
-			adapter, err := Cut(fsys, 4, core.DigestOf(nil), discard)
+			adapter, err := Split(fsys, 4, core.DigestOf(nil), discard)
 			So(err, ShouldBeNil)
 			_, first, _ := m.Encode()
 			_, second, _ := again.Encode()
@@ -59,9 +59,9 @@
 	})
 	Convey("A failed emit and an empty folder return an error", t, func() {
 		fsys := fstest.MapFS{"a": {Data: []byte("a")}}
-		_, err := Cut(fsys, 0, "", func(Chunk, []byte) error { return errors.New("full") })
+		_, err := Split(fsys, 0, "", func(Chunk, []byte) error { return errors.New("full") })
 		So(err, ShouldNotBeNil)
-		_, err = Cut(fstest.MapFS{}, 0, "", nil)
+		_, err = Split(fstest.MapFS{}, 0, "", nil)
 		So(err, ShouldNotBeNil)
 	})
 }
--- a/version/manifest/manifest.go
+++ b/version/manifest/manifest.go
@@ -92,8 +92,8 @@
 	return &m, nil
 }
 
-// ObjectName returns the name in the weight store of the manifest with digest d.
-func ObjectName(d core.Digest) string { return "manifests/" + string(d) }
+// ManifestName returns the name in the weight store of the manifest with digest d.
+func ManifestName(d core.Digest) string { return "manifests/" + string(d) }
 
 // ChunkName returns the name in the weight store of the chunk with digest d.
 func ChunkName(d core.Digest) string { return "chunks/" + string(d) }
--- a/version/manifest/publish.go
+++ b/version/manifest/publish.go
@@ -12,9 +12,9 @@
 // then the manifest in weights, so that all chunks of a stored manifest are
 // available. It returns the manifest and its digest. It can be repeated safely
 // for the same folder.
-func Publish(ctx context.Context, weights platform.Objects, fsys fs.FS, chunkBytes int64, base core.Digest) (*Manifest, core.Digest, error) {
-	m, err := Cut(fsys, chunkBytes, base, func(c Chunk, body []byte) error {
-		return core.Step("store chunk", c.Digest.Short(), weights.Put(ctx, ChunkName(c.Digest), body))
+func Publish(ctx context.Context, weights platform.ObjectStore, fsys fs.FS, chunkBytes int64, base core.Digest) (*Manifest, core.Digest, error) {
+	m, err := Split(fsys, chunkBytes, base, func(c Chunk, body []byte) error {
+		return core.WrapStep("store chunk", c.Digest.Short(), weights.Put(ctx, ChunkName(c.Digest), body))
 	})
 	if err != nil {
 		return nil, "", err
@@ -23,8 +23,8 @@
 	if err != nil {
 		return nil, "", err
 	}
-	if err := weights.Put(ctx, ObjectName(d), body); err != nil {
-		return nil, "", core.Step("store manifest", d.Short(), err)
+	if err := weights.Put(ctx, ManifestName(d), body); err != nil {
+		return nil, "", core.WrapStep("store manifest", d.Short(), err)
 	}
 	return m, d, nil
 }
--- a/version/placement/placement.go
+++ b/version/placement/placement.go
@@ -14,8 +14,8 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Want is one version that is assigned to a backend server.
-type Want struct {
+// Assignment is one version that is assigned to a backend server.
+type Assignment struct {
 	// Model and Version name the version.
 	Model   string
 	Version string
@@ -31,17 +31,17 @@
 
 // Plan is the assignment of versions to servers.
 type Plan struct {
-	assignments    map[string][]Want
+	assignments    map[string][]Assignment
 	assignedAgents map[core.Digest][]core.Instance
 }
 
-// Wanted returns the versions that are assigned to a server, base versions before
+// Assignments returns the versions that are assigned to a server, base versions before
 // the adapters that need them.
-func (p *Plan) Wanted(server string) []Want { return p.assignments[server] }
+func (p *Plan) Assignments(server string) []Assignment { return p.assignments[server] }
 
-// Needers returns the agents of the servers to which the version with manifest
+// AssignedAgents returns the agents of the servers to which the version with manifest
 // digest d is assigned, in the order of their rank.
-func (p *Plan) Needers(d core.Digest) []core.Instance { return p.assignedAgents[d] }
+func (p *Plan) AssignedAgents(d core.Digest) []core.Instance { return p.assignedAgents[d] }
 
 // Compute returns the plan for the declarations in set and the list of live
 // instances.
@@ -78,7 +78,7 @@
 	// replicas counts the servers that count as replicas of each model.
 	replicas map[string]int
 	// assigned holds the assignments of each server.
-	assigned map[string][]Want
+	assigned map[string][]Assignment
 	// serversOf holds the names of the servers of each version, by manifest
 	// digest and in the order of rank.
 	serversOf map[core.Digest][]string
@@ -98,7 +98,7 @@
 		agents:    map[string]core.Instance{},
 		freeSlots: map[string]int{},
 		replicas:  map[string]int{},
-		assigned:  map[string][]Want{},
+		assigned:  map[string][]Assignment{},
 		serversOf: map[core.Digest][]string{},
 	}
 	for _, i := range live {
@@ -192,9 +192,9 @@
 // does nothing if the server has too few free slots.
 func (b *builder) place(c candidate) {
 	v := b.set.Versions[c.model.Version]
-	assignments := []Want{b.newAssignment(v)}
+	assignments := []Assignment{b.newAssignment(v)}
 	if base, ok := b.set.Versions[v.Base]; ok && !b.isAssigned(c.server.Name, v.Base) {
-		assignments = []Want{b.newAssignment(base), b.newAssignment(v)}
+		assignments = []Assignment{b.newAssignment(base), b.newAssignment(v)}
 	}
 	if b.freeSlots[c.server.Name] < len(assignments) {
 		return
@@ -212,8 +212,8 @@
 }
 
 // newAssignment returns the Want for a version, without its rank.
-func (b *builder) newAssignment(v *declare.Version) Want {
-	w := Want{Model: v.Model, Version: v.Name, Digest: v.Manifest}
+func (b *builder) newAssignment(v *declare.Version) Assignment {
+	w := Assignment{Model: v.Model, Version: v.Name, Digest: v.Manifest}
 	if base, ok := b.set.Versions[v.Base]; ok {
 		w.Base = base.Manifest
 	}
--- a/version/placement/placement_test.go
+++ b/version/placement/placement_test.go
@@ -36,7 +36,7 @@
 // servers returns the names of the servers to which a version is assigned.
 func servers(p *Plan, d core.Digest) map[string]bool {
 	names := map[string]bool{}
-	for _, i := range p.Needers(d) {
+	for _, i := range p.AssignedAgents(d) {
 		names[i.ID] = true
 	}
 	return names
@@ -51,7 +51,7 @@
 		Convey("a model is placed on as many servers as it has replicas", func() {
 			So(len(servers(before, v1)), ShouldEqual, 5)
 			for name := range servers(before, v1) {
-				So(before.Wanted(name)[0].Digest, ShouldEqual, v1)
+				So(before.Assignments(name)[0].Digest, ShouldEqual, v1)
 			}
 		})
 		Convey("the order of the live list does not matter", func() {
@@ -59,14 +59,14 @@
 			for i := range live {
 				reversed = append(reversed, live[len(live)-1-i])
 			}
-			So(Compute(set, reversed).Needers(v1), ShouldResemble, before.Needers(v1))
+			So(Compute(set, reversed).AssignedAgents(v1), ShouldResemble, before.AssignedAgents(v1))
 		})
 		Convey("the next version is placed on the same servers", func() {
 			v2 := declareModel(set, "m", "m-2", "", 5)
 			So(servers(Compute(set, live), v2), ShouldResemble, servers(before, v1))
 		})
 		Convey("a server that is leaving is replaced by one other server", func() {
-			leaving := before.Needers(v1)[0].ID
+			leaving := before.AssignedAgents(v1)[0].ID
 			set.BackendServers[leaving].Leaving = true
 			after := servers(Compute(set, live), v1)
 			So(len(after), ShouldEqual, 5)
@@ -97,7 +97,7 @@
 			declareModel(set, "n", "n-1", "", 12)
 			plan := Compute(set, live)
 			for _, i := range live {
-				So(len(plan.Wanted(i.ID)), ShouldBeLessThanOrEqualTo, 1)
+				So(len(plan.Assignments(i.ID)), ShouldBeLessThanOrEqualTo, 1)
 			}
 		})
 	})
@@ -115,8 +115,8 @@
 			plan = Compute(set, live)
 			So(len(servers(plan, adapter)), ShouldEqual, 5)
 			for name := range servers(plan, adapter) {
-				So(plan.Wanted(name)[0].Digest, ShouldEqual, base)
-				So(plan.Wanted(name)[1].Base, ShouldEqual, base)
+				So(plan.Assignments(name)[0].Digest, ShouldEqual, base)
+				So(plan.Assignments(name)[1].Base, ShouldEqual, base)
 			}
 		})
 	})
--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -23,11 +23,11 @@
 type Input struct {
 	// Old and New are the sets of declarations before and after the change.
 	Old, New *declare.Set
-	// Live are the instances that take part in placement.
-	Live []core.Instance
-	// Weights is the object store that holds the manifests. If it is nil, the
+	// LiveInstances are the instances that take part in placement.
+	LiveInstances []core.Instance
+	// WeightStore is the object store that holds the manifests. If it is nil, the
 	// amounts to fetch are reported as unknown.
-	Weights platform.Objects
+	WeightStore platform.ObjectStore
 }
 
 // planner computes the effects of one change. before and after are the
@@ -45,8 +45,8 @@
 func Effects(ctx context.Context, in Input) []string {
 	p := &planner{
 		Input:     in,
-		before:    placement.Compute(in.Old, in.Live),
-		after:     placement.Compute(in.New, in.Live),
+		before:    placement.Compute(in.Old, in.LiveInstances),
+		after:     placement.Compute(in.New, in.LiveInstances),
 		manifests: map[core.Digest]*manifest.Manifest{},
 	}
 	p.addLoads(ctx)
@@ -77,14 +77,14 @@
 
 // difference returns, for each version, the servers to which the plan in assigns
 // the version and the plan notIn does not.
-func (p *planner) difference(in, notIn *placement.Plan) map[placement.Want][]string {
-	servers := map[placement.Want][]string{}
+func (p *planner) difference(in, notIn *placement.Plan) map[placement.Assignment][]string {
+	servers := map[placement.Assignment][]string{}
 	for _, name := range p.serverNames() {
 		excluded := map[core.Digest]bool{}
-		for _, w := range notIn.Wanted(name) {
+		for _, w := range notIn.Assignments(name) {
 			excluded[w.Digest] = true
 		}
-		for _, w := range in.Wanted(name) {
+		for _, w := range in.Assignments(name) {
 			if excluded[w.Digest] {
 				continue
 			}
@@ -108,14 +108,14 @@
 // addSwitch adds a line if the change replaces the version of the model of w.
 // names are the servers that load w; the line counts those that already hold
 // another version of the model.
-func (p *planner) addSwitch(w placement.Want, names []string) {
+func (p *planner) addSwitch(w placement.Assignment, names []string) {
 	old := p.Old.Models[w.Model]
 	if old == nil || old.Version == w.Version {
 		return
 	}
 	held := 0
 	for _, name := range names {
-		for _, oldVersion := range p.before.Wanted(name) {
+		for _, oldVersion := range p.before.Assignments(name) {
 			if oldVersion.Model == w.Model {
 				held++
 			}
@@ -126,7 +126,7 @@
 
 // fetchAmount describes how many chunks and bytes the servers have to fetch for w.
 // It does not count the chunks that a server already holds for other versions.
-func (p *planner) fetchAmount(ctx context.Context, w placement.Want, names []string) string {
+func (p *planner) fetchAmount(ctx context.Context, w placement.Assignment, names []string) string {
 	m := p.manifest(ctx, w.Digest)
 	if m == nil {
 		return "amount unknown, the manifest cannot be read"
@@ -149,7 +149,7 @@
 // change.
 func (p *planner) heldChunks(ctx context.Context, server string) map[core.Digest]bool {
 	held := map[core.Digest]bool{}
-	for _, w := range p.before.Wanted(server) {
+	for _, w := range p.before.Assignments(server) {
 		m := p.manifest(ctx, w.Digest)
 		if m == nil {
 			continue
@@ -168,10 +168,10 @@
 		return m
 	}
 	p.manifests[d] = nil
-	if p.Weights == nil {
+	if p.WeightStore == nil {
 		return nil
 	}
-	body, err := p.Weights.Get(ctx, manifest.ObjectName(d), 0, -1)
+	body, err := p.WeightStore.Get(ctx, manifest.ManifestName(d), 0, -1)
 	if err != nil {
 		return nil
 	}
@@ -285,8 +285,8 @@
 }
 
 // sortedVersions returns the keys of m, sorted by model and version.
-func sortedVersions(m map[placement.Want][]string) []placement.Want {
-	versions := make([]placement.Want, 0, len(m))
+func sortedVersions(m map[placement.Assignment][]string) []placement.Assignment {
+	versions := make([]placement.Assignment, 0, len(m))
 	for w := range m {
 		versions = append(versions, w)
 	}
--- a/version/plan/plan_test.go
+++ b/version/plan/plan_test.go
@@ -41,7 +41,7 @@
 	m := &manifest.Manifest{Files: []manifest.File{{Path: "w", Size: int64(len(names)) * mebibyte, Chunks: chunks}}}
 	body, digest, err := m.Encode()
 	So(err, ShouldBeNil)
-	s[manifest.ObjectName(digest)] = body
+	s[manifest.ManifestName(digest)] = body
 	return digest
 }
 
@@ -68,7 +68,7 @@
 		weights := memoryStore{}
 		first := weights.publish("a", "b", "c")
 		old, live := modelOnTwoServers(first)
-		in := Input{Old: old, New: old.Clone(), Live: live, Weights: weights}
+		in := Input{Old: old, New: old.Clone(), LiveInstances: live, WeightStore: weights}
 		ctx := context.Background()
 
 		Convey("no change has no effect", func() {
--- a/version/spread/client.go
+++ b/version/spread/client.go
@@ -140,7 +140,7 @@
 // maxIdle unused connections.
 func newHTTPClient(maxIdle int) *http.Client {
 	transport := &http.Transport{
-		DialContext:         dial.Context,
+		DialContext:         dial.DialContext,
 		DisableCompression:  true,
 		MaxIdleConns:        maxIdle,
 		MaxIdleConnsPerHost: maxIdlePerPeer,
@@ -165,26 +165,26 @@
 	defer watchdog.Stop()
 	resp, err := s.client.Do(s.newRequest(ctx, addr, req))
 	if err != nil {
-		return nil, nil, core.Step("request object", addr, err)
+		return nil, nil, core.WrapStep("request object", addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
 	case http.StatusOK:
 		body, err = s.readBody(ctx, resp, addr, watchdog)
-		return body, nil, core.Step("read object", addr, err)
+		return body, nil, core.WrapStep("read object", addr, err)
 	case http.StatusAccepted:
-		return nil, nil, core.Step("request object", addr, errPending)
+		return nil, nil, core.WrapStep("request object", addr, errPending)
 	case http.StatusNotFound:
-		return nil, nil, core.Step("request object", addr, errMissing)
+		return nil, nil, core.WrapStep("request object", addr, errMissing)
 	case http.StatusTemporaryRedirect:
 		if list := resp.Header.Get(headerHolders); list != "" {
 			holders = strings.Split(list, ",")
 		}
-		return nil, holders, core.Step("request object", addr, errBusy)
+		return nil, holders, core.WrapStep("request object", addr, errBusy)
 	case http.StatusServiceUnavailable:
-		return nil, nil, core.Step("request object", addr, errPeerFailed)
+		return nil, nil, core.WrapStep("request object", addr, errPeerFailed)
 	}
-	return nil, nil, core.Step("request object", addr, errors.Errorf("status %d", resp.StatusCode))
+	return nil, nil, core.WrapStep("request object", addr, errors.Errorf("status %d", resp.StatusCode))
 }
 
 // newRequest builds the HTTP request for requestObject.
@@ -217,7 +217,7 @@
 	body := make([]byte, size)
 	for got := 0; got < len(body); {
 		piece := min(pieceBytes, len(body)-got)
-		watchdog.Reset(s.cfg.Stall)
+		watchdog.Reset(s.cfg.StallTimeout)
 		n, err := io.ReadAtLeast(resp.Body, body[got:got+piece], 1)
 		if err != nil {
 			return nil, err
--- a/version/spread/faults_test.go
+++ b/version/spread/faults_test.go
@@ -24,7 +24,7 @@
 const maxFaultCopies = 1.3
 
 // shortTimeouts makes an agent detect stalls soon.
-func shortTimeouts(_ int, c *Config) { c.AnswerMargin, c.Stall = time.Second, time.Second }
+func shortTimeouts(_ int, c *Config) { c.AnswerMargin, c.StallTimeout = time.Second, time.Second }
 
 // wrapHandler replaces the agent's handler by h; next is the original handler.
 func (a *fakeAgent) wrapHandler(h func(next http.Handler, w http.ResponseWriter, r *http.Request)) {
@@ -324,7 +324,7 @@
 		Convey("another peer is served once the stalled transfers are aborted", func() {
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			req := peerRequest{object: object{version: d, digest: d}, tier: tierHeld, wait: agents[1].cfg.Wait, waitForSlot: true}
+			req := peerRequest{object: object{version: d, digest: d}, tier: tierHeld, wait: agents[1].cfg.LongPollTimeout, waitForSlot: true}
 			err := errBusy
 			for err != nil && ctx.Err() == nil {
 				_, _, err = agents[1].fetchFromPeer(ctx, addr, req)
--- a/version/spread/fetcher.go
+++ b/version/spread/fetcher.go
@@ -20,17 +20,17 @@
 
 // Default values of the fields of Config.
 const (
-	DefaultParallel        = 16
-	DefaultOriginParallel  = 2
+	DefaultMaxPeerFetches  = 16
+	DefaultMaxOwnedFetches = 2
 	DefaultIdleConnections = 64
 	DefaultUploadSlots     = 4
 	DefaultFanout          = 3
-	DefaultOwners          = 3
-	DefaultWait            = time.Second
+	DefaultMaxOwners       = 3
+	DefaultLongPollTimeout = time.Second
 	DefaultAnswerMargin    = time.Second
-	DefaultStall           = 2 * time.Second
-	DefaultSuspect         = 15 * time.Second
-	DefaultFlightTimeout   = 5 * time.Minute
+	DefaultStallTimeout    = 2 * time.Second
+	DefaultSuspectPeriod   = 15 * time.Second
+	DefaultFetchTimeout    = 5 * time.Minute
 	DefaultRetryPause      = 250 * time.Millisecond
 )
 
@@ -58,17 +58,17 @@
 	// the chunks spread the reads of all agents over time. 0 means no limit
 	// and no spreading.
 	OriginBytesPerSecond int64
-	// OneOriginCopy makes the agents read each chunk from the origin once for
+	// ReadOriginOnce makes the agents read each chunk from the origin once for
 	// all regions; the owners of the regions then fetch it from each other.
 	// Otherwise each region reads the origin. Reading once suits an origin that
 	// is slower than the links between regions.
-	OneOriginCopy bool
-	// Parallel is the number of chunks owned by other agents that are fetched
+	ReadOriginOnce bool
+	// MaxPeerFetches is the number of chunks owned by other agents that are fetched
 	// at once.
-	Parallel int
-	// OriginParallel is the number of chunks owned by this agent that are
+	MaxPeerFetches int
+	// MaxOwnedFetches is the number of chunks owned by this agent that are
 	// fetched at once.
-	OriginParallel int
+	MaxOwnedFetches int
 	// IdleConnections is the number of unused connections that are kept open
 	// to all peers together.
 	IdleConnections int
@@ -77,21 +77,21 @@
 	// Fanout is the number of peers to which an agent sends one chunk before
 	// it redirects further peers to them.
 	Fanout int
-	// Owners is the number of agents that may act as the owner of a chunk: the
+	// MaxOwners is the number of agents that may act as the owner of a chunk: the
 	// owner itself, and the agents after it in the ranking if it fails.
-	Owners int
-	// Wait is how long an agent keeps a peer's request open for a chunk that
+	MaxOwners int
+	// LongPollTimeout is how long an agent keeps a peer's request open for a chunk that
 	// is still being fetched.
-	Wait time.Duration
+	LongPollTimeout time.Duration
 	// AnswerMargin is how much longer than Wait a response may take before
 	// the peer is suspected.
 	AnswerMargin time.Duration
-	// Stall is how long a transfer may make no progress before it is aborted.
-	Stall time.Duration
-	// Suspect is how long a suspected peer is skipped.
-	Suspect time.Duration
-	// FlightTimeout bounds the time for all attempts to fetch one chunk.
-	FlightTimeout time.Duration
+	// StallTimeout is how long a transfer may make no progress before it is aborted.
+	StallTimeout time.Duration
+	// SuspectPeriod is how long a suspected peer is skipped.
+	SuspectPeriod time.Duration
+	// FetchTimeout bounds the time for all attempts to fetch one chunk.
+	FetchTimeout time.Duration
 	// RetryPause is the initial delay after a round in which no source
 	// delivered a chunk.
 	RetryPause time.Duration
@@ -105,17 +105,17 @@
 
 // applyDefaults sets every field that has its zero value to its default.
 func (c *Config) applyDefaults() {
-	core.SetDefault(&c.Parallel, DefaultParallel)
-	core.SetDefault(&c.OriginParallel, DefaultOriginParallel)
+	core.SetDefault(&c.MaxPeerFetches, DefaultMaxPeerFetches)
+	core.SetDefault(&c.MaxOwnedFetches, DefaultMaxOwnedFetches)
 	core.SetDefault(&c.IdleConnections, DefaultIdleConnections)
 	core.SetDefault(&c.UploadSlots, DefaultUploadSlots)
 	core.SetDefault(&c.Fanout, DefaultFanout)
-	core.SetDefault(&c.Owners, DefaultOwners)
-	core.SetDefault(&c.Wait, DefaultWait)
+	core.SetDefault(&c.MaxOwners, DefaultMaxOwners)
+	core.SetDefault(&c.LongPollTimeout, DefaultLongPollTimeout)
 	core.SetDefault(&c.AnswerMargin, DefaultAnswerMargin)
-	core.SetDefault(&c.Stall, DefaultStall)
-	core.SetDefault(&c.Suspect, DefaultSuspect)
-	core.SetDefault(&c.FlightTimeout, DefaultFlightTimeout)
+	core.SetDefault(&c.StallTimeout, DefaultStallTimeout)
+	core.SetDefault(&c.SuspectPeriod, DefaultSuspectPeriod)
+	core.SetDefault(&c.FetchTimeout, DefaultFetchTimeout)
 	core.SetDefault(&c.RetryPause, DefaultRetryPause)
 	if c.Peers == nil {
 		c.Peers = func(core.Digest) []Peer { return nil }
@@ -131,7 +131,7 @@
 type Swarm struct {
 	cfg         Config
 	store       *MemStore
-	origin      platform.Objects
+	origin      platform.ObjectStore
 	log         *eventlog.Logger
 	clock       clockwork.Clock
 	client      *http.Client
@@ -140,7 +140,7 @@
 	ctx         context.Context
 	cancel      context.CancelFunc
 
-	uploadLimiter, downloadLimiter, originLimiter *Link
+	uploadLimiter, downloadLimiter, originLimiter *BandwidthLimiter
 	regionLimiter                                 *regionLimiter
 
 	counters counters
@@ -178,9 +178,9 @@
 	progress Progress
 }
 
-// NewFetcher returns a Swarm that keeps objects in store and uses weights as
+// NewSwarm returns a Swarm that keeps objects in store and uses weights as
 // the origin. Close stops it.
-func NewFetcher(cfg Config, store *MemStore, weights platform.Objects, log *eventlog.Logger, clock clockwork.Clock) *Swarm {
+func NewSwarm(cfg Config, store *MemStore, weights platform.ObjectStore, log *eventlog.Logger, clock clockwork.Clock) *Swarm {
 	cfg.applyDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	newCounter := func(name string) metrics.Counter {
@@ -196,10 +196,10 @@
 		uploadSlots:     make(chan struct{}, cfg.UploadSlots),
 		ctx:             ctx,
 		cancel:          cancel,
-		uploadLimiter:   NewLink(cfg.UploadBytesPerSecond),
-		downloadLimiter: NewLink(cfg.DownloadBytesPerSecond),
+		uploadLimiter:   NewBandwidthLimiter(cfg.UploadBytesPerSecond),
+		downloadLimiter: NewBandwidthLimiter(cfg.DownloadBytesPerSecond),
 		regionLimiter:   newRegionLimiter(),
-		originLimiter:   NewLink(cfg.OriginBytesPerSecond),
+		originLimiter:   NewBandwidthLimiter(cfg.OriginBytesPerSecond),
 		counters: counters{
 			originBytes:   newCounter("origin-bytes"),
 			peerBytes:     newCounter("peer-bytes"),
@@ -259,17 +259,17 @@
 	defer s.endFetch(d)
 	body, err := s.getObject(ctx, object{version: d, digest: d, manifest: true}, tierReader)
 	if err != nil {
-		return nil, core.Step("fetch manifest", d.Short(), err)
+		return nil, core.WrapStep("fetch manifest", d.Short(), err)
 	}
 	m, err := manifest.Decode(body, d)
 	if err != nil {
 		return nil, err
 	}
 	if err := s.reserveSpace(v, m); err != nil {
-		return m, core.Step("fetch version", d.Short(), err)
+		return m, core.WrapStep("fetch version", d.Short(), err)
 	}
 	if err := s.fetchChunks(ctx, v, d, m.Chunks()); err != nil {
-		return nil, core.Step("fetch version", d.Short(), err)
+		return nil, core.WrapStep("fetch version", d.Short(), err)
 	}
 	s.log.Event(eventVersionFetched, eventlog.Fields{
 		"version": d, "bytes": m.Size(), "ms": s.clock.Since(start).Milliseconds(),
@@ -346,8 +346,8 @@
 		"version": d, "chunks": len(chunks), "bytes": size, "owned": len(own),
 	})
 	group, ctx := errgroup.WithContext(ctx)
-	s.startWorkers(ctx, group, s.cfg.OriginParallel, v, d, newSchedule(own, false, s.clock))
-	s.startWorkers(ctx, group, s.cfg.Parallel, v, d, newSchedule(others, true, s.clock))
+	s.startWorkers(ctx, group, s.cfg.MaxOwnedFetches, v, d, newSchedule(own, false, s.clock))
+	s.startWorkers(ctx, group, s.cfg.MaxPeerFetches, v, d, newSchedule(others, true, s.clock))
 	return group.Wait()
 }
 
@@ -361,7 +361,7 @@
 					return err
 				}
 				if _, err := s.getObject(ctx, object{version: d, digest: c.Digest}, tierReader); err != nil {
-					return core.Step("fetch chunk", c.Digest.Short(), err)
+					return core.WrapStep("fetch chunk", c.Digest.Short(), err)
 				}
 				v.addHeld(c)
 			}
--- a/version/spread/fleet_test.go
+++ b/version/spread/fleet_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestFetchReadsTheOriginOnceForAllRegions(t *testing.T) {
-	oneCopy := func(_ int, c *Config) { c.OneOriginCopy = true }
+	oneCopy := func(_ int, c *Config) { c.ReadOriginOnce = true }
 	dataCentres := []string{"r1/a", "r2/b", "r3/c"}
 
 	Convey("Given twelve agents in three regions that start to fetch together", t, func() {
@@ -51,7 +51,7 @@
 		d, m := origin.publish(t, "v1", 48)
 		available := time.Now().Add(400 * time.Millisecond)
 		origin.fault = func(name string, body []byte) ([]byte, error) {
-			if strings.HasPrefix(name, manifest.ObjectName("")) {
+			if strings.HasPrefix(name, manifest.ManifestName("")) {
 				return body, nil
 			}
 			if time.Now().Before(available) {
--- a/version/spread/handler.go
+++ b/version/spread/handler.go
@@ -109,7 +109,7 @@
 	}
 	defer func() { <-s.uploadSlots }()
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	n, err := send(r.Context(), w, body, s.uploadLimiter, s.cfg.Stall)
+	n, err := send(r.Context(), w, body, s.uploadLimiter, s.cfg.StallTimeout)
 	s.counters.sentBytes.Inc(int64(n))
 	if err == nil {
 		s.addHolder(o.digest, peer)
@@ -145,7 +145,7 @@
 		return nil, http.StatusNotFound
 	}
 	select {
-	case <-s.store.Arrival(o.digest):
+	case <-s.store.ArrivalChannel(o.digest):
 	case <-ctx.Done():
 		return nil, http.StatusAccepted
 	}
--- a/version/spread/link.go
+++ b/version/spread/link.go
@@ -17,25 +17,25 @@
 	burstTime = 20 * time.Millisecond
 )
 
-// Link is a token bucket that limits the bandwidth of one network link. A nil
-// Link has no limit. Concurrent transfers that use the same Link share its
+// BandwidthLimiter is a token bucket that limits the bandwidth of one network link. A nil
+// BandwidthLimiter has no limit. Concurrent transfers that use the same BandwidthLimiter share its
 // bandwidth.
-type Link struct {
+type BandwidthLimiter struct {
 	limiter *rate.Limiter
 }
 
-// NewLink returns a Link with a rate of bytesPerSecond. It returns nil, which
+// NewBandwidthLimiter returns a Link with a rate of bytesPerSecond. It returns nil, which
 // means no limit, if bytesPerSecond is 0 or less.
-func NewLink(bytesPerSecond int64) *Link {
+func NewBandwidthLimiter(bytesPerSecond int64) *BandwidthLimiter {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
 	burst := max(pieceBytes, int(float64(bytesPerSecond)*burstTime.Seconds()))
-	return &Link{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
+	return &BandwidthLimiter{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
 }
 
 // Wait blocks until n bytes may be transferred, or ctx ends.
-func (l *Link) Wait(ctx context.Context, n int64) error {
+func (l *BandwidthLimiter) Wait(ctx context.Context, n int64) error {
 	if l == nil {
 		return ctx.Err()
 	}
@@ -51,7 +51,7 @@
 
 // send writes body to w within limiter and returns the number of bytes written.
 // It returns an error when a write of up to pieceBytes takes longer than stall.
-func send(ctx context.Context, w http.ResponseWriter, body []byte, limiter *Link, stall time.Duration) (int, error) {
+func send(ctx context.Context, w http.ResponseWriter, body []byte, limiter *BandwidthLimiter, stall time.Duration) (int, error) {
 	control := http.NewResponseController(w)
 	sent := 0
 	for sent < len(body) {
--- a/version/spread/obtain.go
+++ b/version/spread/obtain.go
@@ -35,7 +35,7 @@
 	if body, ok := s.store.Get(o.digest); ok {
 		return body, nil
 	}
-	arrived := s.store.Arrival(o.digest)
+	arrived := s.store.ArrivalChannel(o.digest)
 	result := s.fetchGroup.DoChan(tierNames[t]+" "+string(o.digest), func() (any, error) {
 		return s.fetchWithRetries(o, t)
 	})
@@ -58,7 +58,7 @@
 // fetchWithRetries fetches an object at a tier. Only at tierReader does it try
 // more than one round.
 func (s *Swarm) fetchWithRetries(o object, t tier) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.FlightTimeout)
+	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.FetchTimeout)
 	defer cancel()
 	s.adjustFetching(o.digest, 1)
 	defer s.adjustFetching(o.digest, -1)
@@ -76,13 +76,13 @@
 		if t != tierReader {
 			return nil, err
 		}
-		s.log.Fail(eventChunkRetry, err, eventlog.Fields{"version": o.version, "chunk": o.digest})
+		s.log.EventWithError(eventChunkRetry, err, eventlog.Fields{"version": o.version, "chunk": o.digest})
 		select {
 		case <-s.clock.After(pause/2 + rand.N(pause)):
 		case <-ctx.Done():
 			return nil, err
 		}
-		pause = min(2*pause, s.cfg.Wait*2)
+		pause = min(2*pause, s.cfg.LongPollTimeout*2)
 	}
 }
 
@@ -108,7 +108,7 @@
 // in that order, it fetches the object at the next tier instead. At the last tier
 // it reads the origin.
 func (s *Swarm) fetchRound(ctx context.Context, o object, t tier) ([]byte, error) {
-	if t == tierFleet || t == tierRegion && !s.cfg.OneOriginCopy {
+	if t == tierFleet || t == tierRegion && !s.cfg.ReadOriginOnce {
 		return s.fetchFromOrigin(ctx, o)
 	}
 	scope := s.inDataCentre
@@ -142,7 +142,7 @@
 		if t != tierRegion {
 			continue
 		}
-		s.log.Fail(eventFleetOwnerFailed, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "peer": p.Addr})
+		s.log.EventWithError(eventFleetOwnerFailed, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "peer": p.Addr})
 		if s.clock.Since(start) > fastFailureTime && !errors.Is(err, errPeerFailed) {
 			// The origin may become unavailable soon, so do not wait for
 			// further owners that may not respond.
@@ -178,7 +178,7 @@
 func (s *Swarm) fetchFromOwner(ctx context.Context, addr string, o object, t tier) ([]byte, error) {
 	corruptAnswers, waitForSlot := 0, false
 	for {
-		req := peerRequest{object: o, tier: t, wait: s.cfg.Wait, waitForSlot: waitForSlot}
+		req := peerRequest{object: o, tier: t, wait: s.cfg.LongPollTimeout, waitForSlot: waitForSlot}
 		body, holders, err := s.fetchFromPeer(ctx, addr, req)
 		switch {
 		case err == nil:
@@ -230,7 +230,7 @@
 		return nil, errMissing
 	}
 	addr := busy[rand.IntN(len(busy))]
-	body, _, err := s.fetchFromPeer(ctx, addr, peerRequest{object: o, tier: tierHeld, wait: s.cfg.Wait, waitForSlot: true})
+	body, _, err := s.fetchFromPeer(ctx, addr, peerRequest{object: o, tier: tierHeld, wait: s.cfg.LongPollTimeout, waitForSlot: true})
 	if errors.Is(err, errPending) {
 		err = errBusy
 	}
@@ -273,8 +273,8 @@
 	err := s.store.Put(o.digest, body)
 	if errors.Is(err, ErrCorrupt) {
 		s.counters.corruptChunks.Inc(1)
-		s.log.Fail(eventChunkCorrupt, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "from": from})
-		return core.Step("check chunk", from, err)
+		s.log.EventWithError(eventChunkCorrupt, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "from": from})
+		return core.WrapStep("check chunk", from, err)
 	}
 	if err != nil {
 		return err
@@ -309,7 +309,7 @@
 		return nil, lastErr
 	}
 	s.noteOriginFailure()
-	s.log.Fail(eventOriginUnavailable, lastErr, eventlog.Fields{"version": o.version, "chunk": o.digest})
+	s.log.EventWithError(eventOriginUnavailable, lastErr, eventlog.Fields{"version": o.version, "chunk": o.digest})
 	if body, err := s.fetchFromNeighbours(ctx, o); err == nil {
 		return body, nil
 	}
@@ -323,11 +323,11 @@
 	start := s.clock.Now()
 	name := manifest.ChunkName(o.digest)
 	if o.manifest {
-		name = manifest.ObjectName(o.digest)
+		name = manifest.ManifestName(o.digest)
 	}
 	body, err := s.origin.Get(ctx, name, 0, -1)
 	if err != nil {
-		return nil, core.Step("read origin", "weight store", err)
+		return nil, core.WrapStep("read origin", "weight store", err)
 	}
 	n := int64(len(body))
 	s.counters.originBytes.Inc(n)
--- a/version/spread/outage.go
+++ b/version/spread/outage.go
@@ -91,7 +91,7 @@
 func (s *Swarm) fetchFromReadingPeers(ctx context.Context, o object, peers []Peer) ([]byte, error) {
 	for _, p := range peers {
 		for {
-			req := peerRequest{object: o, tier: tierOriginRead, wait: s.cfg.Wait}
+			req := peerRequest{object: o, tier: tierOriginRead, wait: s.cfg.LongPollTimeout}
 			body, _, err := s.fetchFromPeer(ctx, p.Addr, req)
 			if err == nil {
 				return body, nil
--- a/version/spread/peers.go
+++ b/version/spread/peers.go
@@ -42,7 +42,7 @@
 // not suspected.
 func (s *Swarm) ownerCandidates(o object, include func(Peer) bool) []Peer {
 	trusted := func(p Peer) bool { return include(p) && !s.isSuspected(p.Addr) }
-	return s.ranking(o.version).top(o.digest, s.cfg.Owners, trusted)
+	return s.ranking(o.version).top(o.digest, s.cfg.MaxOwners, trusted)
 }
 
 // isSuspected reports whether the peer at addr is currently suspected, and
@@ -62,10 +62,10 @@
 func (s *Swarm) markSuspect(addr string, err error) {
 	s.mu.Lock()
 	_, already := s.suspects[addr]
-	s.suspects[addr] = s.clock.Now().Add(s.cfg.Suspect)
+	s.suspects[addr] = s.clock.Now().Add(s.cfg.SuspectPeriod)
 	s.mu.Unlock()
 	if !already {
-		s.log.Fail(eventPeerSuspect, err, eventlog.Fields{"peer": addr})
+		s.log.EventWithError(eventPeerSuspect, err, eventlog.Fields{"peer": addr})
 	}
 }
 
--- a/version/spread/region.go
+++ b/version/spread/region.go
@@ -14,7 +14,7 @@
 // only owners read over the link. At other times it is an even share. Either
 // way the shares of all agents of a region add up to the budget.
 type regionLimiter struct {
-	*Link
+	*BandwidthLimiter
 
 	mu sync.Mutex
 	// budget is the limit of all agents of the region together, and evenShare
@@ -37,8 +37,8 @@
 // newRegionLimiter returns a regionLimiter without a limit.
 func newRegionLimiter() *regionLimiter {
 	return &regionLimiter{
-		Link:  &Link{limiter: rate.NewLimiter(rate.Inf, pieceBytes)},
-		owned: map[core.Digest]ownedChunks{},
+		BandwidthLimiter: &BandwidthLimiter{limiter: rate.NewLimiter(rate.Inf, pieceBytes)},
+		owned:            map[core.Digest]ownedChunks{},
 	}
 }
 
@@ -88,9 +88,9 @@
 	}
 }
 
-// SetRegionRate sets the bandwidth that this agent may use on the link to other
+// SetRegionShare sets the bandwidth that this agent may use on the link to other
 // regions while it fetches no version, in bytes per second; 0 means no limit.
-func (s *Swarm) SetRegionRate(bytesPerSecond int64) {
+func (s *Swarm) SetRegionShare(bytesPerSecond int64) {
 	s.regionLimiter.update(func() { s.regionLimiter.evenShare = bytesPerSecond })
 }
 
--- a/version/spread/region_test.go
+++ b/version/spread/region_test.go
@@ -25,7 +25,7 @@
 			So(float64(sum["r2"]), ShouldAlmostEqual, budget, 1)
 		})
 		Convey("after the fetch an agent has its even share", func() {
-			agents[0].SetRegionRate(budget / 8)
+			agents[0].SetRegionShare(budget / 8)
 			agents[0].regionLimiter.setOwnedChunks(d, nil, 0)
 			So(agents[0].regionLimiter.limiter.Limit(), ShouldEqual, rate.Limit(budget/8))
 		})
--- a/version/spread/store.go
+++ b/version/spread/store.go
@@ -32,8 +32,8 @@
 	arrivals map[core.Digest]chan struct{}
 }
 
-// NewStore returns an empty MemStore that holds at most maxBytes bytes.
-func NewStore(maxBytes int64) *MemStore {
+// NewMemStore returns an empty MemStore that holds at most maxBytes bytes.
+func NewMemStore(maxBytes int64) *MemStore {
 	return &MemStore{
 		maxBytes: maxBytes,
 		bodies:   map[core.Digest][]byte{},
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// Arrival returns a channel that is closed once the object with digest d is
+// ArrivalChannel returns a channel that is closed once the object with digest d is
 // held.
-func (s *MemStore) Arrival(d core.Digest) <-chan struct{} {
+func (s *MemStore) ArrivalChannel(d core.Digest) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.bodies[d]; ok {
--- a/version/spread/swarm_test.go
+++ b/version/spread/swarm_test.go
@@ -92,7 +92,7 @@
 // startAgents starts n agents and distributes them round-robin over the data
 // centres, each given as "region/data centre". configure, if not nil, may change
 // the settings of each agent.
-func startAgents(t *testing.T, n int, origin platform.Objects, dataCentres []string, configure func(i int, c *Config)) []*fakeAgent {
+func startAgents(t *testing.T, n int, origin platform.ObjectStore, dataCentres []string, configure func(i int, c *Config)) []*fakeAgent {
 	t.Helper()
 	var all []*fakeAgent
 	peers := func() []Peer {
@@ -104,24 +104,24 @@
 	}
 	for i := range n {
 		region, dc, _ := strings.Cut(dataCentres[i%len(dataCentres)], "/")
-		a := &fakeAgent{store: NewStore(1 << 30), server: httptest.NewUnstartedServer(nil)}
+		a := &fakeAgent{store: NewMemStore(1 << 30), server: httptest.NewUnstartedServer(nil)}
 		cfg := Config{
 			Self: core.Instance{
 				ID: fmt.Sprintf("agent%03d", i), Role: core.RoleAgent, Region: region, DataCentre: dc,
 				Addr: a.server.Listener.Addr().String(),
 			},
-			Token:        testToken,
-			Wait:         300 * time.Millisecond,
-			AnswerMargin: 5 * time.Second,
-			Stall:        5 * time.Second,
-			RetryPause:   20 * time.Millisecond,
-			Peers:        func(core.Digest) []Peer { return peers() },
-			Metrics:      metrics.NewRegistry(),
+			Token:           testToken,
+			LongPollTimeout: 300 * time.Millisecond,
+			AnswerMargin:    5 * time.Second,
+			StallTimeout:    5 * time.Second,
+			RetryPause:      20 * time.Millisecond,
+			Peers:           func(core.Digest) []Peer { return peers() },
+			Metrics:         metrics.NewRegistry(),
 		}
 		if configure != nil {
 			configure(i, &cfg)
 		}
-		a.Swarm = NewFetcher(cfg, a.store, origin, eventlog.Discard(), clockwork.NewRealClock())
+		a.Swarm = NewSwarm(cfg, a.store, origin, eventlog.Discard(), clockwork.NewRealClock())
 		a.server.Config.Handler = Handler(a.Swarm, testToken)
 		all = append(all, a)
 	}
