--- a/test/configuration/never_falls_test.go
+++ b/test/configuration/never_falls_test.go
@@ -51,7 +51,7 @@
 // TestVersionNeverFalls injects random kills, freezes, restarts, outages and lost
 // responses while it makes changes. It checks in the logs of every process that
 // no version in force is followed by an older one, and that the history contains
-// every accepted change once.
+// every accepted change once and no refused one.
 func TestVersionNeverFalls(t *testing.T) {
 	Convey("Given three entry instances and six agents under random faults", t, func() {
 		r := newRig(t, rigConfig{entries: 3, agents: 6})
@@ -69,7 +69,7 @@
 		t.Logf("seed %d: %d changes, %d accepted, %d refused, newest version %d, %d restarts, %d of them from an older version",
 			seed(), s.changes, len(s.accepted), len(s.refused), s.newest, s.restarts, countStaleStarts(r.activations()))
 
-		Convey("no version is followed by an older one, every process ends at the newest, and the history contains exactly the accepted changes", func() {
+		Convey("no version is followed by an older one, every process ends at the newest, and the history contains every accepted change once and no refused one", func() {
 			So(orderViolations(r.activations()), ShouldBeEmpty)
 			r.awaitInForce(s.newest, startTimeout, r.all...)
 			So(orderViolations(r.activations()), ShouldBeEmpty)
--- a/test/configuration/slow_test.go
+++ b/test/configuration/slow_test.go
@@ -20,9 +20,9 @@
 	maxCallTime = time.Second
 )
 
-// TestSlowPlatform delays every response of the platform. Clients' calls must not
-// become slower. Changes must come into force while responses arrive before the
-// timeout, and be refused with a clear error when they do not.
+// TestSlowPlatform delays every response of the platform. Clients' calls must stay
+// below maxCallTime. Changes must come into force while responses arrive before
+// the timeout, and be refused as not applied when they do not.
 func TestSlowPlatform(t *testing.T) {
 	Convey("Given two entry instances, two services and a slow platform", t, func() {
 		r := newRig(t, rigConfig{entries: 2, services: 2})
