--- a/request/serve/bench_test.go
+++ b/request/serve/bench_test.go
@@ -13,15 +13,16 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// instantEngine answers every call at once with one event per token, so that a
-// benchmark measures only the agent. Each Read of the answer returns one event.
+// instantEngine responds to every call at once with one event per token, so that
+// a benchmark measures only the agent. Each Read of the response returns one
+// event.
 type instantEngine struct {
 	engine.Engine
-	// tokens is the number of tokens in each answer.
+	// tokens is the number of tokens in each response.
 	tokens int
 }
 
-// eventBody is the body of an instantEngine's answer.
+// eventBody is the body of an instantEngine's response.
 type eventBody struct {
 	event []byte
 	// readsLeft counts down to the [DONE] event, which is read at 0.
@@ -85,7 +86,7 @@
 }
 
 // BenchmarkHandler measures the CPU time that the agent's own code takes per
-// call, without sockets, for answers of 1 and of 201 tokens. The difference
+// call, without sockets, for responses of 1 and of 201 tokens. The difference
 // divided by 200 is the cost of one token.
 func BenchmarkHandler(b *testing.B) {
 	for _, tokens := range []int{1, 201} {
--- a/request/serve/faults_test.go
+++ b/request/serve/faults_test.go
@@ -23,7 +23,7 @@
 		})
 		req := completionRequest("r1", "20")
 
-		Convey("an answer to another request is never forwarded", func() {
+		Convey("a response to another request is never forwarded", func() {
 			h.engine.SetFaults(standin.Faults{ForeignResponse: true})
 			r := h.do(frame.KindRequest, req)
 			So(r.summary(), ShouldEqual, "failed incomplete")
@@ -44,7 +44,7 @@
 			So(h.do(frame.KindRequest, req).summary(), ShouldEqual, "refused digest")
 			So(h.engine.Counters().Started, ShouldEqual, 0)
 		})
-		Convey("a call for a version that the engine reports as loaded without holding it is refused and does not run", func() {
+		Convey("a call for a version that the engine falsely reports as loaded is refused and does not run", func() {
 			h.engine.SetFaults(standin.Faults{FalseLoaded: &frame.Loaded{Model: testModel, Version: "v2", Digest: otherDigest}})
 			req.Digest = otherDigest
 			reported := make(chan core.Digest, 1)
@@ -85,12 +85,12 @@
 			eventually(t, "the engine sees the cancellation", func() bool { return h.engine.Counters().Cancelled == 1 })
 		})
 		Convey("a new boot id resets the limit to the cold limit", func() {
-			h.gate.Configure(8, 2)
+			h.limiter.Configure(8, 2)
 			So(h.do(frame.KindRequest, req).summary(), ShouldEqual, "whole")
-			So(h.gate.Load().Limit, ShouldEqual, 8)
+			So(h.limiter.Load().Limit, ShouldEqual, 8)
 			h.engine.SetFaults(standin.Faults{Reboot: true})
 			So(h.do(frame.KindRequest, req).summary(), ShouldEqual, "whole")
-			So(h.gate.Load().Limit, ShouldEqual, 2)
+			So(h.limiter.Load().Limit, ShouldEqual, 2)
 		})
 	})
 }
@@ -147,20 +147,20 @@
 	})
 }
 
-// crossedEngine returns the answer to its first call to the second caller, like
-// an engine that mixes up its connections. The first call gets no answer.
-type crossedEngine struct {
+// misroutingEngine returns the response to its first call to the second caller,
+// like an engine that mixes up its connections. The first call gets no response.
+type misroutingEngine struct {
 	engine.Engine
-	firstAnswer engine.Response
+	firstResponse engine.Response
 }
 
 // Do implements engine.Engine.
-func (e *crossedEngine) Do(ctx context.Context, c engine.Call) (engine.Response, error) {
-	if e.firstAnswer.Body != nil {
-		return e.firstAnswer, nil
+func (e *misroutingEngine) Do(ctx context.Context, c engine.Call) (engine.Response, error) {
+	if e.firstResponse.Body != nil {
+		return e.firstResponse, nil
 	}
 	var err error
-	e.firstAnswer, err = e.Engine.Do(context.WithoutCancel(ctx), c)
+	e.firstResponse, err = e.Engine.Do(context.WithoutCancel(ctx), c)
 	if err != nil {
 		return engine.Response{}, err
 	}
@@ -168,9 +168,9 @@
 	return engine.Response{}, ctx.Err()
 }
 
-func TestLateAnswer(t *testing.T) {
-	Convey("An answer that arrives after its call was cancelled is not forwarded to the next call", t, func() {
-		h := newHarness(t, options{wrap: func(e engine.Engine) engine.Engine { return &crossedEngine{Engine: e} }})
+func TestLateResponse(t *testing.T) {
+	Convey("A response that arrives after its call was cancelled is not forwarded to the next call", t, func() {
+		h := newHarness(t, options{wrap: func(e engine.Engine) engine.Engine { return &misroutingEngine{Engine: e} }})
 		late := completionRequest("r1", "5")
 		late.TimeoutMillis = 100
 		So(h.do(frame.KindRequest, late).summary(), ShouldEqual, "failed incomplete")
--- a/request/serve/ledger.go
+++ b/request/serve/ledger.go
@@ -32,7 +32,7 @@
 	attemptFinished
 )
 
-// attemptRecord is the ledger's entry for one attempt.
+// attemptRecord is the ledger's record of one attempt.
 type attemptRecord struct {
 	id    attemptID
 	state attemptState
@@ -44,7 +44,7 @@
 }
 
 // evictable reports whether the record may be dropped to make room: its attempt
-// has finished, is forbidden, or has no open offer.
+// has finished, is forbidden, or has not started and has no open offer.
 func (r *attemptRecord) evictable() bool {
 	return r.state == attemptFinished || r.state == attemptForbidden || r.state == attemptOffered && r.openOffers == 0
 }
@@ -151,9 +151,9 @@
 	l.evictOutcomes()
 }
 
-// queryAndForbid reports whether the attempt ran, with its outcome if the ledger
-// still has it. It forbids the attempt and earlier attempts with the same key
-// unless they have started.
+// queryAndForbid returns the state of the attempt, with its outcome if the ledger
+// still has it. It forbids the attempt and up to maxEarlierForbidden earlier
+// attempts with the same key unless they have started.
 func (l *ledger) queryAndForbid(id attemptID) (frame.AttemptState, *frame.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/request/serve/load_test.go
+++ b/request/serve/load_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// loadTokens is the mean length of an answer; lengths vary from 0.5 to 1.5
-	// times that. In virtual time, answers of equal length would all begin and
+	// loadTokens is the mean length of a response; lengths vary from 0.5 to 1.5
+	// times that. In virtual time, responses of equal length would all begin and
 	// end together.
 	loadTokens = 20
 	// warmCapacity and coldCapacity are the numbers of concurrent calls that a
@@ -40,15 +40,15 @@
 	maxRefusalTime = 100 * time.Millisecond
 )
 
-// answerLengths generates random lengths of answers, in tokens.
-type answerLengths struct{ rng *rand.Rand }
+// responseLengths generates random lengths of responses, in tokens.
+type responseLengths struct{ rng *rand.Rand }
 
-func newAnswerLengths(seed uint64) answerLengths {
-	return answerLengths{rand.New(rand.NewPCG(seed, loadTokens))}
+func newResponseLengths(seed uint64) responseLengths {
+	return responseLengths{rand.New(rand.NewPCG(seed, loadTokens))}
 }
 
 // next returns a length as the value of max_tokens.
-func (l answerLengths) next() string { return strconv.Itoa(loadTokens/2 + l.rng.IntN(loadTokens+1)) }
+func (l responseLengths) next() string { return strconv.Itoa(loadTokens/2 + l.rng.IntN(loadTokens+1)) }
 
 // tally counts replies by client account.
 type tally struct {
@@ -88,14 +88,14 @@
 }
 
 // offerLoad sends calls of account at a constant rate for the time total, without
-// waiting for answers, and adds every reply to c. It returns when that time is
-// over; the returned wait function waits for the remaining answers.
+// waiting for responses, and adds every reply to c. It returns when that time is
+// over; the returned wait function waits for the remaining responses.
 func (h *harness) offerLoad(c *tally, account string, perSecond float64, total time.Duration) (wait func()) {
 	var calls sync.WaitGroup
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 	defer ticker.Stop()
 	end := time.After(total)
-	tokens := newAnswerLengths(xxhash.Sum64String(account))
+	tokens := newResponseLengths(xxhash.Sum64String(account))
 	for i := 0; ; i++ {
 		select {
 		case <-end:
@@ -115,7 +115,7 @@
 }
 
 // closedLoop keeps n calls running for the time total and returns the number of
-// complete answers per second, which is the engine's throughput at concurrency n.
+// complete responses per second, which is the engine's throughput at concurrency n.
 func (h *harness) closedLoop(n int, total time.Duration) float64 {
 	c := newTally()
 	ctx, cancel := context.WithTimeout(context.Background(), total)
@@ -126,7 +126,7 @@
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			tokens := newAnswerLengths(uint64(w))
+			tokens := newResponseLengths(uint64(w))
 			for i := 0; ctx.Err() == nil; i++ {
 				req := completionRequest(fmt.Sprintf("w%d-%d", w, i), tokens.next())
 				c.add("w", h.do(frame.KindRequest, req), 0)
@@ -138,7 +138,7 @@
 }
 
 // loadTestEngine returns the settings of the stand-in engine. Each finished call
-// adds warmPerCall to the number of calls that it runs at full speed.
+// adds warmPerCall to the number of calls that the engine runs at full speed.
 func loadTestEngine(warmPerCall float64) standin.Config {
 	return standin.Config{
 		Slots: 128, WarmLimit: warmCapacity, ColdLimit: coldCapacity, WarmPerCall: warmPerCall,
@@ -146,16 +146,16 @@
 	}
 }
 
-// loadTestGate returns the settings of the limiter. With fixed, the limit is
-// warmCapacity from the start and doesn't adapt.
-func loadTestGate(fixed bool) admission.Config {
+// loadTestLimiter returns the settings of the limiter. With fixed, the limit is
+// warmCapacity from the start and does not adapt.
+func loadTestLimiter(fixed bool) admission.Config {
 	return admission.Config{Limit: warmCapacity, ColdLimit: coldCapacity, Fixed: fixed}
 }
 
 // coldGoodput offers a cold engine three times its capacity in calls per second,
 // and returns the goodput as a share of that capacity.
 func coldGoodput(t *testing.T, capacity float64, fixed bool, total time.Duration) float64 {
-	h := newVirtualHarness(t, options{engine: loadTestEngine(negligibleWarmPerCall), gate: loadTestGate(fixed)})
+	h := newVirtualHarness(t, options{engine: loadTestEngine(negligibleWarmPerCall), limiter: loadTestLimiter(fixed)})
 	c := newTally()
 	start := time.Now()
 	h.offerLoad(c, "a", 3*capacity, total)()
@@ -166,7 +166,7 @@
 
 // coldCallRate returns the capacity of a cold engine, in calls per second.
 func coldCallRate(t *testing.T) float64 {
-	baseline := newVirtualHarness(t, options{engine: loadTestEngine(negligibleWarmPerCall), gate: loadTestGate(false)})
+	baseline := newVirtualHarness(t, options{engine: loadTestEngine(negligibleWarmPerCall), limiter: loadTestLimiter(false)})
 	return baseline.closedLoop(coldCapacity, capacityTestTime)
 }
 
@@ -181,15 +181,15 @@
 		So(coldGoodput(t, capacity, true, time.Second), ShouldBeLessThan, 0.5)
 	})
 	Convey("An engine that turns cold under load without warning keeps 90% of the throughput of a cold engine", t, func() {
-		h := newVirtualHarness(t, options{engine: loadTestEngine(100), gate: loadTestGate(false)})
+		h := newVirtualHarness(t, options{engine: loadTestEngine(100), limiter: loadTestLimiter(false)})
 		h.offerLoad(newTally(), "a", 3*capacity, 1500*time.Millisecond)
-		So(h.gate.State(), ShouldNotEqual, frame.StateCold)
+		So(h.limiter.State(), ShouldNotEqual, frame.StateCold)
 		h.engine.SetFaults(standin.Faults{Cold: true, StayCold: true})
 		c := newTally()
 		start := time.Now()
 		h.offerLoad(c, "a", 3*capacity, overloadTestTime)()
 		share := float64(c.totalCompleted()) / time.Since(start).Seconds() / capacity
-		t.Logf("cold capacity %.1f calls/s, goodput %.2f of it, gate %+v, engine %+v", capacity, share, h.gate.Load(), h.engine.Counters())
+		t.Logf("cold capacity %.1f calls/s, goodput %.2f of it, limiter %+v, engine %+v", capacity, share, h.limiter.Load(), h.engine.Counters())
 		So(share, ShouldBeGreaterThan, 0.9)
 	})
 }
@@ -200,11 +200,11 @@
 	Convey("Given a warm engine, a declared limit of four times its capacity, and a load of twice its capacity, mostly from one large account", t, func() {
 		engine := loadTestEngine(1)
 		engine.ColdLimit = warmCapacity
-		gate := admission.Config{Limit: 4 * warmCapacity, ColdLimit: warmCapacity}
-		baseline := newVirtualHarness(t, options{engine: engine, gate: gate})
+		limiter := admission.Config{Limit: 4 * warmCapacity, ColdLimit: warmCapacity}
+		baseline := newVirtualHarness(t, options{engine: engine, limiter: limiter})
 		capacity := baseline.closedLoop(warmCapacity, capacityTestTime)
 
-		h := newVirtualHarness(t, options{engine: engine, gate: gate})
+		h := newVirtualHarness(t, options{engine: engine, limiter: limiter})
 		c := newTally()
 		var accounts sync.WaitGroup
 		load := func(account string, share float64) {
--- a/request/serve/once.go
+++ b/request/serve/once.go
@@ -16,13 +16,13 @@
 	"github.com/rattanway/rattanway/request/admission"
 )
 
-// maxOutcomeBytes is the largest body of an answer to a non-repeatable call.
+// maxOutcomeBytes is the largest body of a response to a non-repeatable call.
 const maxOutcomeBytes = 4 << 20
 
 // Errors of non-repeatable calls.
 var (
-	errAnswerTooLong = errors.New("answer too long")
-	errStillRunning  = errors.New("call still runs at the deadline")
+	errResponseTooLong = errors.New("answer too long")
+	errStillRunning    = errors.New("call still runs at the deadline")
 )
 
 // hasElapsed reports whether more than d has passed from start to now by the
@@ -140,7 +140,7 @@
 
 // runOnce makes the call of a started attempt and sends its outcome. When the
 // entry instance disconnects, the call still runs to its end, and the ledger
-// keeps the outcome for a later Ask.
+// keeps the outcome for a later attempt query.
 func (h *Handler) runOnce(ctx context.Context, req *frame.Request, exchange work.AgentExchange, slot *heldSlot, received time.Time) error {
 	h.logCall(eventOnceStarted, req, eventlog.Fields{})
 	done := make(chan onceResult, 1)
@@ -188,27 +188,29 @@
 	return onceResult{outcome: outcome}
 }
 
-// callOnce makes the call and reads the complete answer.
+// callOnce makes the call and reads the complete response.
 func (h *Handler) callOnce(ctx context.Context, req *frame.Request) (*frame.Outcome, error) {
-	answer, err := h.engine.Do(ctx, newEngineCall(req, true))
+	resp, err := h.engine.Do(ctx, newEngineCall(req, true))
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	if answer.ID != "" && answer.ID != req.ID {
+	defer resp.Body.Close()
+	if resp.ID != "" && resp.ID != req.ID {
 		return nil, errWrongRequest
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxOutcomeBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOutcomeBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > maxOutcomeBytes {
-		return nil, errAnswerTooLong
+		return nil, errResponseTooLong
 	}
-	return &frame.Outcome{Status: answer.Status, Header: forwardedHeader(answer.Header), Body: body}, nil
+	return &frame.Outcome{Status: resp.Status, Header: forwardedHeader(resp.Header), Body: body}, nil
 }
 
-// sendOnceResult sends the result of a started call to the entry instance.
+// sendOnceResult sends the result of a started call to the entry instance: the
+// response, or a Refuse frame if the call provably did not reach the service, or
+// a Fail frame otherwise.
 func (h *Handler) sendOnceResult(req *frame.Request, exchange work.AgentExchange, r onceResult) error {
 	switch {
 	case errors.Is(r.err, engine.ErrNotSent):
@@ -230,16 +232,16 @@
 	return exchange.Send(frame.KindEnd, end)
 }
 
-// handleAsk answers whether an attempt ran in this incarnation of the agent, and
-// forbids the attempt unless it has started.
-func (h *Handler) handleAsk(first frame.Frame, exchange work.AgentExchange) error {
+// handleAttemptQuery sends the state of an attempt in this incarnation of the
+// agent, and forbids the attempt unless it has started.
+func (h *Handler) handleAttemptQuery(first frame.Frame, exchange work.AgentExchange) error {
 	var msg frame.AttemptQuery
 	if err := first.Decode(&msg); err != nil {
-		return core.WrapStep("serve ask", exchange.Peer(), err)
+		return core.WrapStep("serve attempt query", exchange.Peer(), err)
 	}
-	ran, outcome := h.ledger.queryAndForbid(attemptID{key: "key/" + msg.Key, attempt: msg.Attempt})
-	h.log.Event(eventAttemptQueried, eventlog.Fields{"request": msg.ID, "key": msg.Key, "attempt": msg.Attempt, "ran": ran})
+	state, outcome := h.ledger.queryAndForbid(attemptID{key: "key/" + msg.Key, attempt: msg.Attempt})
+	h.log.Event(eventAttemptQueried, eventlog.Fields{"request": msg.ID, "key": msg.Key, "attempt": msg.Attempt, "ran": state})
 	return exchange.Send(frame.KindAttemptStatus, frame.AttemptStatus{
-		ID: msg.ID, Incarnation: h.cfg.Incarnation, State: ran, Outcome: outcome,
+		ID: msg.ID, Incarnation: h.cfg.Incarnation, State: state, Outcome: outcome,
 	})
 }
--- a/request/serve/once_test.go
+++ b/request/serve/once_test.go
@@ -53,9 +53,9 @@
 	return r
 }
 
-// askAttempt sends an Ask about an attempt and returns the answer, or nil if
-// there is none.
-func (h *harness) askAttempt(key string, attempt int) *frame.AttemptStatus {
+// queryAttempt sends an attempt query and returns the AttemptStatus frame, or nil
+// if none arrives.
+func (h *harness) queryAttempt(key string, attempt int) *frame.AttemptStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	msg := frame.AttemptQuery{ID: "ask", Key: key, Attempt: attempt}
@@ -65,8 +65,8 @@
 	}
 	got, err := exchange.Receive(ctx)
 	exchange.Close(err == nil)
-	answer, _ := got.(*frame.AttemptStatus)
-	return answer
+	status, _ := got.(*frame.AttemptStatus)
+	return status
 }
 
 func TestOnceOnlyCall(t *testing.T) {
@@ -80,9 +80,9 @@
 			r := sendGo(exchange, "r1")
 			So(r.summary(), ShouldEqual, "whole")
 			So(h.service.Executions()["k1"], ShouldEqual, 1)
-			answer := h.askAttempt("k1", 1)
-			So(answer.State, ShouldEqual, frame.AttemptRan)
-			So(string(answer.Outcome.Body), ShouldEqual, string(r.body))
+			status := h.queryAttempt("k1", 1)
+			So(status.State, ShouldEqual, frame.AttemptRan)
+			So(string(status.Outcome.Body), ShouldEqual, string(r.body))
 		})
 		Convey("an attempt that ran is refused when it is offered again", func() {
 			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
@@ -91,21 +91,21 @@
 			So(msg.(*frame.Refuse).Reason, ShouldEqual, frame.ReasonDuplicate)
 			So(h.service.Executions()["k1"], ShouldEqual, 1)
 		})
-		Convey("a call without a key is refused when its request id comes again", func() {
+		Convey("a call without a key is refused when its request id is used again", func() {
 			exchange, _ := h.openOffer(lotRequest("r1", "", 0))
 			sendGo(exchange, "r1")
 			_, msg := h.openOffer(lotRequest("r1", "", 0))
 			So(msg.(*frame.Refuse).Reason, ShouldEqual, frame.ReasonDuplicate)
 		})
-		Convey("an Ask before Go forbids the attempt, and Go is refused", func() {
+		Convey("an attempt query before Go forbids the attempt, and Go is refused", func() {
 			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
-			So(h.askAttempt("k1", 1).State, ShouldEqual, frame.AttemptNotRun)
+			So(h.queryAttempt("k1", 1).State, ShouldEqual, frame.AttemptNotRun)
 			So(sendGo(exchange, "r1").summary(), ShouldEqual, "refused duplicate")
 			So(h.service.Executions()["k1"], ShouldEqual, 0)
 		})
 		Convey("when the hold expires the slot is freed, and a later Go is refused", func() {
 			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
-			eventually(t, "the slot is free", func() bool { return h.gate.Load().InFlight == 0 })
+			eventually(t, "the slot is free", func() bool { return h.limiter.Load().InFlight == 0 })
 			So(sendGo(exchange, "r1").summary(), ShouldEqual, "refused expired")
 			So(h.service.Executions()["k1"], ShouldEqual, 0)
 		})
@@ -115,23 +115,23 @@
 			So(exchange.Send(frame.KindGo, frame.Go{ID: "r1"}), ShouldBeNil)
 			eventually(t, "the call runs", func() bool { return h.service.Executions()["k1"] == 1 })
 			exchange.Close(false)
-			So(h.askAttempt("k1", 1).State, ShouldEqual, frame.AttemptRunning)
+			So(h.queryAttempt("k1", 1).State, ShouldEqual, frame.AttemptRunning)
 			h.handler.Leave()
 			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			So(h.handler.Drain(ctx), ShouldBeNil)
-			answer := h.askAttempt("k1", 1)
-			So(answer.State, ShouldEqual, frame.AttemptRan)
-			So(answer.Outcome.Status, ShouldEqual, http.StatusOK)
+			status := h.queryAttempt("k1", 1)
+			So(status.State, ShouldEqual, frame.AttemptRan)
+			So(status.Outcome.Status, ShouldEqual, http.StatusOK)
 		})
 		Convey("when the connection to the service is lost during the call, the outcome is unknown and the attempt counts as run", func() {
 			h.service.SetFaults(service.Faults{DropAfter: true})
 			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
 			So(sendGo(exchange, "r1").summary(), ShouldEqual, "failed unknown")
 			So(h.service.Executions()["k1"], ShouldEqual, 1)
-			answer := h.askAttempt("k1", 1)
-			So(answer.State, ShouldEqual, frame.AttemptRan)
-			So(answer.Outcome, ShouldBeNil)
+			status := h.queryAttempt("k1", 1)
+			So(status.State, ShouldEqual, frame.AttemptRan)
+			So(status.Outcome, ShouldBeNil)
 		})
 		Convey("a non-repeatable call is refused without an offer", func() {
 			So(h.do(frame.KindRequest, lotRequest("r1", "k1", 1)).summary(), ShouldEqual, "refused unknown-op")
@@ -148,17 +148,17 @@
 }
 
 // TestOnceOnlyRaces offers each attempt over two exchanges while a third
-// exchange asks about it concurrently. Each attempt must run at most once, each
-// execution must have exactly one complete answer, and an attempt that was
+// exchange queries it concurrently. Each attempt must run at most once, each
+// execution must have exactly one complete response, and an attempt that was
 // reported as not run must never run.
 func TestOnceOnlyRaces(t *testing.T) {
-	Convey("Attempts with two concurrent offers and an Ask run at most once, and never after the answer no", t, func() {
+	Convey("Attempts with two concurrent offers and an attempt query run at most once, and never after they were reported as not run", t, func() {
 		const keys = 200
 		h := newHarness(t, options{service: true})
-		h.gate.Configure(64, 64)
+		h.limiter.Configure(64, 64)
 		type raceResult struct {
 			replies [2]reply
-			answer  *frame.AttemptStatus
+			status  *frame.AttemptStatus
 		}
 		results := make([]raceResult, keys)
 		var races sync.WaitGroup
@@ -180,13 +180,13 @@
 				if i%2 == 0 {
 					eventually(t, "offered", func() bool { return h.ledgerHasRecord(key) })
 				}
-				results[i].answer = h.askAttempt(key, 1)
+				results[i].status = h.queryAttempt(key, 1)
 				offers.Wait()
 			}()
 		}
 		races.Wait()
 		executions := h.service.Executions()
-		answers := map[frame.AttemptState]int{}
+		states := map[frame.AttemptState]int{}
 		for i, result := range results {
 			n := executions[fmt.Sprintf("k%d", i)]
 			complete := 0
@@ -195,15 +195,15 @@
 					complete++
 				}
 			}
-			answers[result.answer.State]++
+			states[result.status.State]++
 			if n > 1 || complete != n {
-				t.Errorf("key %d: %d executions, %d complete answers", i, n, complete)
+				t.Errorf("key %d: %d executions, %d complete responses", i, n, complete)
 			}
-			if result.answer.State == frame.AttemptNotRun && n != 0 {
-				t.Errorf("key %d: Ask was answered no, but the attempt ran %d times", i, n)
+			if result.status.State == frame.AttemptNotRun && n != 0 {
+				t.Errorf("key %d: the attempt was reported as not run, but it ran %d times", i, n)
 			}
 		}
-		t.Logf("answers to Ask: %v", answers)
+		t.Logf("attempt states reported: %v", states)
 	})
 }
 
@@ -237,7 +237,7 @@
 	return sendGo(exchange, req.ID)
 }
 
-func TestLedgerForgets(t *testing.T) {
+func TestLedgerEviction(t *testing.T) {
 	Convey("Given a full ledger", t, func() {
 		l := newLedger(2, 10)
 		for _, key := range []string{"a", "b"} {
@@ -254,14 +254,14 @@
 		Convey("an attempt whose record was dropped is reported as unknown, never as not run", func() {
 			l.finish(attemptID{key: "a", attempt: 1}, &frame.Outcome{Body: []byte("done")})
 			So(l.beginOffer(c), ShouldBeTrue)
-			ran, _ := l.queryAndForbid(attemptID{key: "a", attempt: 1})
-			So(ran, ShouldEqual, frame.AttemptUnknown)
+			state, _ := l.queryAndForbid(attemptID{key: "a", attempt: 1})
+			So(state, ShouldEqual, frame.AttemptUnknown)
 		})
 		Convey("outcomes beyond the size limit are dropped, but the attempts still count as run", func() {
 			l.finish(attemptID{key: "a", attempt: 1}, &frame.Outcome{Body: make([]byte, 8)})
 			l.finish(attemptID{key: "b", attempt: 1}, &frame.Outcome{Body: make([]byte, 8)})
-			ran, outcome := l.queryAndForbid(attemptID{key: "a", attempt: 1})
-			So(ran, ShouldEqual, frame.AttemptRan)
+			state, outcome := l.queryAndForbid(attemptID{key: "a", attempt: 1})
+			So(state, ShouldEqual, frame.AttemptRan)
 			So(outcome, ShouldBeNil)
 		})
 	})
--- a/request/serve/run.go
+++ b/request/serve/run.go
@@ -18,7 +18,7 @@
 	"github.com/rattanway/rattanway/request/admission"
 )
 
-// readBufferBytes is the initial size of the buffer for reading an answer.
+// readBufferBytes is the initial size of the buffer for reading a response.
 const readBufferBytes = 16 << 10
 
 // Errors of a call to the engine or service, for logs and Fail frames.
@@ -36,9 +36,9 @@
 // Unwrap returns the wrapped error.
 func (e sendError) Unwrap() error { return e.error }
 
-// answerForwarder forwards the answer to one repeatable call to the entry
+// responseForwarder forwards the response to one repeatable call to the entry
 // instance.
-type answerForwarder struct {
+type responseForwarder struct {
 	handler  *Handler
 	req      *frame.Request
 	exchange work.AgentExchange
@@ -51,11 +51,11 @@
 	checksum  *xxhash.Digest
 }
 
-// runRepeatable calls the engine or service and forwards the answer. cancel must
+// runRepeatable calls the engine or service and forwards the response. cancel must
 // cancel ctx; release is called once, when the call has ended.
 func (h *Handler) runRepeatable(ctx context.Context, cancel context.CancelCauseFunc, req *frame.Request,
 	exchange work.AgentExchange, release func(admission.Outcome)) error {
-	f := &answerForwarder{handler: h, req: req, exchange: exchange, call: h.watcher.add(cancel, h.firstByteTimeout(req)), checksum: xxhash.New()}
+	f := &responseForwarder{handler: h, req: req, exchange: exchange, call: h.watcher.add(cancel, h.firstByteTimeout(req)), checksum: xxhash.New()}
 	err := f.forward(ctx)
 	h.watcher.remove(f.call)
 	if err != nil && ctx.Err() != nil {
@@ -65,9 +65,9 @@
 	return f.finish(ctx, err)
 }
 
-// firstByteTimeout returns the longest wait for the first byte of the answer to
-// req. It is longer for an answer from an engine that is not streamed, because
-// the engine sends nothing until the answer is complete.
+// firstByteTimeout returns the longest wait for the first byte of the response
+// to req. It is longer for a response from an engine that is not streamed,
+// because the engine sends nothing until the response is complete.
 func (h *Handler) firstByteTimeout(req *frame.Request) time.Duration {
 	var options struct {
 		Stream bool `json:"stream"`
@@ -93,7 +93,7 @@
 
 // finish sends the last frame of the exchange: End when err is nil, otherwise
 // Refuse or Fail. It sends nothing when the entry instance has disconnected.
-func (f *answerForwarder) finish(ctx context.Context, err error) error {
+func (f *responseForwarder) finish(ctx context.Context, err error) error {
 	var sendErr sendError
 	switch {
 	case err == nil:
@@ -101,7 +101,7 @@
 		end := frame.End{ID: f.req.ID, Bytes: f.bodyBytes, Sum: f.checksum.Sum64(), Load: f.handler.limiter.Load()}
 		return f.exchange.Send(frame.KindEnd, end)
 	case errors.As(err, &sendErr), errors.Is(err, context.Canceled):
-		f.handler.log.EventWithError(eventCallFailed, err, eventlog.Fields{"request": f.req.ID, "account": f.req.Account, "why": "entry gone"})
+		f.handler.log.EventWithError(eventCallFailed, err, eventlog.Fields{"request": f.req.ID, "account": f.req.Account, "why": "entry instance disconnected"})
 		return err
 	case f.headSent:
 		return f.handler.sendFailure(f.exchange, f.req, core.RefusalIncomplete, err)
@@ -116,26 +116,26 @@
 	}
 }
 
-// forward calls the engine or service and forwards its answer to the entry
+// forward calls the engine or service and forwards its response to the entry
 // instance.
-func (f *answerForwarder) forward(ctx context.Context) error {
-	answer, err := f.handler.engine.Do(ctx, newEngineCall(f.req, false))
+func (f *responseForwarder) forward(ctx context.Context) error {
+	resp, err := f.handler.engine.Do(ctx, newEngineCall(f.req, false))
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if err := f.checkAnswer(answer); err != nil {
+	defer resp.Body.Close()
+	if err := f.checkResponse(resp); err != nil {
 		return err
 	}
-	head := frame.Head{ID: f.req.ID, Status: answer.Status, Header: forwardedHeader(answer.Header), Digest: answer.Digest}
+	head := frame.Head{ID: f.req.ID, Status: resp.Status, Header: forwardedHeader(resp.Header), Digest: resp.Digest}
 	f.headSent = true
 	if err := f.sendFrame(frame.KindHead, head); err != nil {
 		return err
 	}
-	if answer.Status == http.StatusOK && isEventStream(http.Header(answer.Header).Get("Content-Type")) {
-		return f.forwardEvents(answer.Body)
+	if resp.Status == http.StatusOK && isEventStream(http.Header(resp.Header).Get("Content-Type")) {
+		return f.forwardEvents(resp.Body)
 	}
-	return f.forwardBytes(answer.Body)
+	return f.forwardBytes(resp.Body)
 }
 
 // newEngineCall returns the call to the engine or service for req. once is true
@@ -154,54 +154,54 @@
 	}
 }
 
-// checkAnswer returns an error unless the answer belongs to this request and
-// comes from the pinned model version, or is a client error (4xx) to be
-// forwarded. It is called before any of the answer is forwarded.
-func (f *answerForwarder) checkAnswer(answer engine.Response) error {
+// checkResponse returns an error unless resp belongs to this request and comes
+// from the pinned model version, or is a client error (4xx) to be forwarded. It
+// is called before any part of the response is forwarded.
+func (f *responseForwarder) checkResponse(resp engine.Response) error {
 	if f.req.Digest == "" {
-		if answer.ID != "" && answer.ID != f.req.ID {
-			return f.logMismatch(errWrongRequest, answer)
+		if resp.ID != "" && resp.ID != f.req.ID {
+			return f.logMismatch(errWrongRequest, resp)
 		}
 		return nil
 	}
 	switch {
-	case answer.Status == http.StatusTooManyRequests, answer.Status == http.StatusServiceUnavailable:
+	case resp.Status == http.StatusTooManyRequests, resp.Status == http.StatusServiceUnavailable:
 		return errOverloaded
-	case answer.Status == http.StatusNotFound, answer.Status == http.StatusConflict:
+	case resp.Status == http.StatusNotFound, resp.Status == http.StatusConflict:
 		f.reportWrongVersion()
-		return f.logMismatch(errNotLoaded, answer)
-	case answer.Status >= http.StatusInternalServerError:
-		return errors.Wrapf(errEngineFailed, "status %d", answer.Status)
-	case answer.Status >= http.StatusBadRequest:
+		return f.logMismatch(errNotLoaded, resp)
+	case resp.Status >= http.StatusInternalServerError:
+		return errors.Wrapf(errEngineFailed, "status %d", resp.Status)
+	case resp.Status >= http.StatusBadRequest:
 		return nil
-	case answer.ID != f.req.ID:
-		return f.logMismatch(errWrongRequest, answer)
-	case answer.Digest != f.req.Digest:
+	case resp.ID != f.req.ID:
+		return f.logMismatch(errWrongRequest, resp)
+	case resp.Digest != f.req.Digest:
 		f.reportWrongVersion()
-		return f.logMismatch(errWrongDigest, answer)
+		return f.logMismatch(errWrongDigest, resp)
 	}
 	return nil
 }
 
-// reportWrongVersion calls Config.Distrust with the pinned version, which the
-// engine reports as loaded but did not answer from.
-func (f *answerForwarder) reportWrongVersion() {
+// reportWrongVersion calls Config.OnWrongVersion with the manifest digest of the
+// pinned version, which the engine reports as loaded but did not use.
+func (f *responseForwarder) reportWrongVersion() {
 	if f.handler.cfg.OnWrongVersion != nil {
 		f.handler.cfg.OnWrongVersion(f.req.Digest)
 	}
 }
 
-// logMismatch logs an answer that must not be forwarded, and returns err.
-func (f *answerForwarder) logMismatch(err error, answer engine.Response) error {
-	f.handler.log.EventWithError(eventAnswerMismatch, err, eventlog.Fields{
-		"request": f.req.ID, "answered": answer.ID, "want": f.req.Digest.Short(), "digest": answer.Digest.Short(), "status": answer.Status,
+// logMismatch logs a response that must not be forwarded, and returns err.
+func (f *responseForwarder) logMismatch(err error, resp engine.Response) error {
+	f.handler.log.EventWithError(eventResponseMismatch, err, eventlog.Fields{
+		"request": f.req.ID, "answered": resp.ID, "want": f.req.Digest.Short(), "digest": resp.Digest.Short(), "status": resp.Status,
 	})
 	return err
 }
 
 // sendFrame sends one frame to the entry instance. It returns a sendError on
 // failure.
-func (f *answerForwarder) sendFrame(kind frame.Kind, msg any) error {
+func (f *responseForwarder) sendFrame(kind frame.Kind, msg any) error {
 	f.call.sending.Store(true)
 	err := f.exchange.Send(kind, msg)
 	f.call.sending.Store(false)
@@ -211,20 +211,20 @@
 	return nil
 }
 
-// sendData sends a piece of the answer's body, which contains the given number
-// of tokens. An empty piece is not sent.
-func (f *answerForwarder) sendData(piece []byte, tokens int) error {
-	if len(piece) == 0 {
+// sendData sends a chunk of the response body, which contains the given number
+// of tokens. An empty chunk is not sent.
+func (f *responseForwarder) sendData(chunk []byte, tokens int) error {
+	if len(chunk) == 0 {
 		return nil
 	}
-	_, _ = f.checksum.Write(piece)
-	f.bodyBytes += int64(len(piece))
-	return f.sendFrame(frame.KindData, frame.Data{ID: f.req.ID, Body: piece, Tokens: tokens})
+	_, _ = f.checksum.Write(chunk)
+	f.bodyBytes += int64(len(chunk))
+	return f.sendFrame(frame.KindData, frame.Data{ID: f.req.ID, Body: chunk, Tokens: tokens})
 }
 
 // forwardEvents forwards an event stream as it arrives. It sends complete events
 // only.
-func (f *answerForwarder) forwardEvents(body io.Reader) error {
+func (f *responseForwarder) forwardEvents(body io.Reader) error {
 	parser := eventParser{digest: f.req.Digest}
 	buf := make([]byte, 0, readBufferBytes)
 	for {
@@ -250,9 +250,9 @@
 	}
 }
 
-// recordArrival records that a piece with the given number of tokens arrived,
+// recordArrival records that a chunk with the given number of tokens arrived,
 // and reports the time to the first token to the limiter.
-func (f *answerForwarder) recordArrival(tokens int) {
+func (f *responseForwarder) recordArrival(tokens int) {
 	if tokens > 0 && f.call.tokenCount.Load() == 0 {
 		f.handler.limiter.Observe(admission.Sample{FirstToken: f.handler.clock.Since(f.call.started)})
 	}
@@ -273,7 +273,7 @@
 }
 
 // forwardBytes forwards a body that is not an event stream as it arrives.
-func (f *answerForwarder) forwardBytes(body io.Reader) error {
+func (f *responseForwarder) forwardBytes(body io.Reader) error {
 	buf := make([]byte, readBufferBytes)
 	for {
 		n, readErr := body.Read(buf)
@@ -292,11 +292,11 @@
 	}
 }
 
-// unforwardedHeaders are the headers of an answer that are not forwarded: Date
+// unforwardedHeaders are the headers of a response that are not forwarded: Date
 // and the hop-by-hop headers.
 var unforwardedHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Trailer", "Upgrade", "Date"}
 
-// forwardedHeader returns a copy of an answer's header without the
+// forwardedHeader returns a copy of a response's header without the
 // unforwardedHeaders.
 func forwardedHeader(header map[string][]string) map[string][]string {
 	forwarded := http.Header(header).Clone()
--- a/request/serve/serve.go
+++ b/request/serve/serve.go
@@ -1,6 +1,6 @@
 // Package serve handles the calls that entry instances send to an agent: it
 // checks that a call may run on this server now, acquires a slot from the
-// limiter, calls the engine or service, and forwards the answer followed by an
+// limiter, calls the engine or service, and forwards the response followed by an
 // explicit End frame. A non-repeatable call, which must not be executed twice,
 // runs at most once: the entry instance offers it, the agent holds a slot for it,
 // and the entry instance then sends Go.
@@ -28,10 +28,10 @@
 	// DefaultHoldTimeout is how long a slot is held for an offered call until the
 	// entry instance sends Go.
 	DefaultHoldTimeout = 2 * time.Second
-	// DefaultFirstByteTimeout is the longest wait for the first byte of an
-	// answer.
+	// DefaultFirstByteTimeout is the longest wait for the first byte of a
+	// response.
 	DefaultFirstByteTimeout = 10 * time.Second
-	// DefaultStallTimeout is the longest time between two reads of an answer
+	// DefaultStallTimeout is the longest time between two reads of a response
 	// that return data.
 	DefaultStallTimeout = 5 * time.Second
 	// DefaultOnceTimeout is the longest run time of a non-repeatable call.
@@ -42,8 +42,8 @@
 	// DefaultLedgerEntries is the largest number of attempts at
 	// non-repeatable calls that the ledger keeps.
 	DefaultLedgerEntries = 64 << 10
-	// DefaultLedgerBytes is the largest total size of the answer bodies that
-	// the ledger keeps, in bytes.
+	// DefaultLedgerBytes is the largest total size of the response bodies
+	// that the ledger keeps, in bytes.
 	DefaultLedgerBytes = 8 << 20
 	// fullRetryAfter is the retry delay suggested when a call is refused
 	// because the server is full.
@@ -63,28 +63,29 @@
 	// HoldTimeout is how long a slot is held for an offered call until the entry
 	// instance sends Go.
 	HoldTimeout time.Duration
-	// FirstByteTimeout is the longest wait for the first byte of an answer.
+	// FirstByteTimeout is the longest wait for the first byte of a response.
 	FirstByteTimeout time.Duration
-	// StallTimeout is the longest time between two reads of an answer that
+	// StallTimeout is the longest time between two reads of a response that
 	// return data.
 	StallTimeout time.Duration
 	// OnceTimeout is the longest run time of a non-repeatable call. The
 	// outcome of a call that exceeds it is recorded as unknown. It is also the
-	// longest wait for an engine's answer that is not streamed.
+	// longest wait for an engine's response that is not streamed.
 	OnceTimeout time.Duration
 	// OnWrongVersion is called with the manifest digest of a version that the
-	// engine reports as loaded but did not answer from. It may be nil.
+	// engine reports as loaded but did not use for a call that pins it. It may
+	// be nil.
 	OnWrongVersion func(core.Digest)
 	// LastConfirmed returns when an entry instance last confirmed that the
 	// agent's configuration is the newest. Nil disables the check.
 	LastConfirmed func() time.Time
-	// MaxConfirmAge is the longest time since Confirmed during which new
+	// MaxConfirmAge is the longest time since LastConfirmed during which new
 	// calls are accepted.
 	MaxConfirmAge time.Duration
 	// LedgerEntries is the largest number of attempts at non-repeatable
 	// calls that the ledger keeps.
 	LedgerEntries int
-	// LedgerBytes is the largest total size of the answer bodies that the
+	// LedgerBytes is the largest total size of the response bodies that the
 	// ledger keeps, in bytes.
 	LedgerBytes int
 }
@@ -128,7 +129,7 @@
 
 // New returns a Handler. status returns the latest status of the engine or
 // service; its second result is false while the engine or service does not
-// answer.
+// respond.
 func New(cfg Config, holder *confstore.Holder, limiter admission.Limiter, eng engine.Engine,
 	status func() (engine.Status, bool), log *eventlog.Logger, clock clockwork.Clock) *Handler {
 	cfg.applyDefaults()
@@ -156,7 +157,7 @@
 	case frame.KindOffer:
 		return h.handleOffer(ctx, first, exchange)
 	case frame.KindAttemptQuery:
-		return h.handleAsk(first, exchange)
+		return h.handleAttemptQuery(first, exchange)
 	default:
 		return core.WrapStep("serve", exchange.Peer(), errors.Wrapf(frame.ErrUnexpectedKind, "kind %d", first.Kind))
 	}
@@ -245,9 +246,9 @@
 	}
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	ticket := h.newSlotRequest(&req, received)
-	ticket.Shed = func() { cancel(errShed) }
-	release, reason := h.limiter.Acquire(runCtx, ticket)
+	slotReq := h.newSlotRequest(&req, received)
+	slotReq.Shed = func() { cancel(errShed) }
+	release, reason := h.limiter.Acquire(runCtx, slotReq)
 	if reason != "" {
 		return h.sendRefusal(exchange, &req, reason)
 	}
@@ -255,13 +256,13 @@
 	return h.runRepeatable(runCtx, cancel, &req, exchange, release)
 }
 
-// newSlotRequest returns the ticket with which req asks the limiter for a slot.
+// newSlotRequest returns the request to the limiter for a slot for req.
 func (h *Handler) newSlotRequest(req *frame.Request, received time.Time) admission.SlotRequest {
-	t := admission.SlotRequest{Account: req.Account, Share: req.Share, Priority: req.Priority}
+	slotReq := admission.SlotRequest{Account: req.Account, Share: req.Share, Priority: req.Priority}
 	if req.TimeoutMillis > 0 {
-		t.Deadline = received.Add(time.Duration(req.TimeoutMillis) * time.Millisecond)
+		slotReq.Deadline = received.Add(time.Duration(req.TimeoutMillis) * time.Millisecond)
 	}
-	return t
+	return slotReq
 }
 
 // sendRefusal sends a Refuse frame: no part of the call has run.
@@ -277,11 +278,11 @@
 	return exchange.Send(frame.KindRefuse, msg)
 }
 
-// sendFailure sends a Fail frame for a call without a complete answer. word is
-// the refusal word for the caller, cause the reason for the logs.
-func (h *Handler) sendFailure(exchange work.AgentExchange, req *frame.Request, word core.Refusal, cause error) error {
-	h.log.EventWithError(eventCallFailed, cause, eventlog.Fields{"request": req.ID, "account": req.Account, "word": word})
-	return exchange.Send(frame.KindFail, frame.Fail{ID: req.ID, Refusal: word, Detail: cause.Error(), Load: h.limiter.Load()})
+// sendFailure sends a Fail frame for a call without a complete response. outcome
+// is the outcome for the caller, cause the reason for the logs.
+func (h *Handler) sendFailure(exchange work.AgentExchange, req *frame.Request, outcome core.Refusal, cause error) error {
+	h.log.EventWithError(eventCallFailed, cause, eventlog.Fields{"request": req.ID, "account": req.Account, "word": outcome})
+	return exchange.Send(frame.KindFail, frame.Fail{ID: req.ID, Refusal: outcome, Detail: cause.Error(), Load: h.limiter.Load()})
 }
 
 // logCall logs an event about req, with the fields that identify the call.
--- a/request/serve/serve_test.go
+++ b/request/serve/serve_test.go
@@ -42,7 +42,7 @@
 	engine  *standin.Engine
 	service *service.Service
 	holder  *confstore.Holder
-	gate    *admission.AdaptiveLimiter
+	limiter *admission.AdaptiveLimiter
 	handler *Handler
 	agent   core.Instance
 	opener  work.Opener
@@ -53,7 +53,7 @@
 // options are the settings of a harness; zero values select defaults.
 type options struct {
 	engine  standin.Config
-	gate    admission.Config
+	limiter admission.Config
 	serve   Config
 	service bool
 	clock   clockwork.Clock
@@ -61,8 +61,8 @@
 	wrap func(engine.Engine) engine.Engine
 }
 
-// newHarness returns a harness with a real work connection and a real connection
-// to the stand-in.
+// newHarness returns a harness whose work connection and connection to the
+// stand-in use sockets.
 func newHarness(t testing.TB, o options) *harness {
 	h := assemble(t, o, (*harness).serveStandin)
 	server := work.NewServer(h.handler, eventlog.Discard())
@@ -99,19 +99,19 @@
 	}
 	o.serve.Self = core.Instance{ID: "s1", Role: core.RoleAgent, DataCentre: "palermo"}
 	o.serve.Incarnation = "inc-1"
-	o.gate.Metrics = metrics.NewRegistry()
+	o.limiter.Metrics = metrics.NewRegistry()
 	if testing.Verbose() {
-		o.gate.Log = eventlog.New(os.Stderr, logrus.InfoLevel, "s1")
+		o.limiter.Log = eventlog.New(os.Stderr, logrus.InfoLevel, "s1")
 	}
-	if o.gate.Limit == 0 {
-		o.gate.Limit, o.gate.ColdLimit = 8, 8
+	if o.limiter.Limit == 0 {
+		o.limiter.Limit, o.limiter.ColdLimit = 8, 8
 	}
-	h.gate = admission.New(o.gate, h.clock)
+	h.limiter = admission.New(o.limiter, h.clock)
 	status := func() (engine.Status, bool) {
 		s, err := client.Status(context.Background())
 		return s, err == nil
 	}
-	h.handler = New(o.serve, h.holder, h.gate, client, status, eventlog.Discard(), h.clock)
+	h.handler = New(o.serve, h.holder, h.limiter, client, status, eventlog.Discard(), h.clock)
 	h.configure(1, func(*declare.Set) {})
 	return h
 }
@@ -155,7 +155,7 @@
 	h.holder.Offer(&declare.Snapshot{Number: number, Set: set})
 }
 
-// completionRequest returns a streamed call to the engine for an answer of the
+// completionRequest returns a streamed call to the engine for a response of the
 // given number of tokens.
 func completionRequest(id string, tokens string) frame.Request {
 	return frame.Request{
@@ -245,8 +245,8 @@
 }
 
 // eventually waits until condition is true, and fails the test after waitTimeout.
-// what describes the condition.
-func eventually(t testing.TB, what string, condition func() bool) {
+// description describes the condition.
+func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.After(waitTimeout)
 	ticker := time.NewTicker(2 * time.Millisecond)
@@ -255,7 +255,7 @@
 		select {
 		case <-ticker.C:
 		case <-deadline:
-			t.Fatalf("not within %s: %s", waitTimeout, what)
+			t.Fatalf("not within %s: %s", waitTimeout, description)
 		}
 	}
 }
@@ -285,7 +285,7 @@
 			So(r.tokens, ShouldEqual, 8)
 			So(strings.HasSuffix(whole, joinTokens(r.body)), ShouldBeTrue)
 		})
-		Convey("an answer that is not streamed is forwarded completely", func() {
+		Convey("a response that is not streamed is forwarded completely", func() {
 			req := completionRequest("r1", "5")
 			req.Body = []byte(strings.Replace(string(req.Body), `"stream":true,`, "", 1))
 			r := h.do(frame.KindRequest, req)
@@ -303,7 +303,7 @@
 			So(err, ShouldBeNil)
 			exchange.Close(false)
 			eventually(t, "the engine sees the cancellation", func() bool { return h.engine.Counters().Cancelled == 1 })
-			eventually(t, "the slot is free", func() bool { return h.gate.Load().InFlight == 0 })
+			eventually(t, "the slot is free", func() bool { return h.limiter.Load().InFlight == 0 })
 		})
 	})
 }
--- a/request/serve/sse.go
+++ b/request/serve/sse.go
@@ -55,11 +55,11 @@
 		if i < 0 {
 			break
 		}
-		token, err := p.parseEvent(buf[n : n+i])
+		count, err := p.parseEvent(buf[n : n+i])
 		if err != nil {
 			return n, tokens, err
 		}
-		tokens += token
+		tokens += count
 		n += i + len(eventSeparator)
 	}
 	if len(buf)-n > maxEventBytes {
--- a/request/serve/versions.go
+++ b/request/serve/versions.go
@@ -38,7 +38,7 @@
 	return true
 }
 
-// end uncounts a call of version d that begin counted.
+// end removes a call of version d, which begin counted, from the count.
 func (v *versionCalls) end(d core.Digest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/request/serve/watch.go
+++ b/request/serve/watch.go
@@ -30,17 +30,17 @@
 	started time.Time
 	// firstByteTimeout is the longest wait for the first byte.
 	firstByteTimeout time.Duration
-	// lastArrival is when the last piece of the answer arrived, in nanoseconds
-	// after started; 0 before the first piece.
+	// lastArrival is when the last chunk of the response arrived, in nanoseconds
+	// after started; 0 before the first chunk.
 	lastArrival atomic.Int64
 	// firstTokenAt is when the first tokens arrived, in nanoseconds after
-	// started, and firstTokenCount the number of tokens in that piece.
+	// started, and firstTokenCount the number of tokens in that chunk.
 	firstTokenAt    atomic.Int64
 	firstTokenCount atomic.Int64
 	// tokenCount is the number of complete tokens that have arrived.
 	tokenCount atomic.Int64
 	// sending is true while a frame is being sent to the entry instance. A slow
-	// entry instance delays the reading of the answer, so the call does not
+	// entry instance delays the reading of the response, so the call does not
 	// count as stalled meanwhile.
 	sending atomic.Bool
 
@@ -53,7 +53,7 @@
 	lastTokenTime time.Duration
 }
 
-// recordArrival records that a piece with the given number of tokens arrived.
+// recordArrival records that a chunk with the given number of tokens arrived.
 func (c *watchedCall) recordArrival(clock clockwork.Clock, tokens int) {
 	now := max(int64(clock.Since(c.started)), 1)
 	if tokens > 0 && c.firstTokenAt.Load() == 0 {
@@ -129,7 +129,7 @@
 	return w.running
 }
 
-// checkCall cancels c when its first byte is overdue or its answer has stalled,
+// checkCall cancels c when its first byte is overdue or its response has stalled,
 // and otherwise reports its time per token. The caller holds w.mu.
 func (w *callWatcher) checkCall(c *watchedCall) {
 	now := int64(w.clock.Since(c.started))
