--- a/request/relay/answer.go
+++ b/request/relay/answer.go
@@ -55,7 +55,7 @@
 	resp.buffered = resp.buffered[:0]
 }
 
-// write buffers a piece of the body and sends what may be sent already.
+// write buffers a chunk of the body and sends the part that may already be sent.
 func (resp *callerResponse) write(data frame.Data) error {
 	resp.buffered = append(resp.buffered, data.Body...)
 	if resp.isEventStream() {
@@ -68,7 +68,7 @@
 }
 
 // sendCompleteEvents sends the complete events in the buffer, except for [DONE].
-// tokens is the number of tokens in the piece that was buffered last.
+// tokens is the number of tokens in the chunk that was buffered last.
 func (resp *callerResponse) sendCompleteEvents(tokens int) error {
 	end := bytes.LastIndex(resp.buffered, sseEventEnd) + len(sseEventEnd)
 	if end < len(sseEventEnd) {
--- a/request/relay/attempt.go
+++ b/request/relay/attempt.go
@@ -115,7 +115,7 @@
 	// digest is the weights digest that the response must carry; empty for
 	// calls to plain services.
 	digest core.Digest
-	// onProgress is called for each piece of the body, before onData.
+	// onProgress is called for each chunk of the body, before onData.
 	onProgress func()
 	// onHead and onData process the frames in order; an error ends the attempt.
 	onHead func(frame.Head) error
--- a/request/relay/call.go
+++ b/request/relay/call.go
@@ -89,9 +89,9 @@
 	return id
 }
 
-// reserveRequestID returns the id of a call like requestID, but a new one when
-// another call in flight has the same id, because responses are matched to calls
-// by their id. release must be called once.
+// reserveRequestID returns the result of requestID, or a new id when another call
+// in flight has the same one, because responses are matched to calls by their id.
+// release must be called once.
 func (r *Relay) reserveRequestID(c echo.Context) (id string, release func()) {
 	id = requestID(c)
 	r.mu.Lock()
--- a/request/relay/fakes_test.go
+++ b/request/relay/fakes_test.go
@@ -35,8 +35,8 @@
 // message of the entry instance.
 type fakeAgent func(x *fakeExchange, kind frame.Kind, msg any)
 
-// fakeExchange is an exchange between an entry instance and a fakeAgent. Its
-// exported methods are the end of the entry instance.
+// fakeExchange is an exchange between an entry instance and a fakeAgent. The
+// entry instance uses its exported methods.
 type fakeExchange struct {
 	toEntry chan any
 	toAgent chan any
@@ -79,7 +79,7 @@
 	}
 }
 
-// breakConnection makes the entry instance see a connection reset.
+// breakConnection makes Receive return a connection reset to the entry instance.
 func (x *fakeExchange) breakConnection() { close(x.toEntry) }
 
 // fakeOpener opens exchanges with fakeAgents.
@@ -115,7 +115,7 @@
 
 // newFixture starts a Relay with the given agents. An agent whose id begins with
 // "booking" runs the plain service booking, and any other one an engine.
-func newFixture(t *testing.T, config Config, keeper *once.RecordStore, agents map[string]fakeAgent) *fixture {
+func newFixture(t *testing.T, config Config, onceRecords *once.RecordStore, agents map[string]fakeAgent) *fixture {
 	t.Helper()
 	fx := &fixture{opener: &fakeOpener{agents: agents}, holder: confstore.NewHolder()}
 	reg := registry.New()
@@ -136,7 +136,7 @@
 	clock := clockwork.NewRealClock()
 	router := routing.New(routing.Config{Self: core.Instance{DataCentre: "palermo", Region: "west"}, Policy: routing.PolicyRoundRobin},
 		reg, fx.holder, eventlog.Discard(), clock)
-	fx.relay = New(config, fx.holder, router, fx.opener, keeper, eventlog.Discard(), clock)
+	fx.relay = New(config, fx.holder, router, fx.opener, onceRecords, eventlog.Discard(), clock)
 	e := echo.New()
 	fx.relay.Register(e)
 	fx.server = httptest.NewServer(e)
--- a/request/relay/handlers.go
+++ b/request/relay/handlers.go
@@ -116,8 +116,8 @@
 }
 
 // serveCall serves a call from its arrival to the end of its response. prepare
-// completes the call and reports whether it may be repeated, or returns the
-// Problem to refuse it with.
+// sets the remaining fields of the call and reports whether the call is
+// repeatable, or returns the Problem with which to refuse the call.
 func (r *Relay) serveCall(c echo.Context, prepare func(*call) (repeatable bool, p *Problem)) error {
 	id, release := r.reserveRequestID(c)
 	defer release()
@@ -151,7 +151,7 @@
 }
 
 // problemFromAccountError returns the Problem for an error of
-// accounts.Book.Enter.
+// accounts.Controller.Admit.
 func (r *Relay) problemFromAccountError(err error) *Problem {
 	status := http.StatusTooManyRequests
 	if errors.Is(err, accounts.ErrFairShare) {
--- a/request/relay/metrics.go
+++ b/request/relay/metrics.go
@@ -10,7 +10,7 @@
 
 // Names of the metrics of calls from client accounts.
 const (
-	metricCallsAnswered      = "entry.calls.whole"
+	metricCallsCompleted     = "entry.calls.whole"
 	metricCallsRefusedPrefix = "entry.calls.refused."
 	metricCallsAborted       = "entry.calls.cut"
 	metricRetries            = "entry.attempts.retries"
--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -126,9 +126,9 @@
 		sleepUnlessKilled(killed, 150*time.Millisecond)
 	}
 	if kind == frame.KindAttemptQuery {
-		ask := msg.(frame.AttemptQuery)
-		if ran, alive := s.answerAsk(ask, incarnation); alive {
-			x.sendToEntry(&frame.AttemptStatus{ID: ask.ID, Incarnation: incarnation, State: ran, Outcome: s.keptOutcome(ask, ran)})
+		query := msg.(frame.AttemptQuery)
+		if state, alive := s.queryAndForbid(query, incarnation); alive {
+			x.sendToEntry(&frame.AttemptStatus{ID: query.ID, Incarnation: incarnation, State: state, Outcome: s.keptOutcome(query, state)})
 		}
 		return
 	}
@@ -151,31 +151,31 @@
 	s.runAttempt(x, req, incarnation, killed)
 }
 
-// answerAsk returns the state of an attempt in an incarnation, and forbids an
+// queryAndForbid returns the state of an attempt in an incarnation, and forbids an
 // attempt that has not started. alive is false when the incarnation has been
 // killed.
-func (s *fakeServer) answerAsk(a frame.AttemptQuery, incarnation string) (ran frame.AttemptState, alive bool) {
+func (s *fakeServer) queryAndForbid(query frame.AttemptQuery, incarnation string) (state frame.AttemptState, alive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if incarnation != strconv.Itoa(s.incarnation) {
 		return "", false
 	}
-	if ran, ok := s.executions[a.Key+"#"+strconv.Itoa(a.Attempt)]; ok {
-		return ran, true
+	if state, ok := s.executions[query.Key+"#"+strconv.Itoa(query.Attempt)]; ok {
+		return state, true
 	}
-	s.forbidden[a.Key] = max(s.forbidden[a.Key], a.Attempt)
+	s.forbidden[query.Key] = max(s.forbidden[query.Key], query.Attempt)
 	return frame.AttemptNotRun, true
 }
 
-// keptOutcome returns the outcome of an attempt that ran, or, with a
-// probability, nil as if it were no longer kept.
-func (s *fakeServer) keptOutcome(a frame.AttemptQuery, ran frame.AttemptState) *frame.Outcome {
-	if ran != frame.AttemptRan || s.faults.happens(0.3) {
+// keptOutcome returns the outcome of an attempt that ran. With a probability of
+// 0.3 it returns nil instead, as if the outcome had been dropped.
+func (s *fakeServer) keptOutcome(query frame.AttemptQuery, state frame.AttemptState) *frame.Outcome {
+	if state != frame.AttemptRan || s.faults.happens(0.3) {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outcomes[a.Key+"#"+strconv.Itoa(a.Attempt)]
+	return s.outcomes[query.Key+"#"+strconv.Itoa(query.Attempt)]
 }
 
 // startAttempt records the attempt as running and returns its result. ok is false
@@ -189,7 +189,7 @@
 	if req.Key != "" && req.Attempt <= s.forbidden[req.Key] {
 		return "", false
 	}
-	s.setRan(req, frame.AttemptRunning)
+	s.setState(req, frame.AttemptRunning)
 	s.runCount++
 	result = s.id + "/" + incarnation + "/" + strconv.Itoa(s.runCount)
 	s.history.Add(history.Record{
@@ -201,9 +201,9 @@
 
 // setRan records the state of an attempt of a keyed call. The caller must hold
 // s.mu.
-func (s *fakeServer) setRan(req frame.Request, ran frame.AttemptState) {
+func (s *fakeServer) setState(req frame.Request, state frame.AttemptState) {
 	if req.Key != "" {
-		s.executions[req.Key+"#"+strconv.Itoa(req.Attempt)] = ran
+		s.executions[req.Key+"#"+strconv.Itoa(req.Attempt)] = state
 	}
 }
 
@@ -218,7 +218,7 @@
 	sleepUnlessKilled(killed, time.Millisecond)
 	s.mu.Lock()
 	if incarnation == strconv.Itoa(s.incarnation) {
-		s.setRan(req, frame.AttemptRan)
+		s.setState(req, frame.AttemptRan)
 		s.outcomes[req.Key+"#"+strconv.Itoa(req.Attempt)] = &frame.Outcome{Status: 201, Body: []byte(result)}
 	}
 	s.mu.Unlock()
--- a/request/relay/once_test.go
+++ b/request/relay/once_test.go
@@ -89,13 +89,13 @@
 		})
 	}
 	connections := &entryConnections{fakeTable: fx.table, opener: fx.opener, killed: make(chan struct{})}
-	keeper := once.New(once.Config{
+	onceRecords := once.New(once.Config{
 		PollInterval: 5 * time.Millisecond, AskAfter: 20 * time.Millisecond, RecordGrace: 60 * time.Millisecond,
 	}, connections, nil, log, clock)
 	router := routing.New(routing.Config{}, reg, fx.holder, log, clock)
 	r := New(Config{AttemptQueryTimeout: 50 * time.Millisecond, AdmitTimeout: 100 * time.Millisecond,
 		ResponseTimeout: 100 * time.Millisecond, DefaultDeadline: 2 * time.Second},
-		fx.holder, router, connections, keeper, log, clock)
+		fx.holder, router, connections, onceRecords, log, clock)
 	e := echo.New()
 	r.Register(e)
 	return &onceEntry{connections: connections, http: httptest.NewServer(e)}
@@ -120,16 +120,16 @@
 	fx.opener.running.Wait()
 }
 
-// submit sends a call through entry instance i, and returns the line that it adds
-// to the history.
+// submit sends a call through entry instance i, and returns the record that it
+// adds to the history.
 func (fx *onceFixture) submit(client *http.Client, i int, id, key string) history.Record {
 	fx.mu.Lock()
 	entry := fx.entries[i]
 	fx.mu.Unlock()
-	line := history.Record{Kind: history.KindAnswer, CallID: id, Entry: strconv.Itoa(i), SentAt: fx.history.Elapsed()}
+	record := history.Record{Kind: history.KindAnswer, CallID: id, Entry: strconv.Itoa(i), SentAt: fx.history.Elapsed()}
 	req, err := http.NewRequest(http.MethodPost, entry.http.URL+"/services/booking/deposits", strings.NewReader(id))
 	if err != nil {
-		return line
+		return record
 	}
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	if key != "" {
@@ -137,28 +137,28 @@
 	}
 	resp, err := client.Do(req)
 	if err == nil {
-		fx.recordResponse(resp, &line)
+		fx.recordResponse(resp, &record)
 	}
-	fx.history.Add(line)
-	return line
+	fx.history.Add(record)
+	return record
 }
 
-// recordResponse copies a response to line if the response is complete.
-func (fx *onceFixture) recordResponse(resp *http.Response, line *history.Record) {
+// recordResponse copies a response to record if the response is complete.
+func (fx *onceFixture) recordResponse(resp *http.Response, record *history.Record) {
 	got, err := readBody(resp)
 	if err != nil {
 		return
 	}
-	line.Status = resp.StatusCode
-	line.SubmissionID = resp.Header.Get(core.HeaderRequestID)
+	record.Status = resp.StatusCode
+	record.SubmissionID = resp.Header.Get(core.HeaderRequestID)
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), problemType) {
 		var p Problem
 		if json.Unmarshal([]byte(got), &p) == nil {
-			line.Outcome = p.Outcome
+			record.Outcome = p.Outcome
 		}
 		return
 	}
-	line.BodyDigest = core.DigestOf([]byte(got))
+	record.BodyDigest = core.DigestOf([]byte(got))
 }
 
 // runCall makes call n. Calls with an even number have no Idempotency-Key and are
@@ -177,8 +177,8 @@
 		defer concurrent.Wait()
 	}
 	for attempt := range 4 {
-		line := fx.submit(client, (n+attempt)%onceEntries, id, "key-"+id)
-		if line.Status == http.StatusCreated {
+		record := fx.submit(client, (n+attempt)%onceEntries, id, "key-"+id)
+		if record.Status == http.StatusCreated {
 			break
 		}
 	}
@@ -222,7 +222,7 @@
 		}
 		res, err := history.Check(&out)
 		So(err, ShouldBeNil)
-		t.Logf("seed %d: %d calls, %d runs, %d answers: %d whole, %d not-run, %d unknown, %d broken",
+		t.Logf("seed %d: %d calls, %d executions, %d submissions: %d whole, %d not-run, %d unknown, %d broken",
 			onceSeed, res.Calls, res.Executions, res.Submissions, res.Whole, res.NotRun, res.Unknown, res.Broken)
 		So(res.Violations, ShouldBeEmpty)
 		So(res.Calls, ShouldEqual, onceCalls)
@@ -233,8 +233,8 @@
 // runOnceCalls makes all calls concurrently while faults are injected.
 func runOnceCalls(fx *onceFixture, f *faultSource) {
 	stop := make(chan struct{})
-	var disturber, workers sync.WaitGroup
-	disturber.Go(func() { fx.injectFaults(f, stop) })
+	var injector, workers sync.WaitGroup
+	injector.Go(func() { fx.injectFaults(f, stop) })
 	calls := make(chan int)
 	for range onceWorkers {
 		workers.Go(func() {
@@ -251,5 +251,5 @@
 	close(calls)
 	workers.Wait()
 	close(stop)
-	disturber.Wait()
+	injector.Wait()
 }
--- a/request/relay/onceonly.go
+++ b/request/relay/onceonly.go
@@ -18,14 +18,14 @@
 )
 
 // errHoldExpired is returned when the time for which the agent holds the slot
-// has passed, so that the slot may be free again.
+// has passed, so that another call may have the slot.
 var errHoldExpired = errors.New("the held slot has expired")
 
 // errResponseTooLarge is returned when the response to a once-only call exceeds
-// MaxAnswerBytes.
+// MaxResponseBytes.
 var errResponseTooLarge = errors.New("response is too large")
 
-// serveOnce serves a call that may run at most once.
+// serveOnce serves a once-only call.
 func (r *Relay) serveOnce(ctx context.Context, c echo.Context, call *call) error {
 	outcome, p := r.resolveOutcome(ctx, call)
 	if p != nil {
@@ -41,8 +41,8 @@
 		r.log.EventWithError(eventCallerGone, err, eventlog.Fields{"request": call.id})
 		panic(http.ErrAbortHandler)
 	}
-	incrementCounter(metricCallsAnswered)
-	r.log.Event(eventCallAnswered, eventlog.Fields{
+	incrementCounter(metricCallsCompleted)
+	r.log.Event(eventCallCompleted, eventlog.Fields{
 		"request": call.id, "millis": r.clock.Since(call.arrivedAt).Milliseconds(),
 	})
 	return nil
@@ -55,7 +55,7 @@
 		runOutcome, p, _ := r.offerToServers(ctx, call, nil)
 		return runOutcome, p
 	}
-	if r.onceKeeper == nil {
+	if r.onceRecords == nil {
 		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, once.ErrTableUnavailable.Error())
 	}
 	keyed := &keyedCall{Call: once.Call{
@@ -66,39 +66,40 @@
 		RequestDigest: once.RequestDigest(call.request.Method, call.request.Path, call.request.Body),
 	}}
 	for {
-		outcome, turn, err := r.onceKeeper.Resolve(ctx, keyed.Call, r.queryAttempt)
+		outcome, next, err := r.onceRecords.Resolve(ctx, keyed.Call, r.queryAttempt)
 		if err != nil {
-			return nil, r.problemFromKeeperError(err)
+			return nil, r.problemFromResolveError(err)
 		}
 		if outcome != nil {
 			return outcome, nil
 		}
-		keyed.nextAttempt = turn
+		keyed.nextAttempt = next
 		keyed.claim = nil
 		runOutcome, p, err := r.offerToServers(ctx, call, keyed)
 		if errors.Is(err, once.ErrAlreadyClaimed) {
 			continue
 		}
-		if p != nil && p.Outcome == core.RefusalNotRun && r.onceKeeper.ChangedSince(ctx, keyed.Call, turn, keyed.claim) {
+		if p != nil && p.Outcome == core.RefusalNotRun && r.onceRecords.ChangedSince(ctx, keyed.Call, next, keyed.claim) {
 			continue
 		}
 		return runOutcome, p
 	}
 }
 
-// keyedCall is a once-only call with an Idempotency-Key. turn is the permission
-// to claim its next attempt, and claim is nil until the attempt is claimed.
+// keyedCall is a once-only call with an Idempotency-Key.
 type keyedCall struct {
 	once.Call
+	// nextAttempt is the attempt that this submission may try to claim.
 	nextAttempt once.NextAttempt
-	claim       *once.Claim
+	// claim is nil until nextAttempt is claimed.
+	claim *once.Claim
 }
 
-// problemFromKeeperError returns the Problem for an error of
-// once.Keeper.Settle. When the record cannot be read, the outcome is
+// problemFromResolveError returns the Problem for an error of
+// once.RecordStore.Resolve. When the record cannot be read, the outcome is
 // "unknown" instead of "not-run", because an earlier submission with the same key
 // may have run.
-func (r *Relay) problemFromKeeperError(err error) *Problem {
+func (r *Relay) problemFromResolveError(err error) *Problem {
 	if errors.Is(err, once.ErrKeyReused) {
 		return newProblem(http.StatusUnprocessableEntity, core.RefusalNotRun, once.ErrKeyReused.Error())
 	}
@@ -111,8 +112,8 @@
 
 // offerToServers offers the call to one server after another until an agent
 // admits it, and runs it there. keyed is nil for calls without an
-// Idempotency-Key. The error is once.ErrTaken when another submission has
-// claimed the call, and nil otherwise.
+// Idempotency-Key. The error is once.ErrAlreadyClaimed when another submission
+// has claimed the call, and nil otherwise.
 func (r *Relay) offerToServers(ctx context.Context, call *call, keyed *keyedCall) (*once.Outcome, *Problem, error) {
 	tried := map[string]bool{}
 	retryAfter := r.config.RetryAfter
@@ -142,7 +143,9 @@
 	return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter), nil
 }
 
-// queryAttempt implements once.Asker.
+// queryAttempt sends an attempt query to an agent and returns the response. It is
+// passed to once.RecordStore.Resolve. The agent does not start the attempt after
+// the query.
 func (r *Relay) queryAttempt(ctx context.Context, agent core.Instance, key string, attempt int) (frame.AttemptStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.AttemptQueryTimeout)
 	defer cancel()
@@ -152,10 +155,10 @@
 		return frame.AttemptStatus{}, err
 	}
 	msg, err := receiveWithTimeout(ctx, x, id, r.config.AttemptQueryTimeout)
-	answer, ok := msg.(*frame.AttemptStatus)
+	status, ok := msg.(*frame.AttemptStatus)
 	x.Close(ok)
 	if ok {
-		return withForwardedHeader(*answer), nil
+		return withForwardedHeader(*status), nil
 	}
 	if err == nil {
 		err = errUnexpectedFrame
@@ -163,20 +166,20 @@
 	return frame.AttemptStatus{}, core.WrapStep("ask", agent.ID, err)
 }
 
-// withForwardedHeader removes the header fields that are not forwarded from the
-// outcome that an agent kept. They are not recorded either, so the caller gets
-// the same response from the agent's copy and from the record.
-func withForwardedHeader(answer frame.AttemptStatus) frame.AttemptStatus {
-	if answer.Outcome == nil {
-		return answer
+// withForwardedHeader returns status with only the forwarded header fields in the
+// outcome that the agent kept. The others are not recorded either, so the caller
+// gets the same response from the agent's copy and from the record.
+func withForwardedHeader(status frame.AttemptStatus) frame.AttemptStatus {
+	if status.Outcome == nil {
+		return status
 	}
-	outcome := *answer.Outcome
+	outcome := *status.Outcome
 	outcome.Header = forwardedHeader(outcome.Header)
-	answer.Outcome = &outcome
-	return answer
+	status.Outcome = &outcome
+	return status
 }
 
-// onceAttempt is one attempt of a once-only call at one server.
+// onceAttempt is one attempt at a once-only call at one server.
 type onceAttempt struct {
 	relay *Relay
 	call  *call
@@ -192,7 +195,7 @@
 
 // run offers the call and runs it if the agent admits it. If only the error is
 // set, the call did not run; it may then be offered to another server, unless
-// the error is once.ErrTaken.
+// the error is once.ErrAlreadyClaimed.
 func (oa *onceAttempt) run(ctx context.Context) (*once.Outcome, *Problem, error) {
 	x, admission, res := oa.offer(ctx)
 	if res.result != routing.ResultOK {
@@ -265,11 +268,11 @@
 }
 
 // claimAndCheckHold claims a keyed call for the agent incarnation that admitted
-// it, and returns an error if the agent's slot is no longer held or ctx has
+// it, and returns an error if the agent no longer holds the slot or ctx has
 // ended.
 func (oa *onceAttempt) claimAndCheckHold(ctx context.Context, admission admission) error {
 	if oa.keyed != nil {
-		claim, err := oa.relay.onceKeeper.Claim(ctx, oa.keyed.Call, oa.keyed.nextAttempt, oa.server.Instance, admission.Incarnation)
+		claim, err := oa.relay.onceRecords.Claim(ctx, oa.keyed.Call, oa.keyed.nextAttempt, oa.server.Instance, admission.Incarnation)
 		if err != nil {
 			return err
 		}
@@ -359,6 +362,6 @@
 	go func() {
 		defer oa.relay.endWork()
 		defer cancel()
-		_ = write(claim, ctx) // the keeper logs the error
+		_ = write(claim, ctx) // the Claim logs the error
 	}()
 }
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -1,7 +1,7 @@
 // Package relay is the reverse proxy of an entry instance: it forwards each
 // call of a client account to a backend server that routing chooses, and sends
 // the response to the caller. It retries, resumes or refuses calls depending
-// on whether they may be repeated, and never ends an incomplete response as if
+// on whether they are repeatable, and never ends an incomplete response as if
 // it were complete.
 package relay
 
@@ -51,7 +51,7 @@
 var (
 	eventAttemptEnded = eventlog.Define(510, "attempt-ended", logrus.InfoLevel,
 		"an attempt to run a call on a backend server ended; the result field holds its result")
-	eventCallAnswered = eventlog.Define(511, "call-answered", logrus.InfoLevel,
+	eventCallCompleted = eventlog.Define(511, "call-answered", logrus.InfoLevel,
 		"the complete response to a call was sent to the caller")
 	eventCallRefused = eventlog.Define(512, "call-refused", logrus.WarnLevel,
 		"a call was refused; the outcome field shows whether any part of it may have run")
@@ -73,34 +73,35 @@
 type Config struct {
 	// Self is the entry instance.
 	Self core.Instance
-	// DefaultDeadline bounds a call from its arrival; default 2 min.
+	// DefaultDeadline bounds a call once its request has been read; default
+	// 2 min.
 	DefaultDeadline time.Duration
-	// FirstTokenTimeout bounds the wait for the first piece of a streamed
+	// FirstTokenTimeout bounds the wait for the first chunk of a streamed
 	// response, including the time in the agent's queue; default 10 s.
 	FirstTokenTimeout time.Duration
-	// StallTimeout bounds the wait for each further piece of a streamed
+	// StallTimeout bounds the wait for each further chunk of a streamed
 	// response; default 3 s.
 	StallTimeout time.Duration
-	// ResponseTimeout bounds the wait for each piece, including the first, of a
+	// ResponseTimeout bounds the wait for each chunk, including the first, of a
 	// response that is not streamed; default 1 min.
 	ResponseTimeout time.Duration
 	// AdmitTimeout bounds the wait for an agent to admit or refuse a once-only
 	// call; default 5 s.
 	AdmitTimeout time.Duration
-	// AttemptQueryTimeout bounds one request to an agent for the state of an earlier
-	// attempt; default 1 s.
+	// AttemptQueryTimeout bounds one query to an agent for the state of an
+	// earlier attempt; default 1 s.
 	AttemptQueryTimeout time.Duration
 	// RetryBudgetRatio bounds the retries that wait for their first byte, as
 	// a share of the calls in flight; default 0.2. A negative value removes
 	// the bound.
 	RetryBudgetRatio float64
-	// MinConcurrentRetries is the number of retries that may wait for their first byte
-	// at the same time however few calls are in flight; default 10.
+	// MinConcurrentRetries is the number of retries that may wait for their
+	// first byte at the same time however few calls are in flight; default 10.
 	MinConcurrentRetries int
 	// MaxAttempts bounds the attempts of one call; default 4.
 	MaxAttempts int
-	// RetryBudgetTimeout bounds the time that a retry waits until the retry budget
-	// admits it; default 2 s.
+	// RetryBudgetTimeout bounds the time that a retry waits until the retry
+	// budget admits it; default 2 s.
 	RetryBudgetTimeout time.Duration
 	// MaxRefusals is the number of refusals by agents after which a call whose
 	// response has not begun is refused; default 4.
@@ -122,8 +123,9 @@
 	RetryPause time.Duration
 	// MaxBodyBytes is the largest request body; default 8 MiB.
 	MaxBodyBytes int64
-	// ResponseBufferBytes is the largest part of a response that is not streamed that
-	// is buffered until the response is known to be complete; default 1 MiB.
+	// ResponseBufferBytes is the largest part of a response that is buffered
+	// until the response is known to be complete, if the response is not
+	// streamed; default 1 MiB.
 	ResponseBufferBytes int
 	// MaxResponseBytes is the largest response body of a once-only call; default
 	// 8 MiB.
@@ -131,8 +133,8 @@
 	// RetryAfter is the Retry-After time of refused calls for which the agent
 	// suggested none; default 1 s.
 	RetryAfter time.Duration
-	// StaleConfigTimeout is the age up to which a call waits for agents that have not
-	// received the newest configuration yet; default 1 s.
+	// StaleConfigTimeout is the age up to which a call waits for agents that
+	// have not received the newest configuration yet; default 1 s.
 	StaleConfigTimeout time.Duration
 	// RecordTimeout bounds the recording of the outcome of a once-only call;
 	// default 30 s.
@@ -170,7 +172,7 @@
 	configStore  *confstore.Holder
 	picker       routing.Picker
 	opener       work.Opener
-	onceKeeper   *once.RecordStore
+	onceRecords  *once.RecordStore
 	accounts     *accounts.Controller
 	retryBudget  *retryBudget
 	stallMonitor *stallMonitor
@@ -187,16 +189,16 @@
 	requestIDs map[string]bool
 }
 
-// New returns a Relay. keeper may be nil if there is no table for the records
+// New returns a Relay. onceRecords may be nil if there is no table for the records
 // of once-only calls; once-only calls with an Idempotency-Key are then refused.
-func New(config Config, configStore *confstore.Holder, picker routing.Picker, opener work.Opener, keeper *once.RecordStore, log *eventlog.Logger, clock clockwork.Clock) *Relay {
+func New(config Config, configStore *confstore.Holder, picker routing.Picker, opener work.Opener, onceRecords *once.RecordStore, log *eventlog.Logger, clock clockwork.Clock) *Relay {
 	config.applyDefaults()
 	return &Relay{
 		config:       config,
 		configStore:  configStore,
 		picker:       picker,
 		opener:       opener,
-		onceKeeper:   keeper,
+		onceRecords:  onceRecords,
 		accounts:     accounts.New(configStore),
 		retryBudget:  newRetryBudget(config.RetryBudgetRatio, config.MinConcurrentRetries),
 		stallMonitor: newStallMonitor(picker.Suspended, clock),
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -32,7 +32,7 @@
 	return p.Outcome
 }
 
-func TestStreamedAnswers(t *testing.T) {
+func TestStreamedResponses(t *testing.T) {
 	Convey("Given servers that hold the pinned weights", t, func() {
 		Convey("a complete response is forwarded byte for byte with request id and digest", func() {
 			fx := newFixture(t, Config{}, nil, map[string]fakeAgent{"a": streamingAgent(50, 0)})
@@ -144,7 +144,7 @@
 			<-x.toAgent
 			x.sendToEntry(&frame.Head{ID: id, Status: 201}, &frame.Data{ID: id, Body: []byte("done")}, endFrame(id, []byte("done")))
 		}
-		Convey("a call that may be repeated is offered again until the agent admits it", func() {
+		Convey("a repeatable call is sent again until the agent admits it", func() {
 			fx := newFixture(t, Config{}, nil, map[string]fakeAgent{"a": staleTwice(streamingAgent(5, 0))})
 			resp, err := fx.post("/v1/completions", streamBody)
 			So(err, ShouldBeNil)
--- a/request/relay/repeatable.go
+++ b/request/relay/repeatable.go
@@ -17,8 +17,7 @@
 	"github.com/rattanway/rattanway/request/routing"
 )
 
-// repeatableCall is the state of a call that may be repeated, across all its
-// attempts.
+// repeatableCall is the state of a repeatable call, across all its attempts.
 type repeatableCall struct {
 	relay    *Relay
 	call     *call
@@ -29,7 +28,8 @@
 	// attempts counts all attempts, and refusals those that an agent refused;
 	// switchVersion sets refusals back to 0.
 	attempts, refusals int
-	// mayHaveRun is true once an attempt failed after it may have been admitted.
+	// mayHaveRun is true once an attempt has failed, unless the agent's Fail
+	// frame reported "not-run".
 	mayHaveRun bool
 	// failedAt is the time of the last failed attempt.
 	failedAt time.Time
@@ -42,7 +42,7 @@
 	releaseRetry func()
 }
 
-// serveRepeatable serves a call that may be repeated.
+// serveRepeatable serves a repeatable call.
 func (r *Relay) serveRepeatable(ctx context.Context, c echo.Context, call *call) error {
 	rc := &repeatableCall{relay: r, call: call, tried: map[string]bool{}, failed: map[string]bool{}, releaseRetry: func() {}}
 	rc.response = &callerResponse{
@@ -58,8 +58,8 @@
 		r.log.EventWithError(eventCallerGone, err, eventlog.Fields{"request": call.id, "tokens": rc.response.tokensSent})
 		panic(http.ErrAbortHandler)
 	case p == nil:
-		incrementCounter(metricCallsAnswered)
-		r.log.Event(eventCallAnswered, eventlog.Fields{
+		incrementCounter(metricCallsCompleted)
+		r.log.Event(eventCallCompleted, eventlog.Fields{
 			"request": call.id, "attempts": rc.attempts, "tokens": rc.response.tokensSent,
 			"millis": r.clock.Since(call.arrivedAt).Milliseconds(),
 		})
@@ -117,7 +117,7 @@
 
 // afterRefusal decides whether the call is offered to another server after a
 // refusal by an agent. A call whose response has not begun is refused early, so
-// that its caller can try elsewhere soon; the search is longer for a response
+// that its caller can try elsewhere soon. The search is longer for a response
 // that has begun and for a call within the fair share of its client account.
 func (rc *repeatableCall) afterRefusal(ctx context.Context, refusal *frame.Refuse) *Problem {
 	config := rc.relay.config
@@ -152,8 +152,8 @@
 
 // switchVersion switches a refused call, if no part of it may have run, to
 // another version of its model. The first switch happens at once; each further
-// one follows a pause and is made only while the call is younger than DueWithin.
-// It reports whether it switched the version.
+// one follows a pause and is made only while the call is younger than
+// FairShareMaxAge. It reports whether it switched the version.
 func (rc *repeatableCall) switchVersion(ctx context.Context) bool {
 	if rc.mayHaveRun || rc.call.service != "" {
 		return false
@@ -173,7 +173,7 @@
 	return true
 }
 
-// pauseBeforeOffer waits for ResumePause before a call is offered again, for
+// pauseBeforeOffer waits for RetryPause before a call is offered again, for
 // example until agents have received the newest configuration. It returns false
 // without waiting when the call has reached maxAge, and false when ctx ends.
 func (r *Relay) pauseBeforeOffer(ctx context.Context, c *call, maxAge time.Duration) bool {
@@ -188,9 +188,9 @@
 	}
 }
 
-// startNextRound waits for ResumePause and makes the servers that refused the
-// call eligible again; in the second half of ResumeWithin also those that
-// failed. It returns false when the response has not begun, when ResumeWithin
+// startNextRound waits for RetryPause and makes the servers that refused the
+// call eligible again; in the second half of ResumeTimeout also those that
+// failed. It returns false when the response has not begun, when ResumeTimeout
 // has passed since the last failure, or when ctx ends.
 func (rc *repeatableCall) startNextRound(ctx context.Context) bool {
 	config := rc.relay.config
@@ -210,7 +210,7 @@
 }
 
 // afterFailure decides whether the call is retried or resumed after a failed
-// attempt. It returns a Problem when it is not.
+// attempt. It returns a Problem when the call is neither.
 func (rc *repeatableCall) afterFailure(ctx context.Context, server registry.Server, res attemptResult) *Problem {
 	config := rc.relay.config
 	rc.failedAt = rc.relay.clock.Now()
@@ -295,7 +295,7 @@
 	return nil
 }
 
-// handleData processes a piece of the body and releases the retry, because the
+// handleData processes a chunk of the body and releases the retry, because the
 // budget counts a retry only until its first byte.
 func (rc *repeatableCall) handleData(data frame.Data) error {
 	rc.releaseRetry()
--- a/request/relay/stall.go
+++ b/request/relay/stall.go
@@ -43,12 +43,12 @@
 type monitoredAttempt struct {
 	server string
 	cancel context.CancelCauseFunc
-	// nextIdleLimit is the idle limit after the first piece of the response.
+	// nextIdleLimit is the idle limit after the first chunk of the response.
 	nextIdleLimit time.Duration
 
 	mu sync.Mutex
 	// idleLimit is the idle time at which the attempt is cancelled, and idleTime
-	// the time since the last piece of the response.
+	// the time since the last chunk of the response.
 	idleLimit, idleTime time.Duration
 }
 
@@ -57,7 +57,7 @@
 }
 
 // add monitors an attempt at server. firstIdleLimit bounds the wait for the first
-// piece of the response, and nextIdleLimit the wait for each further piece. The
+// chunk of the response, and nextIdleLimit the wait for each further chunk. The
 // returned context is cancelled when a limit is exceeded. The caller must call
 // remove once.
 func (m *stallMonitor) add(ctx context.Context, server string, firstIdleLimit, nextIdleLimit time.Duration) (context.Context, *monitoredAttempt) {
@@ -82,7 +82,7 @@
 	delete(m.attempts, a)
 }
 
-// recordProgress restarts the idle time because a piece of the response has
+// recordProgress restarts the idle time because a chunk of the response has
 // arrived.
 func (a *monitoredAttempt) recordProgress() {
 	a.mu.Lock()
