--- a/request/ops/client.go
+++ b/request/ops/client.go
@@ -57,24 +57,24 @@
 }
 
 // SetDataCentreOut takes a data centre out of service or back in.
-func (c *Client) SetDataCentreOut(ctx context.Context, name string, out bool, cause ChangeMetadata) (ChangeResponse, error) {
+func (c *Client) SetDataCentreOut(ctx context.Context, name string, out bool, metadata ChangeMetadata) (ChangeResponse, error) {
 	action := "in"
 	if out {
 		action = "out"
 	}
 	var response ChangeResponse
-	err := c.callJSON(ctx, http.MethodPost, "/ops/datacentres/"+url.PathEscape(name)+"/"+action, cause, &response)
+	err := c.callJSON(ctx, http.MethodPost, "/ops/datacentres/"+url.PathEscape(name)+"/"+action, metadata, &response)
 	return response, err
 }
 
 // SetBackendServerLeaving takes a backend server out of service or back in.
-func (c *Client) SetBackendServerLeaving(ctx context.Context, name string, leaving bool, cause ChangeMetadata) (ChangeResponse, error) {
+func (c *Client) SetBackendServerLeaving(ctx context.Context, name string, leaving bool, metadata ChangeMetadata) (ChangeResponse, error) {
 	action := "staying"
 	if leaving {
 		action = "leaving"
 	}
 	var response ChangeResponse
-	err := c.callJSON(ctx, http.MethodPost, "/ops/backendservers/"+url.PathEscape(name)+"/"+action, cause, &response)
+	err := c.callJSON(ctx, http.MethodPost, "/ops/backendservers/"+url.PathEscape(name)+"/"+action, metadata, &response)
 	return response, err
 }
 
--- a/request/ops/fuzz_test.go
+++ b/request/ops/fuzz_test.go
@@ -38,12 +38,12 @@
 // emptyStore is an object store without objects.
 type emptyStore struct{}
 
-// Get implements platform.Objects.
+// Get implements platform.ObjectStore.
 func (emptyStore) Get(context.Context, string, int64, int64) ([]byte, error) {
 	return nil, platform.ErrNotFound
 }
 
-// Put implements platform.Objects.
+// Put implements platform.ObjectStore.
 func (emptyStore) Put(context.Context, string, []byte) error { return nil }
 
 // FuzzBodies checks that no request body causes a panic or an internal error in
--- a/request/ops/ops.go
+++ b/request/ops/ops.go
@@ -41,7 +41,7 @@
 	eventChangeAccepted = eventlog.Define(210, "configuration-accepted", logrus.InfoLevel,
 		"This instance accepted an operator's change as the next version.")
 	eventChangeRefused = eventlog.Define(211, "configuration-refused", logrus.WarnLevel,
-		"An operator's change was refused. The configuration did not change, unless the error is that the outcome is unknown.")
+		"An operator's change was refused. The configuration did not change, unless the error reports an unknown outcome.")
 	eventTokenRefused = eventlog.Define(212, "operator-token-refused", logrus.WarnLevel,
 		"A request to the operator API had no valid token.")
 )
@@ -74,11 +74,11 @@
 	// Operators are the permitted users; if there are none, every request is
 	// refused.
 	Operators []Operator
-	// LiveInstances returns the agents' instances that take part in placement. Plans
-	// are computed with it; nil means the registered backend servers.
+	// LiveInstances returns the agents' instances that take part in placement,
+	// from which plans are computed; nil means the registered backend servers.
 	LiveInstances func() []core.Instance
-	// WeightStore stores the weight manifests, from which plans compute amounts of
-	// data; nil leaves the amounts out.
+	// WeightStore stores the weight manifests, from which plans compute amounts
+	// of data; nil leaves the amounts out.
 	WeightStore platform.ObjectStore
 }
 
@@ -176,14 +176,15 @@
 	return nil
 }
 
-// newChange returns a change with the author, reason and id of cause. The caller
-// sets its base and its declarations.
-func newChange(c echo.Context, cause ChangeMetadata) confstore.Change {
-	author := cause.Author
+// newChange returns a change with the author, reason and id in metadata, but
+// without a base and declarations. The name of the authenticated operator, if it
+// has one, replaces the author.
+func newChange(c echo.Context, metadata ChangeMetadata) confstore.Change {
+	author := metadata.Author
 	if operator, ok := c.Get(operatorKey).(Operator); ok && operator.Name != "" {
 		author = operator.Name
 	}
-	return confstore.Change{Author: author, Reason: cause.Reason, ChangeID: cause.ChangeID}
+	return confstore.Change{Author: author, Reason: metadata.Reason, ChangeID: metadata.ChangeID}
 }
 
 // apply serves POST /ops/apply.
@@ -247,11 +248,11 @@
 // names.
 func (s *Server) editHandler(edit func(set *declare.Set, name string) error) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		var cause ChangeMetadata
-		if err := decodeBody(c, &cause); err != nil {
+		var metadata ChangeMetadata
+		if err := decodeBody(c, &metadata); err != nil {
 			return err
 		}
-		change := newChange(c, cause)
+		change := newChange(c, metadata)
 		snapshot, err := s.publisher.Edit(c.Request().Context(), change, func(set *declare.Set) error {
 			return edit(set, c.Param("name"))
 		})
@@ -290,8 +291,8 @@
 }
 
 // refuseChange logs a refused change and returns its problem document.
-func (s *Server) refuseChange(cause ChangeMetadata, err error) error {
-	s.log.EventWithError(eventChangeRefused, err, eventlog.Fields{"author": cause.Author, "change": cause.ChangeID})
+func (s *Server) refuseChange(metadata ChangeMetadata, err error) error {
+	s.log.EventWithError(eventChangeRefused, err, eventlog.Fields{"author": metadata.Author, "change": metadata.ChangeID})
 	problem := problemOf(err)
 	if problem.Type == TypePlatformUnavailable {
 		problem.Detail = "nothing was changed: " + problem.Detail
@@ -322,11 +323,11 @@
 	if err != nil {
 		return badRequest("want the number of a version")
 	}
-	body, entry, err := s.publisher.Replay(c.Request().Context(), number)
+	body, historyEntry, err := s.publisher.Replay(c.Request().Context(), number)
 	if err != nil {
 		return err
 	}
-	c.Response().Header().Set("ETag", strconv.Quote(string(entry.Digest)))
+	c.Response().Header().Set("ETag", strconv.Quote(string(historyEntry.Digest)))
 	return c.Blob(http.StatusOK, "application/yaml", body)
 }
 
--- a/request/ops/ops_test.go
+++ b/request/ops/ops_test.go
@@ -36,12 +36,12 @@
 // fixture is a stand-in for the platform and the operator APIs of several entry
 // instances.
 type fixture struct {
-	platform *httptest.Server
-	entries  []*entry
+	platform       *httptest.Server
+	entryInstances []*entryInstance
 }
 
-// entry is the operator API of one entry instance.
-type entry struct {
+// entryInstance is the operator API of one entry instance.
+type entryInstance struct {
 	server *httptest.Server
 	addr   string
 	holder *confstore.Holder
@@ -54,19 +54,19 @@
 	f := &fixture{platform: httptest.NewServer(standin.New(standin.Config{}, clockwork.NewRealClock()))}
 	t.Cleanup(f.platform.Close)
 	for i := range n {
-		f.entries = append(f.entries, f.newEntry(t, i))
+		f.entryInstances = append(f.entryInstances, f.newEntryInstance(t, i))
 	}
 	return f
 }
 
-// newEntry starts entry instance number i.
-func (f *fixture) newEntry(t *testing.T, i int) *entry {
+// newEntryInstance starts entry instance number i.
+func (f *fixture) newEntryInstance(t *testing.T, i int) *entryInstance {
 	p := platform.NewHTTP(platform.Config{
 		Addr:    strings.TrimPrefix(f.platform.URL, "http://"),
 		Timeout: time.Second,
 		Metrics: metrics.NewRegistry(),
 	})
-	e := &entry{holder: confstore.NewHolder()}
+	e := &entryInstance{holder: confstore.NewHolder()}
 	server := New(Config{
 		Instance:  core.Instance{ID: fmt.Sprintf("entry-%d", i)},
 		Operators: []Operator{{Name: "ann", Token: namedToken}, {Token: unnamedToken}},
@@ -133,15 +133,15 @@
 }
 
 func TestOperations(t *testing.T) {
-	Convey("Given two entries and an accepted configuration", t, func() {
+	Convey("Given two entry instances and an accepted configuration", t, func() {
 		f := newFixture(t, 2)
-		entryA, entryB := f.entries[0], f.entries[1]
+		entryA, entryB := f.entryInstances[0], f.entryInstances[1]
 		ctx := context.Background()
 		accepted, err := entryA.client.Apply(ctx, applyRequest(0, "c1"))
 		So(err, ShouldBeNil)
 		So(accepted.Number, ShouldEqual, 1)
 
-		Convey("the configuration is in force at once at the entry that accepted it", func() {
+		Convey("the configuration is in force at once at the entry instance that accepted it", func() {
 			So(entryA.holder.Current().Number, ShouldEqual, 1)
 			status, err := entryA.client.Status(ctx)
 			So(err, ShouldBeNil)
@@ -170,7 +170,7 @@
 			So(p.Winner.ChangeID, ShouldEqual, "c2")
 			So(p.Changes[0].String(), ShouldEqual, "add Region east")
 		})
-		Convey("every entry returns the same bytes for a version", func() {
+		Convey("every entry instance returns the same bytes for a version", func() {
 			first, err := entryA.client.Snapshot(ctx, 1)
 			So(err, ShouldBeNil)
 			second, err := entryB.client.Snapshot(ctx, 1)
@@ -178,31 +178,31 @@
 			So(bytes.Equal(first, second), ShouldBeTrue)
 		})
 		Convey("a data centre is taken out of service once and back in; the last one in service cannot be taken out", func() {
-			cause := ChangeMetadata{Author: "ben", Reason: "power", ChangeID: "d1"}
-			out, err := entryB.client.SetDataCentreOut(ctx, "palermo", true, cause)
+			metadata := ChangeMetadata{Author: "ben", Reason: "power", ChangeID: "d1"}
+			out, err := entryB.client.SetDataCentreOut(ctx, "palermo", true, metadata)
 			So(err, ShouldBeNil)
 			So(out.Number, ShouldEqual, 2)
-			cause.ChangeID = "d2"
-			again, err := entryA.client.SetDataCentreOut(ctx, "palermo", true, cause)
+			metadata.ChangeID = "d2"
+			again, err := entryA.client.SetDataCentreOut(ctx, "palermo", true, metadata)
 			So(err, ShouldBeNil)
 			So(again.Unchanged, ShouldBeTrue)
-			cause.ChangeID = "d3"
-			_, err = entryA.client.SetDataCentreOut(ctx, "trapani", true, cause)
+			metadata.ChangeID = "d3"
+			_, err = entryA.client.SetDataCentreOut(ctx, "trapani", true, metadata)
 			p := requireProblem(err)
 			So(p.Type, ShouldEqual, TypeInvalidDeclarations)
 			So(p.Problems[0].Message, ShouldContainSubstring, "every data centre")
-			back, err := entryA.client.SetDataCentreOut(ctx, "palermo", false, cause)
+			back, err := entryA.client.SetDataCentreOut(ctx, "palermo", false, metadata)
 			So(err, ShouldBeNil)
 			So(back.Number, ShouldEqual, 3)
 		})
-		Convey("a drain repeated with the same change id takes effect once, another drain with that id is refused", func() {
-			cause := ChangeMetadata{Author: "ben", Reason: "repair", ChangeID: "s1"}
-			first, err := entryA.client.SetBackendServerLeaving(ctx, "gpu-1", true, cause)
+		Convey("a drain retried with the same change id takes effect once, and another drain with that id is refused", func() {
+			metadata := ChangeMetadata{Author: "ben", Reason: "repair", ChangeID: "s1"}
+			first, err := entryA.client.SetBackendServerLeaving(ctx, "gpu-1", true, metadata)
 			So(err, ShouldBeNil)
-			second, err := entryB.client.SetBackendServerLeaving(ctx, "gpu-1", true, cause)
+			second, err := entryB.client.SetBackendServerLeaving(ctx, "gpu-1", true, metadata)
 			So(err, ShouldBeNil)
 			So(second.Number, ShouldEqual, first.Number)
-			_, err = entryB.client.SetBackendServerLeaving(ctx, "gpu-2", true, cause)
+			_, err = entryB.client.SetBackendServerLeaving(ctx, "gpu-2", true, metadata)
 			So(requireProblem(err).Type, ShouldEqual, TypeChangeIDUsed)
 		})
 		Convey("a drain of an unknown backend server is refused", func() {
@@ -232,9 +232,9 @@
 }
 
 func TestRefusals(t *testing.T) {
-	Convey("Given an entry", t, func() {
+	Convey("Given an entry instance", t, func() {
 		f := newFixture(t, 1)
-		e := f.entries[0]
+		e := f.entryInstances[0]
 		ctx := context.Background()
 		_, err := e.client.Apply(ctx, applyRequest(0, "c1"))
 		So(err, ShouldBeNil)
@@ -321,34 +321,34 @@
 }
 
 // postRaw sends body unchanged and returns the client's error.
-func postRaw(e *entry, path, body string) error {
+func postRaw(e *entryInstance, path, body string) error {
 	_, err := e.client.send(context.Background(), http.MethodPost, path, []byte(body))
 	return err
 }
 
-func TestLostAnswerThroughAnotherEntry(t *testing.T) {
+func TestLostResponseThroughAnotherEntryInstance(t *testing.T) {
 	Convey("Given a platform that loses the response to the next commit", t, func() {
 		f := newFixture(t, 2)
 		lostResponses := 1
 		f.setFaults(standin.FaultRequest{LoseCommitAnswers: &lostResponses})
 		ctx := context.Background()
 
-		Convey("a change repeated through another entry is recorded once", func() {
-			first, err := f.entries[0].client.Apply(ctx, applyRequest(0, "c1"))
+		Convey("a change retried through another entry instance is recorded once", func() {
+			first, err := f.entryInstances[0].client.Apply(ctx, applyRequest(0, "c1"))
 			So(err, ShouldBeNil)
-			second, err := f.entries[1].client.Apply(ctx, applyRequest(0, "c1"))
+			second, err := f.entryInstances[1].client.Apply(ctx, applyRequest(0, "c1"))
 			So(err, ShouldBeNil)
 			So(second.Number, ShouldEqual, first.Number)
-			history, err := f.entries[1].client.History(ctx, 10)
+			history, err := f.entryInstances[1].client.History(ctx, 10)
 			So(err, ShouldBeNil)
 			So(len(history.Entries), ShouldEqual, 1)
 		})
 	})
 }
 
-func TestRacesThroughEntries(t *testing.T) {
+func TestRacesThroughEntryInstances(t *testing.T) {
 	for _, operators := range []int{2, 10} {
-		Convey(fmt.Sprintf("Given %d operators who apply changes concurrently through four entries", operators), t, func() {
+		Convey(fmt.Sprintf("Given %d operators who apply changes concurrently through four entry instances", operators), t, func() {
 			f := newFixture(t, 4)
 			const rounds = 5
 			for round := range uint64(rounds) {
@@ -366,7 +366,7 @@
 				}
 				So(accepted, ShouldEqual, 1)
 			}
-			history, err := f.entries[0].client.History(context.Background(), 100)
+			history, err := f.entryInstances[0].client.History(context.Background(), 100)
 			So(err, ShouldBeNil)
 			So(len(history.Entries), ShouldEqual, rounds)
 		})
@@ -374,7 +374,7 @@
 }
 
 // applyConcurrently applies one change per operator concurrently, all on the same
-// base and each through the next of the entries. It returns the operators' errors.
+// base and spread over the entry instances. It returns the operators' errors.
 func (f *fixture) applyConcurrently(operators int, base uint64) []error {
 	errs := make([]error, operators)
 	var wg sync.WaitGroup
@@ -383,7 +383,7 @@
 		go func() {
 			defer wg.Done()
 			changeID := fmt.Sprintf("round-%d-operator-%d", base, n)
-			_, errs[n] = f.entries[n%len(f.entries)].client.Apply(context.Background(), applyRequest(base, changeID, changeID))
+			_, errs[n] = f.entryInstances[n%len(f.entryInstances)].client.Apply(context.Background(), applyRequest(base, changeID, changeID))
 		}()
 	}
 	wg.Wait()
