--- a/request/relay/call.go
+++ b/request/relay/call.go
@@ -90,7 +90,7 @@
 }
 
 // reserveRequestID returns the result of requestID, or a new id when another call
-// in flight has the same one, because responses are matched to calls by their id.
+// in flight has the same id, because responses are matched to calls by their id.
 // release must be called once.
 func (r *Relay) reserveRequestID(c echo.Context) (id string, release func()) {
 	id = requestID(c)
--- a/request/relay/repeatable.go
+++ b/request/relay/repeatable.go
@@ -251,7 +251,7 @@
 	return newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter)
 }
 
-// runAttempt makes one attempt of the call at server.
+// runAttempt makes one attempt to run the call at server.
 func (rc *repeatableCall) runAttempt(ctx context.Context, server registry.Server) attemptResult {
 	config := rc.relay.config
 	firstTimeout, nextTimeout := config.ResponseTimeout, config.ResponseTimeout
