--- a/request/serve/run.go
+++ b/request/serve/run.go
@@ -138,9 +138,9 @@
 	return f.forwardBytes(resp.Body)
 }
 
-// newEngineCall returns the call to the engine or service for req. once is true
-// for a non-repeatable call.
-func newEngineCall(req *frame.Request, once bool) engine.Call {
+// newEngineCall returns the call to the engine or service for req. onceOnly is
+// true for a non-repeatable call.
+func newEngineCall(req *frame.Request, onceOnly bool) engine.Call {
 	return engine.Call{
 		ID:           req.ID,
 		Method:       req.Method,
@@ -148,7 +148,7 @@
 		Header:       req.Header,
 		Body:         req.Body,
 		Digest:       req.Digest,
-		OnceOnly:     once,
+		OnceOnly:     onceOnly,
 		ResumeTokens: req.ResumeTokens,
 		Priority:     req.Priority,
 	}
