--- a/version/catalog/follower.go
+++ b/version/catalog/follower.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// longPollTimeout is how long one Feed call waits for a change. A dead
-	// connection is noticed only after this time, but every call puts load on
-	// the store.
+	// longPollTimeout is how long one ChangesSince call waits for a change. A
+	// dead connection is noticed only after this time; a shorter time would
+	// put more load on the store.
 	longPollTimeout = 2500 * time.Millisecond
 	// declaredBatchDelay and serversBatchDelay are the pauses after a response
 	// that let changes made close together arrive in one response. Declared
@@ -34,7 +34,8 @@
 	missingGrace = 2 * time.Second
 )
 
-// TableContent is the content of one table, as entry instances send it to each other.
+// TableContent is the content of one table, as entry instances send it to each
+// other.
 type TableContent struct {
 	// Rows are the rows of the table without the deleted ones.
 	Rows []Row `cbor:"1,keyasint"`
@@ -42,8 +43,8 @@
 	ChangeRevision uint64 `cbor:"2,keyasint"`
 	// ReadRevision is the store's revision up to which the table has been read.
 	ReadRevision uint64 `cbor:"3,keyasint"`
-	// WeightsAgeMs are the ages of the newest declared weights in milliseconds, by
-	// model.
+	// WeightsAgeMs is the time in milliseconds since the newest version of each
+	// model's weights was declared, by model.
 	WeightsAgeMs map[string]int64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -109,8 +110,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.missing) > 0 && !f.unavailable {
-		// Servers still missing when the grace period ends must get no requests
-		// after it.
+		// A server still missing at the end of the grace period must be removed
+		// at that time.
 		return min(serversBatchDelay, f.graceLeft(f.clock.Now()))
 	}
 	return serversBatchDelay
@@ -156,7 +157,7 @@
 	return newest
 }
 
-// pollTimeout returns how long the next Feed call may wait for a change. It is
+// pollTimeout returns how long the next ChangesSince call may wait for a change. It is
 // short during an outage, and ends with the grace period of missing servers.
 func (f *Follower) pollTimeout() time.Duration {
 	f.mu.Lock()
@@ -218,7 +219,7 @@
 	f.log.EventWithError(eventStoreLost, err, eventlog.Fields{"table": f.table.Name(), "revision": f.readRevision})
 }
 
-// StoreUnavailable reports whether the store does not respond at present, or whether nothing
+// StoreUnavailable reports whether the last call to the store failed, or nothing
 // has been read yet.
 func (f *Follower) StoreUnavailable() bool {
 	f.mu.Lock()
@@ -238,38 +239,38 @@
 func (f *Follower) Content() TableContent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := TableContent{ChangeRevision: f.changeRevision, ReadRevision: f.readRevision}
+	content := TableContent{ChangeRevision: f.changeRevision, ReadRevision: f.readRevision}
 	for _, r := range f.rows {
-		s.Rows = append(s.Rows, r)
+		content.Rows = append(content.Rows, r)
 	}
 	if f.table == TableDeclared {
 		now := f.clock.Now()
-		s.WeightsAgeMs = map[string]int64{}
+		content.WeightsAgeMs = map[string]int64{}
 		for model, w := range f.holder.Current().Weights {
-			s.WeightsAgeMs[model] = now.Sub(w.DeclaredAt).Milliseconds()
+			content.WeightsAgeMs[model] = now.Sub(w.DeclaredAt).Milliseconds()
 		}
 	}
-	return s
+	return content
 }
 
-// AdoptIfNewer replaces the table's content by s, which the entry instance from sent,
-// when s is newer.
-func (f *Follower) AdoptIfNewer(s TableContent, from string) {
-	if s.ChangeRevision <= f.ChangeRevision() {
+// AdoptIfNewer replaces the table's content with content if that is newer. from
+// names the entry instance that sent content, for the log.
+func (f *Follower) AdoptIfNewer(content TableContent, from string) {
+	if content.ChangeRevision <= f.ChangeRevision() {
 		return
 	}
 	f.log.Event(eventTableFromPeer, eventlog.Fields{
-		"table": f.table.Name(), "from": from, "revision": s.ChangeRevision, "before": f.ChangeRevision(),
+		"table": f.table.Name(), "from": from, "revision": content.ChangeRevision, "before": f.ChangeRevision(),
 	})
-	f.replace(s, true)
+	f.replace(content, true)
 }
 
-// replace replaces the whole content of the table. With fromPeer set, it does so
-// only if s is newer than the content here.
-func (f *Follower) replace(s TableContent, fromPeer bool) {
+// replace sets the whole content of the table. With fromPeer set, it does so only
+// if content is newer than the present content.
+func (f *Follower) replace(content TableContent, fromPeer bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if fromPeer && s.ChangeRevision <= f.changeRevision {
+	if fromPeer && content.ChangeRevision <= f.changeRevision {
 		return
 	}
 	now := f.clock.Now()
@@ -277,7 +278,7 @@
 	old := f.rows
 	f.rows = map[string]Row{}
 	var changes []Change
-	for _, r := range s.Rows {
+	for _, r := range content.Rows {
 		f.rows[r.Key] = r
 		delete(f.missing, r.Key)
 		if before, ok := old[r.Key]; ok && before.Revision == r.Revision && f.table == TableServers {
@@ -289,7 +290,7 @@
 			}
 		}
 		if c, ok := f.decode(r, now); ok {
-			f.setKnown(&c, s, firstRead && !fromPeer, now)
+			f.setDeclaredAt(&c, content, firstRead && !fromPeer, now)
 			changes = append(changes, c)
 		}
 	}
@@ -305,7 +306,7 @@
 			changes = append(changes, Change{Server: server})
 		}
 	}
-	f.changeRevision, f.readRevision = max(f.changeRevision, s.ChangeRevision), s.ReadRevision
+	f.changeRevision, f.readRevision = max(f.changeRevision, content.ChangeRevision), content.ReadRevision
 	f.holder.Apply(changes, true, f.table == TableServers, now)
 }
 
@@ -314,13 +315,13 @@
 // take effect soon.
 const estimatedAge = 4 * time.Second
 
-// setKnown sets the Known time of a change to declared weights: from the age in s
-// if there is one, or by estimate on the first read from the store.
-func (f *Follower) setKnown(c *Change, s TableContent, firstRead bool, now time.Time) {
+// setDeclaredAt sets DeclaredAt of a change to declared weights: from the age in
+// content if there is one, or by estimate on the first read from the store.
+func (f *Follower) setDeclaredAt(c *Change, content TableContent, firstRead bool, now time.Time) {
 	if c.Weights == nil {
 		return
 	}
-	switch ms, ok := s.WeightsAgeMs[c.Weights.Model]; {
+	switch ms, ok := content.WeightsAgeMs[c.Weights.Model]; {
 	case ok:
 		c.Weights.DeclaredAt = now.Add(-time.Duration(ms) * time.Millisecond)
 	case firstRead:
@@ -328,7 +329,8 @@
 	}
 }
 
-// applyRows applies the rows of a Feed call, which read the table up to rev.
+// applyRows applies the rows that ChangesSince returned; rev is the revision up to
+// which they cover the table.
 func (f *Follower) applyRows(rows []Row, rev uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -381,8 +383,8 @@
 	}
 }
 
-// decode returns the change that a row makes, and whether to apply it. It logs a
-// row that cannot be decoded.
+// decode returns the change that a row describes, and whether to apply the change.
+// It logs a row that cannot be decoded.
 func (f *Follower) decode(r Row, now time.Time) (Change, bool) {
 	c, err := f.source.Decode(f.table, r, now)
 	if err == nil {
--- a/version/catalog/follower_test.go
+++ b/version/catalog/follower_test.go
@@ -28,10 +28,10 @@
 type scriptedSource struct {
 	mu        sync.Mutex
 	responses []response
-	// listCalls is the number of List calls; feedSince are the revisions
-	// passed to Feed.
+	// listCalls is the number of List calls; sinceArgs are the revisions passed
+	// to ChangesSince.
 	listCalls int
-	feedSince []uint64
+	sinceArgs []uint64
 }
 
 func (s *scriptedSource) next(ctx context.Context) ([]Row, uint64, error) {
@@ -56,7 +56,7 @@
 
 func (s *scriptedSource) ChangesSince(ctx context.Context, _ Table, since uint64, _ time.Duration) ([]Row, uint64, error) {
 	s.mu.Lock()
-	s.feedSince = append(s.feedSince, since)
+	s.sinceArgs = append(s.sinceArgs, since)
 	s.mu.Unlock()
 	return s.next(ctx)
 }
@@ -136,7 +136,7 @@
 		So(f.holder.Current().ServersKnown, ShouldBeTrue)
 		So(pollAll(f, source, response{rows: []Row{newRow("a", "leaving", 10)}, rev: 10}), ShouldEqual, "a! b")
 		So(pollAll(f, source, response{rows: []Row{deletedRow("a", 11), newRow("c", "ready", 12)}, rev: 12}), ShouldEqual, "b c")
-		So(source.feedSince, ShouldResemble, []uint64{9, 10})
+		So(source.sinceArgs, ShouldResemble, []uint64{9, 10})
 	})
 
 	Convey("After lost history the whole table is read again", t, func() {
--- a/version/catalog/holder.go
+++ b/version/catalog/holder.go
@@ -11,15 +11,15 @@
 )
 
 // Change is one decoded row of the platform's store. Exactly one of Config,
-// Server, Out and Weights is set.
+// Server, DataCentreOut and Weights is set.
 type Change struct {
 	// Config is a new configuration.
 	Config *Config
 	// Server is a listed backend server. When Removed is set, only its ID is
 	// used.
 	Server *Server
-	// DataCentreOut is the name of a data centre that is taken out of service, or put
-	// back when Removed is set.
+	// DataCentreOut is the name of a data centre that is taken out of service,
+	// or put back into service when Removed is set.
 	DataCentreOut string
 	// Weights is a declared version of a model's weights.
 	Weights *Weights
@@ -87,7 +87,7 @@
 	return &next
 }
 
-// cloneMap returns a copy of m; an empty map when m is nil.
+// cloneMap returns a copy of m, or an empty map when m is nil.
 func cloneMap[K comparable, V any](m map[K]V) map[K]V {
 	if m == nil {
 		return map[K]V{}
@@ -160,11 +160,11 @@
 	})
 }
 
-// MergeWeights merges a declared version that another process reported; its Known time
-// is the one of that process. If the version is the newest one here, MergeWeights
-// corrects a Known time that is only an estimate, or that is later than reported.
-// It adds an earlier version that is missing here, and applies a newer version
-// even if the store has not delivered it yet.
+// MergeWeights merges a declared version that another process reported; DeclaredAt
+// is the time at which that process received the version. If the version is the
+// newest one here, MergeWeights corrects a DeclaredAt here that is only an
+// estimate or is later than reported. It adds an earlier version that is missing
+// here, and applies a newer version even if the store has not delivered it yet.
 func (h *Holder) MergeWeights(w Weights, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -173,7 +173,7 @@
 	switch {
 	case !ok || w.Version > current.Version:
 		h.applyWeights(next, w, now)
-	case w.Version == current.Version && (current.Estimated || knownEarlier(w, current)):
+	case w.Version == current.Version && (current.Estimated || declaredEarlier(w, current)):
 		current.DeclaredAt, current.Estimated = w.DeclaredAt, false
 		next.Weights[w.Model] = current
 		h.log.Event(eventWeights, eventlog.Fields{
@@ -194,17 +194,17 @@
 // that is attributed to the delivery time of messages.
 const ageTolerance = 100 * time.Millisecond
 
-// knownEarlier reports whether the Known time of reported is earlier than that
-// of current by more than ageTolerance.
-func knownEarlier(reported, current Weights) bool {
+// declaredEarlier reports whether DeclaredAt of reported is earlier than that of
+// current by more than ageTolerance.
+func declaredEarlier(reported, current Weights) bool {
 	return current.DeclaredAt.Sub(reported.DeclaredAt) > ageTolerance
 }
 
-// addEarlierVersion adds w to the versions before current, or corrects the Known
-// time of the same version there. It reports whether anything changed.
+// addEarlierVersion adds w to the earlier versions of current, or corrects
+// DeclaredAt of the same version there. It reports whether anything changed.
 func addEarlierVersion(current *Weights, w Weights) bool {
 	i, found := slices.BinarySearchFunc(current.EarlierVersions, w.Version, func(earlier Weights, version int) int { return version - earlier.Version })
-	if found && !knownEarlier(w, current.EarlierVersions[i]) || !found && len(current.EarlierVersions) >= maxEarlierVersions {
+	if found && !declaredEarlier(w, current.EarlierVersions[i]) || !found && len(current.EarlierVersions) >= maxEarlierVersions {
 		return false
 	}
 	versions := slices.Clone(current.EarlierVersions)
--- a/version/catalog/snapshot.go
+++ b/version/catalog/snapshot.go
@@ -17,8 +17,8 @@
 	ServersKnown bool
 	// Servers are the listed backend servers by ID.
 	Servers map[string]*Server
-	// DataCentresOut contains the names of the data centres that operators have taken
-	// out of service.
+	// DataCentresOut contains the names of the data centres that operators have
+	// taken out of service.
 	DataCentresOut map[string]bool
 	// Weights is the newest declared version of each model's weights, by
 	// model.
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// RecentVersions returns the versions of all models that have been known for less
-// than maxAge at now, whether or not a newer version exists. Versions whose
-// Known time is only an estimate are left out.
+// RecentVersions returns the versions of all models that were declared less than
+// maxAge before now, whether or not a newer version exists. Versions whose
+// DeclaredAt is only an estimate are left out.
 func (s *Snapshot) RecentVersions(now time.Time, maxAge time.Duration) []Weights {
 	var recent []Weights
 	for _, newest := range s.Weights {
@@ -117,8 +117,8 @@
 // Cold reports whether the server is in its cold period at now.
 func (s *Server) Cold(now time.Time) bool { return now.Before(s.ColdUntil) }
 
-// RegionAllowed reports whether region is in a list of regions; an empty list allows
-// every region.
+// RegionAllowed reports whether regions contains region; an empty list allows every
+// region.
 func RegionAllowed(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
--- a/version/catalog/source.go
+++ b/version/catalog/source.go
@@ -14,7 +14,7 @@
 const (
 	// TableDeclared holds the declarations of operators.
 	TableDeclared Table = iota
-	// TableServers holds the rows in which backend servers describe themselves.
+	// TableServers holds the rows that describe the backend servers.
 	TableServers
 	// TableEntries holds the addresses of entry instances.
 	TableEntries
@@ -49,13 +49,13 @@
 type Source interface {
 	// List returns all rows of a table and the store's revision.
 	List(ctx context.Context, t Table) ([]Row, uint64, error)
-	// ChangesSince returns the rows of a table that changed after the revision since,
-	// oldest change first, and the store's revision. It returns as soon as
-	// there is a change, or without rows after wait. It returns
+	// ChangesSince returns the rows of a table that changed after the revision
+	// since, oldest change first, and the store's revision. It returns as soon
+	// as there is a change, or without rows after wait. It returns
 	// ErrHistoryLost when the changes are no longer available.
 	ChangesSince(ctx context.Context, t Table, since uint64, wait time.Duration) ([]Row, uint64, error)
-	// Decode returns the change that a row makes, or ErrUnused. For a server's
-	// row that cannot be decoded it returns both the error and a Change that
+	// Decode returns the change that a row describes, or ErrUnusedRow. For a
+	// server's row that cannot be decoded it returns both the error and a Change that
 	// removes the server.
 	Decode(t Table, r Row, now time.Time) (Change, error)
 }
--- a/version/catalog/types.go
+++ b/version/catalog/types.go
@@ -12,8 +12,8 @@
 	KindSafe Kind = "safe"
 	// KindUnsafe means that requests run at most once.
 	KindUnsafe Kind = "unsafe"
-	// KindStream means that requests are answered by a stream of events. They
-	// run at most once unless the route is resumable.
+	// KindStream means that the response is a stream of events. Requests run at
+	// most once unless the route is resumable.
 	KindStream Kind = "stream"
 )
 
@@ -29,9 +29,11 @@
 	Kind Kind
 	// Timeout is the maximum time that a request may wait for its response.
 	Timeout time.Duration
-	// FirstByteObjective is the target for the time to the first byte of a response.
+	// FirstByteObjective is the target for the time to the first byte of a
+	// response.
 	FirstByteObjective time.Duration
-	// EventGapObjective is the target for the longest pause between two events of a stream.
+	// EventGapObjective is the target for the longest pause between two events
+	// of a stream.
 	EventGapObjective time.Duration
 	// Priority orders waiting requests; 0 is the most urgent.
 	Priority int
@@ -75,8 +77,8 @@
 	MaxConnections int
 	// ColdDuration is the length of the cold period after a server's start.
 	ColdDuration time.Duration
-	// ColdRequestsPerSecond is the maximum number of requests per second for a server
-	// in its cold period; 0 means no limit.
+	// ColdRequestsPerSecond is the maximum number of requests per second for a
+	// server in its cold period; 0 means no limit.
 	ColdRequestsPerSecond float64
 	// Engine describes the model servers of the service; nil for a service
 	// without models.
@@ -87,22 +89,22 @@
 
 // Engine describes the model servers of a service, as operators publish it.
 type Engine struct {
-	// Slots is the maximum number of requests that run at once.
+	// Slots is the maximum number of requests that one server runs at once.
 	Slots int
 	// StepTime is the base duration of one token step, without any request.
 	StepTime time.Duration
-	// StepTimePerRequest is added to Step for each request that is generating
+	// StepTimePerRequest is added to StepTime for each request that is generating
 	// tokens.
 	StepTimePerRequest time.Duration
-	// StepTimePerContext is added to Step for each request per 1,000 tokens of
+	// StepTimePerContext is added to StepTime for each request per 1,000 tokens of
 	// its context.
 	StepTimePerContext time.Duration
 	// PromptTokensPerSecond is the number of prompt tokens processed per second.
 	PromptTokensPerSecond float64
 	// StepsPerPass is the number of token steps in one pass of the engine.
 	StepsPerPass int
-	// MeanPromptTokens and MeanAnswerTokens are the mean numbers of tokens in a prompt
-	// and in an answer.
+	// MeanPromptTokens and MeanAnswerTokens are the mean numbers of tokens in a
+	// prompt and in a response.
 	MeanPromptTokens, MeanAnswerTokens int
 	// LayerCount is the number of layers of the model.
 	LayerCount int
@@ -165,9 +167,9 @@
 	Limits Limits
 }
 
-// Server is a backend server as it describes itself.
+// Server is a backend server as its row in the store describes it.
 type Server struct {
-	// ID identifies one run of the server; it changes with each start.
+	// ID identifies one process of the server and changes with each start.
 	ID string
 	// Service is the name of the service to which the server belongs.
 	Service string
@@ -183,8 +185,8 @@
 	ColdUntil time.Time
 	// StartUnixMs is the server's start time, in Unix milliseconds.
 	StartUnixMs int64
-	// LoadedVersions is the version of each model of which the server holds every
-	// layer, by model.
+	// LoadedVersions maps each model to the version of which the server holds
+	// every layer.
 	LoadedVersions map[string]int
 }
 
@@ -194,18 +196,18 @@
 	Model string
 	// Version is the version number, from 1.
 	Version int
-	// DeclaredAt is the time at which this process learned of the version, or the
-	// earlier time at which another process did.
+	// DeclaredAt is the time at which this process received the declaration, or
+	// the earlier time at which another process did.
 	DeclaredAt time.Time
-	// Estimated reports whether Known is only an estimate, because the version
+	// Estimated reports whether DeclaredAt is only an estimate, because the version
 	// was declared before this process started.
 	Estimated bool
 	// EarlierVersions are the versions that were declared earlier, newest first.
 	EarlierVersions []Weights
 }
 
-// MinVersion returns the oldest version that may still be used at now. A declared
-// version becomes required once it has been known for dueAfter. MinVersion
+// MinVersion returns the oldest version that may still be used at now. A version
+// becomes required once dueAfter has passed since its declaration. MinVersion
 // returns 0 when no version is required yet.
 func (w Weights) MinVersion(now time.Time, dueAfter time.Duration) int {
 	if now.Sub(w.DeclaredAt) >= dueAfter {
--- a/version/catalog/weights_test.go
+++ b/version/catalog/weights_test.go
@@ -43,7 +43,7 @@
 }
 
 // A process that was paused while versions were declared reads them late and all
-// at once, so that their Known times are too late until other processes report
+// at once, so that their declaration times are too late until other processes report
 // earlier ones.
 func TestPausedProcessLearnsVersionAges(t *testing.T) {
 	Convey("A process that reads two versions late takes their times from other processes", t, func() {
