--- a/version/manifest/manifest.go
+++ b/version/manifest/manifest.go
@@ -92,8 +92,9 @@
 	return &m, nil
 }
 
-// ManifestName returns the name in the weight store of the manifest with digest d.
+// ManifestName returns the object name of the manifest with digest d in the weight
+// store.
 func ManifestName(d core.Digest) string { return "manifests/" + string(d) }
 
-// ChunkName returns the name in the weight store of the chunk with digest d.
+// ChunkName returns the object name of the chunk with digest d in the weight store.
 func ChunkName(d core.Digest) string { return "chunks/" + string(d) }
--- a/version/manifest/split.go
+++ b/version/manifest/split.go
@@ -9,11 +9,11 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// EmitFunc is called once for each distinct chunk, in the order in which the chunks
-// first appear. It may retain body.
+// EmitFunc is the type of the function that Split calls once for each distinct
+// chunk, in the order in which the chunks first appear. It may retain body.
 type EmitFunc func(c Chunk, body []byte) error
 
-// Split splits every regular file of fsys into chunks, calls emit for each distinct
+// Split cuts every regular file of fsys into chunks, calls emit for each distinct
 // chunk, and returns the manifest. chunkBytes is the size of a chunk in bytes; 0
 // means DefaultChunkBytes. base is the manifest digest of the base version of an
 // adapter, and empty for a full model. Split itself holds one chunk in memory at a
@@ -49,7 +49,7 @@
 	return m, nil
 }
 
-// splitter is the state that one call of Cut uses for all files.
+// splitter is the state that one call of Split uses for all files.
 type splitter struct {
 	chunkBytes int64
 	emit       EmitFunc
--- a/version/manifest/split_test.go
+++ b/version/manifest/split_test.go
@@ -11,7 +11,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-func TestCut(t *testing.T) {
+func TestSplit(t *testing.T) {
 	Convey("Given a folder of two files that share a chunk", t, func() {
 		fsys := fstest.MapFS{
 			"b/weights.bin": {Data: []byte("aaaabbbbcc")},
