--- a/version/freshness/freshness.go
+++ b/version/freshness/freshness.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// MayConfirmPeers reports whether this process may confirm the configuration of a peer. It
-// may if its own configuration has been confirmed since its start and its last
-// pause.
+// MayConfirmPeers reports whether this process may confirm the configuration of a
+// peer: only if its own configuration has been confirmed since its start and its
+// last pause.
 func (g *Gate) MayConfirmPeers() bool {
 	age, ok := g.confirmationAge()
 	if !ok || !g.Fresh() {
@@ -69,8 +69,8 @@
 	return age < time.Since(g.waitingSince)
 }
 
-// Fresh reports whether the process may act on the configuration now. Until
-// then it requests confirmations in the background.
+// Fresh reports whether the process may act on the configuration now. Until it
+// may, Fresh requests confirmations from the peers in the background.
 func (g *Gate) Fresh() bool {
 	pauses := g.detector.PauseCount()
 	g.mu.Lock()
