--- a/version/placement/placement.go
+++ b/version/placement/placement.go
@@ -35,12 +35,12 @@
 	assignedAgents map[core.Digest][]core.Instance
 }
 
-// Assignments returns the versions that are assigned to a server, base versions before
-// the adapters that need them.
+// Assignments returns the versions that are assigned to a server, base versions
+// before the adapters that need them.
 func (p *Plan) Assignments(server string) []Assignment { return p.assignments[server] }
 
-// AssignedAgents returns the agents of the servers to which the version with manifest
-// digest d is assigned, in the order of their rank.
+// AssignedAgents returns the agents of the servers to which the version with
+// manifest digest d is assigned, in the order of their rank.
 func (p *Plan) AssignedAgents(d core.Digest) []core.Instance { return p.assignedAgents[d] }
 
 // Compute returns the plan for the declarations in set and the list of live
@@ -50,7 +50,7 @@
 // name, so that the next version of a model is placed on the servers that hold
 // the previous one. A server is eligible if it is declared, runs an engine, is in
 // one of the model's data centres, is live, is not leaving and has a free slot. A
-// server in a data centre that is out keeps its versions, so that they are
+// server in a data centre out of service keeps its versions, so that they are
 // already loaded when the data centre returns, but it does not count as a
 // replica.
 func Compute(set *declare.Set, live []core.Instance) *Plan {
@@ -160,8 +160,8 @@
 
 // isAssigned reports whether a version is already assigned to a server.
 func (b *builder) isAssigned(server, version string) bool {
-	for _, w := range b.assigned[server] {
-		if w.Version == version {
+	for _, assignment := range b.assigned[server] {
+		if assignment.Version == version {
 			return true
 		}
 	}
@@ -200,10 +200,10 @@
 		return
 	}
 	b.freeSlots[c.server.Name] -= len(assignments)
-	for _, w := range assignments {
-		w.Rank = len(b.serversOf[w.Digest])
-		b.assigned[c.server.Name] = append(b.assigned[c.server.Name], w)
-		b.serversOf[w.Digest] = append(b.serversOf[w.Digest], c.server.Name)
+	for _, assignment := range assignments {
+		assignment.Rank = len(b.serversOf[assignment.Digest])
+		b.assigned[c.server.Name] = append(b.assigned[c.server.Name], assignment)
+		b.serversOf[assignment.Digest] = append(b.serversOf[assignment.Digest], c.server.Name)
 	}
 	if dc, ok := b.set.DataCentres[c.server.DataCentre]; ok && dc.Out {
 		return
@@ -211,13 +211,13 @@
 	b.replicas[c.model.Name]++
 }
 
-// newAssignment returns the Want for a version, without its rank.
+// newAssignment returns the Assignment of a version, without its rank.
 func (b *builder) newAssignment(v *declare.Version) Assignment {
-	w := Assignment{Model: v.Model, Version: v.Name, Digest: v.Manifest}
+	assignment := Assignment{Model: v.Model, Version: v.Name, Digest: v.Manifest}
 	if base, ok := b.set.Versions[v.Base]; ok {
-		w.Base = base.Manifest
+		assignment.Base = base.Manifest
 	}
-	return w
+	return assignment
 }
 
 // buildPlan returns the plan with all assignments made so far.
--- a/version/placement/placement_test.go
+++ b/version/placement/placement_test.go
@@ -79,7 +79,7 @@
 			}
 			So(kept, ShouldEqual, 4)
 		})
-		Convey("servers of a data centre that is out keep the version and do not count as replicas", func() {
+		Convey("servers of a data centre out of service keep the version and do not count as replicas", func() {
 			set.DataCentres["dc0"].Out = true
 			after := servers(Compute(set, live), v1)
 			counted := 0
