--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -25,8 +25,8 @@
 	Old, New *declare.Set
 	// LiveInstances are the instances that take part in placement.
 	LiveInstances []core.Instance
-	// WeightStore is the object store that holds the manifests. If it is nil, the
-	// amounts to fetch are reported as unknown.
+	// WeightStore is the object store that holds the manifests. If it is nil,
+	// the amounts to fetch are reported as unknown.
 	WeightStore platform.ObjectStore
 }
 
@@ -76,20 +76,20 @@
 }
 
 // difference returns, for each version, the servers to which the plan in assigns
-// the version and the plan notIn does not.
+// the version and the plan notIn does not. The keys have no rank.
 func (p *planner) difference(in, notIn *placement.Plan) map[placement.Assignment][]string {
 	servers := map[placement.Assignment][]string{}
 	for _, name := range p.serverNames() {
 		excluded := map[core.Digest]bool{}
-		for _, w := range notIn.Assignments(name) {
-			excluded[w.Digest] = true
+		for _, assignment := range notIn.Assignments(name) {
+			excluded[assignment.Digest] = true
 		}
-		for _, w := range in.Assignments(name) {
-			if excluded[w.Digest] {
+		for _, assignment := range in.Assignments(name) {
+			if excluded[assignment.Digest] {
 				continue
 			}
-			w.Rank = 0
-			servers[w] = append(servers[w], name)
+			assignment.Rank = 0
+			servers[assignment] = append(servers[assignment], name)
 		}
 	}
 	return servers
@@ -98,36 +98,37 @@
 // addLoads adds a line for each version that servers load.
 func (p *planner) addLoads(ctx context.Context) {
 	servers := p.difference(p.after, p.before)
-	for _, w := range sortedVersions(servers) {
-		names := servers[w]
-		p.addLine("load %s of Model %s on %d servers (%s): %s", w.Version, w.Model, len(names), strings.Join(names, ", "), p.fetchAmount(ctx, w, names))
-		p.addSwitch(w, names)
+	for _, assignment := range sortedVersions(servers) {
+		names := servers[assignment]
+		p.addLine("load %s of Model %s on %d servers (%s): %s", assignment.Version, assignment.Model, len(names), strings.Join(names, ", "), p.fetchAmount(ctx, assignment, names))
+		p.addSwitch(assignment, names)
 	}
 }
 
-// addSwitch adds a line if the change replaces the version of the model of w.
-// names are the servers that load w; the line counts those that already hold
-// another version of the model.
-func (p *planner) addSwitch(w placement.Assignment, names []string) {
-	old := p.Old.Models[w.Model]
-	if old == nil || old.Version == w.Version {
+// addSwitch adds a line if the change replaces the version of the assignment's
+// model. names are the servers that load the new version; the line counts those
+// that already hold another version of the model.
+func (p *planner) addSwitch(assignment placement.Assignment, names []string) {
+	old := p.Old.Models[assignment.Model]
+	if old == nil || old.Version == assignment.Version {
 		return
 	}
 	held := 0
 	for _, name := range names {
 		for _, oldVersion := range p.before.Assignments(name) {
-			if oldVersion.Model == w.Model {
+			if oldVersion.Model == assignment.Model {
 				held++
 			}
 		}
 	}
-	p.addLine("switch Model %s from %s to %s: %d of these servers answer from the old version until the new one stands", w.Model, old.Version, w.Version, held)
+	p.addLine("switch Model %s from %s to %s: %d of these servers answer from the old version until the new one stands", assignment.Model, old.Version, assignment.Version, held)
 }
 
-// fetchAmount describes how many chunks and bytes the servers have to fetch for w.
-// It does not count the chunks that a server already holds for other versions.
-func (p *planner) fetchAmount(ctx context.Context, w placement.Assignment, names []string) string {
-	m := p.manifest(ctx, w.Digest)
+// fetchAmount describes how many chunks and bytes the named servers have to fetch
+// for an assigned version. It does not count the chunks that a server already holds
+// for other versions.
+func (p *planner) fetchAmount(ctx context.Context, assignment placement.Assignment, names []string) string {
+	m := p.manifest(ctx, assignment.Digest)
 	if m == nil {
 		return "amount unknown, the manifest cannot be read"
 	}
@@ -149,8 +150,8 @@
 // change.
 func (p *planner) heldChunks(ctx context.Context, server string) map[core.Digest]bool {
 	held := map[core.Digest]bool{}
-	for _, w := range p.before.Assignments(server) {
-		m := p.manifest(ctx, w.Digest)
+	for _, assignment := range p.before.Assignments(server) {
+		m := p.manifest(ctx, assignment.Digest)
 		if m == nil {
 			continue
 		}
@@ -186,9 +187,9 @@
 // addUnloads adds a line for each version that servers no longer need.
 func (p *planner) addUnloads() {
 	servers := p.difference(p.before, p.after)
-	for _, w := range sortedVersions(servers) {
-		names := servers[w]
-		p.addLine("unload %s of Model %s from %d servers (%s)", w.Version, w.Model, len(names), strings.Join(names, ", "))
+	for _, assignment := range sortedVersions(servers) {
+		names := servers[assignment]
+		p.addLine("unload %s of Model %s from %d servers (%s)", assignment.Version, assignment.Model, len(names), strings.Join(names, ", "))
 	}
 }
 
@@ -287,8 +288,8 @@
 // sortedVersions returns the keys of m, sorted by model and version.
 func sortedVersions(m map[placement.Assignment][]string) []placement.Assignment {
 	versions := make([]placement.Assignment, 0, len(m))
-	for w := range m {
-		versions = append(versions, w)
+	for assignment := range m {
+		versions = append(versions, assignment)
 	}
 	sort.Slice(versions, func(i, j int) bool {
 		a, b := versions[i], versions[j]
--- a/version/plan/plan_test.go
+++ b/version/plan/plan_test.go
@@ -16,7 +16,7 @@
 // memoryStore is an object store in memory.
 type memoryStore map[string][]byte
 
-// Get implements platform.Objects.
+// Get implements platform.ObjectStore.
 func (s memoryStore) Get(_ context.Context, name string, _, _ int64) ([]byte, error) {
 	body, ok := s[name]
 	if !ok {
@@ -25,7 +25,7 @@
 	return body, nil
 }
 
-// Put implements platform.Objects.
+// Put implements platform.ObjectStore.
 func (s memoryStore) Put(_ context.Context, name string, body []byte) error {
 	s[name] = body
 	return nil
