--- a/version/loading/digests.go
+++ b/version/loading/digests.go
@@ -25,8 +25,8 @@
 	digestRequestTimeout = 1500 * time.Millisecond
 	// maxDigestResponseBytes bounds the response to such a request.
 	maxDigestResponseBytes = 1 << 20
-	// maxDigestRequests is the number of agents that are tried before the
-	// origin.
+	// maxDigestRequests is the maximum number of agents that are tried before
+	// the origin.
 	maxDigestRequests = 2
 )
 
@@ -47,7 +47,7 @@
 	version int
 }
 
-// find returns the digests of a version from another agent or from the origin.
+// find returns the digests of a version, read from another agent or the origin.
 func (f *digestFinder) find(ctx context.Context, w WantedVersion, t Target) ([]core.Digest, error) {
 	requests := 0
 	for _, peer := range sortedByHash(w, t.Agents) {
--- a/version/loading/loader.go
+++ b/version/loading/loader.go
@@ -21,8 +21,8 @@
 	// the server's report; reads are cheap, as both run on the same machine.
 	idlePollInterval    = 400 * time.Millisecond
 	loadingPollInterval = 40 * time.Millisecond
-	// loadNoticeTime is the time between publishing a load and ordering it,
-	// in which entry instances learn of the load.
+	// loadNoticeTime is the time between publishing a load and ordering it, in
+	// which entry instances receive the notice.
 	loadNoticeTime = 30 * time.Millisecond
 	// settleTime is how long the number of agents must have stayed the same
 	// before an agent that has just started fetches chunks, and maxSettleTime
@@ -45,8 +45,9 @@
 	Token string
 	// Server is the backend server beside the agent.
 	Server Server
-	// Origin is the remote store of the weights; Pieces lets the swarm read it.
-	Origin       Origin
+	// Origin is the remote store of the weights.
+	Origin Origin
+	// OriginChunks gives the swarm read access to Origin.
 	OriginChunks *OriginChunks
 	// Swarm fetches chunks from other agents and the origin, and stores them.
 	Swarm *spread.Swarm
@@ -183,7 +184,8 @@
 	}
 }
 
-// reconcile takes the due steps for all models and returns the pause after them.
+// reconcile carries out the next steps for all models. It returns the pause before
+// the next report is read.
 func (l *Loader) reconcile(ctx context.Context, r Report) time.Duration {
 	pause := idlePollInterval
 	for model := range l.currentTarget().Wanted {
@@ -193,7 +195,7 @@
 }
 
 // DeclaredVersions returns every version whose declaration this agent has received.
-// Entry instances that restart learn the declaration times from this list.
+// Entry instances that restart obtain the declaration times from this list.
 func (l *Loader) DeclaredVersions() []WantedVersion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,7 +212,8 @@
 	return l.target
 }
 
-// reconcileModel takes the due steps for a model and returns the pause after them.
+// reconcileModel carries out the next steps for a model. It returns the pause before
+// the next report is read.
 func (l *Loader) reconcileModel(ctx context.Context, model string, r Report) time.Duration {
 	held := r.Weights[model]
 	if wait := l.settleWait(); wait > 0 {
@@ -398,10 +401,10 @@
 	return err
 }
 
-// ChunkSources returns the agents among which the chunks are divided. An agent needs
-// the same list as the others even before it starts to fetch: without the list,
-// an agent that receives a request for a chunk would consider itself the owner
-// of the chunk and read it from the origin.
+// ChunkSources returns the agents among which the chunks are divided. Every agent
+// needs the same list even before it starts to fetch: an agent without the list
+// that receives a request for a chunk would assume that it owns the chunk, and
+// read it from the origin.
 func (l *Loader) ChunkSources() []spread.Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -410,8 +413,8 @@
 
 // retainedManifests returns the manifests of the versions that the store keeps:
 // for each model the newest version, and the older ones that are newer than the
-// version that the server holds. No agent needs the other versions any more;
-// they are marked as not fetched.
+// version that the server holds. No agent needs the other versions any more, and
+// retainedManifests marks them as not fetched.
 func (l *Loader) retainedManifests() []*manifest.Manifest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -432,7 +435,8 @@
 	return keep
 }
 
-// stage stages the chunks of a version at the server unless it has done so before.
+// stage writes the chunks of a version to the server's staging area, unless all of
+// them are staged already.
 func (l *Loader) stage(ctx context.Context, w WantedVersion) error {
 	l.mu.Lock()
 	digests, alreadyStaged := l.digests[versionKey{w.Model, w.Version}], l.staged[w.Model] == w.Version
--- a/version/loading/loading.go
+++ b/version/loading/loading.go
@@ -15,7 +15,8 @@
 	Weights map[string]int
 	// Busy reports whether the server is carrying out a load order.
 	Busy bool
-	// AcceptedOrders counts the load orders that the server accepted since its start.
+	// AcceptedOrders counts the load orders that the server has accepted since
+	// its start.
 	AcceptedOrders int64
 	// Running and Queued count the requests that the server is executing and
 	// those that wait in its queue.
@@ -58,8 +59,8 @@
 	ChunkCount, ChunkBytes int
 }
 
-// Target holds the versions that the agent's server should hold and the places
-// that their chunks can be fetched from.
+// Target holds the versions that the agent's server should hold and the sources of
+// their chunks.
 type Target struct {
 	// Wanted maps each model to its wanted version.
 	Wanted map[string]WantedVersion
@@ -87,7 +88,8 @@
 	return t.Agents
 }
 
-// ServerState is the state of its server that an agent publishes to entry instances.
+// ServerState is the state of its server that an agent publishes to entry
+// instances.
 type ServerState struct {
 	// Weights maps each model to the version that the server serves.
 	Weights map[string]int
--- a/version/loading/originchunks.go
+++ b/version/loading/originchunks.go
@@ -16,17 +16,17 @@
 // version within about 100 ms of each other.
 const unknownChunkWait = 800 * time.Millisecond
 
-// OriginChunks gives a swarm read access to the chunks at the origin as objects that
-// are named by their digests. It implements platform.Objects, but Put always
-// fails.
+// OriginChunks gives a swarm read access to the chunks at the origin, as objects
+// whose names contain their digests. It implements platform.ObjectStore, but Put
+// always fails.
 type OriginChunks struct {
 	origin Origin
 
 	mu         sync.Mutex
 	originAddr string
-	// locations maps the name of an object to its place at the origin.
+	// locations maps the name of an object to its location at the origin.
 	locations map[string]chunkLocation
-	// readSlot is full while a chunk is being read.
+	// readSlot holds an element while a chunk is being read.
 	readSlot chan struct{}
 	// added is closed and replaced when chunks are added.
 	added chan struct{}
@@ -39,34 +39,34 @@
 	number int
 }
 
-// NewOriginChunks returns a Pieces without chunks.
+// NewOriginChunks returns an OriginChunks without chunks.
 func NewOriginChunks(origin Origin) *OriginChunks {
 	return &OriginChunks{origin: origin, locations: map[string]chunkLocation{}, readSlot: make(chan struct{}, 1), added: make(chan struct{})}
 }
 
 // AddVersion adds the chunks of a version and sets the address of the origin.
-func (p *OriginChunks) AddVersion(addr string, k versionKey, digests []core.Digest) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.originAddr = addr
+func (o *OriginChunks) AddVersion(addr string, k versionKey, digests []core.Digest) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.originAddr = addr
 	for i, d := range digests {
-		p.locations[manifest.ChunkName(d)] = chunkLocation{k, i}
+		o.locations[manifest.ChunkName(d)] = chunkLocation{k, i}
 	}
-	close(p.added)
-	p.added = make(chan struct{})
+	close(o.added)
+	o.added = make(chan struct{})
 }
 
 // locate returns the address of the origin and the location of an object there.
 // Another agent may request a chunk of a version before this agent has received
 // the declaration of the version, so locate waits up to unknownChunkWait.
-func (p *OriginChunks) locate(ctx context.Context, name string) (addr string, location chunkLocation, ok bool) {
+func (o *OriginChunks) locate(ctx context.Context, name string) (addr string, location chunkLocation, ok bool) {
 	timer := time.NewTimer(unknownChunkWait)
 	defer timer.Stop()
 	for {
-		p.mu.Lock()
-		addr, added := p.originAddr, p.added
-		location, ok = p.locations[name]
-		p.mu.Unlock()
+		o.mu.Lock()
+		addr, added := o.originAddr, o.added
+		location, ok = o.locations[name]
+		o.mu.Unlock()
 		if ok {
 			return addr, location, true
 		}
@@ -80,34 +80,34 @@
 	}
 }
 
-// Get implements platform.Objects. It ignores offset and length and returns the
+// Get implements platform.ObjectStore. It ignores offset and length and returns the
 // whole chunk.
-func (p *OriginChunks) Get(ctx context.Context, name string, _, _ int64) ([]byte, error) {
-	addr, location, ok := p.locate(ctx, name)
+func (o *OriginChunks) Get(ctx context.Context, name string, _, _ int64) ([]byte, error) {
+	addr, location, ok := o.locate(ctx, name)
 	if !ok || addr == "" {
 		return nil, core.WrapStep("find chunk", strings.TrimPrefix(name, "chunks/"), platform.ErrNotFound)
 	}
-	return p.read(ctx, addr, location)
+	return o.read(ctx, addr, location)
 }
 
-// originAttempts is how often a read of a chunk is attempted before Get fails
-// and other agents may try; the origin drops connections beyond its limit.
+// originAttempts is the number of attempts to read a chunk before Get fails and
+// other agents may try: the origin drops connections beyond its limit.
 const originAttempts = 3
 
 // read reads one chunk from the origin. Each agent reads one chunk at a time,
 // so that all agents together stay below the connection limit of the origin.
 // Parallel reads would not be faster, because the link of the origin is the
 // bottleneck.
-func (p *OriginChunks) read(ctx context.Context, addr string, location chunkLocation) ([]byte, error) {
+func (o *OriginChunks) read(ctx context.Context, addr string, location chunkLocation) ([]byte, error) {
 	select {
-	case p.readSlot <- struct{}{}:
-		defer func() { <-p.readSlot }()
+	case o.readSlot <- struct{}{}:
+		defer func() { <-o.readSlot }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	var lastErr error
 	for range originAttempts {
-		body, err := p.origin.Chunk(ctx, addr, location.model, location.version, location.number)
+		body, err := o.origin.Chunk(ctx, addr, location.model, location.version, location.number)
 		if err == nil || ctx.Err() != nil {
 			return body, err
 		}
@@ -116,6 +116,6 @@
 	return nil, lastErr
 }
 
-// Put implements platform.Objects. It always returns platform.ErrUnavailable,
+// Put implements platform.ObjectStore. It always returns platform.ErrUnavailable,
 // because the origin is read-only.
-func (p *OriginChunks) Put(context.Context, string, []byte) error { return platform.ErrUnavailable }
+func (o *OriginChunks) Put(context.Context, string, []byte) error { return platform.ErrUnavailable }
--- a/version/loading/rollingupdate.go
+++ b/version/loading/rollingupdate.go
@@ -10,10 +10,11 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// RollingUpdate schedules the rolling update of the servers to a new version. From its
-// load order until its running requests have ended and the weights are loaded,
+// RollingUpdate schedules the rolling update of the servers to a new version. From
+// its load order until its running requests have ended and the weights are loaded,
 // a server accepts no new requests. The loads are therefore spread over the time
-// in which the previous version may still be served, also under full load.
+// in which the previous version may still be served, so that the other servers can
+// handle the requests even under full load.
 type RollingUpdate struct {
 	// FirstAge is the age of a version at which the first server loads it, and
 	// LastAge the age at which the last server does.
@@ -27,15 +28,15 @@
 
 // LoadTime returns the time at which the server of agent self should load. declared
 // are the versions newer than the one that the server holds, oldest first. The
-// loads lie between the ages First and Last of the oldest of these versions. If
-// the newest version reaches the age First at least minUpdateWindow before the
-// last load, the loads start only then, so that the servers can load the newest
-// version instead. The order of the agents is the same on every agent and
-// differs between versions.
-func (t RollingUpdate) LoadTime(declared []WantedVersion, agents []spread.Peer, self string) time.Time {
+// servers load while the age of the oldest of these versions is between FirstAge
+// and LastAge. If the newest version reaches FirstAge at least minUpdateWindow
+// before the last load, the loads start only then, so that the servers can load
+// the newest version instead. The order of the agents is the same on every agent
+// and differs between versions.
+func (u RollingUpdate) LoadTime(declared []WantedVersion, agents []spread.Peer, self string) time.Time {
 	oldest, newest := declared[0], declared[len(declared)-1]
-	first, last := oldest.DeclaredAt.Add(t.FirstAge), oldest.DeclaredAt.Add(t.LastAge)
-	if newestFirst := newest.DeclaredAt.Add(t.FirstAge); newestFirst.After(first) && last.Sub(newestFirst) >= minUpdateWindow {
+	first, last := oldest.DeclaredAt.Add(u.FirstAge), oldest.DeclaredAt.Add(u.LastAge)
+	if newestFirst := newest.DeclaredAt.Add(u.FirstAge); newestFirst.After(first) && last.Sub(newestFirst) >= minUpdateWindow {
 		first = newestFirst
 	}
 	position := 0
@@ -49,7 +50,7 @@
 	return first.Add(time.Duration(position) * interval)
 }
 
-// orderHash returns the sort key of an agent in the order for a version.
+// orderHash returns the sort key of an agent in the order of agents for a version.
 func orderHash(w WantedVersion, agent string) uint64 {
 	return xxhash.Sum64String(w.Model + "/" + strconv.Itoa(w.Version) + "/" + agent)
 }
