--- a/version/spread/bandwidth.go
+++ b/version/spread/bandwidth.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// pieceBytes is the largest number of bytes transferred between two waits
-	// for a bandwidth limit.
-	pieceBytes = 16 << 10
+	// maxBytesPerWait is the largest number of bytes transferred between two
+	// waits for a bandwidth limit.
+	maxBytesPerWait = 16 << 10
 	// burstTime sets the burst size of a limit: the bytes that the limited rate
 	// allows in this time may be sent at once.
 	burstTime = 20 * time.Millisecond
 )
 
-// BandwidthLimiter is a token bucket that limits the bandwidth of one network link. A nil
-// BandwidthLimiter has no limit. Concurrent transfers that use the same BandwidthLimiter share its
-// bandwidth.
+// BandwidthLimiter is a token bucket that limits the bandwidth of one network link.
+// A nil BandwidthLimiter has no limit. Concurrent transfers that use the same
+// BandwidthLimiter share its bandwidth.
 type BandwidthLimiter struct {
 	limiter *rate.Limiter
 }
 
-// NewBandwidthLimiter returns a Link with a rate of bytesPerSecond. It returns nil, which
-// means no limit, if bytesPerSecond is 0 or less.
+// NewBandwidthLimiter returns a limiter with a rate of bytesPerSecond. It returns
+// nil, which means no limit, if bytesPerSecond is 0 or less.
 func NewBandwidthLimiter(bytesPerSecond int64) *BandwidthLimiter {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	burst := max(pieceBytes, int(float64(bytesPerSecond)*burstTime.Seconds()))
+	burst := max(maxBytesPerWait, int(float64(bytesPerSecond)*burstTime.Seconds()))
 	return &BandwidthLimiter{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
 }
 
@@ -40,29 +40,29 @@
 		return ctx.Err()
 	}
 	for n > 0 {
-		piece := min(n, pieceBytes)
-		if err := l.limiter.WaitN(ctx, int(piece)); err != nil {
+		part := min(n, maxBytesPerWait)
+		if err := l.limiter.WaitN(ctx, int(part)); err != nil {
 			return err
 		}
-		n -= piece
+		n -= part
 	}
 	return nil
 }
 
 // send writes body to w within limiter and returns the number of bytes written.
-// It returns an error when a write of up to pieceBytes takes longer than stall.
+// It returns an error when a write of up to maxBytesPerWait takes longer than stall.
 func send(ctx context.Context, w http.ResponseWriter, body []byte, limiter *BandwidthLimiter, stall time.Duration) (int, error) {
 	control := http.NewResponseController(w)
 	sent := 0
 	for sent < len(body) {
-		piece := body[sent:min(len(body), sent+pieceBytes)]
-		if err := limiter.Wait(ctx, int64(len(piece))); err != nil {
+		part := body[sent:min(len(body), sent+maxBytesPerWait)]
+		if err := limiter.Wait(ctx, int64(len(part))); err != nil {
 			return sent, err
 		}
 		if err := control.SetWriteDeadline(time.Now().Add(stall)); err != nil {
 			return sent, err
 		}
-		n, err := w.Write(piece)
+		n, err := w.Write(part)
 		sent += n
 		if err != nil {
 			return sent, err
--- a/version/spread/client.go
+++ b/version/spread/client.go
@@ -58,7 +58,7 @@
 	// from the owner in the region.
 	tierDataCentre
 	// tierRegion means that the owner in a region reads the origin, or with
-	// Config.OneOriginCopy requests the object from the owner among all agents.
+	// Config.ReadOriginOnce requests the object from the owner among all agents.
 	tierRegion
 	// tierFleet means that the owner among all agents reads the origin.
 	tierFleet
@@ -117,8 +117,8 @@
 	errPending = errors.New("object is not available yet")
 	// errMissing is returned when the peer neither holds nor fetches the object.
 	errMissing = errors.New("object is not held")
-	// errBusy is returned when the peer has no upload slot for the request and
-	// names other holders of the object.
+	// errBusy is returned when the peer has no upload slot for the request. The
+	// response lists other holders of the object.
 	errBusy = errors.New("busy")
 	// errPeerFailed is returned when the peer failed to fetch the object.
 	errPeerFailed = errors.New("peer failed to fetch the object")
@@ -132,7 +132,7 @@
 	// wait is how long the peer may hold the request open.
 	wait time.Duration
 	// waitForSlot makes the peer wait for a free upload slot and then send the
-	// object, instead of naming other holders.
+	// object, instead of listing other holders.
 	waitForSlot bool
 }
 
@@ -152,10 +152,10 @@
 	return &http.Client{Transport: transport, CheckRedirect: noRedirect}
 }
 
-// requestObject requests an object from the peer at addr once. If the peer
+// requestObject sends one request for an object to the peer at addr. If the peer
 // responds without the object, the error wraps errPending, errMissing, errBusy
-// or errPeerFailed. With errBusy it also returns the holders that the peer
-// named.
+// or errPeerFailed. With errBusy it also returns the holders that the response
+// lists.
 func (s *Swarm) requestObject(ctx context.Context, addr string, req peerRequest) (body []byte, holders []string, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -216,9 +216,9 @@
 	}
 	body := make([]byte, size)
 	for got := 0; got < len(body); {
-		piece := min(pieceBytes, len(body)-got)
+		limit := min(maxBytesPerWait, len(body)-got)
 		watchdog.Reset(s.cfg.StallTimeout)
-		n, err := io.ReadAtLeast(resp.Body, body[got:got+piece], 1)
+		n, err := io.ReadAtLeast(resp.Body, body[got:got+limit], 1)
 		if err != nil {
 			return nil, err
 		}
--- a/version/spread/faults_test.go
+++ b/version/spread/faults_test.go
@@ -23,10 +23,10 @@
 // when something fails.
 const maxFaultCopies = 1.3
 
-// shortTimeouts makes an agent detect stalls soon.
+// shortTimeouts makes an agent detect stalls within about a second.
 func shortTimeouts(_ int, c *Config) { c.AnswerMargin, c.StallTimeout = time.Second, time.Second }
 
-// wrapHandler replaces the agent's handler by h; next is the original handler.
+// wrapHandler replaces the agent's handler with h; next is the original handler.
 func (a *fakeAgent) wrapHandler(h func(next http.Handler, w http.ResponseWriter, r *http.Request)) {
 	next := a.server.Config.Handler
 	a.server.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { h(next, w, r) })
@@ -122,10 +122,10 @@
 			fetchAndCheck()
 		})
 		Convey("in transfers between agents, sometimes: they are requested again", func() {
-			var answers atomic.Int64
+			var responses atomic.Int64
 			for _, a := range agents {
 				a.wrapHandler(func(next http.Handler, w http.ResponseWriter, r *http.Request) {
-					if answers.Add(1)%corruptEvery == 0 {
+					if responses.Add(1)%corruptEvery == 0 {
 						w = &corruptingWriter{ResponseWriter: w}
 					}
 					next.ServeHTTP(w, r)
@@ -170,7 +170,7 @@
 	})
 }
 
-func TestDataCentreCutOffFromTheOrigin(t *testing.T) {
+func TestRegionCutOffFromTheOrigin(t *testing.T) {
 	Convey("Given a region whose agents cannot reach the origin", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
@@ -188,7 +188,7 @@
 	})
 }
 
-// cutOff is an origin that cannot be reached.
+// unreachableOrigin is an origin that cannot be reached.
 type unreachableOrigin struct{}
 
 func (unreachableOrigin) Get(context.Context, string, int64, int64) ([]byte, error) {
--- a/version/spread/fetcher.go
+++ b/version/spread/fetcher.go
@@ -51,7 +51,7 @@
 	DownloadBytesPerSecond int64
 	// RegionBytesPerSecond limits the bandwidth that transfers of weights to
 	// all agents of this region together may use on the link to other regions.
-	// 0 means that SetRegionBudget and SetRegionRate set the limit.
+	// 0 means that SetRegionBudget and SetRegionShare set the limit.
 	RegionBytesPerSecond int64
 	// OriginBytesPerSecond is the bandwidth of the weight store that all agents
 	// together may use. Each agent stays below this rate, and the due times of
@@ -63,8 +63,8 @@
 	// Otherwise each region reads the origin. Reading once suits an origin that
 	// is slower than the links between regions.
 	ReadOriginOnce bool
-	// MaxPeerFetches is the number of chunks owned by other agents that are fetched
-	// at once.
+	// MaxPeerFetches is the number of chunks owned by other agents that are
+	// fetched at once.
 	MaxPeerFetches int
 	// MaxOwnedFetches is the number of chunks owned by this agent that are
 	// fetched at once.
@@ -77,16 +77,18 @@
 	// Fanout is the number of peers to which an agent sends one chunk before
 	// it redirects further peers to them.
 	Fanout int
-	// MaxOwners is the number of agents that may act as the owner of a chunk: the
-	// owner itself, and the agents after it in the ranking if it fails.
+	// MaxOwners is the number of agents that may act as the owner of a chunk:
+	// the owner, and the agents after the owner in the ranking if the owner
+	// fails.
 	MaxOwners int
-	// LongPollTimeout is how long an agent keeps a peer's request open for a chunk that
-	// is still being fetched.
+	// LongPollTimeout is how long a peer should keep a request of this agent
+	// open for an object that the peer is still fetching.
 	LongPollTimeout time.Duration
-	// AnswerMargin is how much longer than Wait a response may take before
-	// the peer is suspected.
+	// AnswerMargin is how much longer a response may take than the request may
+	// be kept open, before the peer is suspected.
 	AnswerMargin time.Duration
-	// StallTimeout is how long a transfer may make no progress before it is aborted.
+	// StallTimeout is how long a transfer may make no progress before it is
+	// aborted.
 	StallTimeout time.Duration
 	// SuspectPeriod is how long a suspected peer is skipped.
 	SuspectPeriod time.Duration
--- a/version/spread/fetchobject.go
+++ b/version/spread/fetchobject.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// maxCorruptRetries is how often a request to one source is repeated after
-	// a response that did not match the digest.
+	// maxCorruptRetries is how often a request to one source is retried after a
+	// response that did not match the digest.
 	maxCorruptRetries = 2
 	// maxHoldersTried bounds the number of holders tried in one search.
 	maxHoldersTried = 12
 	// fastFailureTime is a delay that is too short to matter. If a request to
-	// an owner fails within this time, the agent tries the next owner, which is
-	// the same for all regions. If the owner does not respond for longer, the
-	// agent reads the origin.
+	// an owner fails within this time, or the owner reports that its own fetch
+	// failed, the agent tries the next owner, which is the same for all
+	// regions. If the owner does not respond for longer, the agent reads the
+	// origin.
 	fastFailureTime = 200 * time.Millisecond
 	// maxNeighbours is the number of other peers that are tried in one round
 	// while the origin cannot be read.
@@ -172,11 +173,11 @@
 }
 
 // fetchFromOwner fetches an object from the agent at addr, or from the holders
-// that this agent names. It repeats the request while the response is that the
-// object is still being fetched. If none of the holders delivers the object, the
-// agent at addr must send it.
+// that its response lists. It retries while the agent at addr is still fetching
+// the object. If no listed holder can send the object, the next request waits for
+// an upload slot of the agent at addr.
 func (s *Swarm) fetchFromOwner(ctx context.Context, addr string, o object, t tier) ([]byte, error) {
-	corruptAnswers, waitForSlot := 0, false
+	corruptResponses, waitForSlot := 0, false
 	for {
 		req := peerRequest{object: o, tier: t, wait: s.cfg.LongPollTimeout, waitForSlot: waitForSlot}
 		body, holders, err := s.fetchFromPeer(ctx, addr, req)
@@ -184,8 +185,8 @@
 		case err == nil:
 			return body, nil
 		case errors.Is(err, errPending):
-		case errors.Is(err, ErrCorrupt) && corruptAnswers < maxCorruptRetries:
-			corruptAnswers++
+		case errors.Is(err, ErrCorrupt) && corruptResponses < maxCorruptRetries:
+			corruptResponses++
 		case errors.Is(err, errBusy):
 			body, err := s.fetchFromHolders(ctx, holders, o)
 			if err == nil {
@@ -202,7 +203,7 @@
 }
 
 // fetchFromHolders fetches an object from a holder that sends it at once. A busy
-// holder names the peers to which it sent the object, and the search continues
+// holder lists the peers to which it sent the object, and the search continues
 // with them. If every holder that was tried is busy, fetchFromHolders waits for
 // an upload slot of one of them. It returns errBusy if this wait takes too long,
 // and another error if no holder can send the object.
@@ -251,14 +252,14 @@
 		s.clearSuspicion(addr)
 		return body, nil, nil
 	}
-	if ctx.Err() == nil && !peerAnswered(err) {
+	if ctx.Err() == nil && !peerResponded(err) {
 		s.markSuspect(addr, err)
 	}
 	return nil, holders, err
 }
 
-// peerAnswered reports whether err shows that the peer responded.
-func peerAnswered(err error) bool {
+// peerResponded reports whether err shows that the peer responded.
+func peerResponded(err error) bool {
 	for _, known := range []error{errPending, errMissing, errBusy, errPeerFailed, ErrCorrupt, ErrFull} {
 		if errors.Is(err, known) {
 			return true
@@ -308,7 +309,7 @@
 	if errors.Is(lastErr, ErrFull) || ctx.Err() != nil {
 		return nil, lastErr
 	}
-	s.noteOriginFailure()
+	s.recordOriginFailure()
 	s.log.EventWithError(eventOriginUnavailable, lastErr, eventlog.Fields{"version": o.version, "chunk": o.digest})
 	if body, err := s.fetchFromNeighbours(ctx, o); err == nil {
 		return body, nil
--- a/version/spread/holders.go
+++ b/version/spread/holders.go
@@ -9,8 +9,8 @@
 const (
 	// maxHolders bounds the number of holders recorded for one object.
 	maxHolders = 64
-	// maxNamedHolders bounds the number of holders that a redirect names.
-	maxNamedHolders = 3
+	// maxListedHolders bounds the number of holders that a redirect lists.
+	maxListedHolders = 3
 	// maxStaleLists is how many holder lists may exist beyond the number of
 	// held objects before the lists of dropped objects are removed.
 	maxStaleLists = 1024
@@ -94,7 +94,7 @@
 	}
 }
 
-// nearbyHolders returns the addresses of at most maxNamedHolders holders in p's
+// nearbyHolders returns the addresses of at most maxListedHolders holders in p's
 // data centre or, if there are none, in p's region, in random order. It leaves
 // out p itself.
 func (l *holderList) nearbyHolders(p holder) []string {
@@ -112,5 +112,5 @@
 		nearest = inRegion
 	}
 	rand.Shuffle(len(nearest), func(i, j int) { nearest[i], nearest[j] = nearest[j], nearest[i] })
-	return nearest[:min(len(nearest), maxNamedHolders)]
+	return nearest[:min(len(nearest), maxListedHolders)]
 }
--- a/version/spread/originoutage.go
+++ b/version/spread/originoutage.go
@@ -26,8 +26,8 @@
 // other owners request the object from an owner that is reading it, and wait for
 // this read.
 
-// noteOriginFailure records the time of a failed read of the origin.
-func (s *Swarm) noteOriginFailure() {
+// recordOriginFailure records the time of a failed read of the origin.
+func (s *Swarm) recordOriginFailure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastOriginFailure = s.clock.Now()
--- a/version/spread/peers.go
+++ b/version/spread/peers.go
@@ -38,11 +38,11 @@
 }
 
 // ownerCandidates returns the agents that may own an object: the first
-// Config.Owners agents in the order of the ranking that satisfy include and are
+// Config.MaxOwners agents in the order of the ranking that satisfy include and are
 // not suspected.
 func (s *Swarm) ownerCandidates(o object, include func(Peer) bool) []Peer {
-	trusted := func(p Peer) bool { return include(p) && !s.isSuspected(p.Addr) }
-	return s.ranking(o.version).top(o.digest, s.cfg.MaxOwners, trusted)
+	eligible := func(p Peer) bool { return include(p) && !s.isSuspected(p.Addr) }
+	return s.ranking(o.version).top(o.digest, s.cfg.MaxOwners, eligible)
 }
 
 // isSuspected reports whether the peer at addr is currently suspected, and
@@ -58,7 +58,7 @@
 	return ok
 }
 
-// markSuspect marks the peer at addr as suspected for Config.Suspect.
+// markSuspect marks the peer at addr as suspected for Config.SuspectPeriod.
 func (s *Swarm) markSuspect(addr string, err error) {
 	s.mu.Lock()
 	_, already := s.suspects[addr]
--- a/version/spread/rank.go
+++ b/version/spread/rank.go
@@ -10,7 +10,7 @@
 
 // ranking orders peers for each object by rendezvous hashing. Every agent with
 // the same list of peers computes the same order. When a peer joins or leaves,
-// only the objects that it owns get another owner.
+// only the objects that this peer owns get another owner.
 type ranking struct {
 	peers []Peer
 	// seeds holds the hash of each peer's identifier, in the order of peers.
--- a/version/spread/readoriginonce_test.go
+++ b/version/spread/readoriginonce_test.go
@@ -12,13 +12,13 @@
 )
 
 func TestFetchReadsTheOriginOnceForAllRegions(t *testing.T) {
-	oneCopy := func(_ int, c *Config) { c.ReadOriginOnce = true }
+	readOnce := func(_ int, c *Config) { c.ReadOriginOnce = true }
 	dataCentres := []string{"r1/a", "r2/b", "r3/c"}
 
 	Convey("Given twelve agents in three regions that start to fetch together", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
-		agents := startAgents(t, 12, origin, dataCentres, oneCopy)
+		agents := startAgents(t, 12, origin, dataCentres, readOnce)
 		So(fetchAll(agents, d), ShouldBeNil)
 		So(allHold(agents, m), ShouldBeTrue)
 		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
@@ -27,7 +27,7 @@
 	Convey("Given agents that receive requests for chunks before they start to fetch", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
-		agents := startAgents(t, 12, origin, dataCentres, oneCopy)
+		agents := startAgents(t, 12, origin, dataCentres, readOnce)
 		first := make(chan error, 1)
 		go func() { first <- fetchWithView(agents[:6], agents, d) }()
 		<-time.After(50 * time.Millisecond)
@@ -40,7 +40,7 @@
 	Convey("Given an owner that has stopped, the others still fetch the whole version", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
-		agents := startAgents(t, 12, origin, dataCentres, oneCopy)
+		agents := startAgents(t, 12, origin, dataCentres, readOnce)
 		agents[0].stop()
 		So(fetchWithView(agents[1:], agents, d), ShouldBeNil)
 		So(allHold(agents[1:], m), ShouldBeTrue)
@@ -60,7 +60,7 @@
 			<-time.After(5 * time.Millisecond)
 			return body, nil
 		}
-		agents := startAgents(t, 24, origin, dataCentres, oneCopy)
+		agents := startAgents(t, 24, origin, dataCentres, readOnce)
 		So(fetchAll(agents, d), ShouldBeNil)
 		So(allHold(agents, m), ShouldBeTrue)
 		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.25)
--- a/version/spread/region.go
+++ b/version/spread/region.go
@@ -37,7 +37,7 @@
 // newRegionLimiter returns a regionLimiter without a limit.
 func newRegionLimiter() *regionLimiter {
 	return &regionLimiter{
-		BandwidthLimiter: &BandwidthLimiter{limiter: rate.NewLimiter(rate.Inf, pieceBytes)},
+		BandwidthLimiter: &BandwidthLimiter{limiter: rate.NewLimiter(rate.Inf, maxBytesPerWait)},
 		owned:            map[core.Digest]ownedChunks{},
 	}
 }
@@ -55,7 +55,7 @@
 	}
 	// A whole owned chunk may be read at once, since the due times spread the
 	// reads of the chunks over time.
-	r.limiter.SetBurst(int(max(pieceBytes, sum.largest)))
+	r.limiter.SetBurst(int(max(maxBytesPerWait, sum.largest)))
 	r.limiter.SetLimit(r.currentLimit(sum))
 }
 
--- a/version/spread/spread.go
+++ b/version/spread/spread.go
@@ -1,6 +1,7 @@
 // Package spread distributes the chunks of a version to the agents that need
-// it, peer to peer. One owner per region reads each chunk from the origin, and
-// the other agents fetch the chunk from any agent that holds it.
+// it, peer to peer. For each chunk, one owner per region, or one owner for all
+// regions with Config.ReadOriginOnce, reads the origin. The other agents fetch the
+// chunk from any agent that holds it.
 package spread
 
 import (
--- a/version/spread/store.go
+++ b/version/spread/store.go
@@ -27,8 +27,8 @@
 	mu     sync.Mutex
 	bytes  int64
 	bodies map[core.Digest][]byte
-	// arrivals holds the channels that Arrival returned for objects that are
-	// not held yet. A channel is closed when its object is stored.
+	// arrivals holds the channels that ArrivalChannel returned for objects that
+	// are not held yet. A channel is closed when its object is stored.
 	arrivals map[core.Digest]chan struct{}
 }
 
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// ArrivalChannel returns a channel that is closed once the object with digest d is
-// held.
+// ArrivalChannel returns a channel that is closed once the object with digest d
+// is held.
 func (s *MemStore) ArrivalChannel(d core.Digest) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
