--- a/version/confstore/confstore_test.go
+++ b/version/confstore/confstore_test.go
@@ -184,7 +184,7 @@
 	})
 }
 
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	Convey("Given a table whose responses are lost", t, func() {
 		p := newPlatform(t)
 		table := &faultyTable{Table: p.Table}
@@ -205,7 +205,7 @@
 			So(s.Number, ShouldEqual, 1)
 			So(countHistoryRows(p), ShouldEqual, 1)
 		})
-		Convey("a change fails if its outcome stays unknown, and creates one row when it is repeated", func() {
+		Convey("a change fails if its outcome stays unknown, and creates one row when it is retried", func() {
 			table.dropCommits = maxAttempts
 			_, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldWrap, platform.ErrUnknownOutcome)
--- a/version/confstore/encoded.go
+++ b/version/confstore/encoded.go
@@ -12,13 +12,13 @@
 	// ErrPeerUpToDate is returned when the peer already has the current
 	// version.
 	ErrPeerUpToDate = errors.New("peer already has the current version")
-	// ErrBaseMismatch is returned when the base of a delta is not the current version
-	// here; the full configuration must be requested instead.
+	// ErrBaseMismatch is returned when the base of a delta is not the current
+	// version of the receiver, which must then request the full configuration.
 	ErrBaseMismatch = errors.New("base of the delta is not the current version")
 )
 
 // EncodedVersion is an encoded configuration to be sent to a peer: either the full
-// configuration, or a delta from the version Base.
+// configuration, or a delta from the version whose number is Base.
 type EncodedVersion struct {
 	// Number is the version number of the configuration.
 	Number uint64
@@ -34,7 +34,7 @@
 
 // EncodeForPeer returns the current version encoded for a peer that has peerVersion:
 // a delta when h still keeps peerVersion, otherwise the full configuration. It
-// returns ErrNothingNewer when peerVersion is not older than the current version.
+// returns ErrPeerUpToDate when peerVersion is not older than the current version.
 // Encodings are cached until the next version, so that the same encoding is not
 // computed again for each peer.
 func EncodeForPeer(h *Holder, peerVersion uint64) (EncodedVersion, error) {
@@ -105,8 +105,8 @@
 }
 
 // OfferEncoded checks a configuration from a peer and makes it the current version
-// of h when it is newer. It returns ErrBase when the caller must request the full
-// configuration.
+// of h when it is newer. It returns ErrBaseMismatch when the caller must request
+// the full configuration.
 func OfferEncoded(h *Holder, e EncodedVersion) error {
 	current := h.Current()
 	if e.Number <= current.Number {
--- a/version/confstore/errors.go
+++ b/version/confstore/errors.go
@@ -11,8 +11,8 @@
 
 // Errors of a Publisher.
 var (
-	// ErrChangeIDReused is returned when the change id was already used for another
-	// change.
+	// ErrChangeIDReused is returned when the change id was already used for
+	// another change.
 	ErrChangeIDReused = errors.New("change id was used for another change")
 	// ErrVersionNotFound is returned when a version does not exist, or when the
 	// history no longer keeps it.
@@ -20,8 +20,8 @@
 	// ErrUnchanged is returned when the set equals the newest version, so that
 	// no new version is created.
 	ErrUnchanged = errors.New("nothing differs from the version in force")
-	// ErrInvalidChange is returned when the author, reason or change id of a change is
-	// missing, too long or not UTF-8.
+	// ErrInvalidChange is returned when the author, reason or change id of a
+	// change is missing, too long or not UTF-8.
 	ErrInvalidChange = errors.New("bad change")
 )
 
--- a/version/confstore/follower.go
+++ b/version/confstore/follower.go
@@ -20,10 +20,10 @@
 	// defaultPollInterval is the time between two reads of the head row.
 	defaultPollInterval = time.Second
 	// pollJitter is the maximum random change of the poll interval, as a share
-	// of it. It spreads the reads of many instances over time.
+	// of the interval. It spreads the reads of many instances over time.
 	pollJitter = 0.1
-	// maxDeltas is the maximum number of deltas read to catch up; a process
-	// further behind reads the full snapshot.
+	// maxDeltas is the maximum number of deltas read at once; a process that is
+	// more versions behind reads the full snapshot.
 	maxDeltas = 16
 )
 
@@ -31,13 +31,13 @@
 	eventFetched = eventlog.Define(201, "configuration-fetched", logrus.InfoLevel,
 		"A newer configuration was read from the platform and took effect in this process.")
 	eventFetchFailed = eventlog.Define(202, "configuration-fetch-failed", logrus.ErrorLevel,
-		"The platform has a newer configuration that could not be read or failed its check; the current one stays in effect.")
+		"The platform has a newer configuration that could not be read or failed its check; the current configuration stays in effect.")
 	eventPlatformLost = eventlog.Define(203, "configuration-platform-lost", logrus.WarnLevel,
 		"The platform's table does not respond; the process continues with the current configuration and with newer ones from its peers.")
 	eventPlatformBack = eventlog.Define(204, "configuration-platform-back", logrus.InfoLevel,
 		"The platform's table responds again.")
 	eventPlatformBehind = eventlog.Define(205, "configuration-platform-behind", logrus.ErrorLevel,
-		"The platform's newest configuration is older than the current one of this process, or has the same number and another digest; the process keeps its current one.")
+		"The platform's newest configuration is older than the current one of this process, or has the same number and another digest; the process keeps its current configuration.")
 )
 
 // FollowerConfig configures a Follower.
@@ -67,7 +67,8 @@
 	platformLost bool
 }
 
-// NewFollower returns a Follower that does nothing until Run is called.
+// NewFollower returns a Follower that offers new versions to holder. Run starts the
+// polling.
 func NewFollower(config FollowerConfig, table platform.Table, objects platform.ObjectStore, holder *Holder, log *eventlog.Logger, clock clockwork.Clock) *Follower {
 	config.applyDefaults()
 	return &Follower{config: config, table: table, objects: objects, holder: holder, log: log, clock: clock}
--- a/version/confstore/history.go
+++ b/version/confstore/history.go
@@ -13,7 +13,8 @@
 // historyPageRows is the maximum number of history rows read in one call.
 const historyPageRows = 100
 
-// maxPrunedPerChange is the maximum number of old versions removed after one change.
+// maxPrunedPerChange is the maximum number of old versions removed after one
+// change.
 const maxPrunedPerChange = 4
 
 // Deleter is implemented by object stores that can delete objects.
@@ -54,8 +55,8 @@
 	return rec.HistoryEntry, err
 }
 
-// readRecord reads the history row of one version. It returns ErrNoVersion when
-// there is none.
+// readRecord reads the history row of one version. It returns ErrVersionNotFound
+// when there is none.
 func (p *Publisher) readRecord(ctx context.Context, number uint64) (record, error) {
 	key := historyKey(number)
 	row, err := p.table.Get(ctx, key, 0)
@@ -149,8 +150,8 @@
 }
 
 // loadSnapshot reads the snapshot of an entry from objects and checks its digest.
-// It returns ErrNoVersion when the object does not exist, and ErrIntegrity when it
-// is damaged.
+// It returns ErrVersionNotFound when the object does not exist, and ErrIntegrity
+// when the object is damaged.
 func loadSnapshot(ctx context.Context, objects platform.ObjectStore, e HistoryEntry) (*declare.Snapshot, error) {
 	if e.Number == 0 {
 		return &declare.Snapshot{Set: declare.NewSet()}, nil
@@ -215,7 +216,7 @@
 
 // editOnce makes one attempt at an edit. If the change id already has a version,
 // editOnce returns that version, provided that edit changes nothing in it;
-// otherwise it returns ErrChangeID.
+// otherwise it returns ErrChangeIDReused.
 func (p *Publisher) editOnce(ctx context.Context, c Change, edit func(*declare.Set) error) (*declare.Snapshot, error) {
 	base, err := p.findChange(ctx, c.ChangeID)
 	alreadyApplied := err == nil
@@ -244,8 +245,8 @@
 }
 
 // prune removes the oldest versions while there are more than HistoryLimit, at most
-// maxPrunedPerChange of them. It stops at the first error; the next change tries
-// again.
+// maxPrunedPerChange of them. It stops at the first error; the rest is removed
+// after a later change.
 func (p *Publisher) prune(ctx context.Context, newest uint64) {
 	if newest <= p.HistoryLimit {
 		return
--- a/version/confstore/history_test.go
+++ b/version/confstore/history_test.go
@@ -78,7 +78,7 @@
 	names map[string]bool
 }
 
-// Put implements platform.Objects.
+// Put implements platform.ObjectStore.
 func (o *trackedObjects) Put(ctx context.Context, name string, body []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/version/confstore/holder.go
+++ b/version/confstore/holder.go
@@ -1,6 +1,6 @@
 // Package confstore publishes versions of the configuration through the
 // platform's table and object store, and keeps their history. In each process a
-// Follower reads new versions, and a Holder has the current one.
+// Follower reads new versions, and a Holder holds the current version.
 package confstore
 
 import (
@@ -21,7 +21,7 @@
 // peers a few versions behind get a delta instead of the full configuration.
 const recentSnapshots = 8
 
-// Holder has the current configuration of this process. Its version number never
+// Holder holds the current configuration of this process. Its version number never
 // decreases. It is safe for concurrent use.
 type Holder struct {
 	clock clockwork.Clock
@@ -116,8 +116,8 @@
 	}
 }
 
-// ConfirmationAge returns the time since the last confirmation of the current version, and
-// false if there has been none.
+// ConfirmationAge returns the time since the last confirmation of the current
+// version, and false if there has been none.
 func (h *Holder) ConfirmationAge() (time.Duration, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
--- a/version/confstore/publisher.go
+++ b/version/confstore/publisher.go
@@ -41,8 +41,9 @@
 	Set *declare.Set
 }
 
-// validate returns ErrChange when the author, reason or change id is missing, too
-// long or not UTF-8: the history must show who made each change and why.
+// validate returns ErrInvalidChange when the author, reason or change id is
+// missing, too long or not UTF-8: the history must show who made each change and
+// why.
 func (c Change) validate() error {
 	for _, f := range []struct {
 		name, value string
@@ -84,10 +85,10 @@
 }
 
 // Apply checks a change and creates the next version from it. Its errors are
-// *declare.InvalidError, *ConflictError, ErrUnchanged, ErrChangeID, ErrChange,
-// ErrNoVersion, ErrIntegrity and those of package platform. After
-// platform.ErrUnknownOutcome the caller may repeat the change with the same change
-// id.
+// *declare.InvalidError, *ConflictError, ErrUnchanged, ErrChangeIDReused,
+// ErrInvalidChange, ErrVersionNotFound, ErrIntegrity and those of package platform.
+// After platform.ErrUnknownOutcome the caller may retry the change with the same
+// change id.
 func (p *Publisher) Apply(ctx context.Context, c Change) (*declare.Snapshot, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -211,7 +212,8 @@
 }
 
 // findApplied returns the version that was created with this change's id, or nil
-// when there is none. It returns ErrChangeID when that version has another set.
+// when there is none. It returns ErrChangeIDReused when that version has another
+// set.
 func (e *encodedChange) findApplied(ctx context.Context) (*declare.Snapshot, error) {
 	entry, err := e.publisher.findChange(ctx, e.change.ChangeID)
 	if errors.Is(err, platform.ErrNotFound) {
--- a/version/confstore/records.go
+++ b/version/confstore/records.go
@@ -52,7 +52,7 @@
 	Author string `json:"author"`
 	// Reason is the operator's reason for the change.
 	Reason string `json:"reason"`
-	// ChangeID identifies the change in repeated attempts to apply it.
+	// ChangeID identifies the change; retries of the change have the same id.
 	ChangeID string `json:"changeId"`
 	// Time is when the version was accepted, in UTC.
 	Time time.Time `json:"time"`
@@ -60,7 +60,7 @@
 	Changes int `json:"changes"`
 }
 
-// record is the stored form of an Entry, with a delta and a checksum.
+// record is the stored form of a HistoryEntry, with a delta and a checksum.
 type record struct {
 	HistoryEntry
 	// Delta is the encoded delta from the previous version; empty when it is
