--- a/version/declare/collection.go
+++ b/version/declare/collection.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// collections lists the collections of all kinds, in the order in which Documents
+// collections lists the collections of all kinds, in the order in which EncodeYAML
 // writes them.
 var collections = []collection{
 	collectionOf(KindRegion, func(s *Set) *map[string]*Region { return &s.Regions }),
--- a/version/declare/delta.go
+++ b/version/declare/delta.go
@@ -25,8 +25,7 @@
 	Services       map[string]*Service       `cbor:"7,keyasint,omitempty"`
 }
 
-// EncodeDelta returns the encoded difference that ApplyDelta needs to turn old
-// into new.
+// EncodeDelta returns the encoded delta with which ApplyDelta turns old into new.
 func EncodeDelta(old, new *Set) ([]byte, error) {
 	put := NewSet()
 	remove := map[Kind][]string{}
@@ -45,9 +44,9 @@
 	return body, nil
 }
 
-// ApplyDelta applies an encoded difference to old and returns the resulting set,
-// without changing old. It returns ErrDigest if the result does not have the
-// digest want.
+// ApplyDelta applies an encoded delta to old and returns the resulting set,
+// without changing old. It returns ErrDigestMismatch if the result does not have
+// the digest want.
 func ApplyDelta(old *Set, body []byte, want core.Digest) (*Set, error) {
 	if len(body) > MaxEncodedBytes {
 		return nil, errors.Errorf("apply difference: %d bytes, more than %d", len(body), MaxEncodedBytes)
--- a/version/declare/encode.go
+++ b/version/declare/encode.go
@@ -12,7 +12,7 @@
 )
 
 // MaxEncodedBytes is the size of the largest encoding that Decode and ApplyDelta
-// accept.
+// accept, in bytes.
 const MaxEncodedBytes = 8 << 20
 
 // ErrDigestMismatch is returned when content does not have the expected digest.
@@ -59,8 +59,8 @@
 	return body, core.DigestOf(body), nil
 }
 
-// Decode verifies that body has the digest want and decodes it. It returns
-// ErrDigest if the digest differs.
+// Decode verifies that body has the digest want and decodes body. It returns
+// ErrDigestMismatch if the digest differs.
 func Decode(body []byte, want core.Digest) (*Set, error) {
 	if len(body) > MaxEncodedBytes {
 		return nil, errors.Errorf("decode declarations: %d bytes, more than %d", len(body), MaxEncodedBytes)
--- a/version/declare/objects.go
+++ b/version/declare/objects.go
@@ -45,8 +45,8 @@
 	Model string `yaml:"model" json:"model"`
 	// Manifest is the digest of the manifest, as printed by `rattanway publish`.
 	Manifest core.Digest `yaml:"manifest" json:"manifest"`
-	// Base is the name of the Version that the version is an adapter for; empty
-	// if it is not an adapter.
+	// Base is the name of the Version to which this version is an adapter;
+	// empty if this version is not an adapter.
 	Base string `yaml:"base,omitempty" json:"base,omitempty"`
 }
 
@@ -80,8 +80,8 @@
 	Name string `yaml:"name" json:"name"`
 	// KeyHash is the digest of the account's secret key.
 	KeyHash core.Digest `yaml:"keyHash" json:"keyHash"`
-	// Share is the account's relative weight when capacity is divided under
-	// overload; 0 means 1.
+	// Share is the account's relative weight when capacity is divided among
+	// the accounts under overload; 0 means 1.
 	Share int `yaml:"share,omitempty" json:"share,omitempty"`
 	// MaxInFlight is the maximum number of concurrent calls of the account
 	// through one entry instance; 0 means no limit.
--- a/version/declare/parse.go
+++ b/version/declare/parse.go
@@ -18,9 +18,9 @@
 
 // Limits on the input of Parse and on its output.
 const (
-	// MaxFileBytes is the maximum size of a file.
+	// MaxFileBytes is the maximum size of a file, in bytes.
 	MaxFileBytes = 1 << 20
-	// MaxTotalBytes is the maximum size of all files together.
+	// MaxTotalBytes is the maximum size of all files together, in bytes.
 	MaxTotalBytes = 8 << 20
 	// MaxFiles is the maximum number of files that ReadFolder reads.
 	MaxFiles = 2000
@@ -32,7 +32,7 @@
 
 // File is one file of declarations.
 type File struct {
-	// Name is the file's path, which problems are reported with.
+	// Name is the file's path, as reported in problems.
 	Name string `json:"name"`
 	// Body is the YAML text.
 	Body []byte `json:"body"`
@@ -126,7 +126,7 @@
 	return p.parsed, p.problems
 }
 
-// Check parses files and, if that finds no problem, validates the set.
+// Check parses files and, if Parse returns no problem, validates the set.
 func Check(files []File) (ParseResult, []Problem) {
 	parsed, problems := Parse(files)
 	if len(problems) > 0 {
--- a/version/declare/parse_test.go
+++ b/version/declare/parse_test.go
@@ -177,7 +177,7 @@
 				"remove BackendServer lots-1",
 			})
 		})
-		Convey("applying the difference to the old set gives the new set", func() {
+		Convey("applying the delta to the old set gives the new set", func() {
 			body, err := EncodeDelta(old, changed)
 			So(err, ShouldBeNil)
 			got, err := ApplyDelta(old, body, want)
@@ -185,7 +185,7 @@
 			So(Diff(got, changed), ShouldBeEmpty)
 			So(old.DataCentres["trapani"].Out, ShouldBeFalse)
 		})
-		Convey("a difference applied to another set is refused", func() {
+		Convey("a delta applied to another set is refused", func() {
 			body, err := EncodeDelta(old, changed)
 			So(err, ShouldBeNil)
 			other := old.Clone()
@@ -214,10 +214,10 @@
 		So(changed.SetBackendServerLeaving("gpu-0300", true), ShouldBeNil)
 		delta, err := EncodeDelta(set, changed)
 		So(err, ShouldBeNil)
-		whole, _, err := Encode(changed)
+		full, _, err := Encode(changed)
 		So(err, ShouldBeNil)
-		Convey("the encoded change of one server is smaller than a kilobyte", func() {
-			t.Logf("difference %d bytes, whole %d bytes", len(delta), len(whole))
+		Convey("the delta of a change to one server is smaller than 1 KiB", func() {
+			t.Logf("delta %d bytes, full encoding %d bytes", len(delta), len(full))
 			So(len(delta), ShouldBeLessThan, 1024)
 		})
 	})
--- a/version/declare/problem.go
+++ b/version/declare/problem.go
@@ -12,13 +12,13 @@
 	File string `json:"file,omitempty"`
 	// Line is the line number, counted from 1; 0 if unknown.
 	Line int `json:"line,omitempty"`
-	// Kind is the object's kind; empty if it could not be read.
+	// Kind is the object's kind; empty if the kind could not be read.
 	Kind Kind `json:"kind,omitempty"`
-	// Name is the object's name; empty if it could not be read.
+	// Name is the object's name; empty if the name could not be read.
 	Name string `json:"name,omitempty"`
 	// Field is the field's name in the document.
 	Field string `json:"field,omitempty"`
-	// Message is the message: the fault and the expected value.
+	// Message describes the fault and the expected value.
 	Message string `json:"why"`
 }
 
--- a/version/declare/validate.go
+++ b/version/declare/validate.go
@@ -286,8 +286,9 @@
 
 // checkCapacity checks that the servers can hold all replicas of the models, and
 // that no account may have more concurrent calls than the servers can run.
-// Servers that are leaving or whose data centre is out count as available, so that
-// a drain is never refused because it reduces the capacity temporarily.
+// Servers that are leaving or whose data centre is out of service count as
+// available, so that a drain is never refused because of the capacity that it
+// takes away temporarily.
 func (v *validator) checkCapacity() {
 	replicas, slots, totalLimit := 0, 0, 0
 	for _, b := range v.set.BackendServers {
