--- a/version/catalog/events.go
+++ b/version/catalog/events.go
@@ -26,5 +26,5 @@
 	eventHistoryLost = eventlog.Define(228, "store-history-lost", logrus.InfoLevel,
 		"The store no longer keeps all changes since the last revision that was read; the whole table is read again.")
 	eventTableFromPeer = eventlog.Define(229, "catalog-relayed", logrus.InfoLevel,
-		"A newer copy of a table was taken over from another entry instance.")
+		"A newer copy of a table was adopted from another entry instance.")
 )
--- a/version/catalog/follower_test.go
+++ b/version/catalog/follower_test.go
@@ -182,7 +182,7 @@
 		So(clock.Since(restoredAt), ShouldBeLessThanOrEqualTo, missingGrace+10*time.Millisecond)
 	})
 
-	Convey("A newer table from another entry instance is taken over, an older one is not", t, func() {
+	Convey("A newer table from another entry instance is adopted, an older table is not", t, func() {
 		f, source, _ := newFollower(TableServers)
 		pollAll(f, source, response{rows: []Row{newRow("a", "ready", 3)}, rev: 9}, response{err: errDown})
 		f.AdoptIfNewer(TableContent{Rows: []Row{newRow("b", "ready", 2)}, ChangeRevision: 2, ReadRevision: 30}, "peer")
--- a/version/catalog/weights_test.go
+++ b/version/catalog/weights_test.go
@@ -27,7 +27,7 @@
 }
 
 // A process can only estimate when the versions before its start were declared,
-// until other processes report when they learned of them.
+// until other processes report when they received the declarations.
 func TestRestartedProcessLearnsVersionAges(t *testing.T) {
 	Convey("A process that starts after two declarations takes their times from other processes", t, func() {
 		h := NewHolder(eventlog.Discard())
