--- a/version/loading/loader.go
+++ b/version/loading/loader.go
@@ -184,8 +184,7 @@
 	}
 }
 
-// reconcile carries out the next steps for all models. It returns the pause before
-// the next report is read.
+// reconcile carries out the due steps for all models and returns the pause after them.
 func (l *Loader) reconcile(ctx context.Context, r Report) time.Duration {
 	pause := idlePollInterval
 	for model := range l.currentTarget().Wanted {
@@ -212,8 +211,7 @@
 	return l.target
 }
 
-// reconcileModel carries out the next steps for a model. It returns the pause before
-// the next report is read.
+// reconcileModel carries out the due steps for a model and returns the pause after them.
 func (l *Loader) reconcileModel(ctx context.Context, model string, r Report) time.Duration {
 	held := r.Weights[model]
 	if wait := l.settleWait(); wait > 0 {
@@ -435,8 +433,7 @@
 	return keep
 }
 
-// stage writes the chunks of a version to the server's staging area, unless all of
-// them are staged already.
+// stage stages the chunks of a version at the server, unless all are staged already.
 func (l *Loader) stage(ctx context.Context, w WantedVersion) error {
 	l.mu.Lock()
 	digests, alreadyStaged := l.digests[versionKey{w.Model, w.Version}], l.staged[w.Model] == w.Version
