--- a/version/declare/fuzz_test.go
+++ b/version/declare/fuzz_test.go
@@ -8,8 +8,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// hostileInputs are malformed or expensive inputs of kinds that have broken YAML
-// parsers before.
+// hostileInputs are inputs of kinds that have broken YAML parsers before.
 var hostileInputs = []string{
 	"",
 	"kind: Region\nname: r\n",
