--- a/version/catalog/weights_test.go
+++ b/version/catalog/weights_test.go
@@ -27,7 +27,7 @@
 }
 
 // A process can only estimate when the versions before its start were declared,
-// until other processes report when they learned of them.
+// until other processes report when they received the declarations.
 func TestRestartedProcessLearnsVersionAges(t *testing.T) {
 	Convey("A process that starts after two declarations takes their times from other processes", t, func() {
 		h := NewHolder(eventlog.Discard())
@@ -43,7 +43,7 @@
 }
 
 // A process that was paused while versions were declared reads them late and all
-// at once, so that their Known times are too late until other processes report
+// at once, so that their declaration times are too late until other processes report
 // earlier ones.
 func TestPausedProcessLearnsVersionAges(t *testing.T) {
 	Convey("A process that reads two versions late takes their times from other processes", t, func() {
