--- a/request/dispatch/decisions_test.go
+++ b/request/dispatch/decisions_test.go
@@ -52,15 +52,15 @@
 
 func TestColdRateOfServersThatComeBack(t *testing.T) {
 	Convey("All entry instances together stay within the cold rate in any second, whatever the load", t, func() {
-		const perSecond, entries = 28.0, 4
-		rates := make([]ColdRateLimiter, entries)
+		const perSecond, entryInstances = 28.0, 4
+		limiters := make([]ColdRateLimiter, entryInstances)
 		var sent []time.Time
 		start := time.Now()
 		for ms := range 5000 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
-			for i := range rates {
-				if rates[i].Allows(now, perSecond, entries) {
-					rates[i].RecordSend(now)
+			for i := range limiters {
+				if limiters[i].Allows(now, perSecond, entryInstances) {
+					limiters[i].RecordSend(now)
 					sent = append(sent, now)
 				}
 			}
@@ -71,7 +71,7 @@
 	})
 }
 
-// maxWithin returns the largest number of the given times within any span.
+// maxWithin returns the largest number of times within any period of length span.
 func maxWithin(times []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i := range times {
@@ -86,8 +86,8 @@
 func TestRetryBudgetWhenEveryServerFails(t *testing.T) {
 	Convey("In any window all entry instances together send no more retries than the ratio and the slack allow", t, func() {
 		limits := RetryLimits{Ratio: 0.2, Slack: 104, Window: 10 * time.Second}
-		const entries = 4
-		budgets := make([]*RetryBudget, entries)
+		const entryInstances = 4
+		budgets := make([]*RetryBudget, entryInstances)
 		for i := range budgets {
 			budgets[i] = NewRetryBudget(limits)
 		}
@@ -96,7 +96,7 @@
 		for ms := range 30_000 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
 			// Each entry instance receives 50 requests per second, and tries to
-			// send each of them two more times.
+			// retry each of them twice.
 			if ms%20 != 0 {
 				continue
 			}
@@ -104,7 +104,7 @@
 				budget.CountRequest(now)
 				requests = append(requests, now)
 				for range 2 {
-					if budget.TakeRetry(now, entries) {
+					if budget.TakeRetry(now, entryInstances) {
 						retries = append(retries, now)
 					}
 				}
@@ -118,15 +118,15 @@
 
 func TestBurstAtAServerThatBecomesFree(t *testing.T) {
 	Convey("Entry instances that see the same free slots share them, and do not each fill them all", t, func() {
-		const slots, entries = 16, 4
-		bursts := make([]BurstLimiter, entries)
+		const slots, entryInstances = 16, 4
+		limiters := make([]BurstLimiter, entryInstances)
 		now := time.Now()
-		own := make([]int, entries)
+		own := make([]int, entryInstances)
 		for range 100 {
-			for i := range bursts {
-				// Each entry instance knows only its own requests.
-				if bursts[i].Allows(now, slots-own[i], entries) {
-					bursts[i].RecordSend(now)
+			for i := range limiters {
+				// Each entry instance counts only its own requests.
+				if limiters[i].Allows(now, slots-own[i], entryInstances) {
+					limiters[i].RecordSend(now)
 					own[i]++
 				}
 			}
@@ -151,34 +151,34 @@
 
 func TestPassiveHealth(t *testing.T) {
 	now := time.Now()
-	Convey("A server that cannot be reached is in backoff after each failure, for less than the maximum time", t, func() {
-		var s PassiveHealth
+	Convey("A server that cannot be reached is in backoff after each failure, for at most the maximum time", t, func() {
+		var h PassiveHealth
 		last := time.Duration(0)
 		for range 10 {
-			s.Record(Unreachable, now)
-			So(s.InBackoff(now.Add(last)), ShouldBeTrue)
-			So(s.InBackoff(now.Add(maxBackoff)), ShouldBeFalse)
+			h.Record(Unreachable, now)
+			So(h.InBackoff(now.Add(last)), ShouldBeTrue)
+			So(h.InBackoff(now.Add(maxBackoff)), ShouldBeFalse)
 		}
 	})
 	Convey("A server that fails two of five requests has a penalty, which disappears after it recovers", t, func() {
-		var s PassiveHealth
+		var h PassiveHealth
 		for i := range 50 {
 			if i%5 < 2 {
-				s.Record(Broken, now)
+				h.Record(Broken, now)
 			} else {
-				s.Record(Served, now)
+				h.Record(Served, now)
 			}
 		}
-		So(s.Penalty(), ShouldBeGreaterThan, 4)
+		So(h.Penalty(), ShouldBeGreaterThan, 4)
 		for range 30 {
-			s.Record(Served, now)
+			h.Record(Served, now)
 		}
-		So(s.Penalty(), ShouldBeLessThan, 1)
+		So(h.Penalty(), ShouldBeLessThan, 1)
 	})
 	Convey("A client that leaves does not count against the server", t, func() {
-		var s PassiveHealth
-		s.Record(Ended, now)
-		So(s.InBackoff(now), ShouldBeFalse)
-		So(s.Penalty(), ShouldEqual, 0)
+		var h PassiveHealth
+		h.Record(Ended, now)
+		So(h.InBackoff(now), ShouldBeFalse)
+		So(h.Penalty(), ShouldEqual, 0)
 	})
 }
--- a/request/dispatch/move.go
+++ b/request/dispatch/move.go
@@ -12,8 +12,8 @@
 const moveAfter = 700 * time.Millisecond
 
 // movePriority puts a stream that is to be moved before all waiting requests. No
-// other request can use the slot that the stream leaves, and a pause between
-// its events makes the stream late.
+// other request can use the slot that the stream leaves, because its server is
+// loading weights, and a pause between its events makes the stream late.
 const movePriority = -1
 
 // Move is the search for a slot at another server for a running stream, which
@@ -25,16 +25,18 @@
 	w         *waiter
 }
 
-// StartMove starts the search for another slot for a stream whose server loads new
-// weights, and counts the move as a retry. It returns nil if the stream stays
-// at its server. The caller must end the search with Take or Cancel.
+// StartMove starts the search for another slot for a stream whose server has
+// been loading new weights for moveAfter, and counts the move as an optional
+// retry. It returns nil if the stream must stay at its server because that time
+// has not passed or the retry budget does not allow the move. The caller must
+// call Cancel unless Take has returned a slot.
 func (s *Scheduler) StartMove(req *Request, from Slot) *Move {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	agent, ok := s.agents[from.Server.Addr]
 	if !ok || !agent.state.Loading || now.Sub(agent.loadingSince) < moveAfter ||
-		!s.retryBudgetOf(req.Service).TakeOptionalRetry(now, s.knownEntries()) {
+		!s.retryBudgetOf(req.Service).TakeOptionalRetry(now, s.knownEntryInstances()) {
 		return nil
 	}
 	moved := *req
@@ -46,8 +48,8 @@
 	return &Move{s, w}
 }
 
-// Take returns the slot that was assigned to the stream, and false if there is
-// none yet. Once it has returned a slot the search is over.
+// Take returns the slot that was assigned to the stream, or false if none has
+// been assigned yet. Once it has returned a slot, the search has ended.
 func (m *Move) Take() (Slot, bool) {
 	select {
 	case slot := <-m.w.slot:
--- a/request/dispatch/move_test.go
+++ b/request/dispatch/move_test.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// newMoveFixture returns a fixture with a stream at the server "a", which began to
-// load weights moveAfter ago, and the slot of the stream.
+// newMoveFixture returns a fixture with a stream at the server "a", which began
+// to load weights moveAfter ago, and the slot of the stream.
 func newMoveFixture() (*schedulerFixture, Slot) {
 	f := newSchedulerFixture()
 	from, err := f.scheduler.Acquire(context.Background(), f.request())
--- a/request/dispatch/order.go
+++ b/request/dispatch/order.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// OrderWaiting returns the waiting requests in the order in which they
-// are offered a free slot. Those with the lowest priority value go first. Within
-// a priority, every second slot goes to the request with the least work, so that
-// more requests are served during a long overload. The other slots go to the
-// earliest arrival, so that large requests are served too. assigned is the
+// OrderWaiting returns the waiting requests in the order in which they are
+// offered a free slot. Requests with the lowest priority value go first. Within
+// a priority, every second slot goes to the request with the least work, so
+// that more requests are served during a long overload. The other slots go to
+// the earliest arrival, so that large requests are served too. assigned is the
 // number of slots assigned to waiting requests so far.
 func OrderWaiting(waiting []*waiter, assigned int) []*waiter {
 	if assigned%2 == 0 || len(waiting) < 2 {
--- a/request/dispatch/order_test.go
+++ b/request/dispatch/order_test.go
@@ -26,7 +26,7 @@
 		perToken = 400 * time.Microsecond // time that a slot is taken per unit of work
 		maxWait  = 44 * time.Millisecond
 		load     = 1.7
-		large    = 2.0 * meanWork // a tenth of the requests is larger
+		large    = 2.0 * meanWork // a tenth of the requests have more work
 	)
 	random := rand.New(rand.NewPCG(1, 2))
 	interval := time.Duration(math.Round(meanWork * float64(perToken) / slots / load))
--- a/request/dispatch/passivehealth.go
+++ b/request/dispatch/passivehealth.go
@@ -34,7 +34,7 @@
 }
 
 // Times for which a server gets no requests after an outcome. The first three
-// are about the time in which a server answers; maxBackoff limits how long a
+// are of the order of a server's response time; maxBackoff limits how long a
 // server that has recovered stays unused.
 const (
 	backoffFull        = 60 * time.Millisecond
@@ -54,14 +54,17 @@
 
 // PassiveHealth tracks the outcomes of the requests at one server. It detects
 // servers that are down, or that fail some requests although their health check
-// succeeds. After a failed connection or a stall the server gets no requests for
-// a time that doubles with each such outcome in a row. A server that fails often
-// also gets a penalty on its load.
+// succeeds. After a failed connection or a stall the server is in backoff: it
+// gets no requests for a time that doubles with each such outcome in a row, up
+// to maxBackoff. A refusal causes a short backoff of constant length. A server
+// that fails often also gets a penalty on its load.
 type PassiveHealth struct {
+	// backoffUntil is the end of the last backoff.
 	backoffUntil time.Time
 	// consecutive is the number of failed connections and stalls since the last
 	// served request.
 	consecutive int
+	// failureRate is the moving average of the share of failed requests.
 	failureRate float64
 }
 
@@ -86,7 +89,8 @@
 
 func (h *PassiveHealth) raiseFailureRate() { h.failureRate += (1 - h.failureRate) * failureWeight }
 
-// InBackoff reports whether the server must not get requests at now.
+// InBackoff reports whether the server is in backoff at now and must not get
+// requests.
 func (h *PassiveHealth) InBackoff(now time.Time) bool { return now.Before(h.backoffUntil) }
 
 // Penalty returns the number of requests to add to the server's load because of
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -33,12 +33,12 @@
 // hasFreeSlot reports whether the server runs fewer requests than its limit.
 func (c *Candidate) hasFreeSlot() bool { return c.Slot.Running < c.Limit }
 
-// ChooseCandidate returns the index of the least loaded candidate with a free
-// slot in the own data centre, unless one in another data centre has a load
-// lower by more than localPreference. This evens out the load when clients are
-// distributed unevenly over the data centres. The search starts at index start,
-// which decides between equal loads. The result is -1 if no candidate has a
-// free slot.
+// ChooseCandidate returns the index of a candidate with a free slot, or -1 if
+// there is none. It chooses the least loaded one in the own data centre, unless
+// one in another data centre has a load lower by more than localPreference. This
+// evens out the load when clients are distributed unevenly over the data centres.
+// The search starts at index start; the first of equally loaded candidates is
+// chosen.
 func ChooseCandidate(all []Candidate, start int) int {
 	local, remote := -1, -1
 	for k := range all {
@@ -83,8 +83,8 @@
 	return minRetryAfterFull + time.Duration(random*float64(retryAfterJitter))
 }
 
-// RetryAfterUnavailable returns the Retry-After of a refusal because no server can
-// run the request. random is a random number in [0, 1).
+// RetryAfterUnavailable returns the Retry-After of a refusal because no server
+// can run the request. random is a random number in [0, 1).
 func RetryAfterUnavailable(random float64) time.Duration {
 	return minRetryAfterNone + time.Duration(random*float64(retryAfterJitter))
 }
--- a/request/dispatch/request.go
+++ b/request/dispatch/request.go
@@ -30,8 +30,9 @@
 	Arrived, Deadline time.Time
 	// Objective is the target for the time to the first byte.
 	Objective time.Duration
-	// RetryWait is the minimum time that the request may wait for a slot at another
-	// server after a failed attempt; 0 if the request has not run anywhere.
+	// RetryWait is the minimum time that the request may wait for a slot at
+	// another server after a failed attempt; 0 if the request has not run
+	// anywhere.
 	RetryWait time.Duration
 	// Tried holds the IDs of the servers that must not receive the request again.
 	Tried map[string]bool
--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -24,9 +24,9 @@
 // retryBuckets is the number of buckets into which the window is divided.
 const retryBuckets = 20
 
-// RetryBudget is the retry budget of one entry instance for a service. It keeps
-// retries from overloading the servers when many of them fail together. All
-// entry instances share the slack equally.
+// RetryBudget is the retry budget of one entry instance for a service. It
+// prevents retries from overloading the servers when many servers fail together.
+// All entry instances share the slack equally.
 type RetryBudget struct {
 	limits   RetryLimits
 	requests [retryBuckets]int
@@ -56,26 +56,29 @@
 // CountRequest counts a request; its retries are counted by the other methods.
 func (b *RetryBudget) CountRequest(now time.Time) { b.requests[b.advance(now)]++ }
 
-// TakeRetry counts a retry and returns true if the budget of this entry instance, one
-// of entries, allows the retry now.
-func (b *RetryBudget) TakeRetry(now time.Time, entries int) bool { return b.take(now, entries, 1) }
+// TakeRetry counts a retry and returns true if the budget of this entry
+// instance, one of entryInstances, allows the retry now.
+func (b *RetryBudget) TakeRetry(now time.Time, entryInstances int) bool {
+	return b.take(now, entryInstances, 1)
+}
 
-// TakeOptionalRetry is like [RetryBudget.TakeRetry] for an optional retry: one that a request can
-// do without. It leaves a part of the budget to requests that fail.
-func (b *RetryBudget) TakeOptionalRetry(now time.Time, entries int) bool {
-	return b.take(now, entries, optionalRetryShare)
+// TakeOptionalRetry is like [RetryBudget.TakeRetry] for a retry that the request
+// does not need in order to succeed. It leaves a part of the budget to requests
+// that fail.
+func (b *RetryBudget) TakeOptionalRetry(now time.Time, entryInstances int) bool {
+	return b.take(now, entryInstances, optionalRetryShare)
 }
 
 // take counts a retry and returns true if the retries stay within a share of the
 // budget.
-func (b *RetryBudget) take(now time.Time, entries int, share float64) bool {
+func (b *RetryBudget) take(now time.Time, entryInstances int, share float64) bool {
 	i := b.advance(now)
 	var requests, retries int
 	for k := range retryBuckets {
 		requests += b.requests[k]
 		retries += b.retries[k]
 	}
-	allowed := retryMargin * (b.limits.Ratio*float64(requests) + b.limits.Slack/float64(max(1, entries)))
+	allowed := retryMargin * (b.limits.Ratio*float64(requests) + b.limits.Slack/float64(max(1, entryInstances)))
 	if float64(retries)+1 > share*allowed {
 		return false
 	}
--- a/request/dispatch/scheduler.go
+++ b/request/dispatch/scheduler.go
@@ -16,8 +16,8 @@
 
 // Reasons for which a request gets no slot.
 var (
-	// ErrFull is returned when servers could run the request, but none of them
-	// has a free slot now.
+	// ErrFull is returned when there are servers that can run the request, but
+	// none of them has a free slot now.
 	ErrFull = errors.New("every server is full")
 	// ErrNoServer is returned when no server can run the request.
 	ErrNoServer = errors.New("no server can run it")
@@ -52,8 +52,8 @@
 // without a new message from it. Heartbeats arrive twice a second.
 const peerTimeout = 2 * time.Second
 
-// Scheduler assigns slots at servers to requests and keeps a queue of the requests
-// that wait for one. It is safe for concurrent use.
+// Scheduler assigns slots at servers to requests and keeps a queue of the
+// requests that wait for one. It is safe for concurrent use.
 type Scheduler struct {
 	cfg    Config
 	holder *catalog.Holder
@@ -93,7 +93,7 @@
 type agentReport struct {
 	state frame.AgentState
 	// loadingSince is when the agent first reported that the server is loading
-	// weights.
+	// the present weights. It has no meaning while the server is not loading.
 	loadingSince time.Time
 }
 
@@ -101,12 +101,13 @@
 type waiter struct {
 	request *Request
 	// slot receives the slot that is assigned to the request.
-	slot     chan Slot
+	slot chan Slot
+	// assigned is true once a slot has been sent to the channel.
 	assigned bool
 }
 
-// NewScheduler returns a [Scheduler] that uses the servers and the configuration of
-// holder.
+// NewScheduler returns a [Scheduler] that uses the servers and the
+// configuration of holder.
 func NewScheduler(cfg Config, holder *catalog.Holder, clock clockwork.Clock) *Scheduler {
 	return &Scheduler{
 		cfg: cfg, holder: holder, clock: clock,
@@ -127,7 +128,7 @@
 func (s *Scheduler) TakeRetry(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.retryBudgetOf(service).TakeRetry(s.clock.Now(), s.knownEntries())
+	return s.retryBudgetOf(service).TakeRetry(s.clock.Now(), s.knownEntryInstances())
 }
 
 // retryBudgetOf returns the retry budget of a service. The caller holds s.mu.
@@ -140,14 +141,14 @@
 	return r
 }
 
-// knownEntries returns the number of entry instances that may be sending
+// knownEntryInstances returns the number of entry instances that may be sending
 // requests, including this one and those without recent messages. The caller
 // holds s.mu.
-func (s *Scheduler) knownEntries() int { return len(s.peers) + 1 }
+func (s *Scheduler) knownEntryInstances() int { return len(s.peers) + 1 }
 
-// activeEntries returns the number of entry instances, including this one, that
-// have sent a message within peerTimeout. The caller holds s.mu.
-func (s *Scheduler) activeEntries(now time.Time) int {
+// activeEntryInstances returns the number of entry instances, including this
+// one, that have sent a message within peerTimeout. The caller holds s.mu.
+func (s *Scheduler) activeEntryInstances(now time.Time) int {
 	n := 1
 	for _, p := range s.peers {
 		if now.Sub(p.lastMessage) < peerTimeout {
@@ -215,8 +216,8 @@
 	return min(max(objectiveWait, req.RetryWait), req.Deadline.Sub(now))
 }
 
-// HasFreeSlot reports whether a server that the request has not tried yet has a free
-// slot.
+// HasFreeSlot reports whether a server that the request has not tried yet has a
+// free slot.
 func (s *Scheduler) HasFreeSlot(req *Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -326,9 +327,9 @@
 			Penalty: st.health.Penalty(),
 		}
 		blocked := st.health.InBackoff(now) || st.stall.Stalled(now, st.running, req.Objective) ||
-			!st.burst.Allows(now, limit-c.Slot.Running, s.activeEntries(now))
+			!st.burst.Allows(now, limit-c.Slot.Running, s.activeEntryInstances(now))
 		if service != nil && service.ColdRequestsPerSecond > 0 && server.Cold(now) {
-			blocked = blocked || !st.coldRate.Allows(now, service.ColdRequestsPerSecond, s.knownEntries())
+			blocked = blocked || !st.coldRate.Allows(now, service.ColdRequestsPerSecond, s.knownEntryInstances())
 		}
 		if blocked {
 			c.Limit = 0
@@ -380,8 +381,8 @@
 	return st
 }
 
-// RunningByServer returns the number of requests that this entry instance runs at each
-// server, by the server's ID.
+// RunningByServer returns the number of requests that this entry instance runs
+// at each server, by the server's ID.
 func (s *Scheduler) RunningByServer() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -392,9 +393,9 @@
 	return out
 }
 
-// UpdatePeerLoads records the number of requests that another entry instance runs at
-// each server. running contains only the numbers that changed since the last
-// report.
+// UpdatePeerLoads records the number of requests that another entry instance
+// runs at each server. running contains only the numbers that changed since the
+// last report.
 func (s *Scheduler) UpdatePeerLoads(peer string, running map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -418,7 +419,7 @@
 	s.peers[peer] = &peerLoad{running: map[string]int{}, lastMessage: s.clock.Now()}
 }
 
-// SetAgentState records the state that an agent reports for the server at an address;
+// SetAgentState records the state that an agent reports for the server at addr;
 // nil removes the recorded state.
 func (s *Scheduler) SetAgentState(addr string, state *frame.AgentState) {
 	s.mu.Lock()
@@ -435,8 +436,8 @@
 	s.assignWaiting()
 }
 
-// RemoveUnlistedServers removes the state of servers that are no longer listed and have no
-// running requests of this entry instance.
+// RemoveUnlistedServers removes the state of servers that are no longer listed
+// and have no running requests of this entry instance.
 func (s *Scheduler) RemoveUnlistedServers() {
 	listed := s.holder.Current().Servers
 	s.mu.Lock()
--- a/request/dispatch/scheduler_test.go
+++ b/request/dispatch/scheduler_test.go
@@ -21,8 +21,8 @@
 	clock     *clockwork.FakeClock
 }
 
-// newSchedulerFixture returns a fixture with the servers "a" in palermo and "b" in
-// catania, each with two slots and version 1 of the weights.
+// newSchedulerFixture returns a fixture with the servers "a" in palermo and "b"
+// in catania, each with two slots and version 1 of the weights.
 func newSchedulerFixture() *schedulerFixture {
 	f := &schedulerFixture{holder: catalog.NewHolder(eventlog.Discard()), clock: clockwork.NewFakeClock()}
 	f.holder.Apply([]catalog.Change{{Config: &catalog.Config{Version: 1, Services: map[string]*catalog.Service{
@@ -58,8 +58,8 @@
 	}
 }
 
-// acquire acquires a slot for a request that may not wait for one, and returns the
-// ID of the server.
+// acquire acquires a slot for a request that may not wait for one, and returns
+// the ID of the server.
 func (f *schedulerFixture) acquire(req *Request) (string, error) {
 	slot, err := f.scheduler.Acquire(context.Background(), req)
 	if err != nil {
@@ -124,7 +124,7 @@
 }
 
 func TestSchedulerSkipsServers(t *testing.T) {
-	Convey("Servers that are leaving, in data centres that are out, or in other regions are skipped", t, func() {
+	Convey("Servers that are leaving, in a data centre taken out of service, or in a region that is not allowed are skipped", t, func() {
 		f := newSchedulerFixture()
 		leaving := f.server("a", "palermo")
 		leaving.Leaving = true
@@ -142,7 +142,7 @@
 		So(errors.Is(err, ErrNoServer), ShouldBeTrue)
 	})
 
-	Convey("Servers that load weights are skipped, and servers with older weights once the newest are mandatory", t, func() {
+	Convey("Servers that load weights are skipped, and so are servers with older weights once the newest version is mandatory", t, func() {
 		f := newSchedulerFixture()
 		f.scheduler.SetAgentState("a", &frame.AgentState{LoadedVersions: map[string]int{"herbs": 1}, Loading: true})
 		id, err := f.acquire(f.request())
@@ -169,7 +169,8 @@
 		for _, peer := range []string{"x", "y", "z"} {
 			f.scheduler.ResetPeerLoads(peer)
 		}
-		// The share stays the same when the other entry instances cannot be reached.
+		// The share stays the same when the other entry instances cannot be
+		// reached.
 		f.clock.Advance(2 * peerTimeout)
 		acquired := 0
 		for {
--- a/request/dispatch/stall_test.go
+++ b/request/dispatch/stall_test.go
@@ -23,7 +23,7 @@
 		req.Arrived = req.Arrived.Add(-time.Second) // too long ago to wait for a slot
 		return req
 	}
-	const pause = 601 * time.Millisecond // more than 1.5 objectives
+	const pause = 601 * time.Millisecond // more than stallObjectives times the objective
 
 	Convey("A server that sends nothing while requests run there gets no more requests until it sends something", t, func() {
 		f := newFixture()
@@ -37,7 +37,7 @@
 		So(err, ShouldBeNil)
 	})
 
-	Convey("A server without running requests may send nothing", t, func() {
+	Convey("A server without running requests is not stalled, although it sends nothing", t, func() {
 		f := newFixture()
 		first, err := f.scheduler.Acquire(t.Context(), request(f))
 		So(err, ShouldBeNil)
@@ -47,7 +47,7 @@
 		So(err, ShouldBeNil)
 	})
 
-	Convey("A longer objective allows a longer time without any response", t, func() {
+	Convey("With a longer objective a server may send nothing for longer", t, func() {
 		f := newFixture()
 		slow := func() *Request {
 			req := request(f)
--- a/request/dispatch/window.go
+++ b/request/dispatch/window.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// slidingWindow counts the events of the last span of time.
+// slidingWindow counts the events within a time span that ends now.
 type slidingWindow struct {
+	// times holds the times of the events, in ascending order.
 	times []time.Time
 }
 
@@ -18,7 +19,8 @@
 	return len(w.times)
 }
 
-// recent returns the events within the last span, in the same backing array.
+// recent returns the times of the events within the last span, in the same
+// backing array.
 func (w *slidingWindow) recent(now time.Time, span time.Duration) []time.Time {
 	n := 0
 	for n < len(w.times) && now.Sub(w.times[n]) >= span {
