--- a/request/forward/config.go
+++ b/request/forward/config.go
@@ -16,8 +16,8 @@
 type Headers struct {
 	// RequestID identifies one attempt of a client.
 	RequestID string
-	// Deadline is the time for which the sender still waits for the response, in
-	// milliseconds.
+	// Deadline is the remaining time for which the sender waits for the response,
+	// in milliseconds.
 	Deadline string
 	// Receipt is set by a server on each response to a request that it ran.
 	Receipt string
@@ -54,7 +54,8 @@
 	Scheduler *dispatch.Scheduler
 	// Pool provides connections to servers.
 	Pool *backend.Pool
-	// Log receives an event for each decision about a request.
+	// Log receives an event for each failed attempt and for the end of each
+	// request.
 	Log *eventlog.Logger
 	// Clock provides the time.
 	Clock clockwork.Clock
@@ -81,7 +82,8 @@
 	// maxAttempts limits how often one request is sent, including attempts at
 	// servers that did not run it.
 	maxAttempts = 5
-	// minRetryTime is the time before the deadline that must be left for a retry.
+	// minRetryTime is the shortest time to the deadline at which a request is
+	// retried.
 	minRetryTime = 40 * time.Millisecond
 	// retryAfterUnready is the Retry-After value while the configuration is not
 	// known yet.
@@ -97,7 +99,7 @@
 	// retryWait is how long a request that may have run waits for a slot at
 	// another server; clients give up a stream after 2 s without an event.
 	retryWait = time.Second
-	// responseTimeoutObjectives is the number of objectives after which a repeatable
-	// request without a response is sent to another server.
+	// responseTimeoutObjectives times the objective is the time after which a
+	// repeatable request without a response is sent to another server.
 	responseTimeoutObjectives = 2
 )
--- a/request/forward/fixture_test.go
+++ b/request/forward/fixture_test.go
@@ -130,7 +130,7 @@
 }
 
 // closeMarker at the end of a response makes the server close the connection
-// after it.
+// after sending it. The marker is sent too.
 const closeMarker = "\x00cut"
 
 // fullResponse returns a complete response to a request.
@@ -156,10 +156,11 @@
 // event returns one event of a stream.
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// lastChunk ends a chunked body.
+// lastChunk is the end of a chunked body.
 const lastChunk = "0\r\n\r\n"
 
-// handlerFixture is a [Handler] with backend servers, served by a real HTTP server.
+// handlerFixture is a [Handler] with backend servers, served by a real HTTP
+// server.
 type handlerFixture struct {
 	httpServer *httptest.Server
 	handler    *Handler
@@ -168,8 +169,8 @@
 	pool       *backend.Pool
 }
 
-// newFixture returns a [Handler] in front of the given servers, which belong to one
-// service. change, unless nil, changes the configuration before the start.
+// newFixture returns a [Handler] in front of the given servers, which belong to
+// one service. change, unless nil, changes the configuration before the start.
 func newFixture(t *testing.T, change func(*catalog.Config), servers ...*fakeServer) *handlerFixture {
 	t.Helper()
 	clock := clockwork.NewRealClock()
--- a/request/forward/forward_test.go
+++ b/request/forward/forward_test.go
@@ -16,7 +16,7 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// newOKServer starts a server that answers every request with status 200.
+// newOKServer starts a server that responds to every request with status 200.
 func newOKServer(t *testing.T, id string) *fakeServer {
 	return newServer(t, id, func(r receivedRequest, _ int) string { return fullResponse(r, http.StatusOK, "from "+id) })
 }
@@ -46,7 +46,7 @@
 	})
 }
 
-func TestRefusalsOfOurOwn(t *testing.T) {
+func TestRefusals(t *testing.T) {
 	Convey("A request without a route or a valid key is refused and reaches no server", t, func() {
 		s := newOKServer(t, "s1")
 		f := newFixture(t, nil, s)
@@ -71,12 +71,12 @@
 	})
 }
 
-func TestWhatMayBeRepeated(t *testing.T) {
+func TestRetries(t *testing.T) {
 	newFailingServer := func(t *testing.T, id string) *fakeServer {
 		return newServer(t, id, func(receivedRequest, int) string { return "" })
 	}
 
-	Convey("A request that may not be repeated is sent once, and gets status 502 if there is no response", t, func() {
+	Convey("A non-repeatable request is sent once, and gets status 502 if there is no response", t, func() {
 		a, b := newFailingServer(t, "s1"), newFailingServer(t, "s2")
 		f := newFixture(t, nil, a, b)
 		So(f.send(t, http.MethodPost, "/unsafe/", "lot 7").status, ShouldEqual, http.StatusBadGateway)
@@ -91,7 +91,7 @@
 		}
 	})
 
-	Convey("A request that a server did not run is sent to another server, even if it may not be repeated", t, func() {
+	Convey("A request that a server did not run is sent to another server, even if it is non-repeatable", t, func() {
 		a := newServer(t, "s1", func(r receivedRequest, _ int) string { return notRunResponse(r) })
 		b := newOKServer(t, "s2")
 		f := newFixture(t, nil, a, b)
@@ -133,7 +133,7 @@
 		"cut short": func(r receivedRequest) string {
 			return strings.Replace(fullResponse(r, 200, "no"), "Content-Length: 2", "Content-Length: 9", 1) + closeMarker
 		},
-		"in no protocol": func(receivedRequest) string { return "garbage\r\n\r\n" },
+		"that is not HTTP": func(receivedRequest) string { return "garbage\r\n\r\n" },
 	}
 	for description, respond := range invalid {
 		Convey("A response "+description+" is never forwarded", t, func() {
@@ -151,7 +151,7 @@
 		So(f.send(t, http.MethodPost, "/unsafe/", "lot 7").body, ShouldEqual, "mine")
 	})
 
-	Convey("An unexpected second response on a kept connection is not forwarded", t, func() {
+	Convey("An unexpected second response on a keep-alive connection is not forwarded", t, func() {
 		a := newServer(t, "s1", func(r receivedRequest, n int) string {
 			return fullResponse(r, 200, "answer "+strconv.Itoa(n)) + fullResponse(r, 200, "extra")
 		})
@@ -216,7 +216,7 @@
 		So(r.body, ShouldEqual, events(1, 2))
 	})
 
-	Convey("A stream that may not be repeated runs once, and the client sees that it broke off", t, func() {
+	Convey("A non-repeatable stream runs once, and the client sees that it broke off", t, func() {
 		a, b := newServer(t, "s1", breakAfter(2)), newServer(t, "s2", breakAfter(2))
 		r := newFixture(t, nil, a, b).send(t, http.MethodPost, "/stream/", "prompt")
 		So(r.err, ShouldNotBeNil)
@@ -264,7 +264,7 @@
 		}
 		a, b := newServer(t, "s1", resume), newServer(t, "s2", resume)
 		f := newFixture(t, nil, a, b)
-		// The other server is full until another entry instance reports free slots.
+		// Server s2 is full until the other entry instance reports free slots.
 		full := map[string]int{"s1": 0, "s2": 9}
 		f.scheduler.UpdatePeerLoads("other", full)
 		time.AfterFunc(300*time.Millisecond, func() { f.scheduler.UpdatePeerLoads("other", map[string]int{"s2": 0}) })
@@ -274,7 +274,7 @@
 	})
 }
 
-func TestStreamLeavesAServerThatLoads(t *testing.T) {
+func TestStreamMovesAwayFromLoadingServer(t *testing.T) {
 	Convey("A stream whose server loads weights continues at another server, complete and in order", t, func() {
 		const last = 30
 		respond := func(r receivedRequest, _ int) string {
@@ -316,7 +316,7 @@
 	})
 }
 
-func TestWorkOfARequest(t *testing.T) {
+func TestEstimateWork(t *testing.T) {
 	work := func(tokens, answer string) float64 {
 		r := httptest.NewRequest(http.MethodPost, "/resumable/", nil)
 		r.Header.Set(testHeaders.Tokens, tokens)
@@ -361,7 +361,7 @@
 }
 
 func TestDeadline(t *testing.T) {
-	Convey("A request that is still running at the timeout of its route gets status 504 then", t, func() {
+	Convey("A request that is still running when the timeout of its route ends gets status 504 at that time", t, func() {
 		release := make(chan struct{})
 		defer close(release)
 		a := newServer(t, "s1", func(receivedRequest, int) string {
@@ -376,8 +376,8 @@
 	})
 }
 
-func TestStopClosesConnections(t *testing.T) {
-	Convey("While the process stops, responses are complete and their connections are closed", t, func() {
+func TestDrainClosesConnections(t *testing.T) {
+	Convey("After Drain, responses are complete and the client connections are closed after them", t, func() {
 		f := newFixture(t, nil, newOKServer(t, "s1"))
 		f.handler.Drain()
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, f.httpServer.URL+"/safe/", nil)
--- a/request/forward/handler.go
+++ b/request/forward/handler.go
@@ -95,7 +95,8 @@
 	attempts int
 	// mayHaveRunAt holds the IDs of the servers that may have run the request.
 	mayHaveRunAt map[string]bool
-	// movedTo is the slot at which the stream continues after it left its server.
+	// movedTo is the slot at which a stream that was moved away from its server
+	// continues; nil once the request has been sent there.
 	movedTo *dispatch.Slot
 	// headerSent is true once the response header was written to the client.
 	headerSent bool
@@ -108,7 +109,8 @@
 	serverError *response
 	// firstByteAt is when the first byte of the response was written.
 	firstByteAt time.Time
-	// triedServers lists the servers to which the request was sent, for the log.
+	// triedServers lists the IDs of the servers to which the request was sent,
+	// for the log.
 	triedServers []string
 }
 
@@ -137,8 +139,8 @@
 	}
 }
 
-// resolve finds the route and the client account of the request, or returns a
-// refusal.
+// resolve determines the route, the client account and the scheduling
+// requirements of the request, or returns a refusal.
 func (c *call) resolve() *refusal {
 	if !c.snapshot.Complete() {
 		return &refusal{http.StatusServiceUnavailable, "configuration not known yet", retryAfterUnready}
@@ -155,7 +157,8 @@
 	return nil
 }
 
-// authenticate finds the client account with the request's key.
+// authenticate sets the client account to the one with the request's key, or
+// returns a refusal if there is none and the route needs one.
 func (c *call) authenticate() *refusal {
 	if !c.snapshot.Config.AccountsDeclared {
 		return nil
@@ -170,7 +173,8 @@
 	return nil
 }
 
-// fillDispatchReq sets the requirements of the request for the scheduler.
+// fillDispatchReq fills in the request for the scheduler. The deadline is the
+// earlier of the route's timeout and the client's deadline.
 func (c *call) fillDispatchReq() {
 	req := &c.dispatchReq
 	req.Service = c.chooseService()
@@ -193,8 +197,8 @@
 }
 
 // estimateWork estimates the cost of the request for a server from the token
-// counts in its headers. The estimate only orders waiting requests; a request
-// without token counts counts as small.
+// counts in its headers. The estimate only orders waiting requests; the work
+// of a request without token counts is 0.
 func (c *call) estimateWork() float64 {
 	prompt, maxAnswer, _ := strings.Cut(c.httpReq.Header.Get(c.cfg.Headers.Tokens), ",")
 	answer := c.httpReq.Header.Get(c.cfg.Headers.AnswerTokens)
@@ -214,7 +218,8 @@
 	return n
 }
 
-// chooseService chooses one of the route's services at random by their weights.
+// chooseService chooses one of the route's services at random, with a probability
+// proportional to its weight.
 func (c *call) chooseService() string {
 	total := 0
 	for _, t := range c.route.Targets {
@@ -256,22 +261,22 @@
 }
 
 // refuse sends the response to a request that has not run.
-func (c *call) refuse(f *refusal) {
+func (c *call) refuse(r *refusal) {
 	header := c.w.Header()
 	if c.id != "" {
 		header.Set(c.cfg.Headers.RequestID, c.id)
 	}
-	if f.retryAfter > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
+	if r.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	c.w.WriteHeader(f.status)
-	if _, err := io.WriteString(c.w, f.reason+"\n"); err != nil {
+	c.w.WriteHeader(r.status)
+	if _, err := io.WriteString(c.w, r.reason+"\n"); err != nil {
 		c.logEvent(eventClientLeft, eventlog.Fields{"reason": "client closed the connection during a refusal"})
 		return
 	}
 	c.stats.refused.Inc(1)
-	c.logEvent(eventRefused, eventlog.Fields{"status": f.status, "reason": f.reason, "retryAfterMs": f.retryAfter.Milliseconds()})
+	c.logEvent(eventRefused, eventlog.Fields{"status": r.status, "reason": r.reason, "retryAfterMs": r.retryAfter.Milliseconds()})
 }
 
 // logEvent logs an event with the fields of the request.
--- a/request/forward/head_test.go
+++ b/request/forward/head_test.go
@@ -16,9 +16,9 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// FuzzHead checks that a server receives, for any client request, exactly one
-// request with the client's method, path and body, and that reserved headers never
-// come from the client.
+// FuzzHead checks that, for any client request, a server receives exactly one
+// request with the client's method, path and body, and no reserved header with a
+// value that the client has set.
 func FuzzHead(f *testing.F) {
 	f.Add([]byte("POST /lots/ HTTP/1.1\r\nHost: example\r\nX-Id: 1\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("GET /a?b=c HTTP/1.1\r\nHost: example\r\nx-expect-server: other\r\nX-Account: thief\r\nX-Own: 0\r\n\r\n"))
--- a/request/forward/move.go
+++ b/request/forward/move.go
@@ -15,9 +15,9 @@
 	search *dispatch.Move
 }
 
-// tryMove is called after each event of the stream. It reports whether the
-// stream must continue at another server, and then sets call.movedTo to the slot
-// there.
+// tryMove is called after each event of the stream. It returns true if another
+// server has a slot at which the stream must continue, and then sets
+// call.movedTo to this slot.
 func (m *streamMover) tryMove(ctx context.Context) bool {
 	c := m.call
 	if c.checkRetry(ctx, &attemptResult{received: true, mayHaveRun: true, retryCounted: true}) != nil {
--- a/request/forward/run.go
+++ b/request/forward/run.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/request/dispatch"
 )
 
-// run sends the request to servers until one has answered it or no further
-// attempt is allowed.
+// run sends the request to servers until a complete response has been forwarded
+// or no further attempt is allowed.
 func (c *call) run(ctx context.Context) {
 	c.cfg.Scheduler.CountRequest(c.dispatchReq.Service)
 	defer c.releaseUnused()
@@ -49,7 +49,7 @@
 }
 
 // releaseUnused releases the slot to which the stream was to be moved, if the
-// client left or the deadline passed before the move.
+// request ended before it was sent there, for example because the client left.
 func (c *call) releaseUnused() {
 	if c.movedTo != nil {
 		c.cfg.Scheduler.Release(*c.movedTo, dispatch.Ended)
@@ -113,7 +113,9 @@
 	return nil
 }
 
-// giveUp sends the final response if no server has answered the request.
+// giveUp ends a request for which no complete response was forwarded. It sends
+// the server error that was received or an error response, or aborts the client
+// connection if the client has left or the response has begun.
 func (c *call) giveUp(ctx context.Context, cause error) {
 	if c.clientGone || c.httpReq.Context().Err() != nil {
 		c.stats.left.Inc(1)
@@ -145,8 +147,9 @@
 	}
 }
 
-// slotError returns the error that determines Retry-After: [dispatch.ErrFull] if
-// any server was tried, and otherwise cause.
+// slotError returns the error that determines Retry-After. If a server was tried,
+// it is [dispatch.ErrFull], because there are servers that can run the request;
+// otherwise it is cause.
 func (c *call) slotError(cause error) error {
 	if len(c.dispatchReq.Tried) > 0 {
 		return dispatch.ErrFull
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -24,8 +24,8 @@
 	err     error
 	// status is the HTTP status of the server's response; 0 without a response.
 	status int
-	// received is true if the server may have received the request, and
-	// mayHaveRun if the server may have begun to run it.
+	// received is true if the server may have received the request. mayHaveRun is
+	// true if the server may have begun to run it.
 	received, mayHaveRun bool
 	// retryCounted is true if the next attempt is already counted in the retry
 	// budget.
@@ -39,7 +39,7 @@
 	body   []byte
 }
 
-// Reasons for which a response is not forwarded.
+// Reasons for which a response is not forwarded, or not completely.
 var (
 	errNoReceipt       = errors.New("response has no receipt header")
 	errEncoded         = errors.New("response body has a Content-Encoding")
@@ -68,8 +68,8 @@
 	}
 }
 
-// markEnded sets the outcome to [dispatch.Ended] if the client left or the deadline
-// passed.
+// markEnded sets the outcome to [dispatch.Ended] if the client left or the
+// deadline passed.
 func (c *call) markEnded(ctx context.Context, r attemptResult) attemptResult {
 	if ctx.Err() != nil {
 		r.outcome = dispatch.Ended
@@ -106,7 +106,8 @@
 	return r
 }
 
-// matches reports whether a response belongs to this request.
+// matches reports whether resp is a final response to this request: the status is
+// not 1xx, and the request ID is this request's or missing.
 func (c *call) matches(resp *http.Response) bool {
 	if resp.StatusCode < http.StatusOK {
 		return false
@@ -143,7 +144,8 @@
 		return r
 	}
 	if c.headerSent {
-		// A stream that has begun cannot be continued by a response of another kind.
+		// A stream that has begun cannot be continued by a response of another
+		// kind.
 		return r
 	}
 	r.outcome = dispatch.Served
@@ -193,7 +195,8 @@
 	return err
 }
 
-// hopByHopHeaders lists the headers that apply to one connection only.
+// hopByHopHeaders lists the headers that apply to one connection only, and
+// Content-Length, which is set again from the length of the buffered body.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
@@ -212,7 +215,8 @@
 	return listed
 }
 
-// copyHeader copies all headers except those that apply to one connection only.
+// copyHeader copies all headers except hopByHopHeaders and those that the
+// Connection header lists.
 func copyHeader(to, from http.Header) {
 	listed := connectionHeaders(from)
 	for name, values := range from {
@@ -283,8 +287,8 @@
 	return false
 }
 
-// stallWatch closes the connection to a server that sends nothing for too long, if
-// the request can then be sent to another server.
+// stallWatch closes the connection to a server that sends nothing for too long,
+// if the request can then be sent to another server.
 type stallWatch struct {
 	call *call
 	// retryReq is the request as it would be sent to another server.
@@ -297,7 +301,8 @@
 	stalled atomic.Bool
 }
 
-// newStallWatch starts to watch for the first byte of a response.
+// newStallWatch starts to watch for the first byte of a response. If the request
+// cannot be sent to another server, the returned watch does nothing.
 func (c *call) newStallWatch(ctx context.Context, conn *backend.Conn, slot dispatch.Slot) *stallWatch {
 	w := &stallWatch{call: c, ctx: ctx, conn: conn, retryReq: c.dispatchReq}
 	w.retryReq.Tried = maps.Clone(c.dispatchReq.Tried)
@@ -315,8 +320,9 @@
 	return w
 }
 
-// onTimeout ends the exchange if the request can be sent to another server.
-// Otherwise it leaves the connection open, because the server may still respond.
+// onTimeout ends the exchange if another server has a free slot and the retry
+// budget allows a retry. Otherwise it leaves the connection open, because the
+// server may still respond.
 func (w *stallWatch) onTimeout() {
 	scheduler := w.call.cfg.Scheduler
 	switch {
@@ -332,7 +338,7 @@
 	w.conn.Close()
 }
 
-// recordActivity restarts the timeout after the server sent something.
+// recordActivity restarts the timeout after the server sent an event.
 func (w *stallWatch) recordActivity() {
 	if !w.stalled.Load() {
 		w.resetTimer(eventTimeout)
@@ -359,7 +365,8 @@
 	}
 }
 
-// markStalled changes the result of an exchange that the watch has ended.
+// markStalled sets the outcome to [dispatch.Stalled] if the watch has ended the
+// exchange.
 func (w *stallWatch) markStalled(r attemptResult) attemptResult {
 	if w.stalled.Load() {
 		r.outcome, r.err, r.retryCounted = dispatch.Stalled, errStalled, true
--- a/request/forward/stream.go
+++ b/request/forward/stream.go
@@ -22,7 +22,7 @@
 // about 100 bytes.
 const maxEventBytes = 1 << 20
 
-// Reasons for which a stream ends before its last event.
+// Reasons for which a server's stream is not forwarded up to its end.
 var (
 	errPartialEvent = errors.New("stream ended within an event")
 	errEventTooLong = errors.New("event is too long")
@@ -36,7 +36,8 @@
 		strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType)
 }
 
-// forwardStream forwards complete events as they arrive.
+// forwardStream forwards each event once it has arrived completely. After each
+// event it may move the stream to another server.
 func (c *call) forwardStream(ctx context.Context, resp *http.Response, slot dispatch.Slot, watch *stallWatch) attemptResult {
 	r := attemptResult{outcome: dispatch.Broken, received: true, mayHaveRun: true}
 	reader := bufio.NewReaderSize(resp.Body, 1<<10)
@@ -69,8 +70,8 @@
 }
 
 // readEvent reads one event, including the empty line that ends it. It returns
-// [io.EOF] at the end of the stream, and errPartialEvent if the stream ends within
-// an event.
+// [io.EOF] at the end of the stream, and errPartialEvent if the stream ends
+// within an event.
 func readEvent(reader *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for start := 0; ; {
@@ -93,7 +94,9 @@
 	}
 }
 
-// forwardEvent forwards one event, unless the client has received it already.
+// forwardEvent forwards one event, unless the client has received it already. It
+// returns errEventGap if a numeric event ID does not follow the previous one in a
+// stream that has begun.
 func (c *call) forwardEvent(resp *http.Response, event []byte) error {
 	id := eventID(event)
 	if id != "" {
