--- a/request/accounts/accounts_test.go
+++ b/request/accounts/accounts_test.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// newTestController returns a [Controller] for accounts. The key of each account is its
-// name followed by "-key".
+// newTestController returns a [Controller] for accounts. The key of each
+// account is its name followed by "-key".
 func newTestController(accounts ...*declare.ClientAccount) *Controller {
 	set := declare.NewSet()
 	for _, a := range accounts {
@@ -24,7 +24,7 @@
 }
 
 func TestAuthenticate(t *testing.T) {
-	Convey("A key identifies its client account, and an invalid key none", t, func() {
+	Convey("A valid key yields its client account, and an invalid key an error", t, func() {
 		controller := newTestController(&declare.ClientAccount{Name: "erbe"}, &declare.ClientAccount{Name: "toa"})
 		a, err := controller.Authenticate("Bearer toa-key")
 		So(err, ShouldBeNil)
@@ -45,7 +45,7 @@
 			_, err := controller.Admit(large, false)
 			So(err, ShouldBeNil)
 		}
-		Convey("a single account is not limited when capacity is short", func() {
+		Convey("an account that has all the calls in flight is not limited when capacity is short", func() {
 			admission, err := controller.Admit(large, true)
 			So(err, ShouldBeNil)
 			So(admission.WithinFairShare, ShouldBeFalse)
