--- a/request/admission/adapt.go
+++ b/request/admission/adapt.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxStepRatio is the largest growth of the limit in one step, as a fraction of
-	// the limit. A step is always at least one call.
+	// maxStepRatio is the largest growth of the limit in one step, as a
+	// fraction of the limit. A step is always at least one call.
 	maxStepRatio = 0.1
 	// overloadFactor multiplies the limit when the engine refuses a call.
 	overloadFactor = 0.7
@@ -32,14 +32,14 @@
 	// the step admitted overload the server until they end, so at most a fifth
 	// of the time is spent on failed steps.
 	failedStepPauseFactor = 4
-	// pauseResetRatio is the ratio of the limit to the limit after the last decrease
-	// above which the growth pause returns to minGrowthPause.
+	// pauseResetRatio is the ratio of the limit to the limit after the last
+	// decrease above which the growth pause returns to minGrowthPause.
 	pauseResetRatio = 1.25
 	// perTokenJumpRatio is the ratio of the recent time per token to its baseline
-	// above which the server counts as turned cold.
+	// above which the server counts as having turned cold.
 	perTokenJumpRatio = 3.0
-	// keepDecreaseRatio is the smallest ratio of the token rate after a decrease to
-	// the rate before it at which the decrease is kept.
+	// keepDecreaseRatio is the smallest ratio of the token rate after a
+	// decrease to the rate before it at which the decrease is kept.
 	keepDecreaseRatio = 1.0
 	// trialDecreaseWindows is the number of consecutive windows in which fewer
 	// calls would have been better before the limit is decreased, while a growth
@@ -50,12 +50,12 @@
 	// decrease the limit.
 	stableDecreaseWindows = 4
 	// collapseWindows is the number of consecutive windows with a collapsed token
-	// rate after which the server counts as turned cold.
+	// rate after which the server counts as having turned cold.
 	collapseWindows = 2
-	// firstTokenJumpRatio is the ratio of the recent time to the first token to its
-	// baseline above which the server counts as turned cold. It is larger than
-	// perTokenJumpRatio because this time depends on the length of the prompt and
-	// on prefix cache hits.
+	// firstTokenJumpRatio is the ratio of the recent time to the first token to
+	// its baseline above which the server counts as having turned cold. It is
+	// larger than perTokenJumpRatio because this time depends on the length of
+	// the prompt and on prefix cache hits.
 	firstTokenJumpRatio = 10.0
 )
 
@@ -63,8 +63,9 @@
 const (
 	// reasonTokenRate means that the token rate is higher with fewer calls.
 	reasonTokenRate = "token rate"
-	// reasonLessCapacity means that the token rate is lower than it was before with
-	// as many calls, so rates measured with fewer calls are outdated too.
+	// reasonLessCapacity means that the token rate is lower than it was before
+	// with as many calls, so the rates measured with other numbers of calls are
+	// outdated too.
 	reasonLessCapacity = "less capacity"
 )
 
@@ -100,8 +101,8 @@
 }
 
 // startStepIfDue starts the next growth step once the token rate at the present
-// limit has been evaluated, or when the calls of this server give no samples. The
-// caller holds l.mu.
+// limit has been evaluated, or when the calls of this server yield no samples.
+// The caller holds l.mu.
 func (l *AdaptiveLimiter) startStepIfDue(now time.Time) {
 	noSamples := float64(l.finishedSinceSample) > l.limit
 	if now.Sub(l.stepStart) < settleTime+windowTime || !l.stepEvaluated && !noSamples {
@@ -112,7 +113,8 @@
 }
 
 // growthOnTrial reports whether the last growth step is so recent that it is the
-// likely cause of a lower token rate. The caller holds l.mu.
+// likely cause of a lower token rate: the calls that the step admitted are probably
+// still running. The caller holds l.mu.
 func (l *AdaptiveLimiter) growthOnTrial() bool {
 	return l.limit < float64(l.cfg.Limit) && l.clock.Since(l.stepStart) <= max(l.meanSlotTime.value, minGrowthTrial)
 }
@@ -151,8 +153,8 @@
 	}
 }
 
-// evaluateWindow adapts the limit to the mean time per token of a full window.
-// The caller holds l.mu.
+// evaluateWindow adapts the limit to the mean time per token of the full window
+// and starts a new one. The caller holds l.mu.
 func (l *AdaptiveLimiter) evaluateWindow(now time.Time) {
 	w := l.window
 	l.window = window{}
@@ -199,9 +201,10 @@
 	l.countWorseWindow(inFlight, best, rate, reasonTokenRate)
 }
 
-// countWorseWindow counts a window with inFlight calls for which the lower number
-// best would have given a higher token rate. After several such windows in a row
-// it decreases the limit to best. The caller holds l.mu.
+// countWorseWindow counts a window with inFlight calls and the token rate rate
+// for which the lower number best would have given a higher token rate. After
+// several such windows in a row it decreases the limit to best, but not below
+// the cold limit. The caller holds l.mu.
 func (l *AdaptiveLimiter) countWorseWindow(inFlight, best int, rate float64, reason string) {
 	l.worseWindows++
 	if l.worseWindows < trialDecreaseWindows || !l.growthOnTrial() && l.worseWindows < stableDecreaseWindows {
@@ -219,7 +222,8 @@
 // pendingDecrease is a decrease of the limit whose effect on the token rate has
 // not been measured yet.
 type pendingDecrease struct {
-	// limitBefore is the limit before the decrease; 0 when no decrease is pending.
+	// limitBefore is the limit before the decrease; 0 when no decrease is
+	// pending.
 	limitBefore float64
 	// rateBefore is the token rate before the decrease.
 	rateBefore float64
@@ -254,7 +258,9 @@
 	l.cfg.Log.Event(eventLimitFallUndone, eventlog.Fields{"was": previous, "limit": int(l.limit)})
 }
 
-// decrease lowers the limit and pauses its growth. The caller holds l.mu.
+// decrease lowers the limit, to at least 1, and pauses its growth. It does
+// nothing to a fixed limit, within settleTime after the last change, and within
+// coldCooldown after a reset. The caller holds l.mu.
 func (l *AdaptiveLimiter) decrease(limit float64, reason string) {
 	now := l.clock.Now()
 	if l.cfg.Fixed || now.Before(l.settledAt) || now.Before(l.cooldownEnd) || limit >= l.limit {
@@ -319,8 +325,8 @@
 	l.shedCalls(l.inFlight() - int(l.limit))
 }
 
-// shedCalls ends up to n repeatable calls early, lowest priority first and newest
-// first within a priority. The caller holds l.mu.
+// shedCalls ends up to n repeatable calls early: those with the lowest priority
+// first and, within a priority, the newest first. The caller holds l.mu.
 func (l *AdaptiveLimiter) shedCalls(n int) {
 	ended := 0
 	for priority := 0; priority <= maxPriority && ended < n; priority++ {
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -23,7 +23,7 @@
 	// Deadline is the time at which the caller gives up; zero means never.
 	Deadline time.Time
 	// Shed, if set, is called at most once, to end the call early because the
-	// server has turned cold. It is nil for calls that may not be repeated.
+	// server has turned cold. It is nil for non-repeatable calls.
 	Shed func()
 }
 
@@ -43,7 +43,8 @@
 	FirstToken time.Duration
 	// PerToken is the mean time between tokens; 0 when unknown.
 	PerToken time.Duration
-	// Overloaded is true when the engine refused the call or failed under load.
+	// Overloaded is true when the engine refused the call or failed because of
+	// overload.
 	Overloaded bool
 	// Cancelled is true when the caller cancelled the call.
 	Cancelled bool
@@ -51,18 +52,19 @@
 
 // Limiter limits the number of calls that run at once at a backend server.
 type Limiter interface {
-	// Acquire waits in the queue for a slot. It returns either a release function,
-	// which must be called exactly once, or the reason for the refusal.
+	// Acquire waits in the queue for a slot. It returns either a release
+	// function, which must be called exactly once, or the reason for the
+	// refusal.
 	Acquire(ctx context.Context, req SlotRequest) (release func(Outcome), refused frame.Reason)
-	// Observe passes on a sample of a running call, so that a server that has
-	// turned cold is detected before its calls end.
+	// Observe adapts the limit to a sample of a running call, so that a server
+	// that has turned cold is detected before its calls end.
 	Observe(s Sample)
 	// Load returns the current load.
 	Load() frame.Load
 	// State returns StateCold, StateWarming or StateReady.
 	State() frame.State
-	// Reset lowers the limit to the cold limit, for a server that has restarted or
-	// turned cold.
+	// Reset lowers the limit to the cold limit, for a server that has restarted
+	// or turned cold.
 	Reset()
 	// Configure sets the declared limits of the backend server.
 	Configure(limit, coldLimit int)
--- a/request/admission/latency.go
+++ b/request/admission/latency.go
@@ -8,9 +8,9 @@
 const (
 	// windowTime is the time over which samples are averaged.
 	windowTime = 100 * time.Millisecond
-	// steadyRatio is the largest variation of the number of calls in flight during
-	// a window, as a fraction of the maximum, at which the window is attributed to
-	// one number of calls.
+	// steadyRatio is the largest variation of the number of calls in flight
+	// during a window, as a fraction of the maximum, at which the window is
+	// attributed to one number of calls.
 	steadyRatio = 0.05
 	// baselineFallWeight and baselineRiseWeight are the weights of a new mean in
 	// the baseline when the mean is below and above the baseline.
@@ -20,18 +20,20 @@
 	recentWeight = 0.5
 	// movingAverageWeight is the weight of a new value in a moving average.
 	movingAverageWeight = 0.1
-	// minBaselineMeans is the number of means before jumps are detected.
+	// minBaselineMeans is the number of window means that a latencyTracker needs
+	// before it detects jumps.
 	minBaselineMeans = 5
-	// maxBaselineRatio bounds a mean that enters the baseline, as a multiple of the
-	// baseline.
+	// maxBaselineRatio bounds a mean that enters the baseline, as a multiple of
+	// the baseline.
 	maxBaselineRatio = 1.5
 	// minJump is the smallest increase that counts as a jump, so that scheduling
 	// noise on short times does not.
 	minJump = 10 * time.Millisecond
 )
 
-// window averages the samples of windowTime.
+// window averages the samples of a period of windowTime.
 type window struct {
+	// start is the time of the first sample.
 	start time.Time
 	sum   time.Duration
 	count int
@@ -57,8 +59,8 @@
 // mean returns the mean of the samples.
 func (w *window) mean() time.Duration { return w.sum / time.Duration(w.count) }
 
-// inFlight returns the number of calls in flight, and whether it was about
-// constant during the window.
+// inFlight returns the middle of the range of calls in flight during the window,
+// and whether the range is within steadyRatio.
 func (w *window) inFlight() (int, bool) {
 	steady := float64(w.maxInFlight-w.minInFlight) <= steadyRatio*float64(w.maxInFlight)
 	return (w.maxInFlight + w.minInFlight) / 2, steady && w.maxInFlight > 0
@@ -67,12 +69,13 @@
 // latencyTracker compares the recent mean of one kind of latency with its
 // baseline, the mean while the server was healthy.
 type latencyTracker struct {
+	// baseline and recent are in nanoseconds.
 	baseline  float64
 	recent    float64
 	meanCount int
 }
 
-// add adds the mean of one window.
+// add adds one mean or, for the time to the first token, one sample.
 func (l *latencyTracker) add(d time.Duration) {
 	mean := float64(d)
 	if l.meanCount == 0 {
@@ -84,8 +87,8 @@
 }
 
 // baselineChange returns the change of a baseline by a new mean. The baseline
-// rises slowly, because one that quickly followed a slow server would hide the
-// slowdown.
+// rises slowly, because a baseline that rose quickly with the latency of a slow
+// server would hide the slowdown.
 func baselineChange(baseline, mean float64) float64 {
 	if mean < baseline {
 		return baselineFallWeight * (mean - baseline)
@@ -104,7 +107,7 @@
 // resetRecent sets the recent mean to the baseline after a change of the limit.
 func (l *latencyTracker) resetRecent() { l.recent = l.baseline }
 
-// movingAverage is an exponential moving average of durations.
+// movingAverage is an exponentially weighted moving average of durations.
 type movingAverage struct{ value time.Duration }
 
 // add adds one duration. The first becomes the average.
--- a/request/admission/limiter.go
+++ b/request/admission/limiter.go
@@ -15,7 +15,7 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// Defaults of a Config.
+// Defaults of a Config, and other parameters of an AdaptiveLimiter.
 const (
 	// DefaultMaxQueueWait is the longest wait in the queue.
 	DefaultMaxQueueWait = 40 * time.Millisecond
@@ -45,8 +45,8 @@
 	MaxQueueWait time.Duration
 	// QueueRatio is the maximum length of the queue, as a fraction of the limit.
 	QueueRatio float64
-	// GrowthPerCall is added to the limit by each finished call while the limit is in use
-	// and calls do not slow down.
+	// GrowthPerCall is added to the limit by each finished call while the limit
+	// is in use and calls do not slow down.
 	GrowthPerCall float64
 	// Fixed keeps the limit constant at Limit: no cold limit, no growth and no
 	// decreases.
@@ -81,12 +81,14 @@
 type runningCall struct {
 	request SlotRequest
 	start   time.Time
-	shed    bool
+	// shed is true once the call has been ended early.
+	shed bool
 }
 
-// AdaptiveLimiter is an adaptive Limiter for the calls of one backend server. The limit
-// grows while the token rate grows with the number of calls and is decreased when
-// fewer calls have a higher token rate.
+// AdaptiveLimiter is a Limiter for the calls of one backend server that adapts
+// its limit. The limit grows while the token rate grows with the number of
+// calls. It is decreased when fewer calls have a higher token rate. The token
+// rate is the number of tokens per second of all calls together.
 type AdaptiveLimiter struct {
 	cfg   Config
 	clock clockwork.Clock
@@ -102,8 +104,8 @@
 	perToken         latencyTracker
 	curve            rateCurve
 	// finishedSinceSample counts the calls that finished since the last sample.
-	// stepEvaluated is true once a window has been evaluated in the present growth
-	// step.
+	// stepEvaluated is true once a window has been evaluated in the present
+	// growth step.
 	finishedSinceSample int
 	stepEvaluated       bool
 	// collapsedWindows counts the consecutive windows in which the token rate was
@@ -114,8 +116,9 @@
 	// worseWindows counts the consecutive windows in which fewer calls would have
 	// been better.
 	worseWindows int
-	// overloadedAt is the number of calls in flight at which fewer calls were last
-	// found better; 0 when there was none or the server handles that many again.
+	// overloadedAt is the number of calls in flight at the last decrease because
+	// fewer calls would have been better; 0 when there was none or the server has
+	// handled that many since.
 	overloadedAt int
 	// settledAt is the time from which samples enter the rate curve again.
 	// cooldownEnd is the time from which the limit may be decreased again after a
@@ -139,7 +142,7 @@
 
 var _ Limiter = (*AdaptiveLimiter)(nil)
 
-// New returns a Gate whose limit is the cold limit.
+// New returns an AdaptiveLimiter whose limit is the cold limit.
 func New(cfg Config, clock clockwork.Clock) *AdaptiveLimiter {
 	cfg.applyDefaults()
 	l := &AdaptiveLimiter{
@@ -197,8 +200,8 @@
 	return l.wait(ctx, w)
 }
 
-// enqueue adds w to the queue and reports whether it did. When the queue is full,
-// w may displace another waiter. The caller holds l.mu.
+// enqueue adds w to the queue and reports whether w was added. When the queue
+// is full, w may displace another waiter. The caller holds l.mu.
 func (l *AdaptiveLimiter) enqueue(w *waiter) bool {
 	maxLength := max(minQueueLength, int(l.limit*l.cfg.QueueRatio))
 	if l.queue.len() >= maxLength {
@@ -285,7 +288,8 @@
 	}
 }
 
-// releaseFunc returns the function that frees the slot of call.
+// releaseFunc returns the function that frees the slot of call and adapts the
+// limit to the outcome.
 func (l *AdaptiveLimiter) releaseFunc(call *runningCall) func(Outcome) {
 	return func(o Outcome) {
 		l.mu.Lock()
@@ -300,8 +304,8 @@
 	}
 }
 
-// nearLimit reports whether this number of calls uses most of the limit. The
-// caller holds l.mu.
+// nearLimit reports whether this number of calls is at least nearLimitRatio of
+// the limit. The caller holds l.mu.
 func (l *AdaptiveLimiter) nearLimit(calls int) bool {
 	return float64(calls) >= nearLimitRatio*math.Floor(l.limit)
 }
--- a/request/admission/limiter_test.go
+++ b/request/admission/limiter_test.go
@@ -19,21 +19,20 @@
 }
 
 // startAcquire calls Acquire in a goroutine and returns the channel that receives
-// the reason.
-func startAcquire(l *AdaptiveLimiter, t SlotRequest) <-chan frame.Reason {
+// the reason of a refusal, or the empty reason.
+func startAcquire(l *AdaptiveLimiter, req SlotRequest) <-chan frame.Reason {
 	reasons := make(chan frame.Reason, 1)
 	go func() {
-		_, reason := l.Acquire(context.Background(), t)
+		_, reason := l.Acquire(context.Background(), req)
 		reasons <- reason
 	}()
 	return reasons
 }
 
-// acquireQueued calls Acquire in a goroutine and returns once the request is in
-// the queue.
-func acquireQueued(l *AdaptiveLimiter, t SlotRequest) <-chan frame.Reason {
+// acquireQueued calls startAcquire and returns once the request is in the queue.
+func acquireQueued(l *AdaptiveLimiter, req SlotRequest) <-chan frame.Reason {
 	queuedBefore := l.Load().Queued
-	reasons := startAcquire(l, t)
+	reasons := startAcquire(l, req)
 	for deadline := time.Now().Add(5 * time.Second); l.Load().Queued == queuedBefore; {
 		if time.Now().After(deadline) {
 			panic("the call is not in the queue after 5 s")
@@ -61,14 +60,14 @@
 			clock.Advance(DefaultMaxQueueWait / 2)
 			So(<-reasons, ShouldEqual, frame.ReasonExpired)
 		})
-		Convey("a waiter of higher priority goes first, regardless of arrival", func() {
+		Convey("a waiter of higher priority gets a slot first, regardless of arrival", func() {
 			low := acquireQueued(l, SlotRequest{Account: "a"})
 			high := acquireQueued(l, SlotRequest{Account: "b", Priority: 5})
 			release(Outcome{})
 			So(<-high, ShouldBeEmpty)
 			So(low, ShouldBeEmpty)
 		})
-		Convey("a call of higher priority displaces the lowest priority from a full queue", func() {
+		Convey("a call of higher priority displaces the waiter of lowest priority from a full queue", func() {
 			low := acquireQueued(l, SlotRequest{Account: "a"})
 			for range minQueueLength - 1 {
 				acquireQueued(l, SlotRequest{Account: "b", Priority: 3})
@@ -92,7 +91,7 @@
 			release(Outcome{})
 			So(<-small, ShouldBeEmpty)
 		})
-		Convey("the account with the fewest calls per share goes first", func() {
+		Convey("the account with the fewest calls per share gets a slot first", func() {
 			l, _ := newLimiter(Config{Limit: 4, ColdLimit: 4})
 			for range 3 {
 				_, reason := l.Acquire(context.Background(), SlotRequest{Account: "big", Share: 4})
@@ -137,8 +136,8 @@
 		}
 		So(l.Load().Limit, ShouldEqual, 4)
 		So(l.State(), ShouldEqual, frame.StateCold)
-		// passWindow advances the clock by one window and passes samples with this
-		// time per token to the limiter.
+		// passWindow advances the clock by one window and passes samples with
+		// this time per token to the limiter.
 		passWindow := func(timePerToken time.Duration) {
 			clock.Advance(settleTime)
 			l.Observe(Sample{PerToken: timePerToken})
@@ -260,8 +259,8 @@
 		}
 		l, clock := newLimiter(Config{Limit: 4 * capacity, ColdLimit: capacity})
 		var releases []func(Outcome)
-		// cycle takes all slots, passes two windows of samples at the speed of the
-		// server, and then ends half of the calls.
+		// cycle takes all slots, passes two windows of samples at the speed of
+		// the server, and then ends half of the calls.
 		cycle := func() {
 			for l.Load().InFlight < l.Load().Limit {
 				release, reason := l.Acquire(context.Background(), SlotRequest{Account: "a"})
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -9,14 +9,16 @@
 // waiter is a slot request in the queue.
 type waiter struct {
 	request SlotRequest
-	// result receives the empty reason when the waiter was given a slot, or else
-	// the reason of the refusal. Its buffer holds one value.
+	// result receives the empty reason when the waiter gets a slot, or else the
+	// reason for the refusal. Its buffer holds one value.
 	result chan frame.Reason
 }
 
-// queue holds the waiting slot requests. The order is by highest priority, then
-// by the account with the fewest running calls per share, then by arrival.
+// queue holds the waiting slot requests. They get slots in the order of their
+// priority, highest first, then of the running calls per share of their account,
+// fewest first, then of their arrival.
 type queue struct {
+	// waiting holds the waiters in the order of their arrival.
 	waiting []*waiter
 }
 
@@ -24,7 +26,7 @@
 
 func (q *queue) push(w *waiter) { q.waiting = append(q.waiting, w) }
 
-// remove removes w and reports whether it was in the queue.
+// remove removes w and reports whether w was in the queue.
 func (q *queue) remove(w *waiter) bool {
 	i := slices.Index(q.waiting, w)
 	if i < 0 {
@@ -50,7 +52,7 @@
 	return w
 }
 
-// goesBefore reports whether a precedes b, which arrived earlier.
+// goesBefore reports whether a gets a slot before b, which arrived earlier.
 func goesBefore(a, b SlotRequest, runningByAccount map[string]int) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
@@ -63,9 +65,10 @@
 	return float64(calls) / float64(max(req.Share, 1))
 }
 
-// displace removes and returns the waiter that gives way to the new request req
-// when the queue is full, or returns nil. It is a waiter of lower priority, or
-// else one of the account with the most calls per share, if that account has more
+// displace makes room for the new request req in a full queue: it removes and
+// returns the waiter that is last in order, counting waiting calls as running,
+// or returns nil if req must not displace that waiter. req displaces a waiter
+// of lower priority, and one of the same priority whose account has more calls
 // per share than the account of req would have.
 func (q *queue) displace(req SlotRequest, runningByAccount map[string]int) *waiter {
 	calls := q.callsByAccount(runningByAccount)
