--- a/request/routing/affinity.go
+++ b/request/routing/affinity.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// affinityRelativeMargin and affinityAbsoluteMargin bound the load ratio of a
-	// server that receives a call because of its prompt's prefix:
+	// affinityRelativeMargin and affinityAbsoluteMargin determine the load ratio
+	// up to which a server receives calls because of the prompt's prefix:
 	// mean ratio * (1 + affinityRelativeMargin) + affinityAbsoluteMargin.
 	affinityRelativeMargin = 0.1
 	affinityAbsoluteMargin = 0.05
 )
 
-// pickByPrefix returns the first server in the rendezvous order of the prefix
-// whose load ratio is not far above the mean (consistent hashing with bounded
-// loads).
+// pickByPrefix returns the candidate with the highest rendezvous weight for the
+// prefix among those whose load ratio is not far above the mean (consistent
+// hashing with bounded loads).
 func pickByPrefix(prefix uint64, candidates []candidate) (candidate, bool) {
 	sum := 0.0
 	for _, c := range candidates {
--- a/request/routing/candidates.go
+++ b/request/routing/candidates.go
@@ -12,11 +12,11 @@
 // Reasons for which a registered server is not a candidate.
 const (
 	skipUndeclared    = "undeclared"
-	skipSuspect       = "suspect"
+	skipSuspect       = "suspect" // missed heartbeats
 	skipLeaving       = "leaving"
 	skipDataCentreOut = "dataCentreOut"
 	skipDown          = "down"
-	skipHoldsOther    = "holdsOther"
+	skipHoldsOther    = "holdsOther" // other weights or another service
 	skipTried         = "tried"
 	skipEjected       = "ejected"
 )
@@ -43,7 +43,7 @@
 type candidate struct {
 	server *registry.Server
 	state  *serverState
-	// load is the estimated number of calls at the server.
+	// load is the estimated number of calls at the server, running and queued.
 	load     int
 	distance distance
 }
@@ -56,7 +56,8 @@
 	return float64(c.load) / float64(max(1, c.server.Report.Limit))
 }
 
-// coldOrWarming reports whether the server has not reached its full limit.
+// coldOrWarming reports whether the server's limit is still below its declared
+// limit.
 func (c candidate) coldOrWarming() bool {
 	return c.server.Report.State == frame.StateCold || c.server.Report.State == frame.StateWarming
 }
@@ -87,9 +88,9 @@
 	return f
 }
 
-// findCandidates sorts the registered servers into candidates and skipped
-// servers. If every possible candidate is ejected, it returns the ejected servers
-// as candidates.
+// findCandidates divides the registered servers into candidates and skipped
+// servers. If ejection leaves no candidate, the ejected servers are the
+// candidates. The caller holds r.mu.
 func (r *Router) findCandidates(q Query) candidateSet {
 	snapshot := r.configHolder.Current()
 	found := candidateSet{configNumber: snapshot.Number, skipped: map[string]int{}}
@@ -177,12 +178,14 @@
 	return otherRegion
 }
 
-// choose picks a candidate. It prefers the nearest servers that are not nearly
-// full, then any server with a free slot. After a first attempt the preference
-// for near servers is dropped, because the counts of other entry instances' calls
-// are outdated. If no server has a free slot, choose picks among the warm servers,
-// whose agents may queue the call. Cold servers receive more calls than their
-// limit only when there is no warm server.
+// choose picks a candidate and returns the reason for the choice. It prefers
+// the nearest servers that are not nearly full, then any server with a free
+// slot. From the second attempt on, near servers are not preferred: the
+// reported loads lag behind the calls of other entry instances, and the near
+// servers may be fuller than they seem. If no server has a free slot, choose
+// picks among the warm servers, whose agents may queue the call. Cold servers
+// receive more calls than their limit only when there is no warm server. The
+// caller holds r.mu.
 func (r *Router) choose(q Query, found candidateSet) (candidate, string, bool) {
 	if len(found.candidates) == 0 {
 		return candidate{}, "no candidate", false
@@ -207,7 +210,8 @@
 	return c, "none has a free slot, " + reason, true
 }
 
-// applyPolicy chooses among servers of equal rank by the configured policy.
+// applyPolicy chooses among servers that are equally preferred, by prefix
+// affinity or by the configured policy, and returns the reason for the choice.
 func (r *Router) applyPolicy(q Query, candidates []candidate) (candidate, string) {
 	n := len(candidates)
 	if n == 1 {
@@ -246,7 +250,7 @@
 }
 
 // nextRoundRobin returns the server at position turn, modulo the number of
-// candidates, in the order of the servers' ids.
+// candidates, in the order of the servers' IDs.
 func nextRoundRobin(candidates []candidate, turn int) candidate {
 	position := turn % len(candidates)
 	for _, c := range candidates {
--- a/request/routing/ejection.go
+++ b/request/routing/ejection.go
@@ -10,13 +10,15 @@
 	consecutiveFailures int
 	// ejections counts the ejections since the last success.
 	ejections int
-	// ejectedUntil is the end of the ejection; zero when the server is not ejected.
+	// ejectedUntil is the earliest time of the next probe; zero when the server
+	// is not ejected.
 	ejectedUntil time.Time
 	// probing is true while a probe is running.
 	probing bool
 }
 
-// excludes reports whether the server must not be chosen at time now.
+// excludes reports whether the server must not be chosen at time now, because it
+// is ejected or a probe is running.
 func (e *ejection) excludes(now time.Time) bool {
 	if e.ejectedUntil.IsZero() {
 		return false
--- a/request/routing/pinning.go
+++ b/request/routing/pinning.go
@@ -6,9 +6,10 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// PinnedDigest implements Picker. It returns the declared version once half of the
-// replicas have loaded it. Until then it returns the version of the model that
-// most servers have loaded, so that the model stays available during a rollout.
+// PinnedDigest implements Picker. It returns the declared version once half of
+// the replicas have loaded it. Until then it returns the version of the model
+// that most servers have loaded, so that the model stays available during a
+// rollout.
 func (r *Router) PinnedDigest(model string) (core.Digest, bool) {
 	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
@@ -31,10 +32,10 @@
 	return best, true
 }
 
-// AlternativeDigest implements Picker. During a rollout over servers that have no room
-// for two versions, the declared version and the one that it replaces share the
-// servers until every replica has loaded the declared version. AlternativeDigest returns
-// the one of them that is not pinned.
+// AlternativeDigest implements Picker. During a rollout over servers that
+// cannot hold two versions at once, the declared version and the one that it
+// replaces share the servers until every replica has loaded the declared
+// version. AlternativeDigest returns the one of them that is not pinned.
 func (r *Router) AlternativeDigest(model string, pinned core.Digest) (core.Digest, bool) {
 	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
@@ -54,8 +55,8 @@
 	return alternative, alternative != ""
 }
 
-// countServersByDigest counts, for each manifest digest, the available servers that have
-// loaded a version of model.
+// countServersByDigest counts, for each manifest digest, the available servers
+// that have loaded a version of model.
 func (r *Router) countServersByDigest(set *declare.Set, model string) map[core.Digest]int {
 	counts := map[core.Digest]int{}
 	servers := r.reg.All()
@@ -73,8 +74,8 @@
 	return counts
 }
 
-// canTakeOver reports whether a version that this number of servers have loaded
-// may answer the new calls: at least half of the replicas.
+// canTakeOver reports whether new calls may run on a version that this number of
+// servers have loaded: at least half of the replicas.
 func canTakeOver(servers, replicas int) bool {
 	return servers > 0 && 2*servers >= replicas
 }
@@ -98,8 +99,7 @@
 	return best.Manifest
 }
 
-// isPreferred reports whether v comes before best in the order of
-// mostLoadedVersion.
+// isPreferred reports whether mostLoadedVersion prefers v to best.
 func isPreferred(m *declare.Model, v, best *declare.Version, serverCounts map[core.Digest]int) bool {
 	if serverCounts[v.Manifest] != serverCounts[best.Manifest] {
 		return serverCounts[v.Manifest] > serverCounts[best.Manifest]
@@ -110,8 +110,8 @@
 	return v.Name < best.Name
 }
 
-// recordPin records the version that answers new calls to model and logs a change
-// to a version other than the declared one.
+// recordPin records the version on which new calls to model run, and logs a
+// change to a version other than the declared one.
 func (r *Router) recordPin(model string, pinned, declared core.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/request/routing/router.go
+++ b/request/routing/router.go
@@ -30,17 +30,18 @@
 	eventServerEjected = eventlog.Define(502, "server-ejected", logrus.WarnLevel,
 		"a backend server failed repeatedly and gets no calls for a while")
 	eventServerRestored = eventlog.Define(503, "server-restored", logrus.InfoLevel,
-		"an ejected backend server answered a probe and gets calls again")
+		"a probe of an ejected backend server succeeded, and the server gets calls again")
 	eventOlderVersionPinned = eventlog.Define(504, "older-version-pinned", logrus.InfoLevel,
-		"too few servers have loaded the declared version, so another version of the model answers new calls")
+		"too few servers have loaded the declared version, so new calls run on another version of the model")
 )
 
-// Policy names a load balancing policy for servers of the same rank.
+// Policy names a load balancing policy among equally preferred servers.
 type Policy string
 
 // The policies. Those other than PolicyTwoChoices exist for comparison with it.
 const (
-	// PolicyTwoChoices takes the less loaded of two random servers.
+	// PolicyTwoChoices takes the less loaded of two random servers (power of two
+	// choices).
 	PolicyTwoChoices Policy = "two-choices"
 	// PolicyRandom takes a random server.
 	PolicyRandom Policy = "random"
@@ -68,7 +69,7 @@
 	EjectBase time.Duration
 	// EjectMax is the longest duration of an ejection; default 30 s.
 	EjectMax time.Duration
-	// Seed makes choices repeatable in tests; 0 takes a random seed.
+	// Seed makes choices reproducible in tests; 0 takes a random seed.
 	Seed uint64
 }
 
@@ -93,19 +94,21 @@
 	mu             sync.Mutex
 	rng            *rand.Rand
 	roundRobinTurn int
-	servers        map[string]*serverState
-	pinnedDigests  map[string]core.Digest
+	// servers holds the states by server ID, and pinnedDigests the last pinned
+	// digests by model.
+	servers       map[string]*serverState
+	pinnedDigests map[string]core.Digest
 }
 
-// serverState is the state that the Router itself keeps of one server.
+// serverState is the state that a Router keeps for one server.
 type serverState struct {
 	// incarnation is the incarnation of the server's agent. A new incarnation
 	// clears the ejection state.
 	incarnation string
 	// inFlight counts the running attempts of this entry instance at the server.
 	inFlight int
-	// reportedAt is the time of the newest report and inFlightAtReport the value of
-	// inFlight at that time.
+	// reportedAt is the time of the newest report and inFlightAtReport the
+	// value of inFlight at that time.
 	reportedAt       time.Time
 	inFlightAtReport int
 	ejection         ejection
@@ -198,7 +201,8 @@
 	state.inFlightAtReport = state.inFlight
 }
 
-// updateEjection updates the ejection state of a server after an attempt.
+// updateEjection updates the ejection state of a server after an attempt. The
+// caller holds r.mu.
 func (r *Router) updateEjection(id string, state *serverState, result Result) {
 	now := r.clock.Now()
 	switch result {
@@ -216,6 +220,7 @@
 }
 
 // stateOf returns the state of s, updated to its newest report and incarnation.
+// The caller holds r.mu.
 func (r *Router) stateOf(s *registry.Server) *serverState {
 	id := s.Instance.ID
 	state, ok := r.servers[id]
--- a/request/routing/router_test.go
+++ b/request/routing/router_test.go
@@ -49,6 +49,8 @@
 	return f
 }
 
+// put declares a server and registers it with a report that lists the loaded
+// weights d.
 func (f *fixture) put(id string, d core.Digest, report frame.Report) {
 	dc, region := id[:7], "west"
 	if dc == "catania" {
@@ -66,6 +68,7 @@
 	f.configHolder.Offer(&declare.Snapshot{Number: f.configHolder.Current().Number + 1, Set: &set})
 }
 
+// pick returns the ID of the server chosen for a call on the old version, or "".
 func (f *fixture) pick(tried ...string) string {
 	q := Query{Model: "herbs", Digest: oldDigest, Tried: map[string]bool{}}
 	for _, id := range tried {
@@ -89,7 +92,7 @@
 				}
 			}
 		})
-		Convey("a data centre that is out gets no calls", func() {
+		Convey("a data centre taken out of service gets no calls", func() {
 			f.set.DataCentres = map[string]*declare.DataCentre{
 				"palermo": {Name: "palermo", Out: true}, "trapani": {Name: "trapani"}, "catania": {Name: "catania"}}
 			f.publish()
@@ -163,7 +166,7 @@
 		_, ok := f.router.PinnedDigest("none")
 		So(ok, ShouldBeFalse)
 
-		Convey("both versions may answer until every replica has loaded the new one", func() {
+		Convey("calls may run on both versions until every replica has loaded the new one", func() {
 			other, ok := f.router.AlternativeDigest("herbs", newDigest)
 			So(ok, ShouldBeTrue)
 			So(other, ShouldEqual, oldDigest)
@@ -181,9 +184,9 @@
 }
 
 // TestPoliciesCompared gives each policy the same calls over servers with
-// different limits and compares how many choices find a full server: with the
-// four entry instances of today, and with the 55 that a data centre is designed
-// to have.
+// different limits and compares how many choices find a full server: with four
+// entry instances, the present number, and with 55, the number for which a data
+// centre is designed.
 func TestPoliciesCompared(t *testing.T) {
 	Convey("Given servers with different limits and reports up to a second old", t, func() {
 		policies := []Policy{PolicyRandom, PolicyRoundRobin, PolicyLeastLoaded, PolicyTwoChoices}
@@ -200,10 +203,10 @@
 	})
 }
 
-// simulate lets entry instances choose servers by their own reports, which are up
-// to a second old. It returns the percentage of choices that found the server
-// full, and the percentage of calls that found their prompt's prefix in the
-// server's cache.
+// simulate runs entry instances that choose servers by the reports that each
+// has received, which are up to a second old. It returns the percentage of
+// choices that found the server full, and the percentage of calls that found
+// their prompt's prefix in the server's cache.
 func simulate(p Policy, entryCount int, affinity bool) (refusedPercent, hitPercent float64) {
 	limits := map[string]int{}
 	for i := range 12 {
@@ -270,6 +273,8 @@
 // last.
 type prefixCache struct{ prefixes []uint64 }
 
+// access moves or adds the prefix p to the end of the cache and reports whether
+// the cache held it.
 func (c *prefixCache) access(p uint64) (hit bool) {
 	if i := slices.Index(c.prefixes, p); i >= 0 {
 		c.prefixes = slices.Delete(c.prefixes, i, i+1)
@@ -292,6 +297,7 @@
 	})
 }
 
+// report updates the reports of all servers with these numbers of running calls.
 func (f *fixture) report(load map[string]int) {
 	for _, s := range f.reg.All() {
 		f.reg.Update(s.Instance.ID, "1", func(s *registry.Server) {
--- a/request/routing/routing.go
+++ b/request/routing/routing.go
@@ -20,29 +20,31 @@
 	Service string
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
-	// Tried holds the ids of the servers that earlier attempts used.
+	// Tried holds the IDs of the servers that earlier attempts used.
 	Tried map[string]bool
 }
 
-// Picker chooses backend servers and is informed of the results of attempts.
+// Picker chooses the backend server for each attempt, using the results of
+// earlier attempts.
 type Picker interface {
-	// PinnedDigest returns the manifest digest of the version that answers new calls to
-	// model, or false if no server can answer.
+	// PinnedDigest returns the manifest digest of the version on which new
+	// calls to model run, or false if no available server has loaded one.
 	PinnedDigest(model string) (core.Digest, bool)
-	// AlternativeDigest returns another version of model for a call that finds no free
-	// slot at servers with the pinned version. It returns false unless a rollout is
-	// in progress, during which each version is loaded on a part of the servers.
+	// AlternativeDigest returns the manifest digest of another version of
+	// model, for a call that finds no free slot at the servers with the pinned
+	// version. It returns false unless a rollout is in progress, during which
+	// each version is loaded on a part of the servers.
 	AlternativeDigest(model string, pinned core.Digest) (core.Digest, bool)
-	// NoFreeSlot reports whether none of the servers that could run the call has a free
-	// slot, by the estimate of this entry instance.
+	// NoFreeSlot reports whether none of the servers that could run the call
+	// has a free slot, by the estimate of this entry instance.
 	NoFreeSlot(q Query) bool
-	// Suspended reports whether the server with this id is registered but gets no
+	// Suspended reports whether the server with this ID is registered but gets no
 	// calls, because its reports are overdue or because it is ejected.
 	Suspended(id string) bool
 	// Pick returns a server for an attempt, or false if none is available. Each
 	// Pick that returned true must be followed by one Done.
 	Pick(q Query) (registry.Server, bool)
-	// Done reports the end of an attempt at the server with this id. load is the
+	// Done records the end of an attempt at the server with this ID. load is the
 	// load in the agent's last frame, or nil if there was none.
 	Done(id string, r Result, load *frame.Load)
 }
@@ -52,14 +54,15 @@
 
 // The results of an attempt.
 const (
-	// ResultOK means that the complete answer was received.
+	// ResultOK means that the complete response was received.
 	ResultOK Result = iota
 	// ResultRefused means that the agent did not admit the call.
 	ResultRefused
-	// ResultFailed means that the server failed, stalled or ended the answer early.
+	// ResultFailed means that the server failed, stalled or ended the response
+	// early.
 	ResultFailed
-	// ResultCancelled means that the attempt was cancelled, for example because the
-	// caller disconnected.
+	// ResultCancelled means that the attempt was cancelled, for example because
+	// the caller disconnected.
 	ResultCancelled
 )
 
