--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -17,17 +17,20 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// fakePlatform is a table and an object store in memory. Each of its errors is
-// returned once.
+// fakePlatform is a table and an object store in memory.
 type fakePlatform struct {
-	rows      map[string]platform.Row
-	objects   map[string][]byte
+	rows    map[string]platform.Row
+	objects map[string][]byte
+	// getErr and commitErr are returned by the next Get or Commit, which resets
+	// them.
 	getErr    error
 	commitErr error
-	// loseReply makes the next commit take effect but return an unknown outcome.
-	loseReply bool
+	// loseResponse makes the next commit take effect but return an unknown
+	// outcome.
+	loseResponse bool
 }
 
+// takeError returns the error and resets it.
 func takeError(err *error) error {
 	e := *err
 	*err = nil
@@ -69,8 +72,8 @@
 	if w.Delete {
 		delete(p.rows, w.Key)
 	}
-	if p.loseReply {
-		p.loseReply = false
+	if p.loseResponse {
+		p.loseResponse = false
 		return platform.ErrUnknownOutcome
 	}
 	return nil
@@ -87,15 +90,15 @@
 	return nil
 }
 
-// fixture is a Keeper over a fakePlatform, and one call.
+// fixture is a RecordStore over a fakePlatform, and one call.
 type fixture struct {
-	platform *fakePlatform
-	clock    *clockwork.FakeClock
-	keeper   *RecordStore
-	call     Call
-	askCount int
-	answer   frame.AttemptStatus
-	askErr   error
+	platform   *fakePlatform
+	clock      *clockwork.FakeClock
+	store      *RecordStore
+	call       Call
+	queryCount int
+	status     frame.AttemptStatus
+	queryErr   error
 }
 
 func newFixture() *fixture {
@@ -104,17 +107,17 @@
 		clock:    clockwork.NewFakeClock(),
 		call:     Call{Account: "toa", Service: "booking", Key: "k", RequestDigest: RequestDigest("POST", "/deposits", []byte("1"))},
 	}
-	f.keeper = New(Config{Entry: "entry-1", MaxRowBodyBytes: 16}, f.platform, fakeObjects{f.platform}, eventlog.Discard(), f.clock)
+	f.store = New(Config{Entry: "entry-1", MaxRowBodyBytes: 16}, f.platform, fakeObjects{f.platform}, eventlog.Discard(), f.clock)
 	return f
 }
 
-func (f *fixture) ask(context.Context, core.Instance, string, int) (frame.AttemptStatus, error) {
-	f.askCount++
-	return f.answer, f.askErr
+func (f *fixture) query(context.Context, core.Instance, string, int) (frame.AttemptStatus, error) {
+	f.queryCount++
+	return f.status, f.queryErr
 }
 
-// settle runs Settle while the fake clock advances.
-func (f *fixture) settle() (*Outcome, NextAttempt, error) {
+// resolve runs Resolve while the fake clock advances.
+func (f *fixture) resolve() (*Outcome, NextAttempt, error) {
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -127,13 +130,13 @@
 			}
 		}
 	}()
-	return f.keeper.Resolve(context.Background(), f.call, f.ask)
+	return f.store.Resolve(context.Background(), f.call, f.query)
 }
 
 func (f *fixture) claim() *Claim {
-	_, next, err := f.settle()
+	_, next, err := f.resolve()
 	So(err, ShouldBeNil)
-	claim, err := f.keeper.Claim(context.Background(), f.call, next, core.Instance{ID: "booking-1"}, "i1")
+	claim, err := f.store.Claim(context.Background(), f.call, next, core.Instance{ID: "booking-1"}, "i1")
 	So(err, ShouldBeNil)
 	return claim
 }
@@ -142,51 +145,51 @@
 	Convey("Given a keyed call", t, func() {
 		f := newFixture()
 		ctx := context.Background()
-		Convey("a resubmission gets the recorded answer, small or large", func() {
+		Convey("a resubmission gets the recorded response, whether it is stored in the row or in an object", func() {
 			for _, body := range []string{"short", strings.Repeat("long", 100)} {
 				f.platform.rows = map[string]platform.Row{}
 				So(f.claim().RecordOutcome(ctx, Outcome{Status: 201, Body: []byte(body)}), ShouldBeNil)
-				o, _, err := f.settle()
+				o, _, err := f.resolve()
 				So(err, ShouldBeNil)
 				So(o.Status, ShouldEqual, 201)
 				So(string(o.Body), ShouldEqual, body)
 			}
 			So(f.platform.objects, ShouldHaveLength, 1)
 		})
-		Convey("the same key with another body is refused as a mismatch", func() {
+		Convey("the same key with another body is refused", func() {
 			f.claim()
 			f.call.RequestDigest = RequestDigest("POST", "/deposits", []byte("2"))
-			_, _, err := f.settle()
+			_, _, err := f.resolve()
 			So(err, ShouldEqual, ErrKeyReused)
 		})
-		Convey("a claim is valid and its outcome can be recorded although the table's reply was lost", func() {
-			f.platform.loseReply = true
+		Convey("a claim is valid and its outcome can be recorded although the table's response was lost", func() {
+			f.platform.loseResponse = true
 			claim := f.claim()
-			f.platform.loseReply = true
+			f.platform.loseResponse = true
 			So(claim.RecordOutcome(ctx, Outcome{Status: 201}), ShouldBeNil)
 		})
 		Convey("the second of two claims for one attempt is refused", func() {
-			_, next, _ := f.settle()
+			_, next, _ := f.resolve()
 			f.claim()
-			_, err := f.keeper.Claim(ctx, f.call, next, core.Instance{ID: "booking-2"}, "i2")
+			_, err := f.store.Claim(ctx, f.call, next, core.Instance{ID: "booking-2"}, "i2")
 			So(err, ShouldEqual, ErrAlreadyClaimed)
 		})
-		Convey("an unavailable table is reported as an error of the table", func() {
+		Convey("Resolve and Claim return ErrTableUnavailable while the table is unavailable", func() {
 			f.platform.getErr = platform.ErrUnavailable
-			_, _, err := f.settle()
+			_, _, err := f.resolve()
 			So(errors.Is(err, ErrTableUnavailable), ShouldBeTrue)
-			_, next, _ := f.settle()
+			_, next, _ := f.resolve()
 			f.platform.commitErr = platform.ErrUnavailable
-			_, err = f.keeper.Claim(ctx, f.call, next, core.Instance{}, "i1")
+			_, err = f.store.Claim(ctx, f.call, next, core.Instance{}, "i1")
 			So(errors.Is(err, ErrTableUnavailable), ShouldBeTrue)
 		})
 		Convey("expired records are removed, others kept", func() {
 			So(f.claim().RecordOutcome(ctx, Outcome{Status: 201}), ShouldBeNil)
-			n, err := f.keeper.Sweep(ctx)
+			n, err := f.store.Sweep(ctx)
 			So(n, ShouldEqual, 0)
 			So(err, ShouldBeNil)
 			f.clock.Advance(defaultTTL)
-			n, err = f.keeper.Sweep(ctx)
+			n, err = f.store.Sweep(ctx)
 			So(n, ShouldEqual, 1)
 			So(err, ShouldBeNil)
 		})
@@ -197,40 +200,40 @@
 	Convey("Given an attempt whose entry instance has vanished", t, func() {
 		f := newFixture()
 		claim := f.claim()
-		Convey("the next attempt may run if the same incarnation replies that the attempt never ran", func() {
-			f.answer = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptNotRun}
+		Convey("the next attempt may run if the same incarnation reports that the attempt never ran", func() {
+			f.status = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptNotRun}
 			So(f.claim().Attempt(), ShouldEqual, 2)
 			So(errors.Is(claim.RecordOutcome(context.Background(), Outcome{}), ErrAlreadyClaimed), ShouldBeTrue)
 		})
-		Convey("the outcome is unknown if another incarnation replies that the attempt never ran", func() {
-			f.answer = frame.AttemptStatus{Incarnation: "i2", State: frame.AttemptNotRun}
-			_, _, err := f.settle()
+		Convey("the outcome is unknown if another incarnation reports that the attempt never ran", func() {
+			f.status = frame.AttemptStatus{Incarnation: "i2", State: frame.AttemptNotRun}
+			_, _, err := f.resolve()
 			So(err, ShouldEqual, ErrOutcomeUnknown)
 		})
-		Convey("the outcome is unknown if the attempt ran or the agent does not reply", func() {
-			f.answer = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptRan}
-			_, _, err := f.settle()
+		Convey("the outcome is unknown if the attempt ran and no outcome was kept, or if the agent cannot be queried", func() {
+			f.status = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptRan}
+			_, _, err := f.resolve()
 			So(err, ShouldEqual, ErrOutcomeUnknown)
-			f.askErr = errors.New("no route")
-			_, _, err = f.settle()
+			f.queryErr = errors.New("no route")
+			_, _, err = f.resolve()
 			So(err, ShouldEqual, ErrOutcomeUnknown)
 		})
 		Convey("an outcome that the agent has kept is recorded and replayed", func() {
-			f.answer = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptRan, Outcome: &frame.Outcome{Status: 201, Body: []byte(strings.Repeat("b", 40))}}
+			f.status = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptRan, Outcome: &frame.Outcome{Status: 201, Body: []byte(strings.Repeat("b", 40))}}
 			for range 2 {
-				o, _, err := f.settle()
+				o, _, err := f.resolve()
 				So(err, ShouldBeNil)
 				So(o.Body, ShouldHaveLength, 40)
 			}
-			So(f.askCount, ShouldEqual, 1)
+			So(f.queryCount, ShouldEqual, 1)
 		})
-		Convey("the agent is asked about a lost attempt at once", func() {
+		Convey("the agent is queried about a lost attempt at once", func() {
 			So(claim.RecordLost(context.Background()), ShouldBeNil)
-			f.answer = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptNotRun}
-			_, next, err := f.settle()
+			f.status = frame.AttemptStatus{Incarnation: "i1", State: frame.AttemptNotRun}
+			_, next, err := f.resolve()
 			So(err, ShouldBeNil)
 			So(next.Attempt, ShouldEqual, 2)
-			So(f.askCount, ShouldEqual, 1)
+			So(f.queryCount, ShouldEqual, 1)
 		})
 	})
 }
--- a/request/once/record.go
+++ b/request/once/record.go
@@ -9,12 +9,13 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// rowPrefix is the prefix of the keys of all rows that a Keeper writes.
+// rowPrefix is the prefix of the keys of all rows, and of the names of all
+// objects, that a RecordStore writes.
 const rowPrefix = "once/"
 
 // Call describes one submission of a call with an idempotency key.
 type Call struct {
-	// RequestID is the id of this submission, for log lines.
+	// RequestID is the ID of this submission, for log lines.
 	RequestID string
 	// Account is the name of the client account.
 	Account string
@@ -22,30 +23,30 @@
 	Service string
 	// Key is the value of the caller's Idempotency-Key header.
 	Key string
-	// RequestDigest is the digest of method, path and body. A resubmission must have the
-	// same digest.
+	// RequestDigest is the digest of method, path and body, as returned by the
+	// function RequestDigest. A resubmission must have the same digest.
 	RequestDigest core.Digest
 }
 
-// RowKey returns the key of the call's row. The same text identifies the call in
+// RowKey returns the key of the call's row. It also identifies the call in
 // messages to agents.
 func (c Call) RowKey() string {
 	return rowPrefix + c.Account + "/" + c.Service + "/" + string(core.DigestOf([]byte(c.Key)))
 }
 
-// RequestDigest returns the digest of a request for Call.Request.
+// RequestDigest returns the digest of a request, for Call.RequestDigest.
 func RequestDigest(method, path string, body []byte) core.Digest {
 	all := append([]byte(method+"\n"+path+"\n"), body...)
 	return core.DigestOf(all)
 }
 
-// Outcome is a complete answer to a call.
+// Outcome is the complete response to a call.
 type Outcome struct {
 	// Status is the HTTP status code.
 	Status int `json:"status"`
-	// Header holds the HTTP header fields of the answer.
+	// Header holds the HTTP header fields of the response.
 	Header map[string][]string `json:"header,omitempty"`
-	// Body is the body of the answer; empty in a row that refers to an object.
+	// Body is the body of the response; empty in a row that refers to an object.
 	Body []byte `json:"body,omitempty"`
 	// Object is the name of the object that holds a body too large for the row.
 	Object string `json:"object,omitempty"`
@@ -60,7 +61,7 @@
 	// stateDone means that the outcome is recorded.
 	stateDone state = "done"
 	// stateLost means that the entry instance that claimed the attempt gave up
-	// waiting for the answer.
+	// waiting for the response.
 	stateLost state = "lost"
 	// stateNotRun means that the attempt never ran and never will.
 	stateNotRun state = "not-run"
@@ -68,20 +69,23 @@
 
 // record is the content of a row.
 type record struct {
-	// Request is Call.Request of the first submission.
+	// Request is Call.RequestDigest of the submission that made the claim.
 	Request core.Digest `json:"request"`
 	State   state       `json:"state"`
-	// Claim is a unique id of the claim. A reader compares it to find out whether a
-	// claim was stored although the table's reply was lost.
+	// Claim is a unique ID of the claim. An entry instance that did not receive
+	// the table's response reads the row and compares this ID to find out
+	// whether its own claim was stored.
 	Claim   string `json:"claim"`
 	Attempt int    `json:"attempt"`
-	// Entry is the id of the entry instance that claimed the attempt.
+	// Entry is the ID of the entry instance that claimed the attempt.
 	Entry string `json:"entry"`
 	// Agent and Incarnation identify the process that may run the attempt.
 	Agent       core.Instance `json:"agent"`
 	Incarnation string        `json:"incarnation"`
-	Expires     time.Time     `json:"expires"`
-	Outcome     *Outcome      `json:"outcome,omitempty"`
+	// Expires is the time from which Sweep may remove the row.
+	Expires time.Time `json:"expires"`
+	// Outcome is nil unless State is stateDone.
+	Outcome *Outcome `json:"outcome,omitempty"`
 }
 
 func decodeRecord(value []byte) (*record, error) {
--- a/request/once/store.go
+++ b/request/once/store.go
@@ -1,7 +1,7 @@
-// Package once records, in rows of the platform's table, the calls that carry an
-// idempotency key and may run at most once. A row names the attempt that may run
-// and the incarnation of the agent that may run it. Later it holds the outcome,
-// which is the answer to every resubmission of the call.
+// Package once records, in rows of the platform's table, the once-only calls
+// with an idempotency key. Such a call must run at most once. Its row holds the
+// attempt that may run and the incarnation of the agent that may run it, and
+// later the outcome, which every resubmission of the call gets as its response.
 package once
 
 import (
@@ -30,17 +30,18 @@
 	defaultSweepInterval   = 10 * time.Minute
 )
 
-// Errors of a Keeper.
+// Errors of a RecordStore.
 var (
 	// ErrKeyReused is returned when the key was used before for another request.
 	ErrKeyReused = errors.New("the key was used before for another request")
-	// ErrOutcomeUnknown is returned when an earlier attempt may have run and its outcome
-	// cannot be determined.
+	// ErrOutcomeUnknown is returned when an earlier attempt may have run and
+	// its outcome cannot be determined.
 	ErrOutcomeUnknown = errors.New("an earlier attempt may have run; its outcome is not known")
-	// ErrTableUnavailable is returned when the record could not be read or written. The
-	// attempt was not started.
+	// ErrTableUnavailable is returned when the record could not be read or
+	// written. The attempt was not started.
 	ErrTableUnavailable = errors.New("the record of once-only calls cannot be reached")
-	// ErrAlreadyClaimed is returned when another submission claimed the call first.
+	// ErrAlreadyClaimed is returned when another submission claimed the call
+	// first.
 	ErrAlreadyClaimed = errors.New("another submission claimed the call")
 )
 
@@ -48,13 +49,13 @@
 	eventClaimed = eventlog.Define(520, "once-claimed", logrus.InfoLevel,
 		"an attempt at a keyed once-only call was recorded before it was allowed to run")
 	eventAsked = eventlog.Define(521, "once-asked", logrus.InfoLevel,
-		"an agent was asked whether it ran an earlier attempt, and was forbidden to run it from now on")
+		"an agent was queried whether it has run an earlier attempt; from then on it does not start that attempt")
 	eventRecorded = eventlog.Define(522, "once-recorded", logrus.InfoLevel,
 		"the outcome of a keyed once-only call was recorded")
 	eventReplayed = eventlog.Define(523, "once-replayed", logrus.InfoLevel,
-		"a resubmission was answered with the recorded outcome")
+		"a resubmission got the recorded outcome as its response")
 	eventNotRecorded = eventlog.Define(524, "once-not-recorded", logrus.ErrorLevel,
-		"the outcome of a keyed once-only call could not be recorded; resubmissions will be told that the outcome is unknown")
+		"the outcome of a keyed once-only call could not be recorded; resubmissions may get an error because the outcome is unknown")
 	eventSwept = eventlog.Define(525, "once-swept", logrus.InfoLevel,
 		"expired records of once-only calls were removed")
 	eventAdopted = eventlog.Define(527, "once-adopted", logrus.InfoLevel,
@@ -63,17 +64,17 @@
 		"the record of a keyed once-only call could not be read or written")
 )
 
-// Config holds the settings of a Keeper.
+// Config holds the settings of a RecordStore. Zero values take the defaults.
 type Config struct {
-	// Entry is the id of the entry instance.
+	// Entry is the ID of the entry instance.
 	Entry string
-	// TableTimeout bounds one operation on the table; default 2 s.
+	// TableTimeout limits the time to read or write one record; default 2 s.
 	TableTimeout time.Duration
-	// PollInterval is the interval at which the record of a running call is read; default
-	// 200 ms.
+	// PollInterval is the interval at which the record of a running call is read,
+	// and the pause between tries to record an outcome; default 200 ms.
 	PollInterval time.Duration
-	// AskAfter is the time for which a resubmission must have found the call running
-	// before it asks the agent about the call; default 1 s.
+	// AskAfter is the time for which a resubmission must have found the attempt
+	// running before it queries the agent about the attempt; default 1 s.
 	AskAfter time.Duration
 	// RecordGrace is the time allowed for recording an outcome after its attempt
 	// has ended; default 5 s.
@@ -81,13 +82,14 @@
 	// TTL is the time for which records are kept. A resubmission after that time
 	// runs again. Default 48 h.
 	TTL time.Duration
-	// MaxRowBodyBytes is the size of the largest body that is stored in a row. Larger
-	// bodies are stored in the object store. Default 32 KiB.
+	// MaxRowBodyBytes is the size of the largest body that is stored in a row.
+	// Larger bodies are stored in the object store. Default 32 KiB.
 	MaxRowBodyBytes int
-	// MaxRecordTries is the maximum number of tries to record one outcome; default 20.
+	// MaxRecordTries is the maximum number of tries to record one outcome;
+	// default 20.
 	MaxRecordTries int
-	// SweepInterval is the mean interval between removals of expired records; default
-	// 10 min.
+	// SweepInterval is the mean interval between removals of expired records;
+	// default 10 min.
 	SweepInterval time.Duration
 }
 
@@ -102,7 +104,8 @@
 	core.SetDefault(&c.SweepInterval, defaultSweepInterval)
 }
 
-// RecordStore reads and writes the records. It is safe for concurrent use.
+// RecordStore reads and writes the records of once-only calls with a key. It is
+// safe for concurrent use.
 type RecordStore struct {
 	config  Config
 	table   platform.Table
@@ -111,7 +114,7 @@
 	clock   clockwork.Clock
 }
 
-// New returns a Keeper that uses the platform's table and object store.
+// New returns a RecordStore that uses the platform's table and object store.
 func New(c Config, table platform.Table, objects platform.ObjectStore, log *eventlog.Logger, clock clockwork.Clock) *RecordStore {
 	c.applyDefaults()
 	return &RecordStore{config: c, table: table, objects: objects, log: log, clock: clock}
@@ -121,52 +124,53 @@
 type NextAttempt struct {
 	// Attempt is the number of the attempt, from 1.
 	Attempt int
-	// revision is the revision of the row when it was read; 0 if there was no row.
+	// revision is the revision of the row when it was read; 0 if there was no
+	// row.
 	revision uint64
 }
 
 // Claim is the recorded right to run one attempt.
 type Claim struct {
-	keeper   *RecordStore
+	store    *RecordStore
 	call     Call
 	record   record
 	revision uint64
 }
 
 // Claim records that the agent's incarnation may run the attempt. It returns
-// ErrTaken if another submission claimed the call first, and ErrTable if it is
-// not certain that the claim was recorded. After either error the attempt must
-// not be run.
-func (k *RecordStore) Claim(ctx context.Context, call Call, next NextAttempt, agent core.Instance, incarnation string) (*Claim, error) {
-	c := &Claim{keeper: k, call: call, revision: next.revision + 1, record: record{
+// ErrAlreadyClaimed if another submission claimed the call first, and
+// ErrTableUnavailable if it is not certain that the claim was recorded. After
+// either error the attempt must not be run.
+func (s *RecordStore) Claim(ctx context.Context, call Call, next NextAttempt, agent core.Instance, incarnation string) (*Claim, error) {
+	c := &Claim{store: s, call: call, revision: next.revision + 1, record: record{
 		Request:     call.RequestDigest,
 		State:       stateRunning,
 		Claim:       uuid.NewString(),
 		Attempt:     next.Attempt,
-		Entry:       k.config.Entry,
+		Entry:       s.config.Entry,
 		Agent:       agent,
 		Incarnation: incarnation,
-		Expires:     k.clock.Now().Add(k.config.TTL).UTC(),
+		Expires:     s.clock.Now().Add(s.config.TTL).UTC(),
 	}}
-	err := k.writeRecord(ctx, call, &c.record, next.revision)
+	err := s.writeRecord(ctx, call, &c.record, next.revision)
 	if errors.Is(err, platform.ErrUnknownOutcome) {
 		err = c.confirm(ctx)
 	}
 	switch {
 	case err == nil:
-		k.log.Event(eventClaimed, c.logFields())
+		s.log.Event(eventClaimed, c.logFields())
 		return c, nil
 	case errors.Is(err, platform.ErrConflict):
 		return nil, ErrAlreadyClaimed
 	}
-	k.log.EventWithError(eventTableFailed, err, c.logFields())
+	s.log.EventWithError(eventTableFailed, err, c.logFields())
 	return nil, errors.Wrap(ErrTableUnavailable, err.Error())
 }
 
-// confirm reads the record to find out whether a claim was stored although the
-// table's reply was lost.
+// confirm reads the record to find out whether the claim was stored, after the
+// table's response was lost. The error is platform.ErrConflict if it was not.
 func (c *Claim) confirm(ctx context.Context) error {
-	rec, revision, err := c.keeper.readRecord(ctx, c.call)
+	rec, revision, err := c.store.readRecord(ctx, c.call)
 	if err != nil {
 		return err
 	}
@@ -177,13 +181,14 @@
 	return nil
 }
 
-// RecordOutcome records the outcome. It retries while the table is unavailable, up to
-// Config.RecordTries times or until ctx ends.
+// RecordOutcome records the outcome. While the table or the object store is
+// unavailable it retries, up to Config.MaxRecordTries tries each or until ctx
+// ends.
 func (c *Claim) RecordOutcome(ctx context.Context, o Outcome) error {
-	if len(o.Body) > c.keeper.config.MaxRowBodyBytes {
-		stored, err := c.keeper.storeBody(ctx, o)
+	if len(o.Body) > c.store.config.MaxRowBodyBytes {
+		stored, err := c.store.storeBody(ctx, o)
 		if err != nil {
-			c.keeper.log.EventWithError(eventNotRecorded, err, c.logFields())
+			c.store.log.EventWithError(eventNotRecorded, err, c.logFields())
 			return err
 		}
 		o = stored
@@ -195,32 +200,33 @@
 // RecordNotRun records that the attempt did not run and never will.
 func (c *Claim) RecordNotRun(ctx context.Context) error { return c.writeFinalState(ctx, stateNotRun) }
 
-// RecordLost records that the attempt may have run and that its answer was lost.
+// RecordLost records that the attempt may have run and that its response was
+// lost.
 func (c *Claim) RecordLost(ctx context.Context) error { return c.writeFinalState(ctx, stateLost) }
 
-// writeFinalState records the final state of the claimed attempt.
+// writeFinalState records the final state of the claimed attempt, with retries.
 func (c *Claim) writeFinalState(ctx context.Context, s state) error {
 	c.record.State = s
 	var err error
-	for range c.keeper.config.MaxRecordTries {
+	for range c.store.config.MaxRecordTries {
 		if err = c.tryWriteFinalState(ctx); err == nil {
-			c.keeper.log.Event(eventRecorded, c.logFields())
+			c.store.log.Event(eventRecorded, c.logFields())
 			return nil
 		}
-		if errors.Is(err, ErrAlreadyClaimed) || c.keeper.sleep(ctx, c.keeper.config.PollInterval) != nil {
+		if errors.Is(err, ErrAlreadyClaimed) || c.store.sleep(ctx, c.store.config.PollInterval) != nil {
 			break
 		}
 	}
-	c.keeper.log.EventWithError(eventNotRecorded, err, c.logFields())
+	c.store.log.EventWithError(eventNotRecorded, err, c.logFields())
 	return err
 }
 
 func (c *Claim) tryWriteFinalState(ctx context.Context) error {
-	err := c.keeper.writeRecord(ctx, c.call, &c.record, c.revision)
+	err := c.store.writeRecord(ctx, c.call, &c.record, c.revision)
 	if !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrUnknownOutcome) {
 		return err
 	}
-	rec, revision, err := c.keeper.readRecord(ctx, c.call)
+	rec, revision, err := c.store.readRecord(ctx, c.call)
 	if err != nil {
 		return err
 	}
@@ -248,12 +254,12 @@
 // Attempt returns the number of the claimed attempt.
 func (c *Claim) Attempt() int { return c.record.Attempt }
 
-// readRecord returns the record of the call and its revision, or nil and 0 if
-// there is none.
-func (k *RecordStore) readRecord(ctx context.Context, call Call) (*record, uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.config.TableTimeout)
+// readRecord returns the record of the call and the revision of its row, or nil
+// and 0 if there is none.
+func (s *RecordStore) readRecord(ctx context.Context, call Call) (*record, uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.config.TableTimeout)
 	defer cancel()
-	row, err := k.table.Get(ctx, call.RowKey(), 0)
+	row, err := s.table.Get(ctx, call.RowKey(), 0)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil, 0, nil
 	}
@@ -264,32 +270,34 @@
 	return rec, row.Revision, err
 }
 
-// writeRecord replaces the row of the call if its revision is still the given
-// one.
-func (k *RecordStore) writeRecord(ctx context.Context, call Call, r *record, revision uint64) error {
+// writeRecord writes the row of the call if its revision is still the given
+// one; 0 means that there is no row. Otherwise the error is
+// platform.ErrConflict.
+func (s *RecordStore) writeRecord(ctx context.Context, call Call, r *record, revision uint64) error {
 	value, err := r.encode()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.config.TableTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.config.TableTimeout)
 	defer cancel()
-	err = k.table.Commit(ctx, []platform.Write{{
+	err = s.table.Commit(ctx, []platform.Write{{
 		Key: call.RowKey(), Value: value, If: platform.IfRevision(revision),
 	}})
 	return core.WrapStep("write once-only record", "table", err)
 }
 
-// storeBody moves the body of o to the object store.
-func (k *RecordStore) storeBody(ctx context.Context, o Outcome) (Outcome, error) {
+// storeBody stores the body of o in the object store and returns o with the
+// name of the object in place of the body.
+func (s *RecordStore) storeBody(ctx context.Context, o Outcome) (Outcome, error) {
 	name := rowPrefix + string(core.DigestOf(o.Body))
 	var err error
-	for range k.config.MaxRecordTries {
-		if err = k.objects.Put(ctx, name, o.Body); err == nil {
+	for range s.config.MaxRecordTries {
+		if err = s.objects.Put(ctx, name, o.Body); err == nil {
 			o.Object = name
 			o.Body = nil
 			return o, nil
 		}
-		if k.sleep(ctx, k.config.PollInterval) != nil {
+		if s.sleep(ctx, s.config.PollInterval) != nil {
 			break
 		}
 	}
@@ -297,11 +305,11 @@
 }
 
 // sleep waits for d or until ctx ends.
-func (k *RecordStore) sleep(ctx context.Context, d time.Duration) error {
+func (s *RecordStore) sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-k.clock.After(d):
+	case <-s.clock.After(d):
 		return nil
 	}
 }
--- a/request/once/sweep.go
+++ b/request/once/sweep.go
@@ -9,39 +9,39 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// sweepPage is the number of rows that Sweep reads at once.
+// sweepPage is the number of rows that Sweep lists at once.
 const sweepPage = 200
 
 // Run removes expired records at random intervals until ctx ends. Random
 // intervals make it unlikely that several entry instances do this at the same
 // time.
-func (k *RecordStore) Run(ctx context.Context) error {
+func (s *RecordStore) Run(ctx context.Context) error {
 	for {
-		pause := k.config.SweepInterval/2 + rand.N(k.config.SweepInterval)
-		if err := k.sleep(ctx, pause); err != nil {
+		pause := s.config.SweepInterval/2 + rand.N(s.config.SweepInterval)
+		if err := s.sleep(ctx, pause); err != nil {
 			return nil
 		}
-		n, err := k.Sweep(ctx)
+		n, err := s.Sweep(ctx)
 		if err != nil {
-			k.log.EventWithError(eventTableFailed, err, eventlog.Fields{"step": "sweep"})
+			s.log.EventWithError(eventTableFailed, err, eventlog.Fields{"step": "sweep"})
 			continue
 		}
 		if n > 0 {
-			k.log.Event(eventSwept, eventlog.Fields{"rows": n})
+			s.log.Event(eventSwept, eventlog.Fields{"rows": n})
 		}
 	}
 }
 
 // Sweep removes the expired records and returns their number.
-func (k *RecordStore) Sweep(ctx context.Context) (int, error) {
+func (s *RecordStore) Sweep(ctx context.Context) (int, error) {
 	removed := 0
 	for after := ""; ; {
-		rows, err := k.table.List(ctx, rowPrefix, after, sweepPage)
+		rows, err := s.table.List(ctx, rowPrefix, after, sweepPage)
 		if err != nil {
 			return removed, core.WrapStep("list once-only records", "table", err)
 		}
 		for _, row := range rows {
-			ok, err := k.removeIfExpired(ctx, row)
+			ok, err := s.removeIfExpired(ctx, row)
 			if err != nil {
 				return removed, err
 			}
@@ -58,15 +58,15 @@
 
 // removeIfExpired removes row if its record has expired, and reports whether it
 // did.
-func (k *RecordStore) removeIfExpired(ctx context.Context, row platform.Row) (bool, error) {
+func (s *RecordStore) removeIfExpired(ctx context.Context, row platform.Row) (bool, error) {
 	rec, err := decodeRecord(row.Value)
 	if err != nil {
 		return false, err
 	}
-	if k.clock.Now().Before(rec.Expires) {
+	if s.clock.Now().Before(rec.Expires) {
 		return false, nil
 	}
-	err = k.table.Commit(ctx, []platform.Write{{
+	err = s.table.Commit(ctx, []platform.Write{{
 		Key: row.Key, Delete: true, If: platform.IfRevision(row.Revision),
 	}})
 	return err == nil, core.WrapStep("remove once-only record", "table", err)
