--- a/request/forward/handler.go
+++ b/request/forward/handler.go
@@ -31,9 +31,9 @@
 	// answered, refused, failed and left count requests by how they ended; sent
 	// counts attempts.
 	answered, refused, failed, left, sent metrics.Counter
-	// firstByte and whole are the times from a request's arrival to the first and
+	// firstByte and lastByte are the times from a request's arrival to the first and
 	// the last byte of its response.
-	firstByte, whole metrics.Timer
+	firstByte, lastByte metrics.Timer
 }
 
 // New returns a [Handler].
@@ -45,7 +45,7 @@
 	return &Handler{cfg: cfg, stats: stats{
 		answered: count("answered"), refused: count("refused"), failed: count("failed"),
 		left: count("left"), sent: count("sent"),
-		firstByte: timer("first-byte"), whole: timer("whole"),
+		firstByte: timer("first-byte"), lastByte: timer("whole"),
 	}}
 }
 
--- a/request/forward/run.go
+++ b/request/forward/run.go
@@ -60,7 +60,7 @@
 func (c *call) recordAnswered(slot dispatch.Slot) {
 	now := c.cfg.Clock.Now()
 	c.stats.answered.Inc(1)
-	c.stats.whole.Update(now.Sub(c.dispatchReq.Arrived))
+	c.stats.lastByte.Update(now.Sub(c.dispatchReq.Arrived))
 	f := eventlog.Fields{"running": slot.Running, "version": slot.Version, "remote": slot.Remote}
 	if !c.firstByteAt.IsZero() {
 		c.stats.firstByte.Update(c.firstByteAt.Sub(c.dispatchReq.Arrived))
