--- a/connection/frame/conn.go
+++ b/connection/frame/conn.go
@@ -24,7 +24,7 @@
 var (
 	// ErrMalformed is returned when a frame cannot be decoded.
 	ErrMalformed = errors.New("malformed frame")
-	// ErrProtocolVersion is returned when a frame has another protocol version than
+	// ErrProtocolVersion is returned when the protocol version of a frame is not
 	// ProtocolVersion.
 	ErrProtocolVersion = errors.New("protocol version not supported")
 	// ErrUnexpectedKind is returned when a received frame is not of the expected
@@ -144,8 +144,9 @@
 	return f, core.WrapStep("receive frame", c.peer, err)
 }
 
-// Expect reads the next frame and decodes it into msg. It returns ErrUnexpected
-// if the frame is not of the given kind.
+// Expect reads the next frame and decodes it into msg. It returns
+// ErrUnexpectedKind if the frame is not of the given kind. A zero deadline means
+// no time limit.
 func (c *Conn) Expect(kind Kind, msg any, deadline time.Time) error {
 	f, err := c.Receive(deadline)
 	if err != nil {
--- a/connection/frame/fleet.go
+++ b/connection/frame/fleet.go
@@ -9,13 +9,13 @@
 // and those agents whose backend servers receive requests directly from the
 // entry instances, not through the agent.
 const (
-	KindEntryHello   Kind = 32 // entry to entry: first message on a connection
-	KindLoadUpdate   Kind = 33 // entry to entry: requests in flight per backend server
-	KindTableRequest Kind = 34 // entry to entry: request for tables
-	KindTable        Kind = 35 // entry to entry: content of a table
-	KindAgentHello   Kind = 36 // agent to entry: first message on a connection
-	KindAgentState   Kind = 37 // agent to entry: versions loaded by its backend server
-	KindFleet        Kind = 38 // entry to agent: versions to load and their sources
+	KindEntryHello   Kind = 32 // between entry instances: first message on a connection
+	KindLoadUpdate   Kind = 33 // between entry instances: requests in flight per backend server
+	KindTableRequest Kind = 34 // between entry instances: request for tables
+	KindTable        Kind = 35 // between entry instances: content of a table
+	KindAgentHello   Kind = 36 // agent to entry instance: first message on a connection
+	KindAgentState   Kind = 37 // agent to entry instance: versions loaded by its backend server
+	KindFleet        Kind = 38 // entry instance to agent: versions to load and their sources
 )
 
 // EntryHello is the first message on a connection between entry instances.
@@ -24,18 +24,18 @@
 	Instance core.Instance `cbor:"1,keyasint"`
 }
 
-// LoadUpdate reports to another entry instance which requests the sender has in
-// flight and which revisions its tables have.
+// LoadUpdate reports to another entry instance how many requests the sender has in
+// flight at each backend server and which revisions its tables have.
 type LoadUpdate struct {
-	// DeclaredRevision is the revision of the newest change in the sender's table of
-	// declarations.
+	// DeclaredRevision is the revision of the newest change in the sender's table
+	// of declarations.
 	DeclaredRevision uint64 `cbor:"1,keyasint"`
-	// ServersRevision is the revision of the newest change in the sender's table of
-	// backend servers.
+	// ServersRevision is the revision of the newest change in the sender's table
+	// of backend servers.
 	ServersRevision uint64 `cbor:"2,keyasint"`
-	// RunningByServer maps the id of a backend server to the number of requests that the
-	// sender has in flight there. It contains only the numbers that changed
-	// since the last message.
+	// RunningByServer maps the id of a backend server to the number of requests
+	// that the sender has in flight there. It contains only the numbers that
+	// changed since the last message.
 	RunningByServer map[string]int `cbor:"3,keyasint,omitempty"`
 	// DeclaredVersions are the recently declared model versions with their ages.
 	DeclaredVersions []WantedVersion `cbor:"4,keyasint,omitempty"`
@@ -57,20 +57,20 @@
 
 // AgentHello is an agent's first message on a connection to an entry instance.
 type AgentHello struct {
-	// Instance is the agent. Its Addr is the address from which other agents fetch
-	// weights.
+	// Instance is the agent. Its Addr is the address from which other agents
+	// fetch weights.
 	Instance core.Instance `cbor:"1,keyasint"`
 	// Server is the address of the agent's backend server.
 	Server string `cbor:"2,keyasint"`
-	// DeclaredVersions are the declared versions that the agent has received from entry
-	// instances, with their ages.
+	// DeclaredVersions are the declared versions that the agent has received from
+	// entry instances, with their ages.
 	DeclaredVersions []WantedVersion `cbor:"3,keyasint,omitempty"`
 }
 
 // AgentState is the state that an agent reads from its backend server.
 type AgentState struct {
-	// LoadedVersions maps the name of each model that is loaded with all its layers to
-	// the number of the loaded version.
+	// LoadedVersions maps the name of each model that is loaded with all its
+	// layers to the number of the loaded version.
 	LoadedVersions map[string]int `cbor:"1,keyasint,omitempty"`
 	// Loading is true while the server loads a version and accepts no requests.
 	Loading bool `cbor:"2,keyasint,omitempty"`
@@ -102,7 +102,8 @@
 	Instance core.Instance `cbor:"1,keyasint"`
 	// Server is the address of the agent's backend server.
 	Server string `cbor:"2,keyasint"`
-	// HoldsNewest is true if the server has loaded the newest declared versions.
+	// HoldsNewest is true if the server has loaded the newest declared version of
+	// at least one model.
 	HoldsNewest bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -115,8 +116,8 @@
 	Origin string `cbor:"2,keyasint"`
 	// OriginRate is the bandwidth of the origin, in bytes per second.
 	OriginRate int64 `cbor:"3,keyasint"`
-	// Agents lists the agents that have loaded the versions or have yet to load
-	// them. It is only sent to agents that set AgentState.List.
+	// Agents lists all agents that are connected to the sender. It is only sent
+	// to agents that set AgentState.WantsAgentList.
 	Agents []FleetAgent `cbor:"4,keyasint,omitempty"`
 	// Entries are the addresses of the entry instances that the sender has
 	// found.
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -21,26 +21,26 @@
 // The kinds of messages, by the connection that carries them.
 const (
 	// Registration connections, which an agent opens to an entry instance.
-	KindHello   Kind = 1 // agent to entry: first message
-	KindWelcome Kind = 2 // entry to agent: response to Hello
-	KindReport  Kind = 3 // agent to entry: load and state
+	KindHello   Kind = 1 // agent to entry instance: first message
+	KindWelcome Kind = 2 // entry instance to agent: response to Hello
+	KindReport  Kind = 3 // agent to entry instance: load and state
 	KindNotice  Kind = 4 // both ways: number of the sender's configuration version
 	KindPull    Kind = 5 // both ways: request for the configuration
 	KindConfig  Kind = 6 // both ways: the configuration
 
 	// Work connections, which an entry instance opens to an agent. They carry
 	// one request at a time.
-	KindRequest       Kind = 16 // entry to agent: run this repeatable call
-	KindOffer         Kind = 17 // entry to agent: hold a slot for this once-only call
-	KindAdmit         Kind = 18 // agent to entry: a slot is held
-	KindGo            Kind = 19 // entry to agent: run the offered call
-	KindRefuse        Kind = 20 // agent to entry: the call was not admitted and did not run
-	KindHead          Kind = 21 // agent to entry: status and header of the response
-	KindData          Kind = 22 // agent to entry: part of the response body
-	KindEnd           Kind = 23 // agent to entry: the response is complete
-	KindFail          Kind = 24 // agent to entry: the response failed or is incomplete
-	KindAttemptQuery  Kind = 25 // entry to agent: did this attempt of a keyed call run?
-	KindAttemptStatus Kind = 26 // agent to entry: response to Ask
+	KindRequest       Kind = 16 // entry instance to agent: run this repeatable call
+	KindOffer         Kind = 17 // entry instance to agent: hold a slot for this once-only call
+	KindAdmit         Kind = 18 // agent to entry instance: a slot is held
+	KindGo            Kind = 19 // entry instance to agent: run the offered call
+	KindRefuse        Kind = 20 // agent to entry instance: the call was not admitted and did not run
+	KindHead          Kind = 21 // agent to entry instance: status and header of the response
+	KindData          Kind = 22 // agent to entry instance: part of the response body
+	KindEnd           Kind = 23 // agent to entry instance: the response is complete
+	KindFail          Kind = 24 // agent to entry instance: the response failed or is incomplete
+	KindAttemptQuery  Kind = 25 // entry instance to agent: has this attempt of a keyed call run?
+	KindAttemptStatus Kind = 26 // agent to entry instance: response to AttemptQuery
 )
 
 // State is the state of a backend server as determined by its agent.
@@ -85,10 +85,10 @@
 	// Config is the number of the configuration version in force at the agent.
 	Config uint64 `cbor:"5,keyasint"`
 	// Loaded lists the versions that the engine reports as loaded. It is only
-	// sent with Changed set.
+	// sent with LoadedChanged set.
 	Loaded []Loaded `cbor:"6,keyasint,omitempty"`
-	// LoadedChanged is true if Loaded replaces the list of the last report; otherwise
-	// that list is still valid.
+	// LoadedChanged is true if Loaded replaces the list of the last report;
+	// otherwise that list is still valid.
 	LoadedChanged bool `cbor:"7,keyasint,omitempty"`
 	// HeartbeatMillis is the maximum time until the next report, in
 	// milliseconds; 0 means that it is the same as before.
@@ -104,7 +104,7 @@
 	// Service is the name of the plain service beside the agent; empty for a
 	// model engine.
 	Service string `cbor:"3,keyasint,omitempty"`
-	// Report is the first report, with Changed set.
+	// Report is the first report, with LoadedChanged set.
 	Report Report `cbor:"4,keyasint"`
 }
 
@@ -112,7 +112,8 @@
 type Welcome struct {
 	// Instance is the entry instance.
 	Instance core.Instance `cbor:"1,keyasint"`
-	// Config is the number of the configuration version in force at the entry.
+	// Config is the number of the configuration version in force at the entry
+	// instance.
 	Config uint64 `cbor:"2,keyasint"`
 }
 
@@ -135,7 +136,7 @@
 }
 
 // Config carries a configuration version, either complete or as the difference
-// from version Base.
+// from version Base. It is the response to a Pull.
 type Config struct {
 	// Number is the number of the version.
 	Number uint64 `cbor:"1,keyasint"`
@@ -176,7 +177,7 @@
 	// call; empty for a plain service.
 	Digest core.Digest `cbor:"10,keyasint,omitempty"`
 	// Config is the number of the configuration version by which the entry
-	// routed the call.
+	// instance routed the call.
 	Config uint64 `cbor:"11,keyasint"`
 	// TimeoutMillis is the time left until the deadline of the call, in
 	// milliseconds.
@@ -296,8 +297,8 @@
 	Load Load `cbor:"4,keyasint"`
 }
 
-// AttemptQuery queries whether an agent has run an attempt of a keyed call. From then on
-// the agent does not start that attempt or an earlier one.
+// AttemptQuery queries whether an agent has run an attempt of a keyed call. After
+// the query the agent does not start that attempt or an earlier one any more.
 type AttemptQuery struct {
 	// ID is the request id of this query.
 	ID string `cbor:"1,keyasint"`
@@ -318,7 +319,7 @@
 	AttemptUnknown AttemptState = "unknown" // the agent has no record of the attempt any more
 )
 
-// AttemptStatus is the response to Ask.
+// AttemptStatus is the response to AttemptQuery.
 type AttemptStatus struct {
 	// ID is the request id of the query.
 	ID string `cbor:"1,keyasint"`
--- a/connection/frame/frame_test.go
+++ b/connection/frame/frame_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestConnRefusesOverlongFrames(t *testing.T) {
+func TestConnRejectsOversizedFrames(t *testing.T) {
 	Convey("Receiving a frame over the size limit returns an error that contains the name of the peer", t, func() {
 		result := make(chan error, 1)
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
