--- a/connection/homes/budget_test.go
+++ b/connection/homes/budget_test.go
@@ -18,8 +18,9 @@
 	nodeBudget = 3 << 10
 	// heartbeatShare is the share of nodeBudget that heartbeats may use.
 	heartbeatShare = 0.6
-	// frameOverhead is the size of the headers for one report, in bytes: of a
-	// masked WebSocket frame, a TCP segment and its acknowledgement.
+	// frameOverhead is the size of the headers that one report costs, in bytes:
+	// those of a masked WebSocket frame, of a TCP segment and of the
+	// acknowledgement of that segment.
 	frameOverhead = 6 + 2*52
 )
 
@@ -55,7 +56,7 @@
 			So(entryBytesPerSecond, ShouldBeLessThan, heartbeatShare*nodeBudget)
 		})
 	}
-	Convey("With few agents the heartbeat is as configured", t, func() {
+	Convey("With few agents the heartbeat interval is the configured one", t, func() {
 		list := append(entryInstances(1, "w1", "w2", "w3", "e1"), instancesAtTargetSize(19)[330:]...)
 		So(HeartbeatInterval(5*time.Second, list, 4), ShouldEqual, 5*time.Second)
 		So(HeartbeatInterval(100*time.Millisecond, list, 4), ShouldEqual, 100*time.Millisecond)
--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -29,7 +29,7 @@
 	// which agents send reports at the configured interval. With more, they
 	// lengthen the interval in proportion.
 	MaxFullRateAgents = 60
-	// dialTimeout bounds the dialling of a home, and then the wait for its
+	// dialTimeout limits the time to connect to a home, and then the wait for its
 	// Welcome frame.
 	dialTimeout = 2 * time.Second
 	// announceDelay is the wait before an agent announces a newer configuration
@@ -59,7 +59,7 @@
 	// PeerToken authenticates this process to entry instances.
 	PeerToken string
 	// Heartbeat is the longest time between two reports while there are few
-	// agents; the function Heartbeat lengthens it for many. Default 5 s.
+	// agents; HeartbeatInterval lengthens it for many. Default 5 s.
 	Heartbeat time.Duration
 	// MaxLocal is the largest number of homes in the agent's own data centre.
 	// Default 64.
@@ -70,6 +70,7 @@
 	MinHomes int
 }
 
+// applyDefaults returns c with its zero fields set to their defaults.
 func (c Config) applyDefaults() Config {
 	core.SetDefault(&c.Heartbeat, registry.DefaultHeartbeat)
 	core.SetDefault(&c.MaxLocal, DefaultMaxLocal)
@@ -126,7 +127,8 @@
 	return h
 }
 
-// RegisteredCount returns the number of homes with which the agent is registered now.
+// RegisteredCount returns the number of homes with which the agent is currently
+// registered.
 func (h *Homes) RegisteredCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -279,12 +281,13 @@
 	return routingInputsChanged(current, last) || !sameLoaded(current.Loaded, last.Loaded)
 }
 
-// limitChangeDivisor sets which change of the limit is reported at once: one of
-// more than 1/limitChangeDivisor of the last reported limit.
+// limitChangeDivisor sets the threshold for immediate reports: a change of the
+// limit by more than 1/limitChangeDivisor of the last reported limit.
 const limitChangeDivisor = 4
 
 // routingInputsChanged reports whether a value that routing depends on has
-// changed. It ignores the numbers of calls, which responses and heartbeats carry.
+// changed. The numbers of calls are left out, because responses and heartbeats
+// carry them.
 func routingInputsChanged(current, last frame.Report) bool {
 	limitChange := current.Limit - last.Limit
 	if limitChange < 0 {
--- a/connection/homes/homes_test.go
+++ b/connection/homes/homes_test.go
@@ -18,6 +18,8 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
+// entryInstances returns the given number of entry instances in each of the data
+// centres. The region of a data centre is the first letter of its name.
 func entryInstances(perDataCentre int, dataCentres ...string) []core.Instance {
 	var list []core.Instance
 	for _, dc := range dataCentres {
@@ -32,7 +34,7 @@
 
 func TestSelect(t *testing.T) {
 	self := core.Instance{ID: "gpu-1", DataCentre: "w1", Region: "w"}
-	Convey("With few entry instances, all of them are homes", t, func() {
+	Convey("If there are few entry instances, all of them are homes", t, func() {
 		So(Select(self, entryInstances(1, "w1", "w2", "e1", "e2"), 64, 2, 4), ShouldHaveLength, 4)
 	})
 	Convey("At the target size, most homes are in the agent's own data centre", t, func() {
@@ -123,6 +125,7 @@
 
 func (s *fakeSource) RecordPeerVersion(uint64, time.Time) {}
 
+// waitUntil reports whether check returns true within 10 seconds.
 func waitUntil(check func() bool) bool {
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
--- a/connection/homes/reconcile.go
+++ b/connection/homes/reconcile.go
@@ -13,7 +13,8 @@
 const (
 	// firstBackoff is the first wait before a home is dialled again.
 	firstBackoff = 100 * time.Millisecond
-	// maxBackoff is the longest such wait.
+	// maxBackoff is the longest wait before a home is dialled again. A
+	// registration that lasted longer resets the wait to firstBackoff.
 	maxBackoff = 3 * time.Second
 )
 
@@ -36,8 +37,9 @@
 	ended bool
 }
 
-// reconcile compares the registrations with the list of instances. It ends those
-// that are no longer needed and returns new ones, which the caller starts.
+// reconcile compares the registrations with the list of instances. It ends the
+// registrations that are no longer needed and returns new ones, which the caller
+// starts.
 //
 // An accepted registration proves that the entry instance is running. While the
 // list lacks the entry instance or marks it as leaving, the registration stays
@@ -109,7 +111,7 @@
 }
 
 // endIfUnwanted marks a registration as ended unless it is still wanted, and
-// reports whether it did.
+// reports whether it is ended.
 func (h *Homes) endIfUnwanted(r *registration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/connection/homes/reportwatcher.go
+++ b/connection/homes/reportwatcher.go
@@ -9,7 +9,8 @@
 )
 
 // reportWatcher checks the agent's report for changes and notifies all
-// registrations, so that an agent with many homes checks it only once.
+// registrations, so that the number of checks does not grow with the number of
+// homes.
 type reportWatcher struct {
 	// build returns the current report.
 	build func() frame.Report
@@ -25,7 +26,7 @@
 }
 
 // refresh returns the current report, and a channel that is closed when a later
-// one must be sent before the next heartbeat.
+// report must be sent before the next heartbeat.
 func (w *reportWatcher) refresh() (frame.Report, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/connection/homes/select.go
+++ b/connection/homes/select.go
@@ -11,9 +11,9 @@
 )
 
 // Select returns the entry instances with which the agent self should register:
-// up to maxLocal in its own data centre, and up to perRemote in each other one.
-// If these are fewer than minHomes, more are added, those of the same region
-// first. Rendezvous hashing keeps the choice stable and spreads the agents evenly
+// up to maxLocal in its own data centre, and up to perRemote in each other data
+// centre. If these are fewer than minHomes, more are added, those of the same
+// region first. Rendezvous hashing keeps the choice stable and spreads the agents evenly
 // over the entry instances. Leaving entry instances are not chosen.
 func Select(self core.Instance, entries []core.Instance, maxLocal, perRemote, minHomes int) []core.Instance {
 	byDataCentre := map[string][]core.Instance{}
@@ -41,10 +41,11 @@
 	return chosen
 }
 
-// HeartbeatInterval returns the longest time between two reports of an agent that has the
-// given number of homes. It is base while at most FullRateAgents of the agents in
-// the list register with each entry instance. Above that it grows in proportion,
-// so that the rate of reports at an entry instance stays the same.
+// HeartbeatInterval returns the longest time between two reports of an agent that
+// has the given number of homes. The interval is base while each entry instance in
+// the list has on average at most MaxFullRateAgents registered agents. Above that
+// it grows in proportion, so that the rate of reports at an entry instance stays
+// the same.
 func HeartbeatInterval(base time.Duration, list []core.Instance, homes int) time.Duration {
 	entries, agents := 0, 0
 	for _, in := range list {
