--- a/connection/engine/engine.go
+++ b/connection/engine/engine.go
@@ -11,7 +11,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Status is an engine's report on itself. It may lag behind the actual state.
+// Status is an engine's status report. It may lag behind the actual state.
 type Status struct {
 	// Loaded lists the loaded model versions, which can serve calls.
 	Loaded []frame.Loaded `json:"loaded"`
@@ -56,8 +56,8 @@
 	// Digest is the manifest digest of the model version that must serve the
 	// call; empty for a plain service.
 	Digest core.Digest
-	// OnceOnly is true for a once-only call: it is sent on a new connection and never
-	// sent again.
+	// OnceOnly is true for a once-only call, which is sent on a new connection and
+	// never sent again.
 	OnceOnly bool
 	// ResumeTokens is the number of tokens that the caller has already received;
 	// the engine continues the response after them.
@@ -84,7 +84,7 @@
 
 // Engine is the model engine or plain service beside an agent.
 type Engine interface {
-	// Status reads the current status.
+	// Status reads the current status from the engine.
 	Status(ctx context.Context) (Status, error)
 	// Order sends an order and returns once the engine has accepted or refused
 	// it.
--- a/connection/engine/http.go
+++ b/connection/engine/http.go
@@ -33,11 +33,13 @@
 	idleConnTimeout = 90 * time.Second
 	maxIdleConns    = 1024
 	maxStatusBytes  = 1 << 20
-	// transportBufferBytes is the size of a connection's read and write buffers.
+	// transportBufferBytes is the size of a connection's read and write buffers, in
+	// bytes.
 	transportBufferBytes = 8 << 10
 )
 
-// The errors of HTTP. They are wrapped with the failed operation and the peer.
+// The errors of HTTPClient. They are wrapped with the failed operation and the
+// address of the engine.
 var (
 	// ErrNotSent is returned when no connection could be opened, so that no part
 	// of the call reached the engine.
@@ -75,8 +77,9 @@
 	}
 }
 
-// NewHTTPClientWithTransport returns the client of an engine that is called through transport,
-// such as an engine in the same process.
+// NewHTTPClientWithTransport returns the client of an engine that is called through
+// transport, such as an engine in the same process. Once-only calls use the same
+// transport as all others.
 func NewHTTPClientWithTransport(transport http.RoundTripper) *HTTPClient {
 	client := &http.Client{Transport: transport, CheckRedirect: noRedirect}
 	return &HTTPClient{addr: "engine", pooledClient: client, unpooledClient: client}
@@ -241,8 +244,8 @@
 	return req, nil
 }
 
-// drainBody reads the rest of a small body and closes it, so that the connection
-// can be reused.
+// drainBody reads the rest of body, at most maxStatusBytes, and closes it, so that
+// the connection can be reused.
 func drainBody(body io.ReadCloser) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxStatusBytes))
 	_ = body.Close()
--- a/connection/engine/http_test.go
+++ b/connection/engine/http_test.go
@@ -33,15 +33,15 @@
 	return strings.TrimPrefix(server.URL, "http://"), executions
 }
 
-// keyedCall returns a call with an Idempotency-Key.
-func keyedCall(once bool) Call {
+// keyedCall returns a call with an Idempotency-Key, once-only or not.
+func keyedCall(onceOnly bool) Call {
 	return Call{
-		ID: "r1", Method: http.MethodPost, Path: "/lots", Body: []byte("{}"), OnceOnly: once,
+		ID: "r1", Method: http.MethodPost, Path: "/lots", Body: []byte("{}"), OnceOnly: onceOnly,
 		Header: map[string][]string{core.HeaderIdempotencyKey: {"k1"}},
 	}
 }
 
-func TestOnceIsNeverRepeated(t *testing.T) {
+func TestOnceOnlyCallIsNeverSentAgain(t *testing.T) {
 	Convey("Given a service that executes a call and then closes the reused connection without a response", t, func() {
 		addr, executions := droppingServer(t)
 		client := NewHTTPClient(addr, "")
@@ -69,7 +69,7 @@
 }
 
 func TestOrders(t *testing.T) {
-	Convey("The refusal of a fencing number returns another error than other refusals", t, func() {
+	Convey("An order refused for its fencing number returns another error than an order refused for another reason; an accepted order returns none", t, func() {
 		status := http.StatusConflict
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -106,7 +106,7 @@
 		_, _, ok = m.Status()
 		So(ok, ShouldBeTrue)
 
-		Convey("a change of the load does not close the Changed channel, a change of the versions does", func() {
+		Convey("a change of the load does not close the Changed channel, a change of the loaded versions does", func() {
 			changed := m.Changed()
 			eng.status.InFlight = 3
 			m.poll(context.Background())
--- a/connection/engine/monitor.go
+++ b/connection/engine/monitor.go
@@ -28,7 +28,7 @@
 	eventEngineChanged = eventlog.Define(422, "engine-changed", logrus.InfoLevel, "The loaded versions, the fencing number or the boot id in the engine's status changed, or the engine came up.")
 )
 
-// Monitor polls the status of one engine and stores the newest.
+// Monitor polls the status of one engine and stores the newest status.
 type Monitor struct {
 	engine   Engine
 	interval time.Duration
@@ -66,7 +66,8 @@
 	}
 }
 
-// poll reads the status once, and stores it or marks the engine down.
+// poll reads the status once. It stores the status, or marks the engine as down if
+// the status cannot be read.
 func (m *Monitor) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -80,8 +81,8 @@
 	m.store(s)
 }
 
-// store stores a status. If the status changed, it closes the channel that
-// Changed returned.
+// store stores a status. If the engine came up, or if anything except its load
+// changed, store closes the channel that Changed returned.
 func (m *Monitor) store(s Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,7 +99,8 @@
 	}
 }
 
-// markDown marks the engine as down because of err.
+// markDown marks the engine as down because of err. It logs the event only for an
+// engine that was up.
 func (m *Monitor) markDown(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
