--- a/connection/backend/conn.go
+++ b/connection/backend/conn.go
@@ -22,7 +22,7 @@
 	writeBufferBytes = 2 << 10
 )
 
-// maxMismatches is how many responses to other requests are skipped before Conn.Do
+// maxMismatches is the number of responses to other requests after which Conn.Do
 // fails.
 const maxMismatches = 3
 
@@ -30,11 +30,13 @@
 var (
 	// ErrNotSent is returned when no byte of the request was sent.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrResponseMismatch is returned when only responses to other requests arrived.
+	// ErrResponseMismatch is returned when maxMismatches responses arrived, all of
+	// them to other requests.
 	ErrResponseMismatch = errors.New("response belongs to another request")
 )
 
-// Conn is a connection to a backend server.
+// Conn is a connection to a backend server. Only one goroutine at a time may call
+// Do; Close may be called at any time.
 type Conn struct {
 	net       net.Conn
 	reader    *bufio.Reader
@@ -48,12 +50,13 @@
 // Close closes the connection.
 func (c *Conn) Close() { _ = c.net.Close() }
 
-// Do sends head, the encoded request line and header, and then body. It reads the
-// header of the response; req is only used to parse it. belongs reports whether a
-// response belongs to the request; other responses are skipped. Do returns
-// ErrNotSent, before it sends anything, if a reused connection is not usable any
-// more. To interrupt Do when ctx ends, the caller closes the connection. After Do,
-// the caller reads the response body and then calls Pool.Put or Close.
+// Do sends a request and reads the header of the response. head is the encoded
+// request line and header, and body the request body; req is only used to parse
+// the response. belongs reports whether a response belongs to the request; other
+// responses are skipped. If a reused connection is no longer usable, Do sends
+// nothing and returns ErrNotSent. The end of ctx does not interrupt a blocked Do;
+// for that, the caller closes the connection. After Do, the caller reads the
+// response body and then calls Pool.Put or Close.
 func (c *Conn) Do(ctx context.Context, head string, req *http.Request, body []byte, belongs func(*http.Response) bool) (*http.Response, error) {
 	if c.used && c.hasUnexpectedInput() {
 		return nil, core.WrapStep("send request", c.addr, ErrNotSent)
@@ -71,7 +74,7 @@
 	for range maxMismatches {
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
-			return nil, core.WrapStep("read answer", c.addr, err)
+			return nil, core.WrapStep("read response", c.addr, err)
 		}
 		if belongs(resp) {
 			return resp, nil
@@ -83,15 +86,15 @@
 			return nil, ctx.Err()
 		}
 	}
-	return nil, core.WrapStep("read answer", c.addr, ErrResponseMismatch)
+	return nil, core.WrapStep("read response", c.addr, ErrResponseMismatch)
 }
 
-// maxSkippedBytes is the maximum length of a skipped response body.
+// maxSkippedBytes is the maximum length of a skipped response body, in bytes.
 const maxSkippedBytes = 1 << 20
 
 // skipBody reads the body of a response to another request, so that the next
-// response on the connection can be read. It fails if the body is too long or the
-// server closes the connection after it.
+// response on the connection can be read. It returns an error if the body is too
+// long or if the server closes the connection after this response.
 func skipBody(resp *http.Response) error {
 	if resp.Close || resp.ContentLength > maxSkippedBytes {
 		return errors.New("response to another request is too long or closes the connection")
--- a/connection/backend/pool.go
+++ b/connection/backend/pool.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// maxIdleTime is how long an unused connection is kept. If the server became
-	// unreachable in that time, the next request on the connection loses time
-	// until it times out.
+	// maxIdleTime is the maximum time for which an idle connection is kept. If the
+	// server became unreachable in that time, the next request on the connection
+	// gets no response until it times out.
 	maxIdleTime = 4 * time.Second
 	// idleTimeMargin is subtracted from the idle timeout that a server announces,
-	// because the server may close the connection just as it is used.
+	// because the server may close the connection just when a request is sent.
 	idleTimeMargin = time.Second
 	// sweepInterval is the time between two searches for expired connections.
 	sweepInterval = time.Second
