--- a/connection/registry/heartbeat.go
+++ b/connection/registry/heartbeat.go
@@ -8,14 +8,14 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// lateCheckFactor is the time between two checks, in heartbeats, from which the
-// later check is ignored: this process was probably paused, and reports may be
-// waiting to be read.
+// lateCheckFactor is the time between two checks, in heartbeats, from which on the
+// later check marks no server as suspect: this process was probably paused, and
+// reports may be waiting to be read.
 const lateCheckFactor = 1.5
 
-// heartbeatMonitor marks a server as suspect if its registry entry has not been
-// updated for suspectAfter heartbeats. It uses a timer instead of a goroutine,
-// since an entry instance has one monitor for each registration.
+// heartbeatMonitor marks a server as suspect if Server.LastSeen has not changed for
+// suspectAfter heartbeats. It uses a timer instead of a goroutine, since an entry
+// instance has one monitor for each registration.
 type heartbeatMonitor struct {
 	listener *Listener
 	server   string
@@ -38,10 +38,11 @@
 	return m
 }
 
-// setHeartbeat sets the heartbeat to the one that the newest report announces.
+// setHeartbeat sets the longest time until the next report. The next check is still
+// due after the previous heartbeat.
 func (m *heartbeatMonitor) setHeartbeat(heartbeat time.Duration) { m.heartbeat.Store(int64(heartbeat)) }
 
-// stop stops the monitor.
+// stop ends the checks.
 func (m *heartbeatMonitor) stop() { m.timer.Stop() }
 
 // check marks the server as suspect if its reports are overdue. The timer runs it
--- a/connection/registry/listener.go
+++ b/connection/registry/listener.go
@@ -30,7 +30,7 @@
 	// after which its registration ends.
 	goneAfter = 4
 	// maxHeartbeat is the upper limit for the heartbeat that an agent
-	// announces.
+	// announces; longer ones are shortened to it.
 	maxHeartbeat = time.Minute
 )
 
@@ -64,8 +64,8 @@
 }
 
 // Listener accepts registrations of agents and keeps a Registry up to date with
-// their reports. It implements http.Handler and expects that the caller has already
-// checked the peer token.
+// their reports. It implements http.Handler; the peer token must be checked before
+// ServeHTTP is called.
 type Listener struct {
 	cfg      ListenerConfig
 	registry *Registry
@@ -202,8 +202,8 @@
 	return min(time.Duration(report.HeartbeatMillis)*time.Millisecond, maxHeartbeat)
 }
 
-// register adds the server to the registry and replaces any earlier registration
-// of it.
+// register adds the server to the registry and replaces an earlier registration of
+// the same server.
 func (l *Listener) register(hello frame.Hello, registration uint64) {
 	l.registry.Put(Server{
 		Instance:     hello.Instance,
--- a/connection/registry/listener_test.go
+++ b/connection/registry/listener_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestHeartbeat(t *testing.T) {
-	Convey("Given an entry instance with a default heartbeat of one hour", t, func() {
+	Convey("Given an entry instance with a default heartbeat interval of one hour, and a registered agent", t, func() {
 		registry := New()
 		source := confsync.HolderSource{Holder: confstore.NewHolder()}
 		hub := confsync.NewHub(source, eventlog.Discard())
@@ -50,7 +50,7 @@
 			return ok && srv.Suspect
 		}
 
-		Convey("an agent that announced a heartbeat of 100 ms and sends no reports becomes suspect and is then removed", func() {
+		Convey("an agent that announced a heartbeat interval of 100 ms and sends no reports becomes suspect and is then removed", func() {
 			So(eventually(isSuspect), ShouldBeTrue)
 			So(eventually(func() bool { _, ok := registry.Get("gpu-1"); return !ok }), ShouldBeTrue)
 		})
--- a/connection/registry/registry.go
+++ b/connection/registry/registry.go
@@ -1,6 +1,6 @@
 // Package registry keeps, at an entry instance, the registered agents and the
 // newest report of each. A Listener accepts the registrations and updates the
-// Registry; requests are routed by its content.
+// Registry. The entry instance uses the registry to route requests.
 package registry
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Server is the registry entry of one backend server.
+// Server describes one registered backend server and its agent.
 type Server struct {
 	// Instance is the agent beside the server.
 	Instance core.Instance
@@ -36,8 +36,8 @@
 	Suspect bool
 }
 
-// HasLoaded reports whether the engine reports that it has loaded the version of model
-// with the manifest digest d.
+// HasLoaded reports whether the newest report lists the version of model with the
+// manifest digest d as loaded.
 func (s Server) HasLoaded(model string, d core.Digest) bool {
 	for _, l := range s.Report.Loaded {
 		if l.Model == model && l.Digest == d {
@@ -95,7 +95,7 @@
 	return true
 }
 
-// Get returns the server with the given ID and whether it is registered.
+// Get returns the server with the given ID, and false if none is registered.
 func (r *Registry) Get(id string) (Server, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
