--- a/connection/confsync/confirm_test.go
+++ b/connection/confsync/confirm_test.go
@@ -15,8 +15,8 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// answerTimeout bounds the wait for a peer's answer.
-const answerTimeout = 5 * time.Second
+// responseTimeout limits the time to connect to a peer and to receive a frame.
+const responseTimeout = 5 * time.Second
 
 // connect returns the dialling and the accepting end of a connection.
 func connect(t *testing.T) (*frame.Conn, *frame.Conn) {
@@ -28,7 +28,7 @@
 		}
 	}))
 	t.Cleanup(web.Close)
-	dialling, err := frame.Dial(strings.TrimPrefix(web.URL, "http://"), "/", "token", answerTimeout)
+	dialling, err := frame.Dial(strings.TrimPrefix(web.URL, "http://"), "/", "token", responseTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,8 +52,8 @@
 }
 
 // pullFromPeer lets a process that holds version ownVersion pull from a peer that
-// holds version peerVersion, and returns the holder of the process after the answer.
-// mayConfirm sets whether the peer may confirm versions.
+// holds version peerVersion, and returns the holder of the process after the
+// response. mayConfirm sets whether the peer may confirm versions.
 func pullFromPeer(t *testing.T, ownVersion, peerVersion uint64, mayConfirm bool) *confstore.Holder {
 	t.Helper()
 	ownEnd, peerEnd := connect(t)
@@ -65,20 +65,20 @@
 	peerSession := NewSession(peerHub, peerEnd, 0)
 
 	ownHub.PullFromPeers()
-	pull, err := peerEnd.Receive(time.Now().Add(answerTimeout))
+	pull, err := peerEnd.Receive(time.Now().Add(responseTimeout))
 	So(err, ShouldBeNil)
 	_, err = peerSession.Handle(pull)
 	So(err, ShouldBeNil)
-	reply, err := ownEnd.Receive(time.Now().Add(answerTimeout))
+	response, err := ownEnd.Receive(time.Now().Add(responseTimeout))
 	So(err, ShouldBeNil)
-	_, err = ownSession.Handle(reply)
+	_, err = ownSession.Handle(response)
 	So(err, ShouldBeNil)
 	return ownHolder
 }
 
-func TestWhoMayConfirm(t *testing.T) {
+func TestConfirmationByPeer(t *testing.T) {
 	Convey("Given a process that pulls the version of a peer", t, func() {
-		Convey("a peer that may confirm versions confirms the same version", func() {
+		Convey("a peer that may confirm versions and has the same version in force confirms it", func() {
 			_, ok := pullFromPeer(t, 4, 4, true).ConfirmationAge()
 			So(ok, ShouldBeTrue)
 		})
--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -1,6 +1,6 @@
 // Package confsync synchronises the configuration of an agent and an entry
 // instance over the registration between them. Either side announces a newer
-// version, which the other one pulls. Neither side returns to an older version.
+// version, which the other side pulls. Neither side returns to an older version.
 package confsync
 
 import (
@@ -35,13 +35,13 @@
 	Encode(peerVersion uint64) (frame.Config, error)
 	// Offer checks c and puts it in force if it is newer.
 	Offer(c frame.Config) error
-	// RecordPeerVersion records that the newest version of a peer is number, as the answer
-	// to a Pull frame that was sent at pullSent.
+	// RecordPeerVersion records that the newest version of a peer is number, according
+	// to the response to a Pull frame that was sent at pullSent.
 	RecordPeerVersion(number uint64, pullSent time.Time)
 }
 
-// Hub shares, between the registrations of one process, which version is
-// being pulled, so that only one peer sends it.
+// Hub coordinates the sessions of one process, so that the process pulls each
+// version from only one peer at a time.
 type Hub struct {
 	source Source
 	log    *eventlog.Logger
@@ -65,11 +65,11 @@
 
 // ConfirmPeersWhen makes the Hub confirm its peers' versions only while mayConfirm
 // returns true: a process that was paused must not confirm the old version of
-// another one. ConfirmPeersWhen must be called before the Hub is used.
+// another paused process. ConfirmPeersWhen must be called before the Hub is used.
 func (h *Hub) ConfirmPeersWhen(mayConfirm func() bool) { h.mayConfirm = mayConfirm }
 
-// PullFromPeers sends a Pull frame to every peer, so that the version in force here is
-// confirmed or replaced. It is called after the process was paused.
+// PullFromPeers sends a Pull frame to every peer, so that the version in force here
+// is confirmed or replaced. It is called after the process was paused.
 func (h *Hub) PullFromPeers() {
 	h.mu.Lock()
 	sessions := make([]*Session, 0, len(h.sessions))
@@ -107,8 +107,8 @@
 	peerVersion atomic.Uint64
 
 	mu sync.Mutex
-	// pullSent is when the oldest unanswered Pull frame was sent. It is zero if
-	// there is none.
+	// pullSent is when the oldest Pull frame without a response was sent. It is
+	// zero if there is none.
 	pullSent time.Time
 }
 
@@ -130,8 +130,8 @@
 	s.hub.mu.Unlock()
 }
 
-// PullIfNewer records that the peer holds version number, and pulls it if it is newer
-// than the version in force here.
+// PullIfNewer records that the peer holds version number. It pulls that version if
+// it is newer than the version in force here and is not being pulled already.
 func (s *Session) PullIfNewer(number uint64) error {
 	s.raisePeerVersion(number)
 	if !s.hub.startPull(number) {
@@ -151,8 +151,8 @@
 }
 
 // applyConfirmation records that the peer's newest version is number, if the frame
-// answers a Pull and the peer marked its version as confirmed. Other frames confirm
-// nothing: a Notice without a Pull may have waited in a buffer while this process
+// is the response to a Pull and the peer marked its version as confirmed. Other
+// frames confirm nothing: a Notice without a Pull may have waited in a buffer while this process
 // was paused, and a peer that was paused too may hold the same old version.
 func (s *Session) applyConfirmation(number uint64, confirmed bool) {
 	if !confirmed {
@@ -196,7 +196,7 @@
 }
 
 // Announce sends a Notice frame to the peer for each newer version until ctx ends.
-// It waits for delay before each one, because the peer may get the version from
+// It waits for delay before each frame, because the peer may get the version from
 // elsewhere in this time.
 func (s *Session) Announce(ctx context.Context, delay time.Duration) error {
 	for {
@@ -230,8 +230,8 @@
 	return s.conn.Send(frame.KindNotice, frame.Notice{Config: number})
 }
 
-// sendVersion sends the configuration to a peer that holds version peerVersion, or
-// only its number if the peer already holds it.
+// sendVersion sends the version in force to a peer that holds version peerVersion,
+// or only its number if peerVersion is not older.
 func (s *Session) sendVersion(peerVersion uint64) error {
 	if number := s.hub.source.Number(); peerVersion >= number {
 		s.raisePeerVersion(peerVersion)
@@ -246,9 +246,10 @@
 	return s.conn.Send(frame.KindConfig, c)
 }
 
-// applyConfig puts a received configuration in force. One that fails its check is
-// logged and dropped, and the connection stays open. If a difference does not
-// start from the version in force, applyConfig requests the whole configuration.
+// applyConfig puts a received configuration in force. A configuration that fails
+// its check is logged and dropped, and the connection stays open. If a difference
+// does not start from the version in force, applyConfig requests the complete
+// configuration.
 func (s *Session) applyConfig(c frame.Config) error {
 	s.raisePeerVersion(c.Number)
 	err := s.hub.source.Offer(c)
--- a/connection/confsync/replay_test.go
+++ b/connection/confsync/replay_test.go
@@ -13,7 +13,7 @@
 // TestReplayedFrames checks that an older configuration and notice, sent again by a
 // peer or from a recording, change nothing and do not end the session.
 func TestReplayedFrames(t *testing.T) {
-	Convey("Given a process that went from version 3 to version 4", t, func() {
+	Convey("Given a process with version 4 in force and a peer that replays version 3", t, func() {
 		old, current := holderAt(3), holderAt(4)
 		ownEnd, peerEnd := connect(t)
 		source := HolderSource{Holder: current}
@@ -29,7 +29,7 @@
 			}
 			So(peerEnd.Send(frame.KindNotice, frame.Notice{Config: 3}), ShouldBeNil)
 			for range 3 {
-				f, err := ownEnd.Receive(time.Now().Add(answerTimeout))
+				f, err := ownEnd.Receive(time.Now().Add(responseTimeout))
 				So(err, ShouldBeNil)
 				handled, err := session.Handle(f)
 				So(handled, ShouldBeTrue)
@@ -37,7 +37,7 @@
 				So(source.Number(), ShouldEqual, 4)
 			}
 			So(session.pull(), ShouldBeNil)
-			f, err := peerEnd.Receive(time.Now().Add(answerTimeout))
+			f, err := peerEnd.Receive(time.Now().Add(responseTimeout))
 			So(err, ShouldBeNil)
 			So(f.Kind, ShouldEqual, frame.KindPull)
 		})
