--- a/connection/work/pool.go
+++ b/connection/work/pool.go
@@ -19,7 +19,8 @@
 )
 
 // ErrWrongRequestID is returned when a received frame carries the ID of another
-// request. The frame is discarded and its connection is closed.
+// request. The frame is discarded, so that no caller gets the response to another
+// request, and its connection is closed.
 var ErrWrongRequestID = errors.New("frame of another request")
 
 // PoolConfig holds the settings of a Pool.
@@ -55,8 +56,8 @@
 type Pool struct {
 	cfg PoolConfig
 	mu  sync.Mutex
-	// idle holds the idle connections by agent address; the last of a list was
-	// used last.
+	// idle holds the idle connections by agent address, the most recently used
+	// connection last.
 	idle map[string][]idleConn
 }
 
@@ -107,9 +108,9 @@
 	}
 }
 
-// takeIdle removes and returns the most recently used idle connection to addr. If
-// there is none or it has been idle for longer than IdleTimeout, takeIdle closes
-// all idle connections to addr and returns nil.
+// takeIdle removes and returns the most recently used idle connection to addr, or
+// returns nil if there is none. If even this connection has been idle for longer
+// than IdleTimeout, takeIdle closes all idle connections to addr and returns nil.
 func (p *Pool) takeIdle(addr string) *frame.Conn {
 	cutoff := time.Now().Add(-p.cfg.IdleTimeout)
 	p.mu.Lock()
@@ -152,7 +153,7 @@
 }
 
 // pooledExchange implements Exchange on a connection of a Pool. failed is true
-// after an error; conn is nil after Close.
+// after an error, so that Close discards the connection; conn is nil after Close.
 type pooledExchange struct {
 	pool   *Pool
 	addr   string
@@ -174,7 +175,7 @@
 	f, err := x.conn.Receive(time.Time{})
 	if !cancelClose() {
 		x.failed = true
-		return nil, core.WrapStep("receive answer", x.conn.Peer(), context.Cause(ctx))
+		return nil, core.WrapStep("receive response", x.conn.Peer(), context.Cause(ctx))
 	}
 	if err != nil {
 		x.failed = true
@@ -183,11 +184,11 @@
 	msg, id, err := Decode(f)
 	if err != nil {
 		x.failed = true
-		return nil, core.WrapStep("receive answer", x.conn.Peer(), err)
+		return nil, core.WrapStep("receive response", x.conn.Peer(), err)
 	}
 	if id != x.id {
 		x.failed = true
-		return nil, core.WrapStep("receive answer", x.conn.Peer(), errors.Wrapf(ErrWrongRequestID, "want %s, got %s", x.id, id))
+		return nil, core.WrapStep("receive response", x.conn.Peer(), errors.Wrapf(ErrWrongRequestID, "want %s, got %s", x.id, id))
 	}
 	return msg, nil
 }
@@ -210,8 +211,8 @@
 }
 
 // Decode decodes a frame sent by an agent and returns a pointer to the message and
-// the request ID in it. The error is frame.ErrUnexpected if agents do not send
-// frames of this kind.
+// the request ID in it. The error is frame.ErrUnexpectedKind if agents do not send
+// frames of this kind on work connections.
 func Decode(f frame.Frame) (msg any, id string, err error) {
 	switch f.Kind {
 	case frame.KindAdmit:
--- a/connection/work/server.go
+++ b/connection/work/server.go
@@ -22,8 +22,8 @@
 )
 
 // Server accepts work connections at an agent and passes each request on them to a
-// Handler. It implements http.Handler and expects that the caller has already
-// checked the peer token.
+// Handler. It implements http.Handler; the peer token must be checked before
+// ServeHTTP is called.
 type Server struct {
 	handler Handler
 	log     *eventlog.Logger
--- a/connection/work/work.go
+++ b/connection/work/work.go
@@ -20,13 +20,13 @@
 	// Send sends a frame of the given kind with the message msg.
 	Send(kind frame.Kind, msg any) error
 	// Receive waits for the next frame and returns a pointer to its decoded
-	// message. It returns ErrCrossed if the frame carries another request's
-	// ID; after an error, Close closes the connection. The end of ctx closes
-	// the connection at once.
+	// message. It returns ErrWrongRequestID if the frame carries the ID of
+	// another request. After an error, Close closes the connection. The end of
+	// ctx closes the connection immediately.
 	Receive(ctx context.Context) (any, error)
 	// Close ends the exchange. finished must be true only if the agent's last
-	// message (End, Fail, Refuse or Answer) was received: the connection is
-	// then reused, otherwise it is closed.
+	// message (End, Fail, Refuse or AttemptStatus) was received: the connection
+	// is then reused, otherwise it is closed.
 	Close(finished bool)
 }
 
--- a/connection/work/work_test.go
+++ b/connection/work/work_test.go
@@ -81,7 +81,7 @@
 		x.Close(true)
 		So(pool.idle[agent.Addr], ShouldBeEmpty)
 	})
-	Convey("Closing an exchange cancels the context of the agent's handler", t, func() {
+	Convey("Closing an unfinished exchange cancels the context of the agent's handler", t, func() {
 		ended := make(chan struct{})
 		pool, agent, stop := startAgent(func(ctx context.Context, _ frame.Frame, _ AgentExchange) error {
 			<-ctx.Done()
