--- a/connection/members/fallback.go
+++ b/connection/members/fallback.go
@@ -18,17 +18,17 @@
 type listReader struct {
 	self  core.Instance
 	token string
-	// knownEntries returns the entry instances that the watcher knows.
+	// knownEntries returns the entry instances that the watcher has listed.
 	knownEntries func() []core.Instance
 	client       *http.Client
-	// etag is the ETag of the list read last.
+	// etag is the ETag of the list read last, from whichever entry instance.
 	etag string
 }
 
-// NewPeerFallback returns a Fallback that reads the list of instances from the known entry
-// instances, in random order so that the requests spread over them. An agent reads
-// the list of the first one that answers. An entry instance reads the lists of up
-// to maxListsPerRead of them and announces itself with each request.
+// NewPeerFallback returns a Fallback that reads the list of instances from the known
+// entry instances, in random order so that the requests spread over them. An agent
+// reads the list of the first entry instance that responds. An entry instance reads
+// the lists of up to maxListsPerRead others and announces itself with each request.
 func NewPeerFallback(knownEntries func() []core.Instance, self core.Instance, token string) instances.Fallback {
 	l := &listReader{
 		self: self, token: token, knownEntries: knownEntries,
@@ -38,11 +38,12 @@
 }
 
 // read implements instances.Fallback. It returns the joined lists of the entry
-// instances that answered. A list that equals the one read last adds nothing.
+// instances that responded. A list that is equal to the list read before it is left
+// out; the result may be empty.
 func (l *listReader) read(ctx context.Context) ([]core.Instance, error) {
 	err := errors.New("no entry instance known")
 	var list []core.Instance
-	answers := 0
+	responses := 0
 	peers := l.knownEntries()
 	for _, i := range rand.Perm(len(peers)) {
 		if peers[i].ID == l.self.ID {
@@ -54,19 +55,19 @@
 			continue
 		}
 		list = append(list, received...)
-		answers++
-		if l.self.Role != core.RoleEntry || answers == maxListsPerRead {
+		responses++
+		if l.self.Role != core.RoleEntry || responses == maxListsPerRead {
 			break
 		}
 	}
-	if answers > 0 {
+	if responses > 0 {
 		return list, nil
 	}
 	return nil, err
 }
 
-// requestList reads the list of one entry instance. It returns nil if the list
-// equals the one read last.
+// requestList reads the list of one entry instance. It returns nil if the list is
+// equal to the list read before it, from whichever entry instance.
 func (l *listReader) requestList(ctx context.Context, peer core.Instance) ([]core.Instance, error) {
 	const step = "list instances"
 	req, err := l.newRequest(ctx, peer)
--- a/connection/members/members.go
+++ b/connection/members/members.go
@@ -1,6 +1,6 @@
 // Package members lets processes that cannot reach the platform get the list of
-// instances from entry instances: a Server serves the list that an entry instance
-// knows, and a Fallback made by Ask reads it.
+// instances from entry instances: a Server serves the list at an entry instance,
+// and a Fallback made by NewPeerFallback reads it.
 package members
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/rattanway/rattanway/process/instances"
 )
 
-// Path is the HTTP path at which entry instances serve the list of instances that
-// they know, for processes that cannot reach the platform. An entry instance that
-// requests the list announces itself in the request: while the platform is down,
-// this is how a new entry instance becomes known.
+// Path is the HTTP path at which entry instances serve their list of instances to
+// processes that cannot reach the platform. An entry instance that requests the
+// list announces itself in the request: while the platform is down, this is how a
+// new entry instance gets into the lists of the others.
 const Path = "/internal/instances"
 
 const (
@@ -32,7 +32,7 @@
 	// instance reads the list each time.
 	maxListsPerRead = 3
 	// maxAnnounceBytes and maxListBytes limit the bodies of a request and of a
-	// response.
+	// response, in bytes.
 	maxAnnounceBytes = 4 << 10
 	maxListBytes     = 1 << 20
 )
@@ -48,7 +48,8 @@
 	announcements map[string]announcement
 }
 
-// announcement is an entry instance that announced itself, and when.
+// announcement is an entry instance that announced itself, with the time at which
+// this was received.
 type announcement struct {
 	instance   core.Instance
 	receivedAt time.Time
@@ -81,8 +82,9 @@
 	_, _ = w.Write(body)
 }
 
-// recordAnnouncement records the entry instance in the body of r. If the body
-// holds none, it responds with an error and returns false.
+// recordAnnouncement records the entry instance in the body of r. If the body is
+// not an entry instance with an ID, recordAnnouncement responds with an error and
+// returns false.
 func (s *Server) recordAnnouncement(w http.ResponseWriter, r *http.Request) bool {
 	var in core.Instance
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnounceBytes))
@@ -96,8 +98,9 @@
 	return true
 }
 
-// list returns the watched instances, and those registered agents and announced
-// entry instances that are not among them, sorted by ID.
+// list returns, sorted by ID, the watched instances, the registered agents and the
+// announced entry instances. Of several instances with the same ID, only the first
+// in this order is included.
 func (s *Server) list() []core.Instance {
 	all := append([]core.Instance{}, s.watcher.All()...)
 	listed := map[string]bool{}
