--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -37,23 +37,23 @@
 
 var (
 	eventPeerConnected = eventlog.Define(150, "exchange-peer", logrus.InfoLevel,
-		"This entry instance connected to another one.")
+		"This entry instance connected to another entry instance.")
 	eventPeerDisconnected = eventlog.Define(151, "exchange-peer-gone", logrus.InfoLevel,
 		"The connection to or from another entry instance failed or ended; the side that opened it dials again.")
 	eventTablesRequested = eventlog.Define(152, "exchange-want", logrus.InfoLevel,
-		"Another entry instance has a newer version of a table than this one got from the store; this one requests the table from it.")
+		"Another entry instance has a newer revision of a table than the store has delivered to this entry instance, which requests the table from the other.")
 )
 
-// LoadTracker provides the request counts of this entry instance and takes in those of
+// LoadTracker provides the request counts of this entry instance and stores those of
 // its peers.
 type LoadTracker interface {
-	// RunningByServer returns the number of requests that this entry instance runs at
-	// each backend server, by server ID.
+	// RunningByServer returns the number of requests that this entry instance runs
+	// at each backend server, by server ID.
 	RunningByServer() map[string]int
 	// ResetPeerLoads discards the counts of a peer that has connected again.
 	ResetPeerLoads(peer string)
-	// UpdatePeerLoads updates the counts of a peer. running holds only the counts that
-	// have changed, by server ID.
+	// UpdatePeerLoads updates the counts of a peer. running holds only the counts
+	// that have changed, by server ID.
 	UpdatePeerLoads(peer string, running map[string]int)
 }
 
@@ -63,26 +63,28 @@
 	Self core.Instance
 	// Token is the peer token sent to other entry instances.
 	Token string
-	// Holder holds the declared weights, whose ages are exchanged.
+	// Holder holds the declared versions of the weights, whose ages are exchanged.
 	Holder *catalog.Holder
-	// DeclaredFollower and ServersFollower follow the table of declarations and the table of
-	// backend servers in the store.
+	// DeclaredFollower and ServersFollower follow the table of declarations and the
+	// table of backend servers in the store.
 	DeclaredFollower, ServersFollower *catalog.Follower
 	// LoadTracker provides and receives the request counts.
 	LoadTracker LoadTracker
-	// Log receives an event for each change.
+	// Log receives the events of connections and table requests.
 	Log *eventlog.Logger
 	// Clock is the time source.
 	Clock clockwork.Clock
 }
 
-// Exchange holds the connections to the other entry instances. It is safe for
-// concurrent use.
+// Exchange holds the connections to the other entry instances. An entry instance
+// sends its counts only on connections that it has dialled itself, so that two entry
+// instances have one connection for each direction. Exchange is safe for concurrent
+// use.
 type Exchange struct {
 	cfg Config
 	mu  sync.Mutex
-	// known holds the addresses of all known entry instances including this one,
-	// and discovered those that Run has yet to start dialling.
+	// known holds the addresses of all known entry instances including this one.
+	// discovered receives the known addresses that Run has yet to dial.
 	known      map[string]bool
 	discovered chan string
 	// lastRequested is the time at which each table was last requested.
@@ -123,7 +125,8 @@
 	return addrs
 }
 
-// Run dials the other entry instances, again after each loss, until ctx ends.
+// Run dials the other entry instances, and redials them after each loss, until ctx
+// ends.
 func (x *Exchange) Run(ctx context.Context) error {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -143,8 +146,8 @@
 }
 
 // sendLoads opens a connection to a peer within timeout and sends the request
-// counts on it until it ends. On the same connection it serves the table requests
-// of the peer.
+// counts on the connection until it ends. On the same connection it serves the table
+// requests of the peer.
 func (x *Exchange) sendLoads(ctx context.Context, addr string, timeout time.Duration) error {
 	conn, err := frame.Dial(addr, Path, x.cfg.Token, timeout)
 	if err != nil {
@@ -162,17 +165,17 @@
 	sent := map[string]int{}
 	var lastHeartbeat time.Time
 	for {
-		l := frame.LoadUpdate{
+		update := frame.LoadUpdate{
 			DeclaredRevision: x.cfg.DeclaredFollower.ChangeRevision(), ServersRevision: x.cfg.ServersFollower.ChangeRevision(),
 			RunningByServer: changedCounts(sent, x.cfg.LoadTracker.RunningByServer()),
 		}
 		now := x.cfg.Clock.Now()
 		heartbeatDue := now.Sub(lastHeartbeat) >= heartbeatInterval
 		if heartbeatDue {
-			l.DeclaredVersions = x.recentWeights(now)
+			update.DeclaredVersions = x.recentVersions(now)
 		}
-		if len(l.RunningByServer) > 0 || heartbeatDue {
-			if err := conn.Send(frame.KindLoadUpdate, l); err != nil {
+		if len(update.RunningByServer) > 0 || heartbeatDue {
+			if err := conn.Send(frame.KindLoadUpdate, update); err != nil {
 				return err
 			}
 			if heartbeatDue {
@@ -191,12 +194,12 @@
 
 // sendAgesFor is how long after its declaration the age of a version of the
 // weights is sent to peers. A peer that was paused or disconnected receives the
-// declaration late, and could not know the age otherwise.
+// declaration late and has no other source for the age.
 const sendAgesFor = 20 * time.Second
 
-// recentWeights returns the weights declared within the last sendAgesFor, with
-// their ages.
-func (x *Exchange) recentWeights(now time.Time) []frame.WantedVersion {
+// recentVersions returns the versions of the weights declared within the last
+// sendAgesFor, with their ages.
+func (x *Exchange) recentVersions(now time.Time) []frame.WantedVersion {
 	var recent []frame.WantedVersion
 	for _, w := range x.cfg.Holder.Current().RecentVersions(now, sendAgesFor) {
 		recent = append(recent, frame.WantedVersion{
@@ -206,7 +209,7 @@
 	return recent
 }
 
-// applyAges takes over the ages of declared weights from a peer.
+// applyAges stores the ages of declared versions that a peer sent.
 func (x *Exchange) applyAges(weights []frame.WantedVersion) {
 	now := x.cfg.Clock.Now()
 	for _, w := range weights {
@@ -262,7 +265,7 @@
 }
 
 // ServeHTTP accepts the connection of a peer and returns when it has ended. The
-// caller has checked the peer token.
+// peer token must be checked before ServeHTTP is called.
 func (x *Exchange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
@@ -294,13 +297,13 @@
 		}
 		switch f.Kind {
 		case frame.KindLoadUpdate:
-			var l frame.LoadUpdate
-			if err := f.Decode(&l); err != nil {
+			var update frame.LoadUpdate
+			if err := f.Decode(&update); err != nil {
 				return err
 			}
-			x.cfg.LoadTracker.UpdatePeerLoads(peer, l.RunningByServer)
-			x.applyAges(l.DeclaredVersions)
-			if err := x.requestTables(conn, peer, l, lags); err != nil {
+			x.cfg.LoadTracker.UpdatePeerLoads(peer, update.RunningByServer)
+			x.applyAges(update.DeclaredVersions)
+			if err := x.requestTables(conn, peer, update, lags); err != nil {
 				return err
 			}
 		case frame.KindTable:
@@ -313,13 +316,13 @@
 	}
 }
 
-// requestTables requests those tables of which the peer has a revision that is
-// overdue here.
-func (x *Exchange) requestTables(conn *frame.Conn, peer string, l frame.LoadUpdate, lags map[catalog.Table]*lag) error {
+// requestTables requests from the peer the tables of which a revision that the peer
+// has is overdue here.
+func (x *Exchange) requestTables(conn *frame.Conn, peer string, update frame.LoadUpdate, lags map[catalog.Table]*lag) error {
 	var request frame.TableRequest
 	now := x.cfg.Clock.Now()
 	for t, peerRevision := range map[catalog.Table]uint64{
-		catalog.TableDeclared: l.DeclaredRevision, catalog.TableServers: l.ServersRevision,
+		catalog.TableDeclared: update.DeclaredRevision, catalog.TableServers: update.ServersRevision,
 	} {
 		if lags[t].overdue(x.follower(t).ChangeRevision(), peerRevision, now) && x.allowRequest(t, now) {
 			request.Tables = append(request.Tables, t)
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -42,28 +42,29 @@
 	return catalog.Change{Config: &catalog.Config{Version: int64(r.Revision)}}, nil
 }
 
-// fakeLoads stores the counts that the other instance sends.
-type fakeLoads struct {
+// fakeLoadTracker provides the counts set by the test and stores the counts that the other
+// instance sends.
+type fakeLoadTracker struct {
 	mu       sync.Mutex
 	running  map[string]int
 	received map[string]int
 }
 
-func (l *fakeLoads) RunningByServer() map[string]int {
+func (l *fakeLoadTracker) RunningByServer() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.running
 }
 
-func (l *fakeLoads) set(running map[string]int) {
+func (l *fakeLoadTracker) set(running map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.running = running
 }
 
-func (l *fakeLoads) ResetPeerLoads(string) { l.UpdatePeerLoads("", nil) }
+func (l *fakeLoadTracker) ResetPeerLoads(string) { l.UpdatePeerLoads("", nil) }
 
-func (l *fakeLoads) UpdatePeerLoads(_ string, running map[string]int) {
+func (l *fakeLoadTracker) UpdatePeerLoads(_ string, running map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, n := range running {
@@ -71,7 +72,7 @@
 	}
 }
 
-func (l *fakeLoads) receivedCount(id string) int {
+func (l *fakeLoadTracker) receivedCount(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.received[id]
@@ -82,14 +83,14 @@
 	*Exchange
 	holder            *catalog.Holder
 	declared, servers *catalog.Follower
-	loads             *fakeLoads
+	loads             *fakeLoadTracker
 }
 
-// newTestInstance starts an instance that knows no other one.
+// newTestInstance starts an instance that has no address of another instance.
 func newTestInstance(t *testing.T, name string) *testInstance {
 	t.Helper()
 	clock, log := clockwork.NewRealClock(), eventlog.Discard()
-	i := &testInstance{holder: catalog.NewHolder(log), loads: &fakeLoads{received: map[string]int{}}}
+	i := &testInstance{holder: catalog.NewHolder(log), loads: &fakeLoadTracker{received: map[string]int{}}}
 	i.declared = catalog.NewFollower(catalog.TableDeclared, unavailableStore{}, i.holder, log, clock)
 	i.servers = catalog.NewFollower(catalog.TableServers, unavailableStore{}, i.holder, log, clock)
 	var handler http.Handler
@@ -115,7 +116,7 @@
 }
 
 func TestExchange(t *testing.T) {
-	Convey("Two instances, one of which knows the other, send each other their request counts", t, func() {
+	Convey("Two instances, one of which has the address of the other, send each other their request counts", t, func() {
 		a, b := newTestInstance(t, "a"), newTestInstance(t, "b")
 		a.loads.set(map[string]int{"s1": 3})
 		b.loads.set(map[string]int{"s2": 5})
@@ -125,22 +126,22 @@
 		So(wait.Until(func() bool { return b.loads.receivedCount("s1") == 0 }), ShouldBeTrue)
 	})
 
-	Convey("An instance that gets no answer from the store gets newer tables and the ages of weights from another one", t, func() {
+	Convey("An instance without a response from the store gets newer tables and the ages of weights from another instance", t, func() {
 		a, b := newTestInstance(t, "a"), newTestInstance(t, "b")
 		a.declared.AdoptIfNewer(catalog.TableContent{Rows: []catalog.Row{{Key: "config", Revision: 7}}, ChangeRevision: 7, ReadRevision: 9}, "store")
 		a.servers.AdoptIfNewer(catalog.TableContent{Rows: []catalog.Row{{Key: "s1", Revision: 8}}, ChangeRevision: 8, ReadRevision: 9}, "store")
-		known := time.Now().Add(-3 * time.Second)
-		a.holder.MergeWeights(catalog.Weights{Model: "herbs", Version: 2, DeclaredAt: known}, time.Now())
+		declaredAt := time.Now().Add(-3 * time.Second)
+		a.holder.MergeWeights(catalog.Weights{Model: "herbs", Version: 2, DeclaredAt: declaredAt}, time.Now())
 		b.AddPeer(a.cfg.Self.Addr)
 		So(wait.Until(func() bool {
 			s := b.holder.Current()
 			return s.Complete() && s.Config.Version == 7 && s.Servers["s1"] != nil && s.Weights["herbs"].Version == 2
 		}), ShouldBeTrue)
-		So(b.holder.Current().Weights["herbs"].DeclaredAt.Sub(known), ShouldBeBetween, -time.Second, time.Second)
+		So(b.holder.Current().Weights["herbs"].DeclaredAt.Sub(declaredAt), ShouldBeBetween, -time.Second, time.Second)
 	})
 }
 
-func TestChangedCountsAreSentOnce(t *testing.T) {
+func TestChangedCounts(t *testing.T) {
 	Convey("Only counts that changed are sent, and 0 for servers that are gone", t, func() {
 		sent := map[string]int{}
 		So(changedCounts(sent, map[string]int{"a": 2, "b": 1}), ShouldResemble, map[string]int{"a": 2, "b": 1})
--- a/connection/exchange/lag.go
+++ b/connection/exchange/lag.go
@@ -11,17 +11,17 @@
 const maxLag = 400 * time.Millisecond
 
 // lag tracks a revision of a table that a peer has and that is missing here, and
-// since when. In a large deployment the table of servers changes all the time and
-// every entry instance is slightly behind some other. Only a revision that stays
-// missing shows that the store does not deliver it.
+// since when it is missing. In a large deployment the table of servers changes all
+// the time and every entry instance is slightly behind some other entry instance.
+// Only a revision that stays missing shows that the store does not deliver it.
 type lag struct {
 	revision uint64
 	since    time.Time
 }
 
 // overdue reports whether the tracked revision has been missing for at least
-// maxLag, or no revision at all is known here. ours and theirs are the newest
-// revisions here and at the peer.
+// maxLag, or whether the peer has a revision and this entry instance has none. ours
+// and theirs are the newest revisions here and at the peer; 0 means none.
 func (l *lag) overdue(ours, theirs uint64, now time.Time) bool {
 	switch {
 	case theirs <= ours:
