--- a/connection/fleet/events.go
+++ b/connection/fleet/events.go
@@ -10,9 +10,9 @@
 	eventAgent = eventlog.Define(140, "fleet-agent", logrus.InfoLevel,
 		"An agent beside a backend server connected to this entry instance.")
 	eventAgentGone = eventlog.Define(141, "fleet-agent-gone", logrus.InfoLevel,
-		"The connection of an agent ended; from now on the versions that its backend server holds are taken from the list of servers.")
+		"The connection of an agent ended; from now on the loaded versions of its backend server are taken from the list of servers.")
 	eventAgentState = eventlog.Define(142, "fleet-agent-state", logrus.InfoLevel,
-		"An agent reported that the versions its backend server holds changed, or that loading began or ended.")
+		"An agent reported that the loaded versions of its backend server changed, or that loading began or ended.")
 	eventEntry = eventlog.Define(143, "fleet-entry", logrus.InfoLevel,
 		"This agent connected to an entry instance.")
 	eventEntryGone = eventlog.Define(144, "fleet-entry-gone", logrus.InfoLevel,
--- a/connection/fleet/fleet_test.go
+++ b/connection/fleet/fleet_test.go
@@ -59,7 +59,8 @@
 	return e
 }
 
-// declare puts c in force or, when c is nil, a version of the weights.
+// declare puts the configuration c in force. If c is nil, it declares a version of
+// the weights instead.
 func (e *testEntry) declare(version int, c *catalog.Config) {
 	change := catalog.Change{Config: c}
 	if c == nil {
@@ -140,7 +141,7 @@
 		}), ShouldBeTrue)
 	})
 
-	Convey("An entry instance receives the state of a backend server, and notices that its agent disconnected", t, func() {
+	Convey("An entry instance receives the state of a backend server, and discards it when the agent disconnects", t, func() {
 		e := newTestEntry(t)
 		a := newTestAgent(t, "a", e)
 		a.Publish(frame.AgentState{LoadedVersions: map[string]int{"herbs": 2}, Loading: true})
@@ -155,7 +156,7 @@
 		}), ShouldBeTrue)
 	})
 
-	Convey("An entry instance takes the age of a declared version from an agent that knows it for longer", t, func() {
+	Convey("An entry instance takes the age of a declared version from an agent that received the version earlier", t, func() {
 		e := newTestEntry(t)
 		e.declare(1, nil)
 		newTestAgent(t, "a", e)
@@ -177,10 +178,10 @@
 				So(connected[addr], ShouldEqual, "palermo")
 			}
 		})
-		Convey("if only one of its own data centre is connected, that one alone sends the list", func() {
+		Convey("if only one entry instance of the agent's own data centre is connected, it alone sends the list", func() {
 			So(chooseListSenders("a1", "trapani", connected), ShouldResemble, map[string]bool{"e6": true})
 		})
-		Convey("if none of its own data centre is connected, two others send the list", func() {
+		Convey("if no entry instance of the agent's own data centre is connected, two others send the list", func() {
 			delete(connected, "e6")
 			So(chooseListSenders("a1", "trapani", connected), ShouldHaveLength, 2)
 		})
@@ -193,7 +194,7 @@
 			}
 			So(chosen, ShouldHaveLength, 3)
 		})
-		Convey("without a connection none is chosen", func() {
+		Convey("without a connection no entry instance is chosen", func() {
 			So(chooseListSenders("a1", "palermo", nil), ShouldBeEmpty)
 		})
 	})
--- a/connection/fleet/hub.go
+++ b/connection/fleet/hub.go
@@ -19,8 +19,8 @@
 const Path = "/internal/fleet"
 
 const (
-	// batchDelay is the wait after a change, so that changes shortly after it
-	// go out in the same message.
+	// batchDelay is the wait between a change and the message about it, so that
+	// further changes in that time go out in the same message.
 	batchDelay = 50 * time.Millisecond
 	// heartbeatInterval is the time between two messages on an idle
 	// connection. The receiver closes the connection when no message arrives
@@ -33,14 +33,14 @@
 type HubConfig struct {
 	// DataCentre is the data centre of the entry instance.
 	DataCentre string
-	// Holder holds the declared weights.
+	// Holder holds the configuration and the declared versions of the weights.
 	Holder *catalog.Holder
-	// OnAgentState is called with the address of a backend server and each state that
-	// its agent reports, and with a nil state when the agent has disconnected.
+	// OnAgentState is called with the address of a backend server and each state
+	// that its agent reports, and with a nil state when the agent has disconnected.
 	OnAgentState func(server string, state *frame.AgentState)
 	// Entries returns the addresses of the known entry instances.
 	Entries func() []string
-	// Log receives an event for each change.
+	// Log receives an event when an agent connects, disconnects or reports a change.
 	Log *eventlog.Logger
 	// Clock is the time source.
 	Clock clockwork.Clock
@@ -73,7 +73,7 @@
 }
 
 // ServeHTTP accepts the connection of an agent and returns when it has ended.
-// The caller has checked the peer token.
+// The peer token must be checked before ServeHTTP is called.
 func (h *Hub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
@@ -159,8 +159,8 @@
 	}
 }
 
-// applyState stores a reported state. Unless a newer connection has replaced this
-// one, it also passes the state on and logs a change.
+// applyState stores a reported state. Unless a newer connection has replaced that
+// of a, it also calls OnAgentState and logs a change.
 func (h *Hub) applyState(a *agentConn, s frame.AgentState) {
 	h.mu.Lock()
 	same := a.state.Loading == s.Loading && maps.Equal(a.state.LoadedVersions, s.LoadedVersions)
@@ -185,7 +185,8 @@
 }
 
 // sendUpdates sends a fleet message after each change and heartbeats in between,
-// until ctx ends or sending fails.
+// until ctx ends or sending fails. A heartbeat is an empty KindNotice frame, whose
+// only purpose is to arrive within the agent's receive timeout.
 func (h *Hub) sendUpdates(ctx context.Context, a *agentConn) {
 	var lastSent *catalog.Snapshot
 	for {
@@ -193,7 +194,7 @@
 		catalogChanged := h.cfg.Holder.Changed()
 		snapshot := h.cfg.Holder.Current()
 		var err error
-		if lastSent == nil || !sameWeightsAndOrigin(lastSent, snapshot) {
+		if lastSent == nil || !sameVersionsAndOrigin(lastSent, snapshot) {
 			err = a.conn.Send(frame.KindFleet, h.fleetMessage(snapshot, a))
 			lastSent = snapshot
 		} else {
@@ -232,8 +233,9 @@
 			}
 			*lastSent = nil
 		case <-catalogChanged:
-			if sameWeightsAndOrigin(*lastSent, h.cfg.Holder.Current()) {
-				// Only backend servers changed, which fleet messages leave out.
+			if sameVersionsAndOrigin(*lastSent, h.cfg.Holder.Current()) {
+				// The change is not part of fleet messages; usually a backend
+				// server changed.
 				catalogChanged = h.cfg.Holder.Changed()
 				continue
 			}
@@ -262,13 +264,14 @@
 	return a.state.WantsAgentList
 }
 
-// sameWeightsAndOrigin reports whether two snapshots declare the same versions
-// and origin. Snapshots without a configuration equal only each other.
-func sameWeightsAndOrigin(a, b *catalog.Snapshot) bool {
+// sameVersionsAndOrigin reports whether two snapshots declare the same versions
+// and origin. A snapshot without a configuration is equal only to another one
+// without a configuration.
+func sameVersionsAndOrigin(a, b *catalog.Snapshot) bool {
 	if a.Config == nil || b.Config == nil {
 		return a.Config == b.Config
 	}
-	return sameWeights(a, b) && sameOrigin(a.Origin(), b.Origin())
+	return sameVersions(a, b) && sameOrigin(a.Origin(), b.Origin())
 }
 
 // sameOrigin reports whether two origins, which may be nil, are equal.
@@ -276,8 +279,8 @@
 	return a == b || a != nil && b != nil && *a == *b
 }
 
-// sameWeights reports whether two snapshots declare the same version of each model.
-func sameWeights(a, b *catalog.Snapshot) bool {
+// sameVersions reports whether two snapshots declare the same version of each model.
+func sameVersions(a, b *catalog.Snapshot) bool {
 	if len(a.Weights) != len(b.Weights) {
 		return false
 	}
@@ -301,7 +304,7 @@
 				continue
 			}
 			for _, model := range service.Engine.Models {
-				w := wantedWeights(s, model, now)
+				w := wantedVersion(s, model, now)
 				w.Service, w.ChunkCount, w.ChunkBytes = service.Name, service.Engine.ChunkCount, service.Engine.ChunkBytes
 				wantedVersions[model] = w.Version
 				f.WantedVersions = append(f.WantedVersions, w)
@@ -318,15 +321,15 @@
 	}
 	for _, a := range h.agents {
 		f.Agents = append(f.Agents, frame.FleetAgent{
-			Instance: a.hello.Instance, Server: a.hello.Server, HoldsNewest: holdsWanted(a.state, wantedVersions),
+			Instance: a.hello.Instance, Server: a.hello.Server, HoldsNewest: hasLoadedWanted(a.state, wantedVersions),
 		})
 	}
 	return f
 }
 
-// wantedWeights returns the declared version of a model, or version 1 when none
+// wantedVersion returns the declared version of a model, or version 1 when none
 // is declared.
-func wantedWeights(s *catalog.Snapshot, model string, now time.Time) frame.WantedVersion {
+func wantedVersion(s *catalog.Snapshot, model string, now time.Time) frame.WantedVersion {
 	w := frame.WantedVersion{Model: model, Version: 1}
 	if declared, ok := s.Weights[model]; ok {
 		w.Version = declared.Version
@@ -335,9 +338,9 @@
 	return w
 }
 
-// holdsWanted reports whether a backend server holds the wanted version of at
-// least one model.
-func holdsWanted(s frame.AgentState, wantedVersions map[string]int) bool {
+// hasLoadedWanted reports whether a backend server has loaded the wanted version of
+// at least one model.
+func hasLoadedWanted(s frame.AgentState, wantedVersions map[string]int) bool {
 	for model, version := range s.LoadedVersions {
 		if version == wantedVersions[model] {
 			return true
