--- a/connection/orders/cluster_test.go
+++ b/connection/orders/cluster_test.go
@@ -38,8 +38,8 @@
 	fence        uint64
 }
 
-// Order implements Orderer. It refuses a fencing number that is too low if fencing
-// is set.
+// Order implements OrderSender. If fencing is set, it refuses a fencing number that
+// is too low.
 func (e *fakeEngine) Order(_ context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,14 +59,15 @@
 	return nil
 }
 
-// Status implements Reports.
+// Status implements StatusSource. The negative age marks the report as newer than any
+// order.
 func (e *fakeEngine) Status() (engine.Status, time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return engine.Status{Loaded: slices.Clone(e.loaded), Fence: e.fence, Boot: "boot"}, -1, true
 }
 
-// Changed implements Reports; its nil channel never signals a change.
+// Changed implements StatusSource; its nil channel never signals a change.
 func (e *fakeEngine) Changed() <-chan struct{} { return nil }
 
 // digests returns the digests of the loaded versions, in the order of loading.
@@ -81,12 +82,12 @@
 }
 
 // fakeTable is an in-memory table. It is unavailable while down is set, and the
-// next loseAnswers commits take effect but return ErrUnknownOutcome.
+// next loseResponses commits take effect but return ErrUnknownOutcome.
 type fakeTable struct {
-	mu          sync.Mutex
-	rows        map[string]platform.Row
-	down        bool
-	loseAnswers int
+	mu            sync.Mutex
+	rows          map[string]platform.Row
+	down          bool
+	loseResponses int
 	platform.Table
 }
 
@@ -115,8 +116,8 @@
 		return platform.ErrConflict
 	}
 	t.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Revision: row.Revision + 1}
-	if t.loseAnswers > 0 {
-		t.loseAnswers--
+	if t.loseResponses > 0 {
+		t.loseResponses--
 		return platform.ErrUnknownOutcome
 	}
 	return nil
@@ -186,37 +187,37 @@
 		server := httptest.NewUnstartedServer(nil)
 		self := core.Instance{ID: name, Role: core.RoleAgent, Addr: server.Listener.Addr().String(), DataCentre: "dc", Region: "r"}
 		c.liveInstances = append(c.liveInstances, self)
-		m := c.newAgent(self)
-		m.server = server
-		server.Config.Handler = m.Handler()
+		a := c.newAgent(self)
+		a.server = server
+		server.Config.Handler = a.Handler()
 		server.Start()
 		t.Cleanup(server.Close)
-		c.agents = append(c.agents, m)
+		c.agents = append(c.agents, a)
 	}
 	return c
 }
 
 // newAgent returns an agent with a new engine and fetcher.
 func (c *cluster) newAgent(self core.Instance) *testAgent {
-	m := &testAgent{
+	a := &testAgent{
 		engine:  &fakeEngine{clock: c.clock, fencing: true},
 		fetcher: &fakeFetcher{blocked: map[core.Digest]bool{}, fetches: map[core.Digest]int{}},
 	}
-	m.Controller = c.controller(self, m)
-	return m
+	a.Controller = c.controller(self, a)
+	return a
 }
 
-// controller returns a Controller for the agent self that uses the fakes of m.
-func (c *cluster) controller(self core.Instance, m *testAgent) *Controller {
+// controller returns a Controller for the agent self that uses the fakes of a.
+func (c *cluster) controller(self core.Instance, a *testAgent) *Controller {
 	return New(Config{Self: self, Token: testToken, Metrics: metrics.NewRegistry()}, Deps{
 		Holder: c.holder, LiveInstances: func() []core.Instance { return c.liveInstances },
-		Fetcher: m.fetcher, Store: spread.NewMemStore(1 << 20), Engine: m.engine, StatusSource: m.engine,
+		Fetcher: a.fetcher, Store: spread.NewMemStore(1 << 20), Engine: a.engine, StatusSource: a.engine,
 		Table: c.table, Log: eventlog.Discard(), Clock: c.clock,
 	})
 }
 
-// declareVersion declares a version of a model, makes it the one to serve and
-// returns its digest.
+// declareVersion declares a version of a model as the version to serve, and returns
+// its digest.
 func (c *cluster) declareVersion(model, version, base string, replicas int) core.Digest {
 	d := core.DigestOf([]byte(version))
 	set := *c.set
@@ -247,9 +248,9 @@
 func (c *cluster) step() {
 	c.clock.Advance(time.Second)
 	serving := 0
-	for _, m := range c.agents {
-		m.pass(context.Background())
-		if len(m.engine.digests()) > 0 {
+	for _, a := range c.agents {
+		a.pass(context.Background())
+		if len(a.engine.digests()) > 0 {
 			serving++
 		}
 	}
@@ -277,8 +278,8 @@
 // the versions ds, in this order.
 func (c *cluster) allLoaded(ds ...core.Digest) func() bool {
 	return func() bool {
-		for _, m := range c.agents {
-			if !slices.Equal(m.engine.digests(), ds) {
+		for _, a := range c.agents {
+			if !slices.Equal(a.engine.digests(), ds) {
 				return false
 			}
 		}
--- a/connection/orders/drain.go
+++ b/connection/orders/drain.go
@@ -16,9 +16,9 @@
 }
 
 // drainAndUnload drains the loaded version l and, once the drain is complete,
-// orders the engine to unload it. It never waits: it is called on every pass
-// and reports whether the engine accepted the order. Calls already running on
-// the version are not interrupted.
+// orders the engine to unload l. It never waits for the drain, because it is called
+// again on every pass. It reports whether the engine accepted the order. Running
+// calls of the version are not interrupted.
 func (c *Controller) drainAndUnload(ctx context.Context, in *passInput, l frame.Loaded) bool {
 	d, ok := c.drains[l.Digest]
 	if !ok {
--- a/connection/orders/events.go
+++ b/connection/orders/events.go
@@ -13,7 +13,7 @@
 	eventOrderGiven = eventlog.Define(321, "order-given", logrus.InfoLevel,
 		"The engine accepted an order; the fields give the action, the version, the fencing number and the source of that number.")
 	eventOrderFailed = eventlog.Define(322, "order-failed", logrus.WarnLevel,
-		"The engine refused an order or did not answer; the order is sent again if the engine's next report shows that it is still needed.")
+		"The engine refused an order or did not respond; the order is sent again if the engine's next report shows that it is still needed.")
 	eventOrderConfirmed = eventlog.Define(323, "order-confirmed", logrus.InfoLevel,
 		"The engine's report shows the effect of an order.")
 	eventOrderOverdue = eventlog.Define(324, "order-overdue", logrus.WarnLevel,
@@ -27,7 +27,7 @@
 	eventVersionFetchFailed = eventlog.Define(328, "version-fetch-failed", logrus.WarnLevel,
 		"A version could not be fetched; the fetch is retried.")
 	eventVersionDistrusted = eventlog.Define(329, "version-distrusted", logrus.WarnLevel,
-		"The engine answered a call with a digest other than the one it reports as loaded; the engine is ordered to load the version again.")
+		"The engine's response to a call carried a digest other than that of the requested version, although the engine reports that version as loaded; the engine is ordered to load the version again.")
 	eventChunksDropped = eventlog.Define(330, "chunks-dropped", logrus.InfoLevel,
 		"Chunks of versions that are no longer wanted were dropped because the store was full.")
 )
--- a/connection/orders/fence.go
+++ b/connection/orders/fence.go
@@ -18,8 +18,8 @@
 	// fencePrefix is the prefix of a counter row's key; the name of the
 	// backend server follows.
 	fencePrefix = "fence/"
-	// maxFenceAttempts is the number of attempts to increment the counter when
-	// other writes conflict with it.
+	// maxFenceAttempts is the maximum number of attempts to increment the counter
+	// when other writes conflict.
 	maxFenceAttempts = 5
 )
 
@@ -28,7 +28,7 @@
 type fenceRow struct {
 	// Fence is the last fencing number taken.
 	Fence uint64 `json:"fence"`
-	// Holder is the incarnation of the agent that took it.
+	// Holder is the incarnation of the agent that took the number.
 	Holder string `json:"holder"`
 }
 
@@ -99,8 +99,8 @@
 }
 
 // confirmWrite returns nil if a write with an unknown outcome took effect, and
-// platform.ErrConflict if it did not. An agent writes each number at most once,
-// so a row with this number and incarnation comes from that write.
+// platform.ErrConflict if the write had no effect. An agent writes each number at
+// most once, so a row with this number and incarnation comes from that write.
 func (f *fenceCounter) confirmWrite(ctx context.Context, newRow fenceRow) error {
 	row, _, err := f.read(ctx)
 	if err != nil {
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -2,7 +2,8 @@
 // load the versions that placement assigns to its backend server. Each pass
 // compares the assigned versions with the engine's report, starts missing
 // fetches and sends at most one load or unload order, with a fencing number.
-// An order that is lost, refused or undone is sent again by a later pass.
+// A later pass sends an order again if it was lost or refused, or if its effect was
+// undone.
 package orders
 
 import (
@@ -66,11 +67,11 @@
 	// version after it accepted the order to unload it.
 	UnloadTimeout time.Duration
 	// RetireDelay is how long a version must be unwanted before it is
-	// unloaded although its slot is not needed. A shorter flap in the list of
-	// live instances causes no unload.
+	// unloaded although its slot is not needed, so that a shorter flap in the
+	// list of live instances causes no unload.
 	RetireDelay time.Duration
-	// PeerTimeout is how long a peer may fail to answer before the servers
-	// that must replace their version after it skip it.
+	// PeerTimeout is how long a server waits for its predecessor in the order
+	// of replacement while that peer does not respond.
 	PeerTimeout time.Duration
 	// MinLoadedShare is the share of a version's servers, from 0 to 1, that must
 	// report it as loaded before the version it replaces is unloaded.
@@ -129,7 +130,7 @@
 // OrderSender sends orders to the engine. engine.Engine implements it.
 type OrderSender interface {
 	// Order returns nil once the engine has accepted the order, and an error
-	// if the engine refused it or did not answer.
+	// if the engine refused it or did not respond.
 	Order(ctx context.Context, o engine.Order) error
 }
 
@@ -162,15 +163,15 @@
 	// Fetcher fetches the chunks of a version into Store.
 	Fetcher spread.Fetcher
 	Store   spread.Store
-	// Engine receives the orders; Reports shows their effects.
+	// Engine receives the orders; StatusSource shows their effects.
 	Engine       OrderSender
 	StatusSource StatusSource
-	// Drainer drains a version before it is unloaded. If it is nil, versions
-	// are unloaded without a drain.
+	// Drainer drains a version before it is unloaded. If Drainer is nil,
+	// versions are unloaded without a drain.
 	Drainer Drainer
 	// SetRegionShare is called with the rate at which this agent may use the
-	// link between regions, in bytes per second; 0 means no limit. It may be
-	// nil.
+	// link between regions, in bytes per second; 0 means no limit. The function
+	// may be nil.
 	SetRegionShare func(bytesPerSecond int64)
 	// Table stores the counters of fencing numbers.
 	Table platform.Table
@@ -181,19 +182,19 @@
 // Controller reconciles the versions loaded by one engine with the versions
 // that placement assigns to its backend server.
 type Controller struct {
-	cfg           Config
-	holder        *confstore.Holder
-	liveInstances func() []core.Instance
-	fetcher       spread.Fetcher
-	store         spread.Store
-	engine        OrderSender
-	statusSource  StatusSource
-	drainer       Drainer
-	setRegionRate func(bytesPerSecond int64)
-	log           *eventlog.Logger
-	clock         clockwork.Clock
-	client        *http.Client
-	fenceCounter  *fenceCounter
+	cfg            Config
+	holder         *confstore.Holder
+	liveInstances  func() []core.Instance
+	fetcher        spread.Fetcher
+	store          spread.Store
+	engine         OrderSender
+	statusSource   StatusSource
+	drainer        Drainer
+	setRegionShare func(bytesPerSecond int64)
+	log            *eventlog.Logger
+	clock          clockwork.Clock
+	client         *http.Client
+	fenceCounter   *fenceCounter
 
 	// The fields from pending to cachedPlan are used only by the goroutine of
 	// Run.
@@ -202,9 +203,9 @@
 	drains map[core.Digest]*drain
 	// unwantedSince holds when a loaded version was first seen to be unwanted.
 	unwantedSince map[core.Digest]time.Time
-	// unansweredSince holds, by agent ID, when a peer first failed to answer.
-	unansweredSince map[string]time.Time
-	// waitReasons holds why the next order for a version is delayed.
+	// unresponsiveSince holds, by agent ID, when a peer first failed to respond.
+	unresponsiveSince map[string]time.Time
+	// waitReasons holds the reason why the next order for a version is delayed.
 	waitReasons map[core.Digest]string
 	// loggedWanted is the list of wanted versions that was logged last.
 	loggedWanted string
@@ -220,15 +221,15 @@
 	fetched map[core.Digest]*manifest.Manifest
 	// fetching holds the cancel functions of the running fetches.
 	fetching map[core.Digest]context.CancelFunc
-	// digestMismatch holds the versions for which the engine answered with
-	// another digest and which are not ordered again yet.
+	// digestMismatch holds the versions for which a response of the engine
+	// carried another digest and which are not ordered again yet.
 	digestMismatch map[core.Digest]bool
 	progress       []Progress
 	plan           *placement.Plan
 }
 
 // pendingOrder is an accepted order whose effect the engine has not reported
-// yet. boot is the engine's boot ID when the order was sent.
+// yet. boot is the boot ID in the newest report when the order was sent.
 type pendingOrder struct {
 	order  engine.Order
 	boot   string
@@ -245,33 +246,33 @@
 		d.SetRegionShare = func(int64) {}
 	}
 	return &Controller{
-		cfg:             cfg,
-		holder:          d.Holder,
-		liveInstances:   d.LiveInstances,
-		fetcher:         d.Fetcher,
-		store:           d.Store,
-		engine:          d.Engine,
-		statusSource:    d.StatusSource,
-		drainer:         d.Drainer,
-		setRegionRate:   d.SetRegionShare,
-		log:             d.Log,
-		clock:           d.Clock,
-		client:          &http.Client{Timeout: versionsTimeout},
-		fenceCounter:    &fenceCounter{table: d.Table, key: fencePrefix + cfg.Self.ID, incarnation: cfg.Incarnation},
-		drains:          map[core.Digest]*drain{},
-		unwantedSince:   map[core.Digest]time.Time{},
-		unansweredSince: map[string]time.Time{},
-		waitReasons:     map[core.Digest]string{},
-		startedAt:       d.Clock.Now(),
-		wake:            make(chan struct{}, 1),
-		fetched:         map[core.Digest]*manifest.Manifest{},
-		fetching:        map[core.Digest]context.CancelFunc{},
-		digestMismatch:  map[core.Digest]bool{},
-		plan:            placement.Compute(declare.NewSet(), nil),
+		cfg:               cfg,
+		holder:            d.Holder,
+		liveInstances:     d.LiveInstances,
+		fetcher:           d.Fetcher,
+		store:             d.Store,
+		engine:            d.Engine,
+		statusSource:      d.StatusSource,
+		drainer:           d.Drainer,
+		setRegionShare:    d.SetRegionShare,
+		log:               d.Log,
+		clock:             d.Clock,
+		client:            &http.Client{Timeout: versionsTimeout},
+		fenceCounter:      &fenceCounter{table: d.Table, key: fencePrefix + cfg.Self.ID, incarnation: cfg.Incarnation},
+		drains:            map[core.Digest]*drain{},
+		unwantedSince:     map[core.Digest]time.Time{},
+		unresponsiveSince: map[string]time.Time{},
+		waitReasons:       map[core.Digest]string{},
+		startedAt:         d.Clock.Now(),
+		wake:              make(chan struct{}, 1),
+		fetched:           map[core.Digest]*manifest.Manifest{},
+		fetching:          map[core.Digest]context.CancelFunc{},
+		digestMismatch:    map[core.Digest]bool{},
+		plan:              placement.Compute(declare.NewSet(), nil),
 	}
 }
 
-// Run makes reconcile passes until ctx ends, and returns its error.
+// Run makes reconcile passes until ctx ends, and returns the error of ctx.
 func (c *Controller) Run(ctx context.Context) error {
 	defer c.client.CloseIdleConnections()
 	for {
@@ -298,8 +299,9 @@
 	}
 }
 
-// RecordDigestMismatch records that the engine answered a call for version d with another
-// digest, although it reports d as loaded. The engine is ordered to load d again.
+// RecordDigestMismatch records that the engine's response to a call for version d
+// carried another digest, although the engine reports d as loaded. The engine is
+// ordered to load d again.
 func (c *Controller) RecordDigestMismatch(d core.Digest) {
 	c.mu.Lock()
 	recorded := c.digestMismatch[d]
@@ -312,8 +314,8 @@
 	c.wakeRun()
 }
 
-// AssignedAgents returns the agents whose servers are assigned the version d, in the
-// order of their rank. A fetch of d uses them as its peers.
+// AssignedAgents returns the agents to whose servers the version d is assigned, in
+// the order of their rank. A fetch of d uses them as its peers.
 func (c *Controller) AssignedAgents(d core.Digest) []core.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -337,7 +339,7 @@
 		live = append(live, c.cfg.Self)
 	}
 	plan := placement.Compute(set, live)
-	c.setRegionRate(placement.RegionShare(set, plan, c.cfg.Self))
+	c.setRegionShare(placement.RegionShare(set, plan, c.cfg.Self))
 	c.cachedPlan = cachedPlan{set: set, live: current, plan: plan}
 	c.mu.Lock()
 	c.plan = plan
@@ -370,8 +372,8 @@
 	}()
 }
 
-// finishFetch records the outcome of a fetch. The next pass starts a failed
-// fetch again. If the store was full, finishFetch drops unwanted chunks.
+// finishFetch records the outcome of a fetch. If the store was full, finishFetch
+// drops unwanted chunks. The next pass starts a failed fetch again.
 func (c *Controller) finishFetch(ctx context.Context, w placement.Assignment, m *manifest.Manifest, err error) {
 	c.mu.Lock()
 	delete(c.fetching, w.Digest)
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -26,19 +26,19 @@
 			So(c.minServing, ShouldBeGreaterThanOrEqualTo, 6)
 		})
 		Convey("a version that no engine can load is tried on at most two of them", func() {
-			for _, m := range c.agents {
-				m.engine.ignoreOrders = true
+			for _, a := range c.agents {
+				a.engine.ignoreOrders = true
 			}
-			for _, m := range c.agents[:] {
-				m.engine.fencing = false
+			for _, a := range c.agents[:] {
+				a.engine.fencing = false
 			}
 			v2 := c.declareVersion("m", "m-2", "", 8)
 			for range 50 {
 				c.step()
 			}
 			ordered := 0
-			for _, m := range c.agents {
-				for _, o := range m.engine.orders {
+			for _, a := range c.agents {
+				for _, o := range a.engine.orders {
 					if o.Digest == v2 || o.Action == actionUnload {
 						ordered++
 						break
@@ -47,7 +47,7 @@
 			}
 			So(ordered, ShouldBeLessThanOrEqualTo, 2)
 		})
-		Convey("a server that has disappeared delays the others only for a limited time", func() {
+		Convey("a server that does not respond delays the others only for a limited time", func() {
 			v2 := c.declareVersion("m", "m-2", "", 8)
 			gone := c.agents[0]
 			gone.server.Close()
@@ -59,8 +59,8 @@
 			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
 			c.declareVersion("m", "m-1", "", 8)
 			So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
-			for _, m := range c.agents {
-				So(m.fetcher.fetches[v1], ShouldEqual, 1)
+			for _, a := range c.agents {
+				So(a.fetcher.fetches[v1], ShouldEqual, 1)
 			}
 		})
 	})
@@ -69,27 +69,27 @@
 		v1 := c.declareVersion("m", "m-1", "", 4)
 		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
 
-		Convey("the old version stays loaded until the new one is rolled out", func() {
-			for _, m := range c.agents[:2] {
-				m.fetcher.blocked[core.DigestOf([]byte("m-2"))] = true
+		Convey("the old version stays loaded until the new version is rolled out", func() {
+			for _, a := range c.agents[:2] {
+				a.fetcher.blocked[core.DigestOf([]byte("m-2"))] = true
 			}
 			v2 := c.declareVersion("m", "m-2", "", 4)
 			for range 60 {
 				c.step()
 			}
-			for _, m := range c.agents {
-				So(m.engine.digests(), ShouldContain, v1)
+			for _, a := range c.agents {
+				So(a.engine.digests(), ShouldContain, v1)
 			}
 			So(c.stepUntil(func() bool { return containsDigest(c.agents[3].engine.loaded, v2) }), ShouldBeTrue)
 		})
-		Convey("the old version is unloaded once the new one is rolled out", func() {
+		Convey("the old version is unloaded once the new version is rolled out", func() {
 			v2 := c.declareVersion("m", "m-2", "", 4)
 			So(c.stepUntil(c.allLoaded(v1, v2)), ShouldBeTrue)
 			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
 		})
 		Convey("an adapter is loaded after its base version", func() {
-			a := c.declareVersion("adapter", "adapter-1", "m-1", 4)
-			So(c.stepUntil(c.allLoaded(v1, a)), ShouldBeTrue)
+			adapter := c.declareVersion("adapter", "adapter-1", "m-1", 4)
+			So(c.stepUntil(c.allLoaded(v1, adapter)), ShouldBeTrue)
 		})
 	})
 }
@@ -98,8 +98,8 @@
 	Convey("Given a version that is published again with another manifest while it is being fetched", t, func() {
 		c := newCluster(t, 2, 1)
 		first := core.DigestOf([]byte("m-1"))
-		for _, m := range c.agents {
-			m.fetcher.blocked[first] = true
+		for _, a := range c.agents {
+			a.fetcher.blocked[first] = true
 		}
 		c.declareVersion("m", "m-1", "", 2)
 		So(c.stepUntil(func() bool { return c.agents[0].fetcher.count(first) > 0 }), ShouldBeTrue)
@@ -111,8 +111,8 @@
 		Convey("the first fetch is cancelled and only the second manifest is ever ordered", func() {
 			So(c.stepUntil(c.allLoaded(second)), ShouldBeTrue)
 			So(c.stepUntil(func() bool { return c.agents[0].fetcher.cancelled() == 1 }), ShouldBeTrue)
-			for _, m := range c.agents {
-				for _, o := range m.engine.orders {
+			for _, a := range c.agents {
+				for _, o := range a.engine.orders {
 					So(o.Digest, ShouldEqual, second)
 				}
 			}
@@ -134,8 +134,8 @@
 	return f.cancelledFetches
 }
 
-func TestOldOrders(t *testing.T) {
-	Convey("Given an agent that was paused and meanwhile replaced", t, func() {
+func TestOrdersOfReplacedAgent(t *testing.T) {
+	Convey("Given an agent that was paused and replaced by another agent during the pause", t, func() {
 		c := newCluster(t, 1, 1)
 		old := c.agents[0]
 		v1 := c.declareVersion("m", "m-1", "", 1)
@@ -158,18 +158,18 @@
 			_, err := old.fenceCounter.next(context.Background(), old.isListed())
 			So(errors.Is(err, ErrSuperseded), ShouldBeTrue)
 		})
-		Convey("an order that it sends with its old fencing number is refused", func() {
+		Convey("an order that the resumed agent sends with its old fencing number is refused", func() {
 			stale := engine.Order{Fence: 1, Action: actionUnload, Model: "m", Version: "m-2", Digest: v2}
 			So(old.engine.Order(context.Background(), stale), ShouldNotBeNil)
 		})
-		Convey("an engine that ignores fencing and executes the order is corrected by the replacement", func() {
+		Convey("if the engine ignores fencing and executes such an order, the replacement gets the version loaded again", func() {
 			old.engine.fencing = false
 			stale := engine.Order{Fence: 1, Action: actionUnload, Model: "m", Version: "m-2", Digest: v2}
 			So(old.engine.Order(context.Background(), stale), ShouldBeNil)
 			So(old.engine.digests(), ShouldBeEmpty)
 			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
 		})
-		Convey("it gets a fencing number once the platform lists it again", func() {
+		Convey("the resumed agent gets a fencing number once the platform lists it again", func() {
 			c.liveInstances = []core.Instance{old.cfg.Self}
 			_, err := old.fenceCounter.next(context.Background(), old.isListed())
 			So(err, ShouldBeNil)
@@ -177,18 +177,18 @@
 	})
 }
 
-func TestEngineThatReportsLoadedAndIsNot(t *testing.T) {
-	Convey("Given an engine that answered with a digest other than the one it reports", t, func() {
+func TestEngineThatFalselyReportsLoaded(t *testing.T) {
+	Convey("Given an engine whose response to a call carried another digest than the version that the engine reports as loaded", t, func() {
 		c := newCluster(t, 1, 1)
 		v1 := c.declareVersion("m", "m-1", "", 1)
 		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
-		m := c.agents[0]
-		before := len(m.engine.orders)
-		m.RecordDigestMismatch(v1)
+		a := c.agents[0]
+		before := len(a.engine.orders)
+		a.RecordDigestMismatch(v1)
 
 		Convey("the version is ordered again", func() {
-			So(c.stepUntil(func() bool { return len(m.engine.orders) > before }), ShouldBeTrue)
-			last := m.engine.orders[len(m.engine.orders)-1]
+			So(c.stepUntil(func() bool { return len(a.engine.orders) > before }), ShouldBeTrue)
+			last := a.engine.orders[len(a.engine.orders)-1]
 			So(last.Action, ShouldEqual, actionLoad)
 			So(last.Digest, ShouldEqual, v1)
 		})
@@ -206,44 +206,44 @@
 func TestAgentRestartedBesideLoadedEngine(t *testing.T) {
 	Convey("A restarted agent fetches a version only once the engine no longer reports it as loaded", t, func() {
 		c := newCluster(t, 1, 1)
-		m := c.agents[0]
+		a := c.agents[0]
 		v1 := core.DigestOf([]byte("m-1"))
-		m.engine.loaded = []frame.Loaded{{Model: "m", Version: "m-1", Digest: v1}}
+		a.engine.loaded = []frame.Loaded{{Model: "m", Version: "m-1", Digest: v1}}
 		c.declareVersion("m", "m-1", "", 1)
-		So(c.stepUntil(func() bool { return m.fetcher.count(v1) > 0 }), ShouldBeFalse)
-		m.engine.loaded = nil
+		So(c.stepUntil(func() bool { return a.fetcher.count(v1) > 0 }), ShouldBeFalse)
+		a.engine.loaded = nil
 		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
-		So(m.fetcher.count(v1), ShouldEqual, 1)
+		So(a.fetcher.count(v1), ShouldEqual, 1)
 	})
 }
 
-func TestTableDown(t *testing.T) {
+func TestTableUnavailable(t *testing.T) {
 	Convey("Given a table that is unavailable", t, func() {
 		c := newCluster(t, 1, 1)
 		c.table.down = true
-		m := c.agents[0]
+		a := c.agents[0]
 
 		Convey("a version is loaded into a free slot with the fencing number that the engine reports", func() {
-			m.engine.fence = 7
+			a.engine.fence = 7
 			v1 := c.declareVersion("m", "m-1", "", 1)
 			So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
-			So(m.engine.orders[0].Fence, ShouldEqual, 7)
+			So(a.engine.orders[0].Fence, ShouldEqual, 7)
 		})
 		Convey("nothing is unloaded until the table is available again", func() {
 			old := core.DigestOf([]byte("m-1"))
-			m.engine.loaded = []frame.Loaded{{Model: "m", Version: "m-1", Digest: old}}
+			a.engine.loaded = []frame.Loaded{{Model: "m", Version: "m-1", Digest: old}}
 			v2 := c.declareVersion("m", "m-2", "", 1)
 			for range 60 {
 				c.step()
 			}
-			So(m.engine.digests(), ShouldResemble, []core.Digest{old})
+			So(a.engine.digests(), ShouldResemble, []core.Digest{old})
 			c.table.down = false
 			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
 		})
 	})
 	Convey("A fencing number counts as taken if its commit took effect but had an unknown outcome", t, func() {
 		c := newCluster(t, 1, 1)
-		c.table.loseAnswers = 1
+		c.table.loseResponses = 1
 		f := c.agents[0].fenceCounter
 		first, err := f.next(context.Background(), false)
 		So(err, ShouldBeNil)
--- a/connection/orders/peers.go
+++ b/connection/orders/peers.go
@@ -13,12 +13,12 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// VersionsPath is the HTTP path at which an agent serves to its peers the list of
-// versions that its engine reports as loaded, as JSON.
+// VersionsPath is the HTTP path at which an agent serves the versions that its
+// engine reports as loaded, as JSON for other agents.
 const VersionsPath = "/internal/versions"
 
 const (
-	// versionsTimeout bounds one request for a peer's loaded versions.
+	// versionsTimeout limits one request for a peer's loaded versions.
 	versionsTimeout = time.Second
 	// maxVersionsBytes is the largest response read from a peer, in bytes.
 	maxVersionsBytes = 1 << 20
@@ -27,14 +27,14 @@
 	sampleSize = 8
 )
 
-// versionsResponse is the body of a response at StatePath.
+// versionsResponse is the body of a response at VersionsPath.
 type versionsResponse struct {
 	// Loaded lists the versions that the engine reports as loaded. It is empty
-	// while the engine does not answer.
+	// while there is no current report of the engine.
 	Loaded []frame.Loaded `json:"loaded"`
 }
 
-// Handler returns the handler for StatePath. It refuses requests without the
+// Handler returns the handler for VersionsPath. It refuses requests without the
 // peer token.
 func (c *Controller) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -86,10 +86,11 @@
 	return false
 }
 
-// versionRolledOut reports whether at least the share Config.Enough of the agents
-// report the version d as loaded. It checks at most sampleSize of the agents,
-// spread evenly over their ranks. A peer that does not answer counts as not
-// having loaded d. agents are the agents assigned d, in the order of their rank.
+// versionRolledOut reports whether at least the share Config.MinLoadedShare of the
+// agents report the version d as loaded. It checks only a sample of at most
+// sampleSize agents, spread evenly over their ranks. A peer that does not respond
+// counts as not having loaded d. agents are the agents to which d is assigned, in
+// the order of their rank.
 func (c *Controller) versionRolledOut(ctx context.Context, agents []core.Instance, d core.Digest) bool {
 	sample := evenSample(agents, sampleSize)
 	loadedCount := 0
@@ -120,21 +121,22 @@
 }
 
 // mayReplace reports whether this server, of the given rank, may unload its old
-// version to load d into the same slot. At most maxReplacing of the agents
-// assigned d do this at the same time: the server of rank r waits until the one
-// of rank r-maxReplacing reports d as loaded. A predecessor that has not answered
-// for Config.PeerPatience handles no calls and is skipped.
+// version to load d into the same slot. At most maxReplacing of the servers to
+// which d is assigned do this at the same time: the server of rank r waits until
+// the server of rank r-maxReplacing reports d as loaded. A predecessor that has not
+// responded for Config.PeerTimeout handles no calls and is skipped. agents are the
+// agents to which d is assigned, in the order of their rank.
 func (c *Controller) mayReplace(ctx context.Context, agents []core.Instance, rank int, d core.Digest) bool {
 	maxReplacing := max(1, len(agents)/c.cfg.ReplaceDivisor)
 	for r := rank - maxReplacing; r >= 0; r -= maxReplacing {
 		loaded, err := c.peerHasLoaded(ctx, agents[r], d)
 		if err == nil {
-			delete(c.unansweredSince, agents[r].ID)
+			delete(c.unresponsiveSince, agents[r].ID)
 			return loaded
 		}
-		since, recorded := c.unansweredSince[agents[r].ID]
+		since, recorded := c.unresponsiveSince[agents[r].ID]
 		if !recorded {
-			c.unansweredSince[agents[r].ID] = c.clock.Now()
+			c.unresponsiveSince[agents[r].ID] = c.clock.Now()
 			return false
 		}
 		if c.clock.Since(since) < c.cfg.PeerTimeout {
--- a/connection/orders/plan_test.go
+++ b/connection/orders/plan_test.go
@@ -13,9 +13,9 @@
 	Convey("A plan is computed again only when the set or the list of live instances has changed", t, func() {
 		live := []core.Instance{{ID: "gpu-1"}, {ID: "gpu-2"}}
 		c := &Controller{
-			cfg:           Config{Self: core.Instance{ID: "gpu-1"}},
-			liveInstances: func() []core.Instance { return live },
-			setRegionRate: func(int64) {},
+			cfg:            Config{Self: core.Instance{ID: "gpu-1"}},
+			liveInstances:  func() []core.Instance { return live },
+			setRegionShare: func(int64) {},
 		}
 		set := declare.NewSet()
 		first := c.computePlan(set)
--- a/connection/orders/progress.go
+++ b/connection/orders/progress.go
@@ -36,12 +36,13 @@
 	Version string `json:"version"`
 	// Digest is the manifest digest.
 	Digest core.Digest `json:"digest"`
-	// Rank is the server's position, from 0, in the rollout order of the
+	// Rank is the position of this server, from 0, in the rollout order of the
 	// version's servers; -1 if the version is not wanted here.
 	Rank int `json:"rank"`
 	// State is the rollout state.
 	State State `json:"state"`
-	// Reason is why the next order is delayed; empty if it is not.
+	// Reason is the reason why the next order for the version is delayed; empty
+	// if there is no delay.
 	Reason string `json:"reason,omitempty"`
 	// Fetch counts the chunks and bytes of the version and how many of them are
 	// stored.
--- a/connection/orders/reconcile.go
+++ b/connection/orders/reconcile.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// regionBudgetSetter is implemented by fetchers that can limit their use of the
-// link between regions.
+// regionBudgetSetter is implemented by fetchers that limit the use of the link
+// between regions.
 type regionBudgetSetter interface {
 	SetRegionBudget(bytesPerSecond int64)
 }
@@ -181,9 +181,10 @@
 	}
 }
 
-// sendNextOrder sends at most one order. It goes through the wanted versions
-// first and loads the first one that can be loaded, or unloads a version to free
-// a slot for it. Otherwise it unloads a version that is no longer needed.
+// sendNextOrder sends at most one order. It first goes through the wanted versions
+// that are not loaded, and loads a version that can be loaded or unloads another
+// version to free a slot for it. Otherwise it unloads a version that is no longer
+// needed.
 func (c *Controller) sendNextOrder(ctx context.Context, in *passInput) {
 	for _, w := range in.wanted {
 		if c.hasLoaded(in, w.Digest) || !c.canLoad(in, w) {
@@ -204,8 +205,8 @@
 	}
 }
 
-// hasLoaded reports whether the engine reports d as loaded and no call for d
-// was answered with another digest.
+// hasLoaded reports whether the engine reports d as loaded and no response to a
+// call for d carried another digest.
 func (c *Controller) hasLoaded(in *passInput, d core.Digest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -283,8 +284,8 @@
 	return c.versionRolledOut(ctx, in.plan.AssignedAgents(version.Manifest), version.Manifest)
 }
 
-// sendOrder takes a fencing number and sends one order to the engine. If the
-// engine accepts it, the order becomes the pending one.
+// sendOrder takes a fencing number and sends one order to the engine. An accepted
+// order becomes the pending order.
 func (c *Controller) sendOrder(ctx context.Context, in *passInput, action string, l frame.Loaded) {
 	fence, source, err := c.takeFencingNumber(ctx, in, action)
 	if err != nil {
@@ -311,8 +312,8 @@
 // takeFencingNumber returns a fencing number and its source, "table" or
 // "engine". While the table is unavailable, a load is ordered with the number
 // that the engine reports. This is safe: a load into a free slot affects no
-// running calls, and orders of an agent that has taken a higher number override
-// it. An unload is never ordered without the table.
+// running calls, and orders with the higher number of another agent override the
+// load. An unload is never ordered without the table.
 func (c *Controller) takeFencingNumber(ctx context.Context, in *passInput, action string) (uint64, string, error) {
 	fence, err := c.fenceCounter.next(ctx, c.isListed())
 	switch {
@@ -340,8 +341,8 @@
 	return false
 }
 
-// recordWait records why the next order for a version is delayed, and logs the
-// reason if it has changed.
+// recordWait records the reason why the next order for a version is delayed, and
+// logs a changed reason.
 func (c *Controller) recordWait(d core.Digest, reason string) {
 	if c.waitReasons[d] == reason {
 		return
