--- a/connection/confsync/confirm_test.go
+++ b/connection/confsync/confirm_test.go
@@ -82,7 +82,7 @@
 			_, ok := pullFromPeer(t, 4, 4, true).ConfirmationAge()
 			So(ok, ShouldBeTrue)
 		})
-		Convey("a peer that may not, because it was paused as well, confirms nothing", func() {
+		Convey("a peer that may not confirm versions, because it was paused as well, confirms nothing", func() {
 			_, ok := pullFromPeer(t, 4, 4, false).ConfirmationAge()
 			So(ok, ShouldBeFalse)
 		})
--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -152,8 +152,9 @@
 
 // applyConfirmation records that the peer's newest version is number, if the frame
 // is the response to a Pull and the peer marked its version as confirmed. Other
-// frames confirm nothing: a Notice without a Pull may have waited in a buffer while this process
-// was paused, and a peer that was paused too may hold the same old version.
+// frames confirm nothing: a Notice without a Pull may have waited in a buffer while
+// this process was paused, and a peer that was paused too may hold the same old
+// version.
 func (s *Session) applyConfirmation(number uint64, confirmed bool) {
 	if !confirmed {
 		return
