--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -21,7 +21,8 @@
 // Defaults of Config.
 const (
 	// DefaultMaxLocal is the largest number of homes in the agent's own data
-	// centre, and DefaultPerRemote the number in each other one.
+	// centre, and DefaultPerRemote the number in each other data
+	// centre.
 	DefaultMaxLocal  = 64
 	DefaultPerRemote = 2
 	defaultMinHomes  = 4
@@ -264,7 +265,7 @@
 }
 
 // withoutUnchanged removes the loaded versions and the heartbeat from a report if
-// they are the same as in the last one.
+// they are the same as in the last report.
 func withoutUnchanged(current, last frame.Report) frame.Report {
 	if current.HeartbeatMillis == last.HeartbeatMillis {
 		current.HeartbeatMillis = 0
--- a/connection/homes/homes_test.go
+++ b/connection/homes/homes_test.go
@@ -138,7 +138,7 @@
 }
 
 func TestRegistration(t *testing.T) {
-	Convey("Given an entry instance with configuration 5 and an agent with none", t, func() {
+	Convey("Given an entry instance with configuration 5 and an agent without a configuration", t, func() {
 		reg := registry.New()
 		entrySource, agentSource := newFakeSource(5), newFakeSource(0)
 		listener := registry.NewListener(registry.ListenerConfig{
