--- a/connection/engine/engine.go
+++ b/connection/engine/engine.go
@@ -28,7 +28,7 @@
 // Order instructs an engine to load or unload a model version.
 type Order struct {
 	// Fence is the fencing number of the order. The engine refuses an order with
-	// a lower number than one that it has accepted.
+	// a lower number than the highest number that it has accepted.
 	Fence uint64 `json:"fence"`
 	// Action is "load" or "unload".
 	Action string `json:"action"`
