--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -42,8 +42,8 @@
 	return catalog.Change{Config: &catalog.Config{Version: int64(r.Revision)}}, nil
 }
 
-// fakeLoadTracker provides the counts set by the test and stores the counts that the other
-// instance sends.
+// fakeLoadTracker provides the counts set by the test and stores the counts that the
+// other instance sends.
 type fakeLoadTracker struct {
 	mu       sync.Mutex
 	running  map[string]int
--- a/connection/exchange/lag_test.go
+++ b/connection/exchange/lag_test.go
@@ -14,7 +14,7 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 	Convey("A table that changes all the time is not requested while the store delivers it 300 ms late", t, func() {
-		// A new revision appears every 10 ms; the peer sends its newest one every
+		// A new revision appears every 10 ms; the peer sends its newest revision every
 		// 500 ms.
 		requested := 0
 		var l lag
