--- a/connection/orders/fence.go
+++ b/connection/orders/fence.go
@@ -11,7 +11,7 @@
 )
 
 // ErrSuperseded is returned when another agent has taken a fencing number for
-// the same backend server since this agent last took one.
+// the same backend server since this agent last took a number.
 var ErrSuperseded = errors.New("superseded: another agent has taken a newer fencing number for this backend server")
 
 const (
@@ -19,7 +19,8 @@
 	// backend server follows.
 	fencePrefix = "fence/"
 	// maxFenceAttempts is the maximum number of attempts to increment the counter
-	// when other writes conflict.
+	// when other writes conflict, or when a write with an unknown outcome had no
+	// effect.
 	maxFenceAttempts = 5
 )
 
@@ -42,7 +43,7 @@
 }
 
 // next takes and returns the next fencing number. If another agent has taken a
-// number since this agent's last one, next returns ErrSuperseded, unless
+// number since this agent's last number, next returns ErrSuperseded, unless
 // takeOver is true.
 func (f *fenceCounter) next(ctx context.Context, takeOver bool) (uint64, error) {
 	var lastErr error
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -315,7 +315,8 @@
 }
 
 // AssignedAgents returns the agents to whose servers the version d is assigned, in
-// the order of their rank. A fetch of d uses them as its peers.
+// the order of their rank. They are the peers of a fetch of d, also when this agent
+// fetches a chunk of d only because another agent has requested that chunk.
 func (c *Controller) AssignedAgents(d core.Digest) []core.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -20,12 +20,12 @@
 		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
 		c.minServing = len(c.agents)
 
-		Convey("the next version replaces it on at most a quarter of them at a time", func() {
+		Convey("the next version replaces the loaded version on at most a quarter of the servers at a time", func() {
 			v2 := c.declareVersion("m", "m-2", "", 8)
 			So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
 			So(c.minServing, ShouldBeGreaterThanOrEqualTo, 6)
 		})
-		Convey("a version that no engine can load is tried on at most two of them", func() {
+		Convey("a version that no engine can load is tried on at most two of the servers", func() {
 			for _, a := range c.agents {
 				a.engine.ignoreOrders = true
 			}
