--- a/connection/orders/fence.go
+++ b/connection/orders/fence.go
@@ -11,15 +11,16 @@
 )
 
 // ErrSuperseded is returned when another agent has taken a fencing number for
-// the same backend server since this agent last took one.
+// the same backend server since this agent last took a number.
 var ErrSuperseded = errors.New("superseded: another agent has taken a newer fencing number for this backend server")
 
 const (
 	// fencePrefix is the prefix of a counter row's key; the name of the
 	// backend server follows.
 	fencePrefix = "fence/"
-	// maxFenceAttempts is the number of attempts to increment the counter when
-	// other writes conflict with it.
+	// maxFenceAttempts is the maximum number of attempts to increment the counter
+	// when other writes conflict, or when a write with an unknown outcome had no
+	// effect.
 	maxFenceAttempts = 5
 )
 
@@ -28,7 +29,7 @@
 type fenceRow struct {
 	// Fence is the last fencing number taken.
 	Fence uint64 `json:"fence"`
-	// Holder is the incarnation of the agent that took it.
+	// Holder is the incarnation of the agent that took the number.
 	Holder string `json:"holder"`
 }
 
@@ -42,7 +43,7 @@
 }
 
 // next takes and returns the next fencing number. If another agent has taken a
-// number since this agent's last one, next returns ErrSuperseded, unless
+// number since this agent's last number, next returns ErrSuperseded, unless
 // takeOver is true.
 func (f *fenceCounter) next(ctx context.Context, takeOver bool) (uint64, error) {
 	var lastErr error
@@ -99,8 +100,8 @@
 }
 
 // confirmWrite returns nil if a write with an unknown outcome took effect, and
-// platform.ErrConflict if it did not. An agent writes each number at most once,
-// so a row with this number and incarnation comes from that write.
+// platform.ErrConflict if the write had no effect. An agent writes each number at
+// most once, so a row with this number and incarnation comes from that write.
 func (f *fenceCounter) confirmWrite(ctx context.Context, newRow fenceRow) error {
 	row, _, err := f.read(ctx)
 	if err != nil {
