--- a/process/dial/reconnect.go
+++ b/process/dial/reconnect.go
@@ -20,8 +20,8 @@
 	initialAttempts = 5
 )
 
-// Backoff configures the pauses of Keep between the end of a connection and the
-// next attempt.
+// Backoff configures the pauses of KeepConnected between the end of a connection
+// and the next attempt.
 type Backoff struct {
 	// MinDelay is the initial pause. After the first attempts the pause doubles
 	// with each attempt, up to MaxDelay. Each pause is randomized between 50 %
@@ -32,18 +32,19 @@
 	ResetAfter time.Duration
 }
 
-// KeepConnected reopens a connection whenever it ends, until ctx ends. session opens the
-// connection within timeout and returns when the connection has ended. onLost
-// receives the error of the first session and of each session that lasted longer
-// than p.Steady; the errors of the short sessions that follow are not reported.
-func KeepConnected(ctx context.Context, clock clockwork.Clock, p Backoff,
+// KeepConnected reopens a connection whenever it ends, until ctx ends. session
+// opens the connection within timeout and returns when the connection has ended.
+// onLost receives the error of the first session and of each session that lasted
+// longer than b.ResetAfter; the errors of the short sessions that follow are not
+// reported.
+func KeepConnected(ctx context.Context, clock clockwork.Clock, b Backoff,
 	session func(ctx context.Context, timeout time.Duration) error, onLost func(error)) {
-	pause, timeout, reported := p.MinDelay, initialTimeout, false
+	pause, timeout, reported := b.MinDelay, initialTimeout, false
 	for attempt := 1; ctx.Err() == nil; attempt++ {
 		start := clock.Now()
 		err := session(ctx, timeout)
-		if clock.Since(start) > p.ResetAfter {
-			pause, timeout, reported, attempt = p.MinDelay, initialTimeout, false, 1
+		if clock.Since(start) > b.ResetAfter {
+			pause, timeout, reported, attempt = b.MinDelay, initialTimeout, false, 1
 		}
 		if !reported && ctx.Err() == nil {
 			onLost(err)
@@ -54,7 +55,7 @@
 		case <-clock.After(pause/2 + rand.N(pause)):
 		}
 		if attempt >= initialAttempts {
-			pause, timeout = min(2*pause, p.MaxDelay), min(2*timeout, Timeout)
+			pause, timeout = min(2*pause, b.MaxDelay), min(2*timeout, Timeout)
 		}
 	}
 }
--- a/process/dial/reconnect_test.go
+++ b/process/dial/reconnect_test.go
@@ -11,8 +11,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestKeep(t *testing.T) {
-	pauses := Backoff{MinDelay: 80 * time.Millisecond, MaxDelay: 300 * time.Millisecond, ResetAfter: 1500 * time.Millisecond}
+func TestKeepConnected(t *testing.T) {
+	backoff := Backoff{MinDelay: 80 * time.Millisecond, MaxDelay: 300 * time.Millisecond, ResetAfter: 1500 * time.Millisecond}
 
 	Convey("A machine that starts a little later than the others is reached soon after its start", t, func() {
 		synctest.Test(t, func(t *testing.T) {
@@ -22,7 +22,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			start := time.Now()
 			var reached time.Duration
-			KeepConnected(ctx, clockwork.NewRealClock(), pauses, func(_ context.Context, timeout time.Duration) error {
+			KeepConnected(ctx, clockwork.NewRealClock(), backoff, func(_ context.Context, timeout time.Duration) error {
 				if time.Since(start) >= upAfter {
 					reached = time.Since(start)
 					cancel()
@@ -36,11 +36,11 @@
 			}
 		})
 	})
-	Convey("Only the first of several failures in a row is reported; a connection that lasted starts a new row", t, func() {
+	Convey("Only the first of several failures in a row is reported; a connection that lasts longer than ResetAfter starts a new series", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			reported, attempts := 0, 0
-			KeepConnected(ctx, clockwork.NewRealClock(), pauses, func(_ context.Context, timeout time.Duration) error {
+			KeepConnected(ctx, clockwork.NewRealClock(), backoff, func(_ context.Context, timeout time.Duration) error {
 				attempts++
 				if timeout > Timeout {
 					t.Errorf("timeout %s", timeout)
@@ -49,7 +49,7 @@
 				case attempts == 20:
 					cancel()
 				case attempts == 10:
-					<-time.After(2 * pauses.ResetAfter)
+					<-time.After(2 * backoff.ResetAfter)
 				}
 				return errors.New("refused")
 			}, func(error) { reported++ })
