--- a/process/eventlog/bounded.go
+++ b/process/eventlog/bounded.go
@@ -14,7 +14,7 @@
 	// queueLines is how many lines may wait for a slow writer, about 1 MB.
 	queueLines = 2048
 	// linesPerSecond and linesBurst limit the lines of each event: an entry
-	// instance answers about 100 requests a second.
+	// instance serves about 100 requests a second.
 	linesPerSecond = 150
 	linesBurst     = 300
 )
@@ -23,7 +23,7 @@
 // goroutine writes the lines. Lines above the rate limit of their event are left
 // out, and the field "leftOut" of the event's next line holds their number. Lines
 // are dropped while the queue is full because w is slow; the event
-// log-lines-dropped reports their number. Close of the Closer writes the queued
+// log-lines-dropped reports their number. Closing the Closer writes the queued
 // lines and ends the goroutine.
 func NewBounded(w io.Writer, level logrus.Level, process string) (*Logger, io.Closer) {
 	q := newQueue(w)
--- a/process/eventlog/eventlog.go
+++ b/process/eventlog/eventlog.go
@@ -20,7 +20,7 @@
 	Name string
 	// Level is the level at which the event is written.
 	Level logrus.Level
-	// Description is the description of the event for operators.
+	// Description explains the event to operators.
 	Description string
 }
 
@@ -32,8 +32,8 @@
 
 // Define adds an event to the catalogue and returns it. It panics if the number
 // is already in use, a programming error that shows at start-up.
-func Define(number int, name string, level logrus.Level, meaning string) Event {
-	e := Event{Number: number, Name: name, Level: level, Description: meaning}
+func Define(number int, name string, level logrus.Level, description string) Event {
+	e := Event{Number: number, Name: name, Level: level, Description: description}
 	catalogueMu.Lock()
 	defer catalogueMu.Unlock()
 	if other, ok := catalogue[number]; ok {
