--- a/process/instances/missing.go
+++ b/process/instances/missing.go
@@ -8,12 +8,12 @@
 
 // Defaults of Config.
 const (
-	// defaultLinger is longer than the restart of an instance, so that a
-	// restart moves no replica.
-	defaultLinger = time.Minute
-	// defaultMassLinger is longer because a list without most of the
-	// instances is more likely wrong than true.
-	defaultMassLinger = 10 * time.Minute
+	// defaultRemovalDelay is longer than the restart of an instance, so that a
+	// restart does not cause replicas to move.
+	defaultRemovalDelay = time.Minute
+	// defaultMassRemovalDelay is longer because a list that lacks most of the
+	// instances is probably wrong.
+	defaultMassRemovalDelay = 10 * time.Minute
 )
 
 // missingInstance is an instance that is missing from the platform's list but
--- a/process/instances/watcher.go
+++ b/process/instances/watcher.go
@@ -41,7 +41,7 @@
 	// RemovalDelay is how long an instance is kept that is missing from the list
 	// and was not listed as leaving before. Default 60 s.
 	RemovalDelay time.Duration
-	// MassRemovalDelay is used instead of Linger when more than half of the
+	// MassRemovalDelay is used instead of RemovalDelay when more than half of the
 	// instances are missing from the list at once. Default 10 min.
 	MassRemovalDelay time.Duration
 	// Clock is the source of time; nil means the system clock.
@@ -51,8 +51,8 @@
 // applyDefaults sets the fields that are not set to their defaults.
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.Interval, DefaultInterval)
-	core.SetDefault(&c.RemovalDelay, defaultLinger)
-	core.SetDefault(&c.MassRemovalDelay, defaultMassLinger)
+	core.SetDefault(&c.RemovalDelay, defaultRemovalDelay)
+	core.SetDefault(&c.MassRemovalDelay, defaultMassRemovalDelay)
 	if c.Clock == nil {
 		c.Clock = clockwork.NewRealClock()
 	}
