--- a/process/platform/http.go
+++ b/process/platform/http.go
@@ -19,8 +19,8 @@
 )
 
 // ErrRefused is returned when the platform rejects a call as invalid, for example
-// because of its token or size. The call had no effect, and repeating it would
-// fail again.
+// because of its token or size. The call had no effect, and a retry would fail
+// again.
 var ErrRefused = errors.New("platform refused the call")
 
 // Defaults of Config.
@@ -71,9 +71,9 @@
 	c := newClient(config)
 	return &Platform{
 		Table:       &httpTable{client: c, timeout: config.Timeout},
-		ObjectStore: &httpObjects{client: c, prefix: "/objects/", timeout: config.ObjectTimeout},
-		WeightStore: &httpObjects{client: c, prefix: "/weights/", timeout: config.ObjectTimeout},
-		Instances:   &httpInstances{client: c, timeout: config.Timeout},
+		ObjectStore: &httpObjectStore{client: c, prefix: "/objects/", timeout: config.ObjectTimeout},
+		WeightStore: &httpObjectStore{client: c, prefix: "/weights/", timeout: config.ObjectTimeout},
+		Instances:   &httpInstanceLister{client: c, timeout: config.Timeout},
 	}
 }
 
@@ -134,8 +134,8 @@
 	body   []byte
 }
 
-// isWrite reports whether the request may change data of the platform.
-func (c request) isWrite() bool { return c.method != http.MethodGet }
+// isWrite reports whether r may change data of the platform.
+func (r request) isWrite() bool { return r.method != http.MethodGet }
 
 // do sends a request, reads the whole response and updates the metrics. It returns
 // an error of this package wrapped in a core.StepError with the step and the
--- a/process/platform/httpinstances.go
+++ b/process/platform/httpinstances.go
@@ -24,14 +24,14 @@
 	Instances []core.Instance `json:"instances"`
 }
 
-// httpInstances implements Instances over HTTP.
-type httpInstances struct {
+// httpInstanceLister implements InstanceLister over HTTP.
+type httpInstanceLister struct {
 	client  *client
 	timeout time.Duration
 }
 
-// List implements Instances. The tag is the list's ETag.
-func (i *httpInstances) List(ctx context.Context, tag string) ([]core.Instance, string, error) {
+// List implements InstanceLister. The tag is the list's ETag.
+func (i *httpInstanceLister) List(ctx context.Context, tag string) ([]core.Instance, string, error) {
 	req := request{
 		step:     "list instances",
 		method:   http.MethodGet,
--- a/process/platform/httpobjects.go
+++ b/process/platform/httpobjects.go
@@ -11,16 +11,16 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// httpObjects implements Objects over HTTP.
-type httpObjects struct {
+// httpObjectStore implements ObjectStore over HTTP.
+type httpObjectStore struct {
 	client *client
 	// prefix is the URL path of the store, before the names of objects.
 	prefix  string
 	timeout time.Duration
 }
 
-// Get implements Objects with a range request.
-func (o *httpObjects) Get(ctx context.Context, name string, offset, length int64) ([]byte, error) {
+// Get implements ObjectStore with a range request.
+func (o *httpObjectStore) Get(ctx context.Context, name string, offset, length int64) ([]byte, error) {
 	if length == 0 {
 		return nil, nil
 	}
@@ -45,8 +45,8 @@
 	return body, core.WrapStep(req.step, o.client.addr, err)
 }
 
-// Put implements Objects.
-func (o *httpObjects) Put(ctx context.Context, name string, body []byte) error {
+// Put implements ObjectStore.
+func (o *httpObjectStore) Put(ctx context.Context, name string, body []byte) error {
 	_, err := o.client.do(ctx, o.timeout, request{
 		step:     "write object " + name,
 		method:   http.MethodPut,
@@ -68,8 +68,8 @@
 }
 
 // sliceRange returns length bytes of body from offset; a negative length means to
-// the end. It serves range requests that the platform answers with the whole
-// object.
+// the end. It is used when the platform responds to a range request with the
+// whole object.
 func sliceRange(body []byte, offset, length int64) ([]byte, error) {
 	if offset > int64(len(body)) {
 		return nil, fmt.Errorf("%w: offset %d is beyond the object's %d bytes", ErrRefused, offset, len(body))
@@ -81,10 +81,10 @@
 	return body, nil
 }
 
-// Delete deletes an object. It returns nil if the object does not exist. Objects
-// does not include Delete, because only the history of the configuration deletes
-// objects that it wrote.
-func (o *httpObjects) Delete(ctx context.Context, name string) error {
+// Delete deletes an object. It returns nil if the object does not exist.
+// ObjectStore does not include Delete, because only the history of the
+// configuration deletes objects, and only those that it wrote.
+func (o *httpObjectStore) Delete(ctx context.Context, name string) error {
 	_, err := o.client.do(ctx, o.timeout, request{
 		step:     "delete object " + name,
 		method:   http.MethodDelete,
