--- a/process/httpserver/httpserver.go
+++ b/process/httpserver/httpserver.go
@@ -64,8 +64,9 @@
 	return core.WrapStep("shut down", s.Addr(), err)
 }
 
-// RequirePeerToken returns a handler that passes requests with the peer token to next
-// and answers all others with status 401. An empty token admits no request.
+// RequirePeerToken returns a handler that passes requests with the peer token to
+// next and responds to all others with status 401. An empty token admits no
+// request.
 func RequirePeerToken(token string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if token == "" || !core.SameSecret(r.Header.Get(core.HeaderPeerToken), token) {
