--- a/process/metrics/metrics.go
+++ b/process/metrics/metrics.go
@@ -23,7 +23,7 @@
 )
 
 // Handler returns a handler that updates the process gauges in registry and
-// answers with the values of registry as JSON.
+// responds with the values of registry as JSON.
 func Handler(registry gometrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		updateGauges(registry)
