--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -184,23 +184,24 @@
 		Engine:         a.engine,
 		StatusSource:   a.monitor,
 		Drainer:        versionDrainer{handler: a.handler},
-		SetRegionShare: a.setRegionRate,
+		SetRegionShare: a.setRegionShare,
 		Table:          adapters.Table,
 		Log:            a.log,
 		Clock:          clock,
 	})
 }
 
-// setRegionRate sets this agent's rate limit on the link between regions, which
-// follows from the declared budget. A limit in the settings takes precedence.
-func (a *agent) setRegionRate(bytesPerSecond int64) {
+// setRegionShare sets the bandwidth that this agent may use on the link between
+// regions, its share of the declared budget. A limit in the settings takes
+// precedence.
+func (a *agent) setRegionShare(bytesPerSecond int64) {
 	if a.cfg.Spread.RegionBytesPerSecond == 0 {
 		a.swarm.SetRegionShare(bytesPerSecond)
 	}
 }
 
 // onWrongVersion makes the controller order a version again that the engine
-// reports as loaded although it answered a call from another version.
+// reports as loaded although a response to a call came from another version.
 func (a *agent) onWrongVersion(version core.Digest) {
 	if a.orders != nil {
 		a.orders.RecordDigestMismatch(version)
@@ -254,14 +255,15 @@
 }
 
 // engineStatus returns the last status of the engine, and false while the engine
-// does not answer.
+// does not respond.
 func (a *agent) engineStatus() (engine.Status, bool) {
 	s, _, ok := a.monitor.Status()
 	return s, ok
 }
 
-// lastConfirmed returns the current time while the configuration may be acted on,
-// and otherwise the zero time, which makes the handler refuse new calls.
+// lastConfirmed returns the current time while the agent may act on its
+// configuration, and otherwise the zero time, which makes the handler refuse new
+// calls.
 func (a *agent) lastConfirmed() time.Time {
 	if a.freshnessGate.Fresh() {
 		return time.Now()
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -148,8 +148,8 @@
 	return mux
 }
 
-// requireFresh is middleware that delays each call until the configuration may be
-// acted on.
+// requireFresh is middleware that delays each call until the entry instance may
+// act on its configuration.
 func (e *entry) requireFresh(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		e.freshnessGate.Wait(c.Request().Context().Done())
--- a/daemon/health.go
+++ b/daemon/health.go
@@ -11,7 +11,7 @@
 	readyPath  = "/readyz"
 )
 
-// serveHealth answers with status 200 while the process runs.
+// serveHealth responds with status 200 while the process runs.
 func serveHealth(w http.ResponseWriter, _ *http.Request) {
 	_, _ = fmt.Fprintln(w, "ok")
 }
