--- a/daemon/hosted/entry.go
+++ b/daemon/hosted/entry.go
@@ -26,8 +26,8 @@
 
 const (
 	// weightsMargin is how long before the due time of declared weights the
-	// entry instance stops using older ones: a request that was sent just
-	// before starts within this margin.
+	// entry instance stops using older ones: a request that was sent to a
+	// server just before starts there within this margin.
 	weightsMargin = 900 * time.Millisecond
 	// maxWaitShare is the share of a request's first-byte objective that the
 	// request may wait for a free slot: a refusal has no cost within an
@@ -41,8 +41,8 @@
 	// heap small: an entry instance uses 4.7 % of a core under load at this
 	// value (4.3 % at 100).
 	entryGCPercent = 30
-	// announceRetryPause is the pause between two attempts to write the own
-	// address to the store.
+	// announceRetryPause is the pause between two attempts to write this
+	// instance's address to the store.
 	announceRetryPause = 500 * time.Millisecond
 )
 
@@ -219,7 +219,7 @@
 	return addMetrics(g, e.settings.IP, e.options.MetricsPort, e.metricsRegistry)
 }
 
-// serveReady answers the readiness check of the load balancer.
+// serveReady responds to the readiness check of the load balancer.
 func (e *entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	ready := e.holder.Current().Complete() && !e.stopping.Load()
 	if e.lastReady.Swap(ready) != ready {
@@ -230,9 +230,9 @@
 	}
 }
 
-// announceAddress writes the own address to the store and reads the addresses of
-// the other entry instances. It repeats both until they succeed, and returns when
-// ctx ends.
+// announceAddress writes this instance's address to the store and reads the
+// addresses of the other entry instances. It retries until both succeed, and
+// returns when ctx ends.
 func (e *entry) announceAddress(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := e.store.Put(ctx, catalog.TableEntries, e.settings.Name, []byte(e.settings.Listen.Peers))
--- a/daemon/hosted/stop_test.go
+++ b/daemon/hosted/stop_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestStopWhileClientsKeepComing(t *testing.T) {
-	Convey("A stop accepts connections until the load balancer has seen that the instance is not ready, even if clients keep connecting", t, func() {
+	Convey("A stop accepts connections until the load balancer has detected that the instance is not ready, even if clients keep connecting", t, func() {
 		clock := clockwork.NewFakeClock()
 		server := &busyServer{clock: clock}
 		start := clock.Now()
