--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -27,7 +27,7 @@
 type activeRequest struct {
 	completionRequest
 	id string
-	// digest is the manifest digest of the version that responds.
+	// digest is the manifest digest of the version that produces the response.
 	digest core.Digest
 	// seed determines the tokens of the response.
 	seed uint64
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// prepareRequest selects the version that responds, determines the seed of the
-// response and applies the fault Crossed. It returns an error with status 404 if no
-// version matches.
+// prepareRequest selects the version for the response, determines the seed of the
+// response and applies the fault ForeignResponse. It returns an error with status
+// 404 if no version matches.
 func (e *Engine) prepareRequest(c echo.Context, parsed completionRequest) (activeRequest, error) {
 	header := c.Request().Header
 	r := activeRequest{
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -21,7 +21,8 @@
 	// StayCold stops the warm-up: neither finished requests nor time increase
 	// the capacity.
 	StayCold bool `json:"stayCold,omitempty"`
-	// ForeignResponse makes responses contain the ID and the text of another request.
+	// ForeignResponse makes responses contain the ID and the text of another
+	// request.
 	ForeignResponse bool `json:"crossed,omitempty"`
 	// Stall makes requests hang after StallAfter tokens.
 	Stall bool `json:"stall,omitempty"`
