--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -23,13 +23,13 @@
 	// LatencyMillis is the time in milliseconds by which each request is
 	// delayed.
 	LatencyMillis *int64 `json:"latencyMillis,omitempty"`
-	// LoseCommitAnswers is the number of next commits that take effect without
-	// a response; the connection is closed instead.
+	// LoseCommitAnswers is the number of following commits that take effect
+	// without a response; the connection is closed instead.
 	LoseCommitAnswers *int `json:"loseCommitAnswers,omitempty"`
 	// WeightBytesPerSecond is the bandwidth of the weight store for all
 	// responses together; 0 means no limit.
 	WeightBytesPerSecond *int64 `json:"weightBytesPerSecond,omitempty"`
-	// Corrupt changes a byte in the next responses with an object.
+	// Corrupt selects responses in which one byte of an object is changed.
 	Corrupt *CorruptFault `json:"corrupt,omitempty"`
 }
 
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -139,8 +139,8 @@
 	l.version++
 }
 
-// SetInstanceList replaces the listed instances. It is for use without Run, which lists the
-// instances by their health checks.
+// SetInstanceList replaces the listed instances. It must not be used together with
+// Run, which lists the instances that pass their health checks.
 func (s *Server) SetInstanceList(live []core.Instance) { s.instances.set(live) }
 
 // get returns the listed instances and the ETag of the list.
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -58,8 +58,8 @@
 	instances *instanceList
 }
 
-// New returns a stand-in. The instance list stays empty until Run or Show is
-// called.
+// New returns a stand-in. The instance list stays empty until Run or
+// SetInstanceList is called.
 func New(config Config, clock clockwork.Clock) *Server {
 	config.applyDefaults()
 	s := &Server{
