--- a/bench/history/history.go
+++ b/bench/history/history.go
@@ -1,4 +1,4 @@
-// Package history records the executions and answers of once-only calls as JSON
+// Package history records the executions and responses of once-only calls as JSON
 // lines, and checks a recorded history offline.
 //
 // Each rule concerns a single call: it counts executions or compares bytes, and
@@ -22,25 +22,25 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Kind is the kind of event that a Line records.
+// Kind is the kind of event that a Record describes.
 type Kind string
 
-// Kinds of lines.
+// Kinds of records.
 const (
 	// KindExecution means that a backend server executed a call.
 	KindExecution Kind = "run"
-	// KindAnswer means that a submission of a call received an answer, or that
+	// KindAnswer means that a submission of a call received a response, or that
 	// its connection broke.
 	KindAnswer Kind = "answer"
 )
 
-// Record is one line of a history: an execution or an answer.
+// Record is one line of a history: an execution or a response.
 type Record struct {
 	// Timestamp is the time of the event, in nanoseconds since the start of the
 	// history.
 	Timestamp int64 `json:"at"`
 	// SentAt is the time at which the submission was sent, in nanoseconds since
-	// the start of the history. It is set for answers.
+	// the start of the history. It is set for responses.
 	SentAt int64 `json:"sent,omitempty"`
 	// Kind determines which of the fields below are set.
 	Kind Kind `json:"kind"`
@@ -54,12 +54,12 @@
 	// Server and Incarnation identify the agent that ran the call.
 	Server      string `json:"server,omitempty"`
 	Incarnation string `json:"incarnation,omitempty"`
-	// Status is the HTTP status of the answer, or 0 if the connection broke.
+	// Status is the HTTP status of the response, or 0 if the connection broke.
 	Status int `json:"status,omitempty"`
-	// Outcome is the outcome that a refusal reports; empty for other answers.
+	// Outcome is the outcome in a refusal; empty for other responses.
 	Outcome core.Refusal `json:"outcome,omitempty"`
-	// BodyDigest is the digest of the body of the answer, or of the result of the
-	// execution.
+	// BodyDigest is the digest of the body of the response, or of the result of
+	// the execution.
 	BodyDigest core.Digest `json:"body,omitempty"`
 }
 
@@ -79,13 +79,13 @@
 // Elapsed returns the time in nanoseconds since the start of the history.
 func (w *Writer) Elapsed() int64 { return time.Since(w.start).Nanoseconds() }
 
-// Add sets the time of l to the current time and writes l. Err returns a
+// Add sets the time of r to the current time and writes r. Err returns a
 // failure to write.
-func (w *Writer) Add(l Record) {
+func (w *Writer) Add(r Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l.Timestamp = w.Elapsed()
-	if err := w.out.Encode(l); err != nil && w.err == nil {
+	r.Timestamp = w.Elapsed()
+	if err := w.out.Encode(r); err != nil && w.err == nil {
 		w.err = err
 	}
 }
@@ -99,13 +99,13 @@
 
 // Result holds the counts and violations of a checked history.
 type Result struct {
-	// Calls, Runs and Answers are the numbers of calls, of their executions and
-	// of their submissions.
+	// Calls, Executions and Submissions are the numbers of calls, of their
+	// executions and of their submissions.
 	Calls       int `json:"calls"`
 	Executions  int `json:"runs"`
 	Submissions int `json:"answers"`
-	// Whole, NotRun, Unknown and Broken count submissions by their answer: a
-	// whole answer, a "not-run" refusal, any other refusal, or a broken
+	// Whole, NotRun, Unknown and Broken count submissions by their result: a
+	// whole response, a "not-run" refusal, any other refusal, or a broken
 	// connection.
 	Whole   int `json:"whole"`
 	NotRun  int `json:"notRun"`
@@ -115,32 +115,32 @@
 	Violations []string `json:"violations"`
 }
 
-// callHistory holds the lines of one call.
+// callHistory holds the records of one call.
 type callHistory struct {
-	runs    []Record
-	answers []Record
+	executions []Record
+	responses  []Record
 }
 
 // Check reads a history and checks three rules: each call ran at most once;
-// every whole answer to a call has the bytes that its execution returned; and a
-// "not-run" answer is true, which means that the submission itself did not run
+// every whole response to a call has the bytes that its execution returned; and a
+// "not-run" refusal is correct, which means that the refused submission did not run
 // and that no other submission of the call had run when it was sent. Another
-// submission in flight at the same time may still run after that answer.
-func Check(r io.Reader) (Result, error) {
+// submission in flight at the same time may still run after that refusal.
+func Check(in io.Reader) (Result, error) {
 	calls := map[string]*callHistory{}
 	result := Result{Violations: []string{}}
-	scanner := bufio.NewScanner(r)
+	scanner := bufio.NewScanner(in)
 	for lineNumber := 1; scanner.Scan(); lineNumber++ {
-		var l Record
-		if err := json.Unmarshal(scanner.Bytes(), &l); err != nil {
+		var r Record
+		if err := json.Unmarshal(scanner.Bytes(), &r); err != nil {
 			return result, errors.Wrapf(err, "line %d", lineNumber)
 		}
-		h := calls[l.CallID]
+		h := calls[r.CallID]
 		if h == nil {
 			h = &callHistory{}
-			calls[l.CallID] = h
+			calls[r.CallID] = h
 		}
-		h.add(l, &result)
+		h.add(r, &result)
 	}
 	if err := scanner.Err(); err != nil {
 		return result, errors.Wrap(err, "read history")
@@ -155,21 +155,21 @@
 	return result, nil
 }
 
-// add stores a line of the call and counts it in result.
-func (h *callHistory) add(l Record, result *Result) {
-	if l.Kind == KindExecution {
-		h.runs = append(h.runs, l)
+// add stores a record of the call and counts it in result.
+func (h *callHistory) add(r Record, result *Result) {
+	if r.Kind == KindExecution {
+		h.executions = append(h.executions, r)
 		result.Executions++
 		return
 	}
-	h.answers = append(h.answers, l)
+	h.responses = append(h.responses, r)
 	result.Submissions++
 	switch {
-	case l.Status == 0:
+	case r.Status == 0:
 		result.Broken++
-	case l.Outcome == core.RefusalNotRun:
+	case r.Outcome == core.RefusalNotRun:
 		result.NotRun++
-	case l.Outcome != "":
+	case r.Outcome != "":
 		result.Unknown++
 	default:
 		result.Whole++
@@ -179,20 +179,20 @@
 // findViolations returns a description of every rule that the call violates.
 func (h *callHistory) findViolations() []string {
 	var violations []string
-	if len(h.runs) > 1 {
-		violations = append(violations, fmt.Sprintf("ran %d times", len(h.runs)))
+	if len(h.executions) > 1 {
+		violations = append(violations, fmt.Sprintf("ran %d times", len(h.executions)))
 	}
-	for _, answer := range h.answers {
+	for _, response := range h.responses {
 		switch {
-		case answer.Status == 0 || (answer.Outcome != "" && answer.Outcome != core.RefusalNotRun):
-		case answer.Outcome == core.RefusalNotRun:
-			if len(h.runs) > 0 && (h.runs[0].Timestamp < answer.SentAt || h.runs[0].SubmissionID == answer.SubmissionID) {
-				violations = append(violations, "submission "+answer.SubmissionID+" was answered not-run although the call had run")
+		case response.Status == 0 || (response.Outcome != "" && response.Outcome != core.RefusalNotRun):
+		case response.Outcome == core.RefusalNotRun:
+			if len(h.executions) > 0 && (h.executions[0].Timestamp < response.SentAt || h.executions[0].SubmissionID == response.SubmissionID) {
+				violations = append(violations, "submission "+response.SubmissionID+" was refused as not-run although the call had run")
 			}
-		case len(h.runs) == 0:
-			violations = append(violations, "submission "+answer.SubmissionID+" was answered without an execution")
-		case answer.BodyDigest != h.runs[0].BodyDigest:
-			violations = append(violations, "submission "+answer.SubmissionID+" was answered with other bytes than the execution returned")
+		case len(h.executions) == 0:
+			violations = append(violations, "submission "+response.SubmissionID+" got a whole response without an execution")
+		case response.BodyDigest != h.executions[0].BodyDigest:
+			violations = append(violations, "submission "+response.SubmissionID+" got other bytes than the execution returned")
 		}
 	}
 	return violations
