--- a/bench/requests/caller.go
+++ b/bench/requests/caller.go
@@ -17,47 +17,49 @@
 	"github.com/rattanway/rattanway/standin/engine"
 )
 
-// Outcome is the outcome of a call. The outcome of a refused call is the one that
-// the refusal reports.
+// Outcome is the outcome of a call. The outcome of a refused call is the one in
+// the refusal.
 type Outcome string
 
 // Outcomes of calls that were not refused.
 const (
-	// OutcomeWhole means that the complete and correct answer was received.
+	// OutcomeWhole means that the complete and correct response was received.
 	OutcomeWhole Outcome = "whole"
-	// OutcomeWrong means that an answer ended normally but was not the correct
+	// OutcomeWrong means that a response ended normally but was not the correct
 	// one.
 	OutcomeWrong Outcome = "wrong"
-	// OutcomeDoubled means that the answer was longer than the correct one, as
-	// when a part of it is sent twice.
+	// OutcomeDoubled means that the response was longer than the correct one, as
+	// when a part of the response is sent twice.
 	OutcomeDoubled Outcome = "doubled"
-	// OutcomeCut means that the answer ended with an error after it had begun.
+	// OutcomeCut means that the response ended with an error after it had begun.
 	OutcomeCut Outcome = "cut"
-	// OutcomeLost means that no answer was received: no entry instance was ready,
-	// or the connection failed.
+	// OutcomeLost means that no response was received: no entry instance was
+	// ready, or the connection failed.
 	OutcomeLost Outcome = "lost"
 )
 
-// maxSubmissions is the largest number of submissions of one keyed call.
+// maxSubmissions is the largest number of submissions of a once-only call with a
+// key.
 const maxSubmissions = 4
 
-// resubmitPause is the time between two submissions of a keyed call.
+// resubmitPause is the time between two submissions of a once-only call with a
+// key.
 const resubmitPause = 200 * time.Millisecond
 
 // callResult is the result of one call.
 type callResult struct {
 	outcome Outcome
 	// firstByte and total are the times from the planned arrival to the first
-	// byte and to the end of the answer.
+	// byte and to the end of the response.
 	firstByte, total time.Duration
 	tokens           int
-	// detail describes a call whose answer was not whole.
+	// detail describes a call whose response was not whole.
 	detail string
 }
 
-// completionAnswer is the part of a completion, or of one event of a streamed
+// completionResponse is the part of a completion, or of one event of a streamed
 // completion, that is compared.
-type completionAnswer struct {
+type completionResponse struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -87,9 +89,10 @@
 	}
 }
 
-// call makes a planned call. A keyed call is submitted up to maxSubmissions times
-// until a whole or wrong answer arrives. The first submission goes to the entry
-// instance at index, each further one to the next entry instance.
+// call makes a planned call. A once-only call with a key is submitted up to
+// maxSubmissions times until a whole or wrong response arrives. The first
+// submission goes to the entry instance at index, each further one to the next
+// entry instance.
 func (c *caller) call(call plannedCall, index int, arrival time.Time) callResult {
 	result := callResult{}
 	for attempt := range maxSubmissions {
@@ -125,7 +128,7 @@
 		}
 		defer resp.Body.Close()
 		result := callResult{firstByte: time.Since(arrival)}
-		c.checkAnswer(call, resp, arrival, &result)
+		c.checkResponse(call, resp, arrival, &result)
 		return result
 	}
 	return result
@@ -139,7 +142,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(call.body))
 	if err != nil {
-		panic(err) // only an address or path that makes no valid URL fails here
+		panic(err) // fails only if the address and path are not a valid URL
 	}
 	req.Header.Set("Authorization", "Bearer "+call.account.Key)
 	req.Header.Set("Content-Type", "application/json")
@@ -149,9 +152,9 @@
 	return req
 }
 
-// checkAnswer reads the answer, compares it with the expected one and sets the
-// outcome in result.
-func (c *caller) checkAnswer(call plannedCall, resp *http.Response, arrival time.Time, result *callResult) {
+// checkResponse reads the response, compares it with the expected one and sets
+// the outcome in result.
+func (c *caller) checkResponse(call plannedCall, resp *http.Response, arrival time.Time, result *callResult) {
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "application/problem+json") {
 		var problem struct {
 			Outcome core.Refusal `json:"outcome"`
@@ -165,7 +168,7 @@
 		return
 	}
 	if call.once {
-		checkOnceAnswer(call, resp, result)
+		checkOnceResponse(call, resp, result)
 		return
 	}
 	read := readDocument
@@ -189,36 +192,36 @@
 	}
 }
 
-// checkOnceAnswer reads the answer to a once-only call, checks that it contains
-// the id of the call and sets the outcome in result.
-func checkOnceAnswer(call plannedCall, resp *http.Response, result *callResult) {
+// checkOnceResponse reads the response to a once-only call, checks that it
+// contains the id of the call and sets the outcome in result.
+func checkOnceResponse(call plannedCall, resp *http.Response, result *callResult) {
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
 		result.outcome, result.detail = OutcomeCut, err.Error()
 		return
 	}
-	var answer onceCall
-	if json.Unmarshal(raw, &answer) != nil || answer.ID != call.id {
+	var executed onceCall
+	if json.Unmarshal(raw, &executed) != nil || executed.ID != call.id {
 		result.outcome, result.detail = OutcomeWrong, string(raw)
 		return
 	}
 	result.outcome = OutcomeWhole
 }
 
-// readDocument reads an answer that is a single JSON document and returns its
-// text. It calls first once the answer has been read.
-func readDocument(body io.Reader, first func()) (string, error) {
+// readDocument reads a response that is a single JSON document and returns its
+// text. It calls onFirst once the response has been read.
+func readDocument(body io.Reader, onFirst func()) (string, error) {
 	raw, err := io.ReadAll(body)
 	if err != nil {
 		return "", err
 	}
-	first()
+	onFirst()
 	return completionText(raw)
 }
 
-// readEventStream reads a stream of events and returns its text. It calls first
+// readEventStream reads a stream of events and returns its text. It calls onFirst
 // when the first event arrives. Without a final [DONE] it returns an empty text.
-func readEventStream(body io.Reader, first func()) (string, error) {
+func readEventStream(body io.Reader, onFirst func()) (string, error) {
 	var text strings.Builder
 	started, done := false, false
 	scanner := bufio.NewScanner(body)
@@ -234,14 +237,14 @@
 			continue
 		}
 		if !started {
-			first()
+			onFirst()
 			started = true
 		}
-		piece, err := completionText([]byte(data))
+		tokenText, err := completionText([]byte(data))
 		if err != nil {
 			return "", err
 		}
-		text.WriteString(piece)
+		text.WriteString(tokenText)
 	}
 	if err := scanner.Err(); err != nil {
 		return "", err
@@ -254,12 +257,12 @@
 
 // completionText returns the text of the first choice.
 func completionText(raw []byte) (string, error) {
-	var c completionAnswer
+	var c completionResponse
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return "", errors.Wrap(err, "answer")
 	}
 	if len(c.Choices) == 0 {
-		return "", errors.New("the answer has no choices")
+		return "", errors.New("the response has no choices")
 	}
 	return c.Choices[0].Text, nil
 }
--- a/bench/requests/requests_test.go
+++ b/bench/requests/requests_test.go
@@ -35,9 +35,9 @@
 	})
 }
 
-// answerHandler answers streamed calls with the correct text changed by edit,
-// followed by [DONE] if done is set.
-func answerHandler(edit func(string) string, done bool) http.Handler {
+// responseHandler responds to streamed calls with the correct text changed by
+// edit, followed by [DONE] if done is set.
+func responseHandler(edit func(string) string, done bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == readyPath {
 			return
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestAnswersAreClassified(t *testing.T) {
+func TestResponsesAreClassified(t *testing.T) {
 	unedited := func(s string) string { return s }
 	cases := []struct {
 		name string
@@ -62,14 +62,14 @@
 		done bool
 		want Outcome
 	}{
-		{"the correct answer", unedited, true, OutcomeWhole},
-		{"an answer that ends without [DONE]", unedited, false, OutcomeWrong},
-		{"an answer without its first token", func(s string) string { return s[9:] }, true, OutcomeWrong},
-		{"an answer with its first token sent twice", func(s string) string { return s[:9] + s }, true, OutcomeDoubled},
+		{"the correct response", unedited, true, OutcomeWhole},
+		{"a response that ends without [DONE]", unedited, false, OutcomeWrong},
+		{"a response without its first token", func(s string) string { return s[9:] }, true, OutcomeWrong},
+		{"a response with its first token sent twice", func(s string) string { return s[:9] + s }, true, OutcomeDoubled},
 	}
-	Convey("Each answer gets the outcome that matches its text", t, func() {
+	Convey("Each response gets the outcome that matches its text", t, func() {
 		for _, c := range cases {
-			server := httptest.NewServer(answerHandler(c.edit, c.done))
+			server := httptest.NewServer(responseHandler(c.edit, c.done))
 			r, err := Run(context.Background(), &Scenario{
 				Name: "judge", Seed: 5, Duration: 100 * time.Millisecond, Entries: []string{server.Listener.Addr().String()},
 				Accounts: []Account{{Name: "a", Rate: 100, Model: "m", StreamShare: 1, Tokens: Range{Min: 4, Max: 4}}},
--- a/bench/requests/run.go
+++ b/bench/requests/run.go
@@ -35,22 +35,22 @@
 	Calls int `json:"calls"`
 	// Outcomes is the number of calls by outcome.
 	Outcomes map[Outcome]int `json:"words"`
-	// Tokens is the number of tokens in whole answers.
+	// Tokens is the number of tokens in whole responses.
 	Tokens int `json:"tokens"`
-	// GoodputPerSecond is the number of whole answers per second of the run.
+	// GoodputPerSecond is the number of whole responses per second of the run.
 	GoodputPerSecond float64 `json:"goodputPerSecond"`
 	// FirstToken is the time from the planned arrival to the first byte of whole
-	// streamed answers.
+	// streamed responses.
 	FirstToken Latency `json:"firstToken"`
-	// Total is the time from the planned arrival to the end of whole answers.
+	// Total is the time from the planned arrival to the end of whole responses.
 	Total Latency `json:"total"`
 	// NotWhole is the time from the planned arrival to the first byte of every
-	// answer that was not whole; a call without an answer counts as 0.
+	// response that was not whole; a call without a response counts as 0.
 	NotWhole Latency `json:"refusal"`
-	// Details describes the first calls whose answers were not whole.
+	// Details describes the first calls whose responses were not whole.
 	Details []string `json:"details,omitempty"`
 
-	firstByte, total, refusal *hdrhistogram.Histogram
+	firstByte, total, notWhole *hdrhistogram.Histogram
 }
 
 // Result is the result of a run.
@@ -65,7 +65,8 @@
 	// Executions is the number of executions that the plain services report
 	// for the once-only calls of this run.
 	Executions int `json:"executions"`
-	// DuplicateExecutions is the number of executions beyond the first one of each call.
+	// DuplicateExecutions is the number of executions beyond the first one of
+	// each call.
 	DuplicateExecutions int `json:"doubled"`
 	// FalseNotRun is the number of once-only calls whose last outcome was
 	// not-run although they were executed.
@@ -77,7 +78,7 @@
 		Outcomes:  map[Outcome]int{},
 		firstByte: hdrhistogram.New(1, maxLatencyMicros, 3),
 		total:     hdrhistogram.New(1, maxLatencyMicros, 3),
-		refusal:   hdrhistogram.New(1, maxLatencyMicros, 3),
+		notWhole:  hdrhistogram.New(1, maxLatencyMicros, 3),
 	}
 }
 
@@ -93,7 +94,7 @@
 	onceOutcomes map[string]Outcome
 }
 
-// Run makes every call of the scenario and waits for the last answer. When ctx is
+// Run makes every call of the scenario and waits for the last response. When ctx is
 // cancelled, no further calls are started.
 func Run(ctx context.Context, s *Scenario) (*Result, error) {
 	if err := s.Check(); err != nil {
@@ -121,7 +122,7 @@
 }
 
 // startCalls starts each call at its planned arrival time, however many calls
-// are still in flight, and waits for the last answer.
+// are still in flight, and waits for the last response.
 func (r *benchRun) startCalls(ctx context.Context) {
 	var calls sync.WaitGroup
 	start := time.Now()
@@ -166,7 +167,7 @@
 	c.Calls++
 	c.Outcomes[result.outcome]++
 	if result.outcome != OutcomeWhole {
-		_ = c.refusal.RecordValue(result.firstByte.Microseconds())
+		_ = c.notWhole.RecordValue(result.firstByte.Microseconds())
 		if len(c.Details) < maxDetails {
 			c.Details = append(c.Details, call.id+": "+string(result.outcome)+": "+result.detail)
 		}
@@ -235,7 +236,7 @@
 	c.GoodputPerSecond = float64(c.Outcomes[OutcomeWhole]) / seconds
 	c.FirstToken = quantiles(c.firstByte)
 	c.Total = quantiles(c.total)
-	c.NotWhole = quantiles(c.refusal)
+	c.NotWhole = quantiles(c.notWhole)
 }
 
 // quantiles converts a histogram in microseconds to quantiles in milliseconds.
--- a/bench/requests/scenario.go
+++ b/bench/requests/scenario.go
@@ -46,7 +46,7 @@
 	Rate float64 `yaml:"rate"`
 	// Model is the model that model calls name.
 	Model string `yaml:"model"`
-	// Tokens is the range of answer lengths, in tokens.
+	// Tokens is the range of response lengths, in tokens.
 	Tokens Range `yaml:"tokens"`
 	// PromptWords is the range of prompt lengths, in words.
 	PromptWords Range `yaml:"promptWords"`
@@ -57,8 +57,9 @@
 	StreamShare float64 `yaml:"stream"`
 	// OnceShare is the share of once-only calls among all calls, 0 to 1.
 	OnceShare float64 `yaml:"once"`
-	// KeyedShare is the share of calls with an idempotency key among the once-only
-	// calls, 0 to 1. A keyed call is submitted again if its answer is not whole.
+	// KeyedShare is the share of calls with an idempotency key among the
+	// once-only calls, 0 to 1. A call with a key is submitted again if its
+	// response is not whole.
 	KeyedShare float64 `yaml:"keyed"`
 	// OncePath is the path of once-only calls, such as /services/lots/lots.
 	OncePath string `yaml:"oncePath"`
