--- a/bench/control/chunks.go
+++ b/bench/control/chunks.go
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// encodeManifest returns an encoded manifest, with its digest, of one file of that
-// many GiB.
+// encodeManifest returns an encoded manifest of one file of gib GiB, and the
+// manifest's digest.
 func encodeManifest(gib int) ([]byte, core.Digest, error) {
 	chunks := make([]manifest.Chunk, gib<<30/manifest.DefaultChunkBytes)
 	for i := range chunks {
--- a/bench/control/client.go
+++ b/bench/control/client.go
@@ -40,7 +40,7 @@
 	gaps       []time.Duration
 }
 
-// makeCall makes one call and reads its answer to the end.
+// makeCall makes one call and reads its response to the end.
 func (c *client) makeCall(ctx context.Context, addr string, tokens int) (streamTimes, error) {
 	req, err := c.request(ctx, addr, tokens)
 	if err != nil {
@@ -81,7 +81,8 @@
 	return req, nil
 }
 
-// readEvents reads an answer to its end and returns the times of its tokens.
+// readEvents reads a streamed response to its end and returns the times of its
+// tokens.
 func readEvents(body io.Reader, start time.Time) (streamTimes, error) {
 	var times streamTimes
 	var last time.Time
@@ -134,9 +135,9 @@
 	return all, group.Wait()
 }
 
-// waitUntilReady waits until the model answers through the entry instance.
+// waitUntilReady waits until a call through the entry instance succeeds.
 func (c *client) waitUntilReady(ctx context.Context, addr string) error {
-	return waitUntil(ctx, "the model answers", func() bool {
+	return waitUntil(ctx, "the model responds", func() bool {
 		_, err := c.makeCall(ctx, addr, 1)
 		return err == nil
 	})
--- a/bench/control/fit.go
+++ b/bench/control/fit.go
@@ -20,8 +20,8 @@
 	Residual float64 `json:"residual"`
 }
 
-// FitLine returns the least squares line through the points. If all points have the
-// same X, it is the horizontal line through their mean.
+// FitLine returns the least squares line through the points. If all points have
+// the same X, the result is the horizontal line through their mean.
 func FitLine(points []Point) Line {
 	if len(points) == 0 {
 		return Line{}
--- a/bench/control/fit_test.go
+++ b/bench/control/fit_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestFit(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	Convey("Points on a line give that line and no residual", t, func() {
 		line := FitLine([]Point{{X: 1, Y: 5}, {X: 2, Y: 7}, {X: 4, Y: 11}})
 		So(line.Base, ShouldAlmostEqual, 3)
--- a/bench/control/latency.go
+++ b/bench/control/latency.go
@@ -30,8 +30,8 @@
 	Options
 	// EngineAddr is the "ip:port" of the engine, for direct calls.
 	EngineAddr string
-	// Rounds is the number of measured rounds for each route. The routes take
-	// turns.
+	// Rounds is the number of measured rounds for each route. The rounds of the
+	// routes alternate.
 	Rounds int
 	// TokensPerCall is the number of tokens of a call.
 	TokensPerCall int
--- a/bench/control/target.go
+++ b/bench/control/target.go
@@ -32,9 +32,9 @@
 // IPv4: 20 bytes for IP, 20 bytes for TCP and 12 bytes for TCP timestamps.
 const segmentHeaderBytes = 52
 
-// HomesPerAgent returns the number of home entry instances, with which an agent registers,
-// at the target and with the given values of homes.Config.MaxLocal and
-// homes.Config.PerRemote.
+// HomesPerAgent returns the number of home entry instances, those with which an
+// agent registers, at the target and with the given values of
+// homes.Config.MaxLocal and homes.Config.PerRemote.
 func HomesPerAgent(maxLocal, perRemote int) int {
 	local := targetEntries / targetDataCentres
 	return min(maxLocal, local) + perRemote*(targetDataCentres-1)
