--- a/bench/spread/bench.go
+++ b/bench/spread/bench.go
@@ -31,8 +31,9 @@
 	AlternativesCopyTime time.Duration
 	// DataCentres is the number of data centres in each region.
 	DataCentres int
-	// LongPollTimeout is how long an agent holds a peer's request open. An answer or a
-	// byte that takes more than twice as long is a stall.
+	// LongPollTimeout is how long an agent holds a peer's request open. A request
+	// fails if its response takes more than twice as long, or if its transfer
+	// makes no progress for that time.
 	LongPollTimeout time.Duration
 	// MaxPeerFetches, UploadSlots and Fanout are the fields of the same name in
 	// spread.Config of version/spread.
--- a/bench/spread/origin.go
+++ b/bench/spread/origin.go
@@ -19,13 +19,14 @@
 	corruptProbability float64
 }
 
-// Put implements platform.Objects. It must not be called at the same time as Get.
+// Put implements platform.ObjectStore. It must not be called at the same time as
+// Get.
 func (o *origin) Put(_ context.Context, name string, body []byte) error {
 	o.objects[name] = body
 	return nil
 }
 
-// Get implements platform.Objects. It waits for the bandwidth of the origin's
+// Get implements platform.ObjectStore. It waits for the bandwidth of the origin's
 // link and returns the whole object whatever the range.
 func (o *origin) Get(ctx context.Context, name string, _, _ int64) ([]byte, error) {
 	body, ok := o.objects[name]
@@ -47,7 +48,7 @@
 	crossRegionBytes *atomic.Int64
 }
 
-// Get implements platform.Objects. It also waits for the bandwidth of the link
+// Get implements platform.ObjectStore. It also waits for the bandwidth of the link
 // between the regions.
 func (r *remoteOrigin) Get(ctx context.Context, name string, offset, length int64) ([]byte, error) {
 	body, err := r.origin.Get(ctx, name, offset, length)
--- a/bench/spread/relay.go
+++ b/bench/spread/relay.go
@@ -30,7 +30,8 @@
 	server                     *http.Server
 }
 
-// ServeHTTP answers a request for "/N" with chunk number N once it has arrived.
+// ServeHTTP responds to a request for "/N" with chunk number N once the chunk has
+// arrived.
 func (r *relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	i, err := strconv.Atoi(req.URL.Path[1:])
 	if err != nil || i >= len(r.chunks) {
--- a/bench/spread/testbed.go
+++ b/bench/spread/testbed.go
@@ -58,8 +58,8 @@
 	// killed is closed when the agent is killed; it ends the requests that are
 	// held open.
 	killed chan struct{}
-	// unresponsive means that the agent holds every request open and does not
-	// answer it.
+	// unresponsive means that the agent holds every request open without a
+	// response.
 	unresponsive atomic.Bool
 	// failed means that a fault has hit the agent.
 	failed bool
@@ -166,7 +166,7 @@
 	})
 }
 
-// instrumentedWriter counts the bytes of an answer and corrupts some of them.
+// instrumentedWriter counts the bytes of a response and corrupts some of them.
 type instrumentedWriter struct {
 	http.ResponseWriter
 	testbed        *testbed
@@ -201,7 +201,7 @@
 }
 
 // disableAgent kills an agent or, if kill is false, makes it hold every request
-// open without an answer.
+// open without a response.
 func (t *testbed) disableAgent(a *agent, kill bool) {
 	a.failed = true
 	a.unresponsive.Store(true)
