--- a/cli/agent.go
+++ b/cli/agent.go
@@ -27,7 +27,7 @@
 	Upload       settings.Int      `name:"upload-kib" help:"Limit for weights sent over this machine's link, in KiB/s; 0 for no limit." default:"0" env:"RATTANWAY_UPLOAD_KIB"`
 	Download     settings.Int      `name:"download-kib" help:"Limit for weights received over this machine's link, in KiB/s; 0 for no limit." default:"0" env:"RATTANWAY_DOWNLOAD_KIB"`
 	RegionLink   settings.Int      `name:"region-kib" help:"Limit of the link to other regions for the weights of all agents of this region together, in KiB/s; 0 for the limit in the declarations." default:"0" env:"RATTANWAY_REGION_KIB"`
-	Origin       settings.Int      `name:"origin-kib" help:"Limit of the weight store's link for all agents together, in KiB/s: no agent reads faster, and the agents take turns within it; 0 for no limit and no turns." default:"0" env:"RATTANWAY_ORIGIN_KIB"`
+	Origin       settings.Int      `name:"origin-kib" help:"Limit of the weight store's link for all agents together, in KiB/s: no agent reads faster, and the agents spread their reads over time to stay within it; 0 for no limit and no spreading." default:"0" env:"RATTANWAY_ORIGIN_KIB"`
 	MaxLocal     settings.Int      `help:"Largest number of entry instances in the agent's data centre to register with." default:"64" env:"RATTANWAY_MAX_LOCAL"`
 	PerRemote    settings.Int      `help:"Number of entry instances in each other data centre to register with." default:"2" env:"RATTANWAY_PER_REMOTE"`
 }
--- a/cli/apply.go
+++ b/cli/apply.go
@@ -28,11 +28,11 @@
 		return err
 	}
 	metadata := c.changeMetadata()
-	accepted, err := client.Apply(commandContext(), ops.ApplyRequest{ChangeMetadata: metadata, Base: &base, Files: files})
+	response, err := client.Apply(commandContext(), ops.ApplyRequest{ChangeMetadata: metadata, Base: &base, Files: files})
 	if err != nil {
-		return changeError(repeatFlags(metadata, &base), err)
+		return changeError(retryFlags(metadata, &base), err)
 	}
-	return printAccepted(s, metadata, accepted)
+	return printChange(s, metadata, response)
 }
 
 // baseVersion returns the version of --base, or the newest version without it.
--- a/cli/ask.go
+++ b/cli/ask.go
@@ -13,7 +13,7 @@
 	"github.com/go-faster/errors"
 )
 
-// AskCmd sends one chat call and prints the answer as it arrives.
+// AskCmd sends one chat call and prints the response as it arrives.
 type AskCmd struct {
 	Entry  string        `help:"Address of an entry instance, ip:port." default:"127.0.0.1:7101" env:"RATTANWAY_ENTRY"`
 	Key    string        `help:"The client account's key." env:"RATTANWAY_KEY"`
@@ -37,7 +37,7 @@
 	Messages  []chatMessage `json:"messages"`
 }
 
-// chatChunk is one event of a streamed answer.
+// chatChunk is one event of a streamed response.
 type chatChunk struct {
 	Choices []struct {
 		Delta struct {
@@ -62,7 +62,7 @@
 	}
 }
 
-// sendCall makes the call once and prints the answer to out.
+// sendCall makes the call once and prints the response to out.
 func (c *AskCmd) sendCall(out io.Writer) error {
 	body, err := json.Marshal(chatCall{
 		Model: c.Model, Stream: true, MaxTokens: c.Tokens,
@@ -83,15 +83,15 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		problem, _ := io.ReadAll(io.LimitReader(resp.Body, mebibyte))
-		return errors.Wrapf(errRefused, "status %d: %s", resp.StatusCode, bytes.TrimSpace(problem))
+		detail, _ := io.ReadAll(io.LimitReader(resp.Body, mebibyte))
+		return errors.Wrapf(errRefused, "status %d: %s", resp.StatusCode, bytes.TrimSpace(detail))
 	}
-	return printAnswer(out, resp.Body)
+	return printResponse(out, resp.Body)
 }
 
-// printAnswer prints the text of the streamed events. It returns an error
-// unless the stream contains the [DONE] event that marks a complete answer.
-func printAnswer(out io.Writer, body io.Reader) error {
+// printResponse prints the text of the streamed events. It returns an error
+// unless the stream contains the [DONE] event that marks a complete response.
+func printResponse(out io.Writer, body io.Reader) error {
 	complete := false
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, mebibyte)
@@ -117,7 +117,7 @@
 		return errors.Wrap(err, "answer")
 	}
 	if !complete {
-		return errors.New("the answer ended before [DONE]")
+		return errors.New("the response ended before [DONE]")
 	}
 	return nil
 }
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -27,7 +27,7 @@
 	CopyTime       time.Duration `help:"Time that one copy of the version takes over a machine's link." default:"8s" env:"RATTANWAY_BENCH_COPY_TIME"`
 	OthersCopyTime time.Duration `help:"The same for the alternative ways of distribution." default:"1s" env:"RATTANWAY_BENCH_OTHERS_COPY_TIME"`
 	DataCentres    int           `help:"Number of data centres in each region." default:"1" env:"RATTANWAY_BENCH_DATA_CENTRES"`
-	Wait           time.Duration `help:"How long an agent holds a peer's request open; an answer or byte that takes more than twice as long is a stall." default:"500ms" env:"RATTANWAY_BENCH_WAIT"`
+	Wait           time.Duration `help:"How long an agent holds a peer's request open; a request fails if its response takes more than twice as long, or if its transfer makes no progress for that time." default:"500ms" env:"RATTANWAY_BENCH_WAIT"`
 	Parallel       int           `help:"Number of chunks that an agent requests from peers at once; 0 for the default." default:"0" env:"RATTANWAY_BENCH_PARALLEL"`
 	UploadSlots    int           `help:"Number of chunks that an agent sends at once; 0 for the default." default:"0" env:"RATTANWAY_BENCH_UPLOAD_SLOTS"`
 	Fanout         int           `help:"Number of peers to which the owner of a chunk sends it directly; 0 for the default." default:"0" env:"RATTANWAY_BENCH_FANOUT"`
--- a/cli/bench_requests.go
+++ b/cli/bench_requests.go
@@ -43,7 +43,7 @@
 
 // BenchHistoryCmd checks a recorded history of once-only calls.
 type BenchHistoryCmd struct {
-	File string `arg:"" help:"History file with one JSON line for each execution and answer." type:"existingfile"`
+	File string `arg:"" help:"History file with one JSON line for each execution and response." type:"existingfile"`
 }
 
 // Run implements the command.
--- a/cli/drain.go
+++ b/cli/drain.go
@@ -45,10 +45,10 @@
 	if target.Kind == "datacentre" {
 		setDrained = client.SetDataCentreOut
 	}
-	var accepted ops.ChangeResponse
-	accepted, err = setDrained(commandContext(), target.Name, drain, metadata)
+	var response ops.ChangeResponse
+	response, err = setDrained(commandContext(), target.Name, drain, metadata)
 	if err != nil {
-		return changeError(repeatFlags(metadata, nil), err)
+		return changeError(retryFlags(metadata, nil), err)
 	}
-	return printAccepted(s, metadata, accepted)
+	return printChange(s, metadata, response)
 }
--- a/cli/entry.go
+++ b/cli/entry.go
@@ -15,8 +15,8 @@
 	Operators         []string          `help:"Tokens of operators, NAME=TOKEN or TOKEN, separated by commas." env:"RATTANWAY_OPERATORS"`
 	BalancerLag       settings.Duration `help:"Longest time for which the load balancer still sends calls after this instance stops being ready." default:"3s" env:"RATTANWAY_BALANCER_LAG"`
 	Deadline          settings.Duration `help:"Longest time that a call may take." default:"2m" env:"RATTANWAY_DEADLINE"`
-	FirstTokenTimeout settings.Duration `help:"Longest wait for the first part of a streamed answer." default:"10s" env:"RATTANWAY_FIRST_TOKEN_TIMEOUT"`
-	StallTimeout      settings.Duration `help:"Longest wait between two parts of an answer." default:"3s" env:"RATTANWAY_STALL_TIMEOUT"`
+	FirstTokenTimeout settings.Duration `help:"Longest wait for the first part of a streamed response." default:"10s" env:"RATTANWAY_FIRST_TOKEN_TIMEOUT"`
+	StallTimeout      settings.Duration `help:"Longest wait between two parts of a response." default:"3s" env:"RATTANWAY_STALL_TIMEOUT"`
 	Policy            string            `help:"Routing policy: two-choices, least-loaded, round-robin, random." default:"two-choices" env:"RATTANWAY_POLICY"`
 	PrefixAffinity    bool              `help:"Send calls whose prompts share a prefix to the same backend server while its load allows." default:"true" negatable:"" env:"RATTANWAY_PREFIX_AFFINITY"`
 }
--- a/cli/ops.go
+++ b/cli/ops.go
@@ -35,7 +35,7 @@
 type changeMetadataFlags struct {
 	Author   string `help:"Who makes the change; default is the name of the current user." env:"RATTANWAY_AUTHOR"`
 	Reason   string `help:"Why the change is made." required:""`
-	ChangeID string `help:"Identifies the change: repeating a command with the same id has no further effect. Default is a new id, which is printed."`
+	ChangeID string `help:"Identifies the change: a retry of the command with the same id has no further effect. Default is a new id, which is printed."`
 }
 
 // changeMetadata returns the metadata of the change. A missing change id is
@@ -80,15 +80,15 @@
 
 // changeError converts an error of a change request for the command line. A
 // conflict gets its own exit code. If the outcome of the change is unknown, the
-// message names the flags with which the command can be repeated so that the
-// change takes effect only once.
+// message contains flags, with which the command can be retried so that the change
+// takes effect only once.
 func changeError(flags string, err error) error {
 	if err == nil {
 		return nil
 	}
 	var problem *ops.Problem
 	if !errors.As(err, &problem) {
-		return errors.Wrapf(err, "no answer received; repeat the command with %s", flags)
+		return errors.Wrapf(err, "no response received; repeat the command with %s", flags)
 	}
 	switch problem.Type {
 	case ops.TypeConflict:
@@ -100,22 +100,22 @@
 	}
 }
 
-// repeatFlags returns the flags that make a repeated command apply the same
+// retryFlags returns the flags with which a retry of the command applies the same
 // change.
-func repeatFlags(metadata ops.ChangeMetadata, base *uint64) string {
+func retryFlags(metadata ops.ChangeMetadata, base *uint64) string {
 	if base == nil {
 		return "--change-id " + metadata.ChangeID
 	}
 	return fmt.Sprintf("--change-id %s --base %d", metadata.ChangeID, *base)
 }
 
-// printAccepted prints the version that a change resulted in.
-func printAccepted(s *streams, metadata ops.ChangeMetadata, a ops.ChangeResponse) error {
-	if a.Unchanged {
-		_, err := fmt.Fprintf(s.Out, "nothing to change: version %d (%s) is in force\n", a.Number, a.Digest.Short())
+// printChange prints the version that a change resulted in.
+func printChange(s *streams, metadata ops.ChangeMetadata, response ops.ChangeResponse) error {
+	if response.Unchanged {
+		_, err := fmt.Fprintf(s.Out, "nothing to change: version %d (%s) is in force\n", response.Number, response.Digest.Short())
 		return err
 	}
-	_, err := fmt.Fprintf(s.Out, "accepted as version %d (%s), change id %s\n", a.Number, a.Digest.Short(), metadata.ChangeID)
+	_, err := fmt.Fprintf(s.Out, "accepted as version %d (%s), change id %s\n", response.Number, response.Digest.Short(), metadata.ChangeID)
 	return err
 }
 
--- a/cli/revert.go
+++ b/cli/revert.go
@@ -17,9 +17,9 @@
 		return err
 	}
 	metadata := c.changeMetadata()
-	accepted, err := client.Revert(commandContext(), ops.RevertRequest{ChangeMetadata: metadata, Base: c.Base, Number: c.Number})
+	response, err := client.Revert(commandContext(), ops.RevertRequest{ChangeMetadata: metadata, Base: c.Base, Number: c.Number})
 	if err != nil {
-		return changeError(repeatFlags(metadata, c.Base), err)
+		return changeError(retryFlags(metadata, c.Base), err)
 	}
-	return printAccepted(s, metadata, accepted)
+	return printChange(s, metadata, response)
 }
--- a/cli/trace_request.go
+++ b/cli/trace_request.go
@@ -25,7 +25,7 @@
 
 // TraceRequestCmd shows every decision about one call.
 type TraceRequestCmd struct {
-	ID  string   `arg:"" help:"Request id, as in the X-Request-Id header of the answer."`
+	ID  string   `arg:"" help:"Request id, as in the X-Request-Id header of the response."`
 	Log []string `required:"" help:"Log files of entry instances and agents; - for standard input."`
 }
 
@@ -39,8 +39,8 @@
 	fields  map[string]any
 }
 
-// Run implements the command. It also prints the lines about the keyed call that
-// the request belongs to, which may come from other submissions of that call.
+// Run implements the command. If the request belongs to a once-only call with a
+// key, it also prints the lines of the other submissions of that call.
 func (c *TraceRequestCmd) Run(s *streams) error {
 	all, err := readLogs(c.Log)
 	if err != nil {
@@ -116,8 +116,9 @@
 	return l, true
 }
 
-// keyedCall returns the name of the keyed call that the line is about, or "".
-// Entry instances log it in the field row, agents in the field key.
+// keyedCall returns the row key of the once-only call that the line is about, or
+// "" if the line is about none. Entry instances log the row key in the field row,
+// agents in the field key.
 func (l logLine) keyedCall() string {
 	for _, name := range []string{"row", "key"} {
 		if text, ok := l.fields[name].(string); ok {
@@ -128,7 +129,7 @@
 }
 
 // linesAbout returns the lines about the request with the id and about its
-// keyed call. It modifies the slice all.
+// once-only call with a key, if any. It modifies the slice all.
 func linesAbout(all []logLine, id string) []logLine {
 	keyedCalls := map[string]bool{}
 	for _, l := range all {
@@ -141,12 +142,12 @@
 	})
 }
 
-// writeTrace prints a table of the lines, with times relative to the first one,
-// and the meaning of every event in it.
+// writeTrace prints a table of the lines, with times relative to the first line,
+// and the description of every event in the table.
 func writeTrace(w io.Writer, lines []logLine) {
-	meanings := map[int]string{}
+	descriptions := map[int]string{}
 	for _, e := range eventlog.Catalogue() {
-		meanings[e.Number] = e.Description
+		descriptions[e.Number] = e.Description
 	}
 	table := tablewriter.NewWriter(w)
 	table.SetAutoWrapText(false)
@@ -162,7 +163,7 @@
 	fmt.Fprintf(w, "from %s\n", lines[0].at.Format(time.RFC3339Nano))
 	table.Render()
 	for _, n := range slices.Sorted(maps.Keys(numbers)) {
-		fmt.Fprintf(w, "%d: %s\n", n, meanings[n])
+		fmt.Fprintf(w, "%d: %s\n", n, descriptions[n])
 	}
 }
 
--- a/cli/trace_request_test.go
+++ b/cli/trace_request_test.go
@@ -20,7 +20,7 @@
 		lines, err := parseLog(strings.NewReader(testLog))
 		So(err, ShouldBeNil)
 		So(lines, ShouldHaveLength, 4)
-		Convey("a trace shows the lines of the request and those of its keyed call", func() {
+		Convey("a trace shows the lines of the request and those of its once-only call", func() {
 			var out bytes.Buffer
 			writeTrace(&out, linesAbout(lines, "r1"))
 			So(out.String(), ShouldContainSubstring, "server=gpu-1 why=own data centre")
--- a/cli/wait.go
+++ b/cli/wait.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// pollInterval is the time between two attempts.
+	// pollInterval is the time between two attempts of wait and ask.
 	pollInterval = 50 * time.Millisecond
 	// probeTimeout bounds one readiness request.
 	probeTimeout = 2 * time.Second
 )
 
-// WaitCmd waits until every address answers a path with status 200.
+// WaitCmd waits until a GET request to a path returns status 200 at every
+// address.
 type WaitCmd struct {
-	Path    string        `help:"Path that must answer with status 200." default:"/readyz"`
+	Path    string        `help:"Path that must return status 200." default:"/readyz"`
 	Timeout time.Duration `help:"Longest wait." default:"30s"`
 	Addrs   []string      `arg:"" help:"Addresses, ip:port."`
 }
