--- a/test/inprocess/cluster_test.go
+++ b/test/inprocess/cluster_test.go
@@ -55,7 +55,7 @@
 type server struct {
 	id, dataCentre, region string
 	engine                 *standin.Engine
-	gate                   *admission.AdaptiveLimiter
+	limiter                *admission.AdaptiveLimiter
 	handler                *serve.Handler
 
 	mu     sync.Mutex
@@ -76,8 +76,8 @@
 	return s.loaded
 }
 
-// cluster is four entry instances and nine engines with their agents, all in
-// one process.
+// cluster consists of four entry instances and nine engines with their agents,
+// all in one process.
 type cluster struct {
 	t         *testing.T
 	holder    *confstore.Holder
@@ -114,7 +114,7 @@
 	s.engine = standin.New(cfg, clock)
 	s.engine.Preload(frame.Loaded{Model: testModel, Version: "v1", Digest: testDigest})
 	client := NewEngineClient(s.engine.Handler())
-	s.gate = admission.New(admission.Config{Limit: engineLimit, ColdLimit: coldLimit, Metrics: metrics.NewRegistry()}, clock)
+	s.limiter = admission.New(admission.Config{Limit: engineLimit, ColdLimit: coldLimit, Metrics: metrics.NewRegistry()}, clock)
 	monitor := engine.NewMonitor(client, 0, eventlog.Discard(), clock)
 	ctx, stop := context.WithCancel(context.Background())
 	c.t.Cleanup(stop)
@@ -124,7 +124,7 @@
 		return status, ok
 	}
 	s.handler = serve.New(serve.Config{Self: core.Instance{ID: s.id, DataCentre: s.dataCentre}, Incarnation: "i1"},
-		c.holder, s.gate, client, status, eventlog.Discard(), clock)
+		c.holder, s.limiter, client, status, eventlog.Discard(), clock)
 	c.servers = append(c.servers, s)
 }
 
@@ -174,15 +174,15 @@
 	}
 }
 
-// registryServer returns the server as an entry instance registers it on a
-// report.
+// registryServer returns the server as an entry instance registers it when it
+// receives the agent's report.
 func (s *server) registryServer() registry.Server {
-	load := s.gate.Load()
+	load := s.limiter.Load()
 	return registry.Server{
 		Instance:    core.Instance{ID: s.id, Role: core.RoleAgent, DataCentre: s.dataCentre, Region: s.region},
 		Incarnation: "i1",
 		Report: frame.Report{
-			State: s.gate.State(), Limit: load.Limit, InFlight: load.InFlight, Queued: load.Queued, Config: 1,
+			State: s.limiter.State(), Limit: load.Limit, InFlight: load.InFlight, Queued: load.Queued, Config: 1,
 			Loaded: s.loadedVersions(),
 		},
 		LastSeen: time.Now(),
@@ -205,9 +205,9 @@
 }
 
 // runScenario runs a scenario and returns its result and the goodput: the
-// tokens that the engines send in countTime, as a share of what slots can send.
-// Counting starts a time after the start of the scenario; event, unless nil,
-// runs just before.
+// tokens that the engines send in countTime, as a share of the tokens that slots
+// can send. Counting starts when the scenario has run for after; event, unless
+// nil, runs just before.
 func (c *cluster) runScenario(s *requests.Scenario, slots int, after time.Duration, event func()) (*requests.Result, float64) {
 	var sent int
 	countDone := make(chan struct{})
--- a/test/inprocess/opener.go
+++ b/test/inprocess/opener.go
@@ -1,6 +1,6 @@
 // Package inprocess connects the real relay, agents' handlers and stand-in
-// engines within one test process, without sockets. Tests of their decisions
-// can therefore run in virtual time (testing/synctest) and give the same result
+// engines within one test process, without sockets. Tests of routing and
+// admission can therefore run in virtual time (testing/synctest) and give the same result
 // on a machine of any speed.
 package inprocess
 
--- a/test/inprocess/overload_test.go
+++ b/test/inprocess/overload_test.go
@@ -93,7 +93,7 @@
 			slots := engineColdLimit * serverCount
 			load := c.scenario("all-turned-cold", warmUpTime+countTime, 4*callsPerSecond(slots), requests.Range{Min: streamTokens, Max: streamTokens})
 			r, goodput := c.runScenario(load, slots, warmUpTime, func() {
-				t.Logf("load before the engines turn cold: %+v", c.servers[0].gate.Load())
+				t.Logf("load before the engines turn cold: %+v", c.servers[0].limiter.Load())
 				for _, s := range c.servers {
 					s.engine.SetFaults(standin.Faults{Cold: true, StayCold: true})
 				}
--- a/test/inprocess/transport.go
+++ b/test/inprocess/transport.go
@@ -12,8 +12,8 @@
 	"github.com/rattanway/rattanway/connection/engine"
 )
 
-// NewEngineClient returns a client of the engine with this HTTP handler, which the
-// client calls in this process.
+// NewEngineClient returns a client of the engine that handler serves. The client
+// calls handler in this process.
 func NewEngineClient(handler http.Handler) engine.Engine {
 	return engine.NewHTTPClientWithTransport(Transport{"engine": handler})
 }
@@ -107,9 +107,9 @@
 	w.WriteHeader(http.StatusOK)
 	n, err := w.body.Write(p)
 	if errors.Is(err, io.ErrClosedPipe) {
-		// A real server gets no write error when its client has left: the
-		// request's context is cancelled, and what the handler still writes
-		// goes into the connection's buffer.
+		// A real server gets no write error when its client has closed the
+		// connection: the request's context is cancelled, and the rest of the
+		// response goes into the connection's buffer.
 		return len(p), nil
 	}
 	return n, err
--- a/test/inprocess/virtual.go
+++ b/test/inprocess/virtual.go
@@ -13,8 +13,9 @@
 // last call.
 const settleTime = 10 * time.Second
 
-// RunInVirtualTime runs a test in virtual time: the clock advances only while every
-// goroutine is blocked, so that results do not depend on the machine's speed.
+// RunInVirtualTime runs a test in virtual time: the clock advances only while
+// every goroutine is blocked, so that results do not depend on the machine's
+// speed.
 func RunInVirtualTime(t *testing.T, test func(t *testing.T)) {
 	// The first meter starts a goroutine of the metrics library. It never ends,
 	// so it must start outside the synctest bubble.
