--- a/test/ports/ports.go
+++ b/test/ports/ports.go
@@ -18,13 +18,13 @@
 	minPort = 12000
 	// portLimit is the first port above the range.
 	portLimit = 32000
-	// maxAttempts bounds the random ports that one call of Free tries.
+	// maxAttempts bounds the random ports that one call of FreeAddrs tries.
 	maxAttempts = 1000
 )
 
 var (
 	mu sync.Mutex
-	// reservations are UDP sockets on the ports that Free has returned. They
+	// reservations are UDP sockets on the ports that FreeAddrs has returned. They
 	// stay open until this process ends, so that no other test process
 	// reserves the same ports.
 	reservations []net.PacketConn
