--- a/test/configuration/freeze_test.go
+++ b/test/configuration/freeze_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-// Outcomes of calls that no server answered.
+// Outcomes of calls that no server served.
 const (
 	notRun  = "refused as not run"
 	unknown = "unknown"
--- a/test/configuration/retry_test.go
+++ b/test/configuration/retry_test.go
@@ -19,7 +19,7 @@
 )
 
 // TestEntryKilledInAnApply kills an entry instance at a random moment while it
-// carries out an apply. The operator repeats the change through another one.
+// carries out an apply. The operator retries the change through another one.
 func TestEntryKilledInAnApply(t *testing.T) {
 	Convey("Given two entry instances and a platform with some delay", t, func() {
 		r := newRig(t, rigConfig{entries: 2, agents: 1})
@@ -29,8 +29,8 @@
 		r.delayPlatform(platformDelay)
 		rng := rand.New(rand.NewPCG(seed(), 1))
 
-		Convey("the change repeated through the other entry instance is in the history once", func() {
-			answered := 0
+		Convey("a change that is retried through the other entry instance is in the history once", func() {
+			accepted := 0
 			for n := range rounds(4) {
 				id := fmt.Sprintf("change-%d", n)
 				first := make(chan error, 1)
@@ -41,7 +41,7 @@
 				<-time.After(time.Duration(rng.Int64N(int64(applyDuration))))
 				r.kill(r.entries[0])
 				if <-first == nil {
-					answered++
+					accepted++
 				}
 				next, err := r.apply(r.entries[1], number, id, id)
 				So(err, ShouldBeNil)
@@ -50,7 +50,7 @@
 				r.start(r.entries[0])
 				r.awaitInForce(number, startTimeout, r.all...)
 			}
-			t.Logf("%d of %d changes were answered before the kill", answered, number-1)
+			t.Logf("%d of %d changes were accepted before the kill", accepted, number-1)
 			history, err := r.operatorClient(r.entries[1]).History(t.Context(), 1000)
 			So(err, ShouldBeNil)
 			So(len(history.Entries), ShouldEqual, int(number))
--- a/test/configuration/rig_test.go
+++ b/test/configuration/rig_test.go
@@ -450,12 +450,12 @@
 }
 
 // eventually polls a condition until it is true. It fails the test after bound.
-func (r *rig) eventually(what string, bound time.Duration, ok func() bool) {
+func (r *rig) eventually(description string, bound time.Duration, ok func() bool) {
 	r.t.Helper()
 	deadline := time.Now().Add(bound)
 	for !ok() {
 		if time.Now().After(deadline) {
-			r.t.Fatalf("%s: not within %s", what, bound)
+			r.t.Fatalf("%s: not within %s", description, bound)
 		}
 		<-time.After(pollInterval)
 	}
--- a/test/configuration/spread_test.go
+++ b/test/configuration/spread_test.go
@@ -20,7 +20,7 @@
 	propagationTimeout = 6 * time.Second
 )
 
-// rounds returns how often a test repeats its rounds; RATTANWAY_TEST_ROUNDS
+// rounds returns the number of rounds of a test; RATTANWAY_TEST_ROUNDS
 // overrides the default.
 func rounds(defaultRounds int) int {
 	if n, err := strconv.Atoi(os.Getenv("RATTANWAY_TEST_ROUNDS")); err == nil && n > 0 {
