--- a/test/faults/agent_process_test.go
+++ b/test/faults/agent_process_test.go
@@ -100,7 +100,7 @@
 		perToken := (c.cpuTime(server) - middle - long*perCall) / (long * (longTokens - 1))
 		t.Logf("CPU time of the agent: %s per call, %s per token", perCall, perToken)
 
-		Convey("calls given up while it is frozen are not started when it wakes", func() {
+		Convey("calls that were cancelled while the agent was frozen are not started when it resumes", func() {
 			started := c.engineCounters(server).Started
 			c.freeze(server)
 			for i := range engineColdLimit {
--- a/test/faults/entry_cluster_test.go
+++ b/test/faults/entry_cluster_test.go
@@ -370,12 +370,12 @@
 }
 
 // eventually polls a condition until it is true. A timeout fails the test.
-func (c *cluster) eventually(what string, ok func() bool) {
+func (c *cluster) eventually(description string, ok func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(readyTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("%s: not within %s", what, readyTimeout)
+			c.t.Fatalf("%s: not within %s", description, readyTimeout)
 		}
 		<-time.After(50 * time.Millisecond)
 	}
