--- a/test/sessions/call_test.go
+++ b/test/sessions/call_test.go
@@ -14,14 +14,14 @@
 )
 
 // callCommand makes an HTTP call and prints the status and the body of the
-// response. With --within it repeats the call until the response has the
+// response. With --within it retries the call until the response has the
 // expected status and body.
 type callCommand struct {
 	Key     string        `help:"Key of a client account or token of an operator."`
 	Header  []string      `short:"H" sep:"none" help:"Header, 'Name: value'."`
 	Expect  int           `help:"Expected status; 0 for any."`
 	Matches string        `help:"Regular expression that the body must match."`
-	Within  time.Duration `help:"How long to repeat the call until the response is as expected."`
+	Within  time.Duration `help:"How long to retry the call until the response is as expected."`
 	Print   string        `help:"Print only the first match of this regular expression in the body."`
 	Times   int           `help:"Number of calls to make at once." default:"1"`
 	Method  string        `arg:""`
@@ -54,8 +54,8 @@
 	}
 }
 
-// callUntilExpected repeats the call until the response is as expected or the
-// time is over, and returns the last response.
+// callUntilExpected retries the call until the response is as expected or Within
+// has passed, and returns the last response.
 func (c *callCommand) callUntilExpected() (status int, body string, err error) {
 	bodyPattern := regexp.MustCompile(c.Matches)
 	deadline := time.Now().Add(c.Within)
