--- a/daemon/hosted/agent.go
+++ b/daemon/hosted/agent.go
@@ -34,8 +34,9 @@
 	// loads it: by then its chunks have usually arrived.
 	firstLoadAge = 2200 * time.Millisecond
 	// lastLoadMargin is the time between the start of the load on the last
-	// backend server and the point from which older versions are no longer
-	// used.
+	// backend server and the due time of the declared weights, from which no
+	// request may start on older ones. It is a little longer than weightsMargin,
+	// so that the load starts shortly before entry instances stop using them.
 	lastLoadMargin = 1050 * time.Millisecond
 	// agentGCPercent is the GOGC value of the agent. It keeps the heap small:
 	// an agent allocates little and uses 0.6 % of a core at this value (0.5 %
