--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -161,7 +161,7 @@
 	e.warmUp.recordFinished()
 }
 
-// setHeaders sets the response headers.
+// setHeaders sets the response headers. It also counts a hit of the prefix cache.
 func (e *Engine) setHeaders(c echo.Context, r activeRequest) {
 	header := c.Response().Header()
 	header.Set(core.HeaderRequestID, r.id)
