--- a/test/inprocess/opener.go
+++ b/test/inprocess/opener.go
@@ -1,7 +1,7 @@
 // Package inprocess connects the real relay, agents' handlers and stand-in
 // engines within one test process, without sockets. Tests of routing and
-// admission can therefore run in virtual time (testing/synctest) and give the same result
-// on a machine of any speed.
+// admission can therefore run in virtual time (testing/synctest) and give the same
+// result on a machine of any speed.
 package inprocess
 
 import (
