--- a/process/eventlog/eventlog.go
+++ b/process/eventlog/eventlog.go
@@ -14,7 +14,7 @@
 // Event is a kind of log line.
 type Event struct {
 	// Number is unique. Its first digit is the area: 1xx connection,
-	// 2xx configuration, 3xx weights, 4xx agent, 5xx entry, 6xx process.
+	// 2xx configuration, 3xx weights, 4xx agent, 5xx entry instance, 6xx process.
 	Number int
 	// Name is a short name in kebab case.
 	Name string
