--- a/bench/requests/scenario.go
+++ b/bench/requests/scenario.go
@@ -58,8 +58,8 @@
 	// OnceShare is the share of once-only calls among all calls, 0 to 1.
 	OnceShare float64 `yaml:"once"`
 	// KeyedShare is the share of calls with an idempotency key among the
-	// once-only calls, 0 to 1. A call with a key is submitted again if its
-	// response is not whole.
+	// once-only calls, 0 to 1. A call with a key is submitted again, a limited
+	// number of times, until its response is whole or wrong.
 	KeyedShare float64 `yaml:"keyed"`
 	// OncePath is the path of once-only calls, such as /services/lots/lots.
 	OncePath string `yaml:"oncePath"`
