--- a/bench/history/history.go
+++ b/bench/history/history.go
@@ -29,9 +29,9 @@
 const (
 	// KindExecution means that a backend server executed a call.
 	KindExecution Kind = "run"
-	// KindAnswer means that a submission of a call received a response, or that
+	// KindResponse means that a submission of a call received a response, or that
 	// its connection broke.
-	KindAnswer Kind = "answer"
+	KindResponse Kind = "answer"
 )
 
 // Record is one line of a history: an execution or a response.
--- a/bench/spread/testbed.go
+++ b/bench/spread/testbed.go
@@ -127,7 +127,7 @@
 		Fanout:                 t.opt.Fanout,
 		IdleConnections:        idleConnections,
 		LongPollTimeout:        t.opt.LongPollTimeout,
-		AnswerMargin:           t.opt.LongPollTimeout,
+		ResponseMargin:         t.opt.LongPollTimeout,
 		StallTimeout:           t.opt.LongPollTimeout,
 		Peers:                  func(core.Digest) []spread.Peer { return t.peers() },
 		Metrics:                metrics.NewRegistry(),
--- a/cli/entry.go
+++ b/cli/entry.go
@@ -29,7 +29,7 @@
 		Operators:    c.parseOperators(&problems),
 		BalancerLag:  c.BalancerLag.Value(),
 		Relay: relay.Config{
-			DefaultDeadline:   c.Deadline.Value(),
+			CallTimeout:       c.Deadline.Value(),
 			FirstTokenTimeout: c.FirstTokenTimeout.Value(),
 			StallTimeout:      c.StallTimeout.Value(),
 		},
--- a/connection/confsync/holder.go
+++ b/connection/confsync/holder.go
@@ -42,5 +42,5 @@
 
 // RecordPeerVersion implements Source.
 func (s HolderSource) RecordPeerVersion(number uint64, pullSent time.Time) {
-	s.Holder.Heard(number, pullSent)
+	s.Holder.RecordPeerVersion(number, pullSent)
 }
--- a/connection/fleet/hub.go
+++ b/connection/fleet/hub.go
@@ -321,7 +321,7 @@
 	}
 	for _, a := range h.agents {
 		f.Agents = append(f.Agents, frame.FleetAgent{
-			Instance: a.hello.Instance, Server: a.hello.Server, HoldsNewest: hasLoadedWanted(a.state, wantedVersions),
+			Instance: a.hello.Instance, Server: a.hello.Server, HasDeclaredVersion: hasLoadedWanted(a.state, wantedVersions),
 		})
 	}
 	return f
--- a/connection/frame/fleet.go
+++ b/connection/frame/fleet.go
@@ -102,9 +102,9 @@
 	Instance core.Instance `cbor:"1,keyasint"`
 	// Server is the address of the agent's backend server.
 	Server string `cbor:"2,keyasint"`
-	// HoldsNewest is true if the server has loaded the newest declared version of
+	// HasDeclaredVersion is true if the server has loaded the newest declared version of
 	// at least one model.
-	HoldsNewest bool `cbor:"3,keyasint,omitempty"`
+	HasDeclaredVersion bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Fleet contains the versions that an agent must load and the sources from which
--- a/daemon/hosted/agent.go
+++ b/daemon/hosted/agent.go
@@ -107,7 +107,7 @@
 	a.swarm = spread.NewSwarm(spread.Config{
 		Self: self, Token: o.Token, UploadBytesPerSecond: linkBytesPerSecond, ReadOriginOnce: true,
 		MaxPeerFetches: maxPeerFetches, MaxOwnedFetches: maxOwnedFetches, UploadSlots: uploadSlots,
-		LongPollTimeout: longPollTimeout, AnswerMargin: responseMargin, StallTimeout: stallTimeout, SuspectPeriod: peerSuspectPeriod,
+		LongPollTimeout: longPollTimeout, ResponseMargin: responseMargin, StallTimeout: stallTimeout, SuspectPeriod: peerSuspectPeriod,
 		RetryPause: chunkRetryPause, FetchTimeout: chunkFetchTimeout, Metrics: a.metricsRegistry,
 		Peers: func(core.Digest) []spread.Peer { return a.loader.ChunkSources() },
 	}, spread.NewMemStore(storeBytes), originChunks, log, clock)
@@ -212,7 +212,7 @@
 				seen[other.Instance.ID] = true
 				t.Agents = append(t.Agents, other.Instance)
 			}
-			if other.HoldsNewest && hasNewest {
+			if other.HasDeclaredVersion && hasNewest {
 				t.Holders[other.Instance.ID] = true
 			}
 		}
--- a/request/once/resolve.go
+++ b/request/once/resolve.go
@@ -12,9 +12,9 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// Asker queries whether an agent has run an attempt at the call that key
+// AttemptQueryFunc queries whether an agent has run an attempt at the call that key
 // identifies. An agent that has received the query never starts that attempt.
-type Asker func(ctx context.Context, agent core.Instance, key string, attempt int) (frame.AttemptStatus, error)
+type AttemptQueryFunc func(ctx context.Context, agent core.Instance, key string, attempt int) (frame.AttemptStatus, error)
 
 // waitState is the state of a resubmission that waits for the outcome of an
 // attempt.
@@ -34,7 +34,7 @@
 // run or can still run. While an earlier attempt is running, Resolve waits for
 // its outcome until ctx ends. The error is ErrKeyReused, ErrTableUnavailable if
 // the first read failed, or ErrOutcomeUnknown.
-func (s *RecordStore) Resolve(ctx context.Context, call Call, query Asker) (*Outcome, NextAttempt, error) {
+func (s *RecordStore) Resolve(ctx context.Context, call Call, query AttemptQueryFunc) (*Outcome, NextAttempt, error) {
 	w := waitState{}
 	for polls := 0; ; polls++ {
 		rec, revision, err := s.readRecord(ctx, call)
@@ -69,7 +69,7 @@
 
 // decide determines the result of Resolve from one read of the record. done is
 // false if the record must be read again.
-func (s *RecordStore) decide(ctx context.Context, call Call, rec *record, revision uint64, w *waitState, query Asker) (done bool, o *Outcome, next NextAttempt, err error) {
+func (s *RecordStore) decide(ctx context.Context, call Call, rec *record, revision uint64, w *waitState, query AttemptQueryFunc) (done bool, o *Outcome, next NextAttempt, err error) {
 	if rec == nil {
 		return true, nil, NextAttempt{Attempt: 1}, nil
 	}
@@ -111,13 +111,13 @@
 // AskAfter. A zero result means that the resubmission must keep waiting. The
 // status is used only if it is from the incarnation that may run the attempt;
 // another incarnation has no record of what its predecessor ran.
-func (s *RecordStore) probeAgent(ctx context.Context, call Call, rec *record, w *waitState, query Asker) probeResult {
+func (s *RecordStore) probeAgent(ctx context.Context, call Call, rec *record, w *waitState, query AttemptQueryFunc) probeResult {
 	now := s.clock.Now()
 	if w.attempt != rec.Attempt {
 		*w = waitState{attempt: rec.Attempt, firstSeen: now}
 	}
 	lost := rec.State == stateLost
-	if !lost && now.Sub(w.firstSeen) < s.config.AskAfter {
+	if !lost && now.Sub(w.firstSeen) < s.config.QueryAfter {
 		return probeResult{}
 	}
 	status, err := query(ctx, rec.Agent, call.RowKey(), rec.Attempt)
--- a/request/once/store.go
+++ b/request/once/store.go
@@ -73,9 +73,9 @@
 	// PollInterval is the interval at which the record of a running call is read,
 	// and the pause between tries to record an outcome; default 200 ms.
 	PollInterval time.Duration
-	// AskAfter is the time for which a resubmission must have found the attempt
+	// QueryAfter is the time for which a resubmission must have found the attempt
 	// running before it queries the agent about the attempt; default 1 s.
-	AskAfter time.Duration
+	QueryAfter time.Duration
 	// RecordGrace is the time allowed for recording an outcome after its attempt
 	// has ended; default 5 s.
 	RecordGrace time.Duration
@@ -96,7 +96,7 @@
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.TableTimeout, defaultTableTimeout)
 	core.SetDefault(&c.PollInterval, defaultPollInterval)
-	core.SetDefault(&c.AskAfter, defaultAskAfter)
+	core.SetDefault(&c.QueryAfter, defaultAskAfter)
 	core.SetDefault(&c.RecordGrace, defaultRecordGrace)
 	core.SetDefault(&c.TTL, defaultTTL)
 	core.SetDefault(&c.MaxRowBodyBytes, defaultMaxRowBodyBytes)
--- a/request/ops/ops_test.go
+++ b/request/ops/ops_test.go
@@ -330,7 +330,7 @@
 	Convey("Given a platform that loses the response to the next commit", t, func() {
 		f := newFixture(t, 2)
 		lostResponses := 1
-		f.setFaults(standin.FaultRequest{LoseCommitAnswers: &lostResponses})
+		f.setFaults(standin.FaultRequest{LoseCommitResponses: &lostResponses})
 		ctx := context.Background()
 
 		Convey("a change retried through another entry instance is recorded once", func() {
--- a/request/relay/handlers.go
+++ b/request/relay/handlers.go
@@ -142,7 +142,7 @@
 	defer admitted.Release()
 	call.withinFairShare = admitted.WithinFairShare
 	defer r.retryBudget.addCall()()
-	ctx, cancel := context.WithTimeout(c.Request().Context(), r.config.DefaultDeadline)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), r.config.CallTimeout)
 	defer cancel()
 	if repeatable {
 		return r.serveRepeatable(ctx, c, call)
--- a/request/relay/once_test.go
+++ b/request/relay/once_test.go
@@ -90,11 +90,11 @@
 	}
 	connections := &entryConnections{fakeTable: fx.table, opener: fx.opener, killed: make(chan struct{})}
 	onceRecords := once.New(once.Config{
-		PollInterval: 5 * time.Millisecond, AskAfter: 20 * time.Millisecond, RecordGrace: 60 * time.Millisecond,
+		PollInterval: 5 * time.Millisecond, QueryAfter: 20 * time.Millisecond, RecordGrace: 60 * time.Millisecond,
 	}, connections, nil, log, clock)
 	router := routing.New(routing.Config{}, reg, fx.holder, log, clock)
 	r := New(Config{AttemptQueryTimeout: 50 * time.Millisecond, AdmitTimeout: 100 * time.Millisecond,
-		ResponseTimeout: 100 * time.Millisecond, DefaultDeadline: 2 * time.Second},
+		ResponseIdleTimeout: 100 * time.Millisecond, CallTimeout: 2 * time.Second},
 		fx.holder, router, connections, onceRecords, log, clock)
 	e := echo.New()
 	r.Register(e)
@@ -126,7 +126,7 @@
 	fx.mu.Lock()
 	entry := fx.entries[i]
 	fx.mu.Unlock()
-	record := history.Record{Kind: history.KindAnswer, CallID: id, Entry: strconv.Itoa(i), SentAt: fx.history.Elapsed()}
+	record := history.Record{Kind: history.KindResponse, CallID: id, Entry: strconv.Itoa(i), SentAt: fx.history.Elapsed()}
 	req, err := http.NewRequest(http.MethodPost, entry.http.URL+"/services/booking/deposits", strings.NewReader(id))
 	if err != nil {
 		return record
--- a/request/relay/onceonly.go
+++ b/request/relay/onceonly.go
@@ -307,7 +307,7 @@
 	if err := x.Send(frame.KindGo, frame.Go{ID: oa.call.id}); err != nil {
 		return nil, failedAttempt(err)
 	}
-	attemptCtx, monitored := oa.relay.stallMonitor.add(ctx, oa.server.Instance.ID, oa.relay.config.ResponseTimeout, oa.relay.config.ResponseTimeout)
+	attemptCtx, monitored := oa.relay.stallMonitor.add(ctx, oa.server.Instance.ID, oa.relay.config.ResponseIdleTimeout, oa.relay.config.ResponseIdleTimeout)
 	defer oa.relay.stallMonitor.remove(monitored)
 	outcome := &once.Outcome{}
 	reader := &responseReader{
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -25,10 +25,10 @@
 
 // Default values of the fields of Config.
 const (
-	defaultDeadline             = 2 * time.Minute
+	defaultCallTimeout          = 2 * time.Minute
 	defaultFirstTokenTimeout    = 10 * time.Second
 	defaultStallTimeout         = 3 * time.Second
-	defaultResponseTimeout      = time.Minute
+	defaultResponseIdleTimeout  = time.Minute
 	defaultAdmitTimeout         = 5 * time.Second
 	defaultAttemptQueryTimeout  = time.Second
 	defaultRetryBudgetRatio     = 0.2
@@ -73,18 +73,18 @@
 type Config struct {
 	// Self is the entry instance.
 	Self core.Instance
-	// DefaultDeadline bounds a call once its request has been read; default
+	// CallTimeout bounds a call once its request has been read; default
 	// 2 min.
-	DefaultDeadline time.Duration
+	CallTimeout time.Duration
 	// FirstTokenTimeout bounds the wait for the first chunk of a streamed
 	// response, including the time in the agent's queue; default 10 s.
 	FirstTokenTimeout time.Duration
 	// StallTimeout bounds the wait for each further chunk of a streamed
 	// response; default 3 s.
 	StallTimeout time.Duration
-	// ResponseTimeout bounds the wait for each chunk, including the first, of a
+	// ResponseIdleTimeout bounds the wait for each chunk, including the first, of a
 	// response that is not streamed; default 1 min.
-	ResponseTimeout time.Duration
+	ResponseIdleTimeout time.Duration
 	// AdmitTimeout bounds the wait for an agent to admit or refuse a once-only
 	// call; default 5 s.
 	AdmitTimeout time.Duration
@@ -142,10 +142,10 @@
 }
 
 func (c *Config) applyDefaults() {
-	core.SetDefault(&c.DefaultDeadline, defaultDeadline)
+	core.SetDefault(&c.CallTimeout, defaultCallTimeout)
 	core.SetDefault(&c.FirstTokenTimeout, defaultFirstTokenTimeout)
 	core.SetDefault(&c.StallTimeout, defaultStallTimeout)
-	core.SetDefault(&c.ResponseTimeout, defaultResponseTimeout)
+	core.SetDefault(&c.ResponseIdleTimeout, defaultResponseIdleTimeout)
 	core.SetDefault(&c.AdmitTimeout, defaultAdmitTimeout)
 	core.SetDefault(&c.AttemptQueryTimeout, defaultAttemptQueryTimeout)
 	core.SetDefault(&c.RetryBudgetRatio, defaultRetryBudgetRatio)
--- a/request/relay/repeatable.go
+++ b/request/relay/repeatable.go
@@ -254,7 +254,7 @@
 // runAttempt makes one attempt to run the call at server.
 func (rc *repeatableCall) runAttempt(ctx context.Context, server registry.Server) attemptResult {
 	config := rc.relay.config
-	firstTimeout, nextTimeout := config.ResponseTimeout, config.ResponseTimeout
+	firstTimeout, nextTimeout := config.ResponseIdleTimeout, config.ResponseIdleTimeout
 	if rc.call.streamRequested {
 		firstTimeout, nextTimeout = config.FirstTokenTimeout, config.StallTimeout
 	}
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -23,9 +23,9 @@
 	// LatencyMillis is the time in milliseconds by which each request is
 	// delayed.
 	LatencyMillis *int64 `json:"latencyMillis,omitempty"`
-	// LoseCommitAnswers is the number of following commits that take effect
+	// LoseCommitResponses is the number of following commits that take effect
 	// without a response; the connection is closed instead.
-	LoseCommitAnswers *int `json:"loseCommitAnswers,omitempty"`
+	LoseCommitResponses *int `json:"loseCommitAnswers,omitempty"`
 	// WeightBytesPerSecond is the bandwidth of the weight store for all
 	// responses together; 0 means no limit.
 	WeightBytesPerSecond *int64 `json:"weightBytesPerSecond,omitempty"`
@@ -96,8 +96,8 @@
 	if r.LatencyMillis != nil {
 		f.latency = time.Duration(*r.LatencyMillis) * time.Millisecond
 	}
-	if r.LoseCommitAnswers != nil {
-		f.commitsToLose = *r.LoseCommitAnswers
+	if r.LoseCommitResponses != nil {
+		f.commitsToLose = *r.LoseCommitResponses
 	}
 	if r.WeightBytesPerSecond != nil {
 		f.setWeightBandwidth(*r.WeightBytesPerSecond)
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -97,7 +97,7 @@
 		})
 		Convey("a commit whose response is lost takes effect with an unknown outcome", func() {
 			lose := 1
-			setFaults(web, FaultRequest{LoseCommitAnswers: &lose})
+			setFaults(web, FaultRequest{LoseCommitResponses: &lose})
 			err := p.Table.Commit(ctx, []platform.Write{{Key: "k", Value: []byte("1")}})
 			So(err, ShouldWrap, platform.ErrUnknownOutcome)
 			_, err = p.Table.Get(ctx, "k", 0)
--- a/test/configuration/never_falls_test.go
+++ b/test/configuration/never_falls_test.go
@@ -99,7 +99,7 @@
 		s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &slow})
 	case 4:
 		lose := 1
-		s.setPlatformFaults(standin.FaultRequest{LoseCommitAnswers: &lose})
+		s.setPlatformFaults(standin.FaultRequest{LoseCommitResponses: &lose})
 	default:
 		s.makeChange()
 	}
@@ -170,7 +170,7 @@
 	s.down = false
 	s.setDown(false)
 	quick, none := int64(0), 0
-	s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &quick, LoseCommitAnswers: &none})
+	s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &quick, LoseCommitResponses: &none})
 	for _, p := range s.all {
 		if s.killed[p] {
 			s.toggleKilled(p)
--- a/version/confstore/confstore_test.go
+++ b/version/confstore/confstore_test.go
@@ -393,9 +393,9 @@
 			So(h.ConfirmedWithin(time.Second), ShouldBeFalse)
 		})
 		Convey("a peer with a newer version confirms nothing", func() {
-			h.Heard(5, clock.Now())
+			h.RecordPeerVersion(5, clock.Now())
 			So(h.ConfirmedWithin(time.Second), ShouldBeFalse)
-			h.Heard(4, clock.Now())
+			h.RecordPeerVersion(4, clock.Now())
 			So(h.ConfirmedWithin(time.Second), ShouldBeTrue)
 		})
 	})
--- a/version/confstore/holder.go
+++ b/version/confstore/holder.go
@@ -107,10 +107,10 @@
 	}
 }
 
-// Heard records that the newest version of a peer was number, in response to a
+// RecordPeerVersion records that the newest version of a peer was number, in response to a
 // request sent at requestedAt. It confirms the current version unless number is
 // newer.
-func (h *Holder) Heard(number uint64, requestedAt time.Time) {
+func (h *Holder) RecordPeerVersion(number uint64, requestedAt time.Time) {
 	if number <= h.Current().Number {
 		h.Confirm(requestedAt)
 	}
--- a/version/spread/client.go
+++ b/version/spread/client.go
@@ -161,7 +161,7 @@
 	defer cancel()
 	// The watchdog cancels the request when no response or no further byte
 	// arrives in time.
-	watchdog := time.AfterFunc(req.wait+s.cfg.AnswerMargin, cancel)
+	watchdog := time.AfterFunc(req.wait+s.cfg.ResponseMargin, cancel)
 	defer watchdog.Stop()
 	resp, err := s.client.Do(s.newRequest(ctx, addr, req))
 	if err != nil {
--- a/version/spread/faults_test.go
+++ b/version/spread/faults_test.go
@@ -24,7 +24,7 @@
 const maxFaultCopies = 1.3
 
 // shortTimeouts makes an agent detect stalls within about a second.
-func shortTimeouts(_ int, c *Config) { c.AnswerMargin, c.StallTimeout = time.Second, time.Second }
+func shortTimeouts(_ int, c *Config) { c.ResponseMargin, c.StallTimeout = time.Second, time.Second }
 
 // wrapHandler replaces the agent's handler with h; next is the original handler.
 func (a *fakeAgent) wrapHandler(h func(next http.Handler, w http.ResponseWriter, r *http.Request)) {
--- a/version/spread/fetcher.go
+++ b/version/spread/fetcher.go
@@ -27,7 +27,7 @@
 	DefaultFanout          = 3
 	DefaultMaxOwners       = 3
 	DefaultLongPollTimeout = time.Second
-	DefaultAnswerMargin    = time.Second
+	DefaultResponseMargin  = time.Second
 	DefaultStallTimeout    = 2 * time.Second
 	DefaultSuspectPeriod   = 15 * time.Second
 	DefaultFetchTimeout    = 5 * time.Minute
@@ -84,9 +84,9 @@
 	// LongPollTimeout is how long a peer should keep a request of this agent
 	// open for an object that the peer is still fetching.
 	LongPollTimeout time.Duration
-	// AnswerMargin is how much longer a response may take than the request may
+	// ResponseMargin is how much longer a response may take than the request may
 	// be kept open, before the peer is suspected.
-	AnswerMargin time.Duration
+	ResponseMargin time.Duration
 	// StallTimeout is how long a transfer may make no progress before it is
 	// aborted.
 	StallTimeout time.Duration
@@ -114,7 +114,7 @@
 	core.SetDefault(&c.Fanout, DefaultFanout)
 	core.SetDefault(&c.MaxOwners, DefaultMaxOwners)
 	core.SetDefault(&c.LongPollTimeout, DefaultLongPollTimeout)
-	core.SetDefault(&c.AnswerMargin, DefaultAnswerMargin)
+	core.SetDefault(&c.ResponseMargin, DefaultResponseMargin)
 	core.SetDefault(&c.StallTimeout, DefaultStallTimeout)
 	core.SetDefault(&c.SuspectPeriod, DefaultSuspectPeriod)
 	core.SetDefault(&c.FetchTimeout, DefaultFetchTimeout)
--- a/version/spread/swarm_test.go
+++ b/version/spread/swarm_test.go
@@ -112,7 +112,7 @@
 			},
 			Token:           testToken,
 			LongPollTimeout: 300 * time.Millisecond,
-			AnswerMargin:    5 * time.Second,
+			ResponseMargin:  5 * time.Second,
 			StallTimeout:    5 * time.Second,
 			RetryPause:      20 * time.Millisecond,
 			Peers:           func(core.Digest) []Peer { return peers() },
