--- a/request/dispatch/coldrate.go
+++ b/request/dispatch/coldrate.go
@@ -5,19 +5,20 @@
 // coldWindow is the period over which the requests to a cold server are counted.
 const coldWindow = time.Second
 
-// ColdRateLimiter limits the requests per second that one entry instance sends
-// to a cold server, which started recently, to an equal share of the rate that
-// such a server can handle. The total of all entry instances then stays within
-// that rate under full load, even while they cannot reach each other.
+// ColdRateLimiter limits the rate at which one entry instance sends requests to
+// a cold server, that is, one that started recently. Each entry instance may use
+// an equal share of the rate that such a server can handle, so that all together
+// stay within that rate under full load, even while they cannot reach each other.
 type ColdRateLimiter struct {
+	// sends holds the times of the requests that were sent to the server.
 	sends slidingWindow
 }
 
-// Allows reports whether this entry instance, one of entryInstances, may send
-// one more request at now to a server that can handle perSecond requests per
-// second.
-func (c *ColdRateLimiter) Allows(now time.Time, perSecond float64, entryInstances int) bool {
-	share := max(1, int(perSecond)/max(1, entryInstances))
+// Allows reports whether this entry instance, one of entryInstanceCount, may send
+// one more request at now to a server that can handle ratePerSecond requests per
+// second. The share of an entry instance is at least one request per second.
+func (c *ColdRateLimiter) Allows(now time.Time, ratePerSecond float64, entryInstanceCount int) bool {
+	share := max(1, int(ratePerSecond)/max(1, entryInstanceCount))
 	return c.sends.count(now, coldWindow) < share
 }
 
--- a/request/dispatch/decisions_test.go
+++ b/request/dispatch/decisions_test.go
@@ -9,7 +9,8 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// candidate returns a candidate with a limit of 16 requests.
+// candidate returns a candidate with this number of running requests and a limit
+// of 16.
 func candidate(id string, running int, remote bool) Candidate {
 	return Candidate{Slot: Slot{Server: &catalog.Server{ID: id}, Running: running, Remote: remote}, Limit: 16}
 }
@@ -52,27 +53,27 @@
 
 func TestColdRateOfServersThatComeBack(t *testing.T) {
 	Convey("All entry instances together stay within the cold rate in any second, whatever the load", t, func() {
-		const perSecond, entryInstances = 28.0, 4
-		limiters := make([]ColdRateLimiter, entryInstances)
-		var sent []time.Time
+		const ratePerSecond, entryInstanceCount = 28.0, 4
+		limiters := make([]ColdRateLimiter, entryInstanceCount)
+		var sendTimes []time.Time
 		start := time.Now()
 		for ms := range 5000 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
 			for i := range limiters {
-				if limiters[i].Allows(now, perSecond, entryInstances) {
+				if limiters[i].Allows(now, ratePerSecond, entryInstanceCount) {
 					limiters[i].RecordSend(now)
-					sent = append(sent, now)
+					sendTimes = append(sendTimes, now)
 				}
 			}
 		}
-		So(maxWithin(sent, time.Second), ShouldBeLessThanOrEqualTo, int(perSecond))
-		// The whole rate is used.
-		So(len(sent), ShouldEqual, 5*int(perSecond))
+		So(maxCountWithin(sendTimes, time.Second), ShouldBeLessThanOrEqualTo, int(ratePerSecond))
+		// The rate is fully used.
+		So(len(sendTimes), ShouldEqual, 5*int(ratePerSecond))
 	})
 }
 
-// maxWithin returns the largest number of times within any period of length span.
-func maxWithin(times []time.Time, span time.Duration) int {
+// maxCountWithin returns the largest number of times within any period of length span.
+func maxCountWithin(times []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i := range times {
 		for times[i].Sub(times[first]) >= span {
@@ -86,77 +87,77 @@
 func TestRetryBudgetWhenEveryServerFails(t *testing.T) {
 	Convey("In any window all entry instances together send no more retries than the ratio and the slack allow", t, func() {
 		limits := RetryLimits{Ratio: 0.2, Slack: 104, Window: 10 * time.Second}
-		const entryInstances = 4
-		budgets := make([]*RetryBudget, entryInstances)
+		const entryInstanceCount = 4
+		budgets := make([]*RetryBudget, entryInstanceCount)
 		for i := range budgets {
 			budgets[i] = NewRetryBudget(limits)
 		}
-		var requests, retries []time.Time
+		var requestTimes, retryTimes []time.Time
 		start := time.Unix(1_000_000, 0)
 		for ms := range 30_000 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
-			// Each entry instance receives 50 requests per second, and tries to
-			// retry each of them twice.
+			// Each entry instance receives one request every 20 ms, that is, 50 per
+			// second, and tries to retry each of them twice.
 			if ms%20 != 0 {
 				continue
 			}
 			for _, budget := range budgets {
 				budget.CountRequest(now)
-				requests = append(requests, now)
+				requestTimes = append(requestTimes, now)
 				for range 2 {
-					if budget.TakeRetry(now, entryInstances) {
-						retries = append(retries, now)
+					if budget.TakeRetry(now, entryInstanceCount) {
+						retryTimes = append(retryTimes, now)
 					}
 				}
 			}
 		}
 		allowed := limits.Ratio*200*limits.Window.Seconds() + limits.Slack
-		So(float64(maxWithin(retries, limits.Window)), ShouldBeLessThanOrEqualTo, allowed)
-		So(len(retries), ShouldBeGreaterThan, len(requests)/10)
+		So(float64(maxCountWithin(retryTimes, limits.Window)), ShouldBeLessThanOrEqualTo, allowed)
+		So(len(retryTimes), ShouldBeGreaterThan, len(requestTimes)/10)
 	})
 }
 
 func TestBurstAtAServerThatBecomesFree(t *testing.T) {
-	Convey("Entry instances that see the same free slots share them, and do not each fill them all", t, func() {
-		const slots, entryInstances = 16, 4
-		limiters := make([]BurstLimiter, entryInstances)
+	Convey("Entry instances that see the same free slots share them, so that together they do not overfill the server", t, func() {
+		const slotCount, entryInstanceCount = 16, 4
+		limiters := make([]BurstLimiter, entryInstanceCount)
 		now := time.Now()
-		own := make([]int, entryInstances)
+		ownCounts := make([]int, entryInstanceCount)
 		for range 100 {
 			for i := range limiters {
 				// Each entry instance counts only its own requests.
-				if limiters[i].Allows(now, slots-own[i], entryInstances) {
+				if limiters[i].Allows(now, slotCount-ownCounts[i], entryInstanceCount) {
 					limiters[i].RecordSend(now)
-					own[i]++
+					ownCounts[i]++
 				}
 			}
 		}
 		sum := 0
-		for _, n := range own {
+		for _, n := range ownCounts {
 			sum += n
 		}
-		So(sum, ShouldBeLessThanOrEqualTo, slots)
-		So(sum, ShouldBeGreaterThan, slots/2)
+		So(sum, ShouldBeLessThanOrEqualTo, slotCount)
+		So(sum, ShouldBeGreaterThan, slotCount/2)
 	})
-	Convey("A single entry instance fills a server at once", t, func() {
+	Convey("An entry instance without others fills a server at once", t, func() {
 		var b BurstLimiter
-		now, own := time.Now(), 0
-		for b.Allows(now, 16-own, 1) && own < 16 {
+		now, ownCount := time.Now(), 0
+		for b.Allows(now, 16-ownCount, 1) && ownCount < 16 {
 			b.RecordSend(now)
-			own++
+			ownCount++
 		}
-		So(own, ShouldEqual, 16)
+		So(ownCount, ShouldEqual, 16)
 	})
 }
 
 func TestPassiveHealth(t *testing.T) {
 	now := time.Now()
-	Convey("A server that cannot be reached is in backoff after each failure, for at most the maximum time", t, func() {
+	Convey("A server that cannot be reached is in backoff after each failure, for at most maxBackoff", t, func() {
 		var h PassiveHealth
-		last := time.Duration(0)
+		sinceFailure := time.Duration(0)
 		for range 10 {
 			h.Record(Unreachable, now)
-			So(h.InBackoff(now.Add(last)), ShouldBeTrue)
+			So(h.InBackoff(now.Add(sinceFailure)), ShouldBeTrue)
 			So(h.InBackoff(now.Add(maxBackoff)), ShouldBeFalse)
 		}
 	})
--- a/request/dispatch/move_test.go
+++ b/request/dispatch/move_test.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// newMoveFixture returns a fixture with a stream at the server "a", which began
-// to load weights moveAfter ago, and the slot of the stream.
+// newMoveFixture returns a fixture and the slot of a stream that runs at the
+// server "a". This server began to load weights moveDelay ago.
 func newMoveFixture() (*schedulerFixture, Slot) {
 	f := newSchedulerFixture()
 	from, err := f.scheduler.Acquire(context.Background(), f.request())
@@ -19,7 +19,7 @@
 	So(from.Server.ID, ShouldEqual, "a")
 	f.scheduler.SetAgentState("a", &frame.AgentState{LoadedVersions: map[string]int{"herbs": 1}, Loading: true})
 	So(f.scheduler.StartMove(f.request(), from), ShouldBeNil)
-	f.clock.Advance(moveAfter)
+	f.clock.Advance(moveDelay)
 	return f, from
 }
 
@@ -37,7 +37,7 @@
 	Convey("Under full load the stream gets the next free slot, before every waiting request", t, func() {
 		f, from := newMoveFixture()
 		var slots []Slot
-		for range 2 + serverQueueLength {
+		for range 2 + maxServerQueueLength {
 			slot, err := f.scheduler.Acquire(context.Background(), f.request())
 			So(err, ShouldBeNil)
 			slots = append(slots, slot)
@@ -66,9 +66,9 @@
 		So(f.scheduler.RunningByServer(), ShouldResemble, map[string]int{"a": 1, "b": 0})
 	})
 
-	Convey("Streams stay when little of the retry budget is left, and failed requests can still be retried", t, func() {
+	Convey("Streams are not moved once optional retries have used up their share of the retry budget, and failed requests can still be retried", t, func() {
 		f, from := newMoveFixture()
-		moved := 0
+		movedCount := 0
 		for {
 			m := f.scheduler.StartMove(f.request(), from)
 			if m == nil {
@@ -77,10 +77,10 @@
 			to, ok := m.Take()
 			So(ok, ShouldBeTrue)
 			f.scheduler.Release(to, Served)
-			moved++
+			movedCount++
 		}
-		allowed := retryMargin * f.scheduler.cfg.RetryLimits.Slack
-		So(moved, ShouldEqual, int(optionalRetryShare*allowed))
+		allowed := usableBudgetShare * f.scheduler.cfg.RetryLimits.Slack
+		So(movedCount, ShouldEqual, int(optionalRetryShare*allowed))
 		So(f.scheduler.TakeRetry("label"), ShouldBeTrue)
 	})
 }
--- a/request/dispatch/passivehealth.go
+++ b/request/dispatch/passivehealth.go
@@ -5,12 +5,11 @@
 // Outcome is the outcome of one attempt to run a request at a server.
 type Outcome uint8
 
-// The outcomes.
 const (
 	// Served means that the complete response was received and forwarded.
 	Served Outcome = iota
-	// Ended means that the client left or the deadline passed; this does not
-	// count against the server.
+	// Ended means that the client left or the deadline passed before the response
+	// was complete; this does not count against the server.
 	Ended
 	// Full means that the server refused the request for lack of capacity.
 	Full
@@ -33,8 +32,8 @@
 	return [...]string{"served", "ended", "full", "misdirected", "unreachable", "broken", "stalled", "moved"}[o]
 }
 
-// Times for which a server gets no requests after an outcome. The first three
-// are of the order of a server's response time; maxBackoff limits how long a
+// Durations of the backoff, in which a server gets no requests. The first three
+// are about as long as a server's response time; maxBackoff limits how long a
 // server that has recovered stays unused.
 const (
 	backoffFull        = 60 * time.Millisecond
@@ -52,35 +51,36 @@
 	failurePenalty = 24
 )
 
-// PassiveHealth tracks the outcomes of the requests at one server. It detects
-// servers that are down, or that fail some requests although their health check
+// PassiveHealth tracks the outcomes of the requests at one server, to detect that
+// the server is down, or that it fails some requests although its health check
 // succeeds. After a failed connection or a stall the server is in backoff: it
-// gets no requests for a time that doubles with each such outcome in a row, up
-// to maxBackoff. A refusal causes a short backoff of constant length. A server
-// that fails often also gets a penalty on its load.
+// gets no requests for a time that doubles with each such outcome since the last
+// served request, up to maxBackoff. A refused or misdirected request causes a
+// short backoff of constant length. A server that fails often also gets a
+// penalty, which is added to its load.
 type PassiveHealth struct {
-	// backoffUntil is the end of the last backoff.
+	// backoffUntil is the end of the current or the last backoff.
 	backoffUntil time.Time
-	// consecutive is the number of failed connections and stalls since the last
-	// served request.
-	consecutive int
+	// consecutiveFailures is the number of failed connections and stalls since
+	// the last served request.
+	consecutiveFailures int
 	// failureRate is the moving average of the share of failed requests.
 	failureRate float64
 }
 
-// Record records the outcome of a request that ended at now.
+// Record updates the health with the outcome of a request that ended at now.
 func (h *PassiveHealth) Record(o Outcome, now time.Time) {
 	switch o {
 	case Served:
-		h.consecutive, h.failureRate = 0, h.failureRate*(1-failureWeight)
+		h.consecutiveFailures, h.failureRate = 0, h.failureRate*(1-failureWeight)
 	case Full:
 		h.backoffUntil = later(h.backoffUntil, now.Add(backoffFull))
 	case Misdirected:
 		h.backoffUntil = later(h.backoffUntil, now.Add(backoffMisdirected))
 	case Unreachable, Stalled:
 		h.raiseFailureRate()
-		h.backoffUntil = later(h.backoffUntil, now.Add(min(maxBackoff, backoffFailed<<min(h.consecutive, 8))))
-		h.consecutive++
+		h.backoffUntil = later(h.backoffUntil, now.Add(min(maxBackoff, backoffFailed<<min(h.consecutiveFailures, 8))))
+		h.consecutiveFailures++
 	case Broken:
 		h.raiseFailureRate()
 	case Ended, Moved:
@@ -93,8 +93,8 @@
 // requests.
 func (h *PassiveHealth) InBackoff(now time.Time) bool { return now.Before(h.backoffUntil) }
 
-// Penalty returns the number of requests to add to the server's load because of
-// its failure rate.
+// Penalty returns the number of requests by which the server's load is to be
+// raised because of the failure rate.
 func (h *PassiveHealth) Penalty() float64 { return h.failureRate * failurePenalty }
 
 // later returns the later of two times.
--- a/request/dispatch/request.go
+++ b/request/dispatch/request.go
@@ -17,22 +17,23 @@
 	// Version is the required version of the model's weights; 0 allows every
 	// version in force.
 	Version int
-	// RouteRegions and AccountRegions list the regions whose servers may run
-	// the request; an empty list allows all regions.
+	// RouteRegions and AccountRegions list the regions that the route and the
+	// client account allow. A server may run the request if both lists allow its
+	// region; an empty list allows all regions.
 	RouteRegions, AccountRegions []string
 	// Work is the estimated cost of the request for a server, in prompt tokens;
 	// 0 when unknown.
 	Work float64
 	// Priority orders waiting requests: the lowest value goes first.
 	Priority int
-	// Arrived is when the request arrived, and Deadline the latest time at which
-	// its response may end.
+	// Arrived is the time at which the request arrived, and Deadline the latest
+	// time at which the response may end.
 	Arrived, Deadline time.Time
 	// Objective is the target for the time to the first byte.
 	Objective time.Duration
-	// RetryWait is the minimum time that the request may wait for a slot at
-	// another server after a failed attempt; 0 if the request has not run
-	// anywhere.
+	// RetryWait is the time that the request may wait for a slot at another server
+	// after a failed attempt, even if the objective allows a shorter wait only; 0
+	// if the request has not run anywhere.
 	RetryWait time.Duration
 	// Tried holds the IDs of the servers that must not receive the request again.
 	Tried map[string]bool
@@ -45,8 +46,8 @@
 	// Version is the version of the weights that the server holds according to
 	// the latest report; 0 at a plain service.
 	Version int
-	// Running is the number of requests at the server when it was chosen,
-	// excluding this one.
+	// Running is the number of requests at the server when the server was chosen,
+	// excluding this request.
 	Running int
 	// Remote is true if the server is in another data centre than this entry
 	// instance.
--- a/request/dispatch/scheduler.go
+++ b/request/dispatch/scheduler.go
@@ -34,19 +34,21 @@
 	Regions map[string]string
 	// RetryLimits limits the retries of requests.
 	RetryLimits RetryLimits
-	// WeightsDueAfter is the age from which a declared version of the weights is
-	// mandatory: requests then run on this version or a newer one only.
+	// WeightsDueAfter is the time after its declaration from which a version of
+	// the weights is mandatory: requests then run on this version or a newer one
+	// only.
 	WeightsDueAfter time.Duration
-	// MaxWaitShare is the fraction of a request's objective that it may spend
-	// waiting for a slot.
+	// MaxWaitShare is the fraction of a request's objective for which the request
+	// may wait for a slot.
 	MaxWaitShare float64
 }
 
-// serverQueueLength is the number of requests that may wait in a server's own
-// queue. One waiting request lets the engine fill a slot that becomes free
-// between two passes at the next pass, and not one pass later. More waiting
-// requests delay the first token by more than they gain (docs/design/load.md).
-const serverQueueLength = 1
+// maxServerQueueLength is the maximum number of requests in a server's own queue.
+// A server fills its slots at the start of each pass of its engine. With one
+// request in the queue, it can use a slot that becomes free in its next pass;
+// without one, the slot stays empty for one pass more. Further queued requests
+// delay the first token by more than they gain (docs/design/load.md).
+const maxServerQueueLength = 1
 
 // peerTimeout is how long the load reported by another entry instance is used
 // without a new message from it. Heartbeats arrive twice a second.
@@ -60,40 +62,43 @@
 	clock  clockwork.Clock
 
 	mu           sync.Mutex
-	servers      map[string]*serverState
-	peers        map[string]*peerLoad
-	agents       map[string]agentReport
-	retryBudgets map[string]*RetryBudget
-	waiting      []*waiter
-	// rotation counts the choices made, so that consecutive choices prefer
-	// different ones of equally loaded servers.
-	rotation int
+	servers      map[string]*serverState // by server ID
+	peers        map[string]*peerLoad    // by the ID of the other entry instance
+	agents       map[string]agentReport  // by server address
+	retryBudgets map[string]*RetryBudget // by service name
+	// waiting is the queue, ordered by priority and then by arrival.
+	waiting []*waiter
+	// choiceCount is the number of choices of a server so far. It makes
+	// consecutive choices begin their search at different servers, so that
+	// equally loaded servers are chosen in turn.
+	choiceCount int
 	// assigned is the number of slots assigned to waiting requests so far.
-	assigned int
+	assignedCount int
 }
 
 // serverState holds what this entry instance has recorded about a server.
 type serverState struct {
-	// running is the number of this entry instance's requests at the server.
-	running  int
-	coldRate ColdRateLimiter
-	burst    BurstLimiter
-	health   PassiveHealth
-	stall    StallDetector
+	// runningCount is the number of this entry instance's requests at the server.
+	runningCount int
+	coldRate     ColdRateLimiter
+	burst        BurstLimiter
+	health       PassiveHealth
+	stall        StallDetector
 }
 
 // peerLoad is the load reported by another entry instance.
 type peerLoad struct {
-	// running is the number of requests at each server, by its ID.
-	running     map[string]int
-	lastMessage time.Time
+	// runningByServer is the number of that entry instance's requests at each
+	// server, by server ID.
+	runningByServer map[string]int
+	lastMessage     time.Time
 }
 
 // agentReport is the latest report of an agent about its server.
 type agentReport struct {
 	state frame.AgentState
-	// loadingSince is when the agent first reported that the server is loading
-	// the present weights. It has no meaning while the server is not loading.
+	// loadingSince is the time of the first of the consecutive reports that the
+	// server is loading weights. It has no meaning while the server is not loading.
 	loadingSince time.Time
 }
 
@@ -123,15 +128,16 @@
 	s.retryBudgetOf(service).CountRequest(s.clock.Now())
 }
 
-// TakeRetry counts a retry and returns true if the retry budget of the service
-// allows the retry now.
+// TakeRetry reports whether the retry budget of the service allows a retry now,
+// and if so counts the retry.
 func (s *Scheduler) TakeRetry(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.retryBudgetOf(service).TakeRetry(s.clock.Now(), s.knownEntryInstances())
+	return s.retryBudgetOf(service).TakeRetry(s.clock.Now(), s.knownEntryInstanceCount())
 }
 
-// retryBudgetOf returns the retry budget of a service. The caller holds s.mu.
+// retryBudgetOf returns the retry budget of a service, and creates it if there is
+// none. The caller holds s.mu.
 func (s *Scheduler) retryBudgetOf(service string) *RetryBudget {
 	r, ok := s.retryBudgets[service]
 	if !ok {
@@ -141,14 +147,14 @@
 	return r
 }
 
-// knownEntryInstances returns the number of entry instances that may be sending
+// knownEntryInstanceCount returns the number of entry instances that may be sending
 // requests, including this one and those without recent messages. The caller
 // holds s.mu.
-func (s *Scheduler) knownEntryInstances() int { return len(s.peers) + 1 }
+func (s *Scheduler) knownEntryInstanceCount() int { return len(s.peers) + 1 }
 
-// activeEntryInstances returns the number of entry instances, including this
+// activeEntryInstanceCount returns the number of entry instances, including this
 // one, that have sent a message within peerTimeout. The caller holds s.mu.
-func (s *Scheduler) activeEntryInstances(now time.Time) int {
+func (s *Scheduler) activeEntryInstanceCount(now time.Time) int {
 	n := 1
 	for _, p := range s.peers {
 		if now.Sub(p.lastMessage) < peerTimeout {
@@ -158,8 +164,9 @@
 	return n
 }
 
-// assignInterval is the time between two attempts to assign slots to waiting
-// requests while no slot is released.
+// assignInterval is the time between two attempts of Run to assign slots to
+// waiting requests. A server can become usable without a released slot, for
+// example at the end of its backoff.
 const assignInterval = 20 * time.Millisecond
 
 // Run assigns slots to waiting requests periodically until ctx ends.
@@ -178,9 +185,9 @@
 	}
 }
 
-// Acquire assigns a slot to a request, at once or after waiting for at most the
-// time that the request allows. The caller must give the slot back with Release.
-// The error is [ErrFull], [ErrNoServer] or that of ctx.
+// Acquire returns a slot for a request. If none is free, it waits for at most
+// maxWait. The caller must give the slot back with Release. The error is
+// [ErrFull], [ErrNoServer] or that of ctx.
 func (s *Scheduler) Acquire(ctx context.Context, req *Request) (Slot, error) {
 	s.mu.Lock()
 	slot, err := s.assign(req)
@@ -209,23 +216,25 @@
 	return Slot{}, err
 }
 
-// maxWait returns how long a request may wait for a slot from now on.
+// maxWait returns how long a request may wait for a slot from now on: until
+// MaxWaitShare of the objective has passed since the arrival, or for RetryWait if
+// that is longer, but not beyond the deadline.
 func (s *Scheduler) maxWait(req *Request) time.Duration {
 	now := s.clock.Now()
 	objectiveWait := time.Duration(s.cfg.MaxWaitShare*float64(req.Objective)) - now.Sub(req.Arrived)
 	return min(max(objectiveWait, req.RetryWait), req.Deadline.Sub(now))
 }
 
-// HasFreeSlot reports whether a server that the request has not tried yet has a
-// free slot.
+// HasFreeSlot reports whether a server that can run the request, and at which the
+// request has not been tried yet, has a free slot.
 func (s *Scheduler) HasFreeSlot(req *Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return ChooseCandidate(s.candidates(req), 0) >= 0
 }
 
-// enqueue inserts a request into the queue, which is ordered by priority and then
-// by arrival. The caller holds s.mu.
+// enqueue inserts a request into the queue, after all requests with the same
+// priority. The caller holds s.mu.
 func (s *Scheduler) enqueue(w *waiter) {
 	i := len(s.waiting)
 	for i > 0 && w.request.Priority < s.waiting[i-1].request.Priority {
@@ -240,12 +249,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stateOf(slot.Server.ID)
-	st.running--
+	st.runningCount--
 	st.health.Record(o, s.clock.Now())
 	s.assignWaiting()
 }
 
-// RecordActivity records that the server of a slot sent something.
+// RecordActivity records that the server of a slot has sent something, so that
+// the server does not count as stalled.
 func (s *Scheduler) RecordActivity(slot Slot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,13 +272,13 @@
 // assignNext assigns a slot to the first waiting request that can get one, and
 // reports whether there was such a request. The caller holds s.mu.
 func (s *Scheduler) assignNext() bool {
-	for _, w := range OrderWaiting(s.waiting, s.assigned) {
+	for _, w := range OrderWaiting(s.waiting, s.assignedCount) {
 		slot, err := s.assign(w.request)
 		if err != nil {
 			continue
 		}
 		s.waiting = slices.DeleteFunc(s.waiting, func(other *waiter) bool { return other == w })
-		s.assigned++
+		s.assignedCount++
 		w.assigned = true
 		w.slot <- slot
 		return true
@@ -283,24 +293,24 @@
 	if len(all) == 0 {
 		return Slot{}, ErrNoServer
 	}
-	s.rotation++
-	i := ChooseCandidate(all, s.rotation%len(all))
+	s.choiceCount++
+	i := ChooseCandidate(all, s.choiceCount%len(all))
 	if i < 0 {
 		return Slot{}, ErrFull
 	}
 	slot := all[i].Slot
 	st := s.stateOf(slot.Server.ID)
-	if st.running == 0 {
+	if st.runningCount == 0 {
 		st.stall.RecordActivity(s.clock.Now())
 	}
-	st.running++
+	st.runningCount++
 	st.coldRate.RecordSend(s.clock.Now())
 	st.burst.RecordSend(s.clock.Now())
 	return slot, nil
 }
 
-// candidates returns the servers that could run a request. Servers that must not
-// get a request now have a limit of 0. The caller holds s.mu.
+// candidates returns the servers that could run a request. Servers that could run
+// the request but must not get one now have a limit of 0. The caller holds s.mu.
 func (s *Scheduler) candidates(req *Request) []Candidate {
 	snapshot := s.holder.Current()
 	now := s.clock.Now()
@@ -317,7 +327,7 @@
 		if !ok {
 			continue
 		}
-		st, limit := s.stateOf(server.ID), server.Slots+serverQueueLength
+		st, limit := s.stateOf(server.ID), server.Slots+maxServerQueueLength
 		c := Candidate{
 			Slot: Slot{
 				Server: server, Version: version, Running: s.totalRunning(server.ID, st, now),
@@ -326,10 +336,10 @@
 			Limit:   limit,
 			Penalty: st.health.Penalty(),
 		}
-		blocked := st.health.InBackoff(now) || st.stall.Stalled(now, st.running, req.Objective) ||
-			!st.burst.Allows(now, limit-c.Slot.Running, s.activeEntryInstances(now))
+		blocked := st.health.InBackoff(now) || st.stall.Stalled(now, st.runningCount, req.Objective) ||
+			!st.burst.Allows(now, limit-c.Slot.Running, s.activeEntryInstanceCount(now))
 		if service != nil && service.ColdRequestsPerSecond > 0 && server.Cold(now) {
-			blocked = blocked || !st.coldRate.Allows(now, service.ColdRequestsPerSecond, s.knownEntryInstances())
+			blocked = blocked || !st.coldRate.Allows(now, service.ColdRequestsPerSecond, s.knownEntryInstanceCount())
 		}
 		if blocked {
 			c.Limit = 0
@@ -340,7 +350,8 @@
 }
 
 // usableVersion returns the version of the request's model that a server holds,
-// and whether the request may run on it. The caller holds s.mu.
+// 0 for a plain service, and whether the request may run on this server. The
+// caller holds s.mu.
 func (s *Scheduler) usableVersion(server *catalog.Server, req *Request, snapshot *catalog.Snapshot, now time.Time) (int, bool) {
 	if req.Model == "" {
 		return 0, true
@@ -359,19 +370,21 @@
 	return version, version >= snapshot.Weights[req.Model].MinVersion(now, s.cfg.WeightsDueAfter)
 }
 
-// totalRunning returns the number of requests that all entry instances run at a
-// server. The caller holds s.mu.
+// totalRunning returns the number of requests at a server that were sent by this
+// entry instance, with the state st of the server, or by those that sent a message
+// within peerTimeout. The caller holds s.mu.
 func (s *Scheduler) totalRunning(id string, st *serverState, now time.Time) int {
-	n := st.running
+	n := st.runningCount
 	for _, p := range s.peers {
 		if now.Sub(p.lastMessage) < peerTimeout {
-			n += p.running[id]
+			n += p.runningByServer[id]
 		}
 	}
 	return n
 }
 
-// stateOf returns the state of a server. The caller holds s.mu.
+// stateOf returns the state of the server with an ID, and creates the state if
+// there is none. The caller holds s.mu.
 func (s *Scheduler) stateOf(id string) *serverState {
 	st, ok := s.servers[id]
 	if !ok {
@@ -381,42 +394,43 @@
 	return st
 }
 
-// RunningByServer returns the number of requests that this entry instance runs
-// at each server, by the server's ID.
+// RunningByServer returns the number of this entry instance's requests at each
+// server, by server ID.
 func (s *Scheduler) RunningByServer() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]int, len(s.servers))
 	for id, st := range s.servers {
-		out[id] = st.running
+		out[id] = st.runningCount
 	}
 	return out
 }
 
-// UpdatePeerLoads records the number of requests that another entry instance
-// runs at each server. running contains only the numbers that changed since the
-// last report.
-func (s *Scheduler) UpdatePeerLoads(peer string, running map[string]int) {
+// UpdatePeerLoads records a load report of another entry instance.
+// runningByServer holds the number of that entry instance's requests at each
+// server, by server ID, but only for servers at which the number has changed
+// since the last report.
+func (s *Scheduler) UpdatePeerLoads(peer string, runningByServer map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.peers[peer]
 	if !ok {
-		p = &peerLoad{running: map[string]int{}}
+		p = &peerLoad{runningByServer: map[string]int{}}
 		s.peers[peer] = p
 	}
 	p.lastMessage = s.clock.Now()
-	for id, n := range running {
-		p.running[id] = n
+	for id, n := range runningByServer {
+		p.runningByServer[id] = n
 	}
 	s.assignWaiting()
 }
 
 // ResetPeerLoads removes the recorded load of another entry instance, which has
-// opened a new connection and will report its whole load again.
+// opened a new connection and will report its complete load again.
 func (s *Scheduler) ResetPeerLoads(peer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.peers[peer] = &peerLoad{running: map[string]int{}, lastMessage: s.clock.Now()}
+	s.peers[peer] = &peerLoad{runningByServer: map[string]int{}, lastMessage: s.clock.Now()}
 }
 
 // SetAgentState records the state that an agent reports for the server at addr;
@@ -428,30 +442,30 @@
 		delete(s.agents, addr)
 		return
 	}
-	since := s.agents[addr].loadingSince
+	loadingSince := s.agents[addr].loadingSince
 	if !s.agents[addr].state.Loading {
-		since = s.clock.Now()
+		loadingSince = s.clock.Now()
 	}
-	s.agents[addr] = agentReport{*state, since}
+	s.agents[addr] = agentReport{*state, loadingSince}
 	s.assignWaiting()
 }
 
-// RemoveUnlistedServers removes the state of servers that are no longer listed
-// and have no running requests of this entry instance.
+// RemoveUnlistedServers removes the state of the servers that the catalog no
+// longer lists and that have no running requests of this entry instance.
 func (s *Scheduler) RemoveUnlistedServers() {
 	listed := s.holder.Current().Servers
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, st := range s.servers {
-		if listed[id] == nil && st.running == 0 {
+		if listed[id] == nil && st.runningCount == 0 {
 			delete(s.servers, id)
 		}
 	}
 	s.assignWaiting()
 }
 
-// RetryAfter returns the pause to recommend to a client whose request got no
-// slot because of err.
+// RetryAfter returns the Retry-After value for a client whose request got no slot
+// because of err.
 func RetryAfter(err error) time.Duration {
 	if errors.Is(err, ErrNoServer) {
 		return RetryAfterUnavailable(rand.Float64())
--- a/request/dispatch/scheduler_test.go
+++ b/request/dispatch/scheduler_test.go
@@ -14,7 +14,8 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// schedulerFixture is a [Scheduler] with a fake clock.
+// schedulerFixture holds a [Scheduler] and the catalog and fake clock that it
+// uses.
 type schedulerFixture struct {
 	scheduler *Scheduler
 	holder    *catalog.Holder
@@ -28,7 +29,7 @@
 	f.holder.Apply([]catalog.Change{{Config: &catalog.Config{Version: 1, Services: map[string]*catalog.Service{
 		"label": {Name: "label", ColdRequestsPerSecond: 8},
 	}}}}, true, false, f.clock.Now())
-	f.list(f.server("a", "palermo"), f.server("b", "catania"))
+	f.setServers(f.server("a", "palermo"), f.server("b", "catania"))
 	f.scheduler = NewScheduler(Config{
 		DataCentre: "palermo", Regions: map[string]string{"palermo": "west", "catania": "east"},
 		RetryLimits: RetryLimits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, WeightsDueAfter: 7 * time.Second, MaxWaitShare: 0.1,
@@ -36,14 +37,15 @@
 	return f
 }
 
+// server returns a server with two slots and version 1 of the weights.
 func (f *schedulerFixture) server(id, dataCentre string) *catalog.Server {
 	return &catalog.Server{
 		ID: id, Service: "label", Addr: id, DataCentre: dataCentre, Slots: 2, LoadedVersions: map[string]int{"herbs": 1},
 	}
 }
 
-// list replaces the list of servers.
-func (f *schedulerFixture) list(servers ...*catalog.Server) {
+// setServers replaces the list of servers.
+func (f *schedulerFixture) setServers(servers ...*catalog.Server) {
 	var all []catalog.Change
 	for _, s := range servers {
 		all = append(all, catalog.Change{Server: s})
@@ -51,6 +53,8 @@
 	f.holder.Apply(all, true, true, f.clock.Now())
 }
 
+// request returns a request without an objective, which may therefore not wait
+// for a slot.
 func (f *schedulerFixture) request() *Request {
 	now := f.clock.Now()
 	return &Request{
@@ -58,8 +62,8 @@
 	}
 }
 
-// acquire acquires a slot for a request that may not wait for one, and returns
-// the ID of the server.
+// acquire acquires a slot for a request that may not wait, and returns the ID of
+// the slot's server.
 func (f *schedulerFixture) acquire(req *Request) (string, error) {
 	slot, err := f.scheduler.Acquire(context.Background(), req)
 	if err != nil {
@@ -69,7 +73,7 @@
 }
 
 func TestSchedulerFillsEverySlotAndNoMore(t *testing.T) {
-	Convey("Requests of other entry instances count until these instances stop sending messages", t, func() {
+	Convey("Requests of another entry instance count until it has sent no message for peerTimeout", t, func() {
 		f := newSchedulerFixture()
 		f.scheduler.UpdatePeerLoads("other", map[string]int{"a": 3, "b": 3})
 		_, err := f.acquire(f.request())
@@ -81,21 +85,21 @@
 
 	Convey("Every slot is used, with one more request in each server's queue", t, func() {
 		f := newSchedulerFixture()
-		acquired := 0
+		acquiredCount := 0
 		for {
 			if _, err := f.acquire(f.request()); err != nil {
 				So(errors.Is(err, ErrFull), ShouldBeTrue)
 				break
 			}
-			acquired++
+			acquiredCount++
 		}
-		So(acquired, ShouldEqual, 2*(2+serverQueueLength))
+		So(acquiredCount, ShouldEqual, 2*(2+maxServerQueueLength))
 	})
 
 	Convey("A slot that becomes free goes to the most urgent waiting request", t, func() {
 		f := newSchedulerFixture()
 		var slots []Slot
-		for range 2 * (2 + serverQueueLength) {
+		for range 2 * (2 + maxServerQueueLength) {
 			slot, err := f.scheduler.Acquire(context.Background(), f.request())
 			So(err, ShouldBeNil)
 			slots = append(slots, slot)
@@ -128,14 +132,14 @@
 		f := newSchedulerFixture()
 		leaving := f.server("a", "palermo")
 		leaving.Leaving = true
-		f.list(leaving, f.server("b", "catania"))
+		f.setServers(leaving, f.server("b", "catania"))
 		id, err := f.acquire(f.request())
 		So(err, ShouldBeNil)
 		So(id, ShouldEqual, "b")
 		f.holder.Apply([]catalog.Change{{DataCentreOut: "catania"}}, false, false, f.clock.Now())
 		_, err = f.acquire(f.request())
 		So(errors.Is(err, ErrNoServer), ShouldBeTrue)
-		f.list(f.server("a", "palermo"))
+		f.setServers(f.server("a", "palermo"))
 		req := f.request()
 		req.AccountRegions = []string{"east"}
 		_, err = f.acquire(req)
@@ -165,20 +169,20 @@
 		f := newSchedulerFixture()
 		cold := f.server("a", "palermo")
 		cold.Slots, cold.ColdUntil = 100, f.clock.Now().Add(time.Minute)
-		f.list(cold)
+		f.setServers(cold)
 		for _, peer := range []string{"x", "y", "z"} {
 			f.scheduler.ResetPeerLoads(peer)
 		}
-		// The share stays the same when the other entry instances cannot be
-		// reached.
+		// The other entry instances have sent no message for longer than
+		// peerTimeout, but the share stays the same.
 		f.clock.Advance(2 * peerTimeout)
-		acquired := 0
+		acquiredCount := 0
 		for {
 			if _, err := f.acquire(f.request()); err != nil {
 				break
 			}
-			acquired++
+			acquiredCount++
 		}
-		So(acquired, ShouldEqual, 2)
+		So(acquiredCount, ShouldEqual, 2)
 	})
 }
--- a/request/dispatch/stall_test.go
+++ b/request/dispatch/stall_test.go
@@ -14,63 +14,63 @@
 		f := newSchedulerFixture()
 		a := f.server("a", "palermo")
 		a.Slots = 100
-		f.list(a)
+		f.setServers(a)
 		return f
 	}
-	request := func(f *schedulerFixture) *Request {
+	newRequest := func(f *schedulerFixture) *Request {
 		req := f.request()
 		req.Objective = 400 * time.Millisecond
-		req.Arrived = req.Arrived.Add(-time.Second) // too long ago to wait for a slot
+		req.Arrived = req.Arrived.Add(-time.Second) // so long ago that the request may not wait for a slot
 		return req
 	}
-	const pause = 601 * time.Millisecond // more than stallObjectives times the objective
+	const quietTime = 601 * time.Millisecond // more than stallObjectives times the objective
 
 	Convey("A server that sends nothing while requests run there gets no more requests until it sends something", t, func() {
 		f := newFixture()
-		first, err := f.scheduler.Acquire(t.Context(), request(f))
+		first, err := f.scheduler.Acquire(t.Context(), newRequest(f))
 		So(err, ShouldBeNil)
-		f.clock.Advance(pause)
-		_, err = f.acquire(request(f))
+		f.clock.Advance(quietTime)
+		_, err = f.acquire(newRequest(f))
 		So(errors.Is(err, ErrFull), ShouldBeTrue)
 		f.scheduler.RecordActivity(first)
-		_, err = f.acquire(request(f))
+		_, err = f.acquire(newRequest(f))
 		So(err, ShouldBeNil)
 	})
 
 	Convey("A server without running requests is not stalled, although it sends nothing", t, func() {
 		f := newFixture()
-		first, err := f.scheduler.Acquire(t.Context(), request(f))
+		first, err := f.scheduler.Acquire(t.Context(), newRequest(f))
 		So(err, ShouldBeNil)
-		f.clock.Advance(pause)
+		f.clock.Advance(quietTime)
 		f.scheduler.Release(first, Ended)
-		_, err = f.acquire(request(f))
+		_, err = f.acquire(newRequest(f))
 		So(err, ShouldBeNil)
 	})
 
 	Convey("With a longer objective a server may send nothing for longer", t, func() {
 		f := newFixture()
-		slow := func() *Request {
-			req := request(f)
+		newLongRequest := func() *Request {
+			req := newRequest(f)
 			req.Objective = 3 * time.Second
 			req.Arrived = req.Arrived.Add(-10 * time.Second)
 			return req
 		}
-		_, err := f.acquire(slow())
+		_, err := f.acquire(newLongRequest())
 		So(err, ShouldBeNil)
 		f.clock.Advance(4 * time.Second)
-		_, err = f.acquire(slow())
+		_, err = f.acquire(newLongRequest())
 		So(err, ShouldBeNil)
 	})
 
-	Convey("Under full load a stalled server gets a few requests and not one for each slot", t, func() {
+	Convey("Under full load a stalled server gets requests only until it counts as stalled, and not one for each slot", t, func() {
 		f := newFixture()
-		sent := 0
+		sentCount := 0
 		for range 100 { // 50 requests per second for two seconds
-			if _, err := f.acquire(request(f)); err == nil {
-				sent++
+			if _, err := f.acquire(newRequest(f)); err == nil {
+				sentCount++
 			}
 			f.clock.Advance(20 * time.Millisecond)
 		}
-		So(sent, ShouldBeLessThanOrEqualTo, int(pause/(20*time.Millisecond))+1)
+		So(sentCount, ShouldBeLessThanOrEqualTo, int(quietTime/(20*time.Millisecond))+1)
 	})
 }
--- a/request/dispatch/window.go
+++ b/request/dispatch/window.go
@@ -8,19 +8,20 @@
 	times []time.Time
 }
 
-// add records an event at now and drops the events older than span.
+// add records an event at now and drops the events that are at least span old.
 func (w *slidingWindow) add(now time.Time, span time.Duration) {
 	w.times = append(w.recent(now, span), now)
 }
 
-// count returns the number of events within the last span.
+// count returns the number of events that are less than span old, and drops the
+// others.
 func (w *slidingWindow) count(now time.Time, span time.Duration) int {
 	w.times = w.recent(now, span)
 	return len(w.times)
 }
 
-// recent returns the times of the events within the last span, in the same
-// backing array.
+// recent returns the times of the events that are less than span old. It moves
+// them to the start of the array of w.times, so the caller must replace w.times.
 func (w *slidingWindow) recent(now time.Time, span time.Duration) []time.Time {
 	n := 0
 	for n < len(w.times) && now.Sub(w.times[n]) >= span {
