--- a/request/accounts/accounts.go
+++ b/request/accounts/accounts.go
@@ -14,19 +14,19 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// bearerScheme is the authentication scheme of client keys, with the space that
-// follows.
+// bearerScheme is the authentication scheme before a client's key in the
+// Authorization header, with the space that follows.
 const bearerScheme = "Bearer "
 
 // Errors of [Controller.Admit] and [Controller.Authenticate].
 var (
 	// ErrUnauthorized is returned when no client account has the given key.
 	ErrUnauthorized = errors.New("no client account has this key")
-	// ErrTooManyInFlight is returned when the account already has MaxInFlight
-	// calls in flight.
+	// ErrTooManyInFlight is returned when the client account already has as many
+	// calls in flight as its MaxInFlight allows.
 	ErrTooManyInFlight = errors.New("the client account has too many calls in flight")
-	// ErrFairShare is returned when capacity is short and the account already has
-	// its fair share of the calls in flight.
+	// ErrFairShare is returned when capacity is short and the client account
+	// already has its fair share of the calls in flight.
 	ErrFairShare = errors.New("capacity is short and the client account has its share")
 )
 
@@ -37,10 +37,10 @@
 	holder *confstore.Holder
 
 	mu sync.Mutex
-	// inFlight holds the number of calls in flight by account name, and total
-	// their sum.
-	inFlight map[string]int
-	total    int
+	// inFlight holds the number of calls in flight by account name, without
+	// accounts that have none. totalInFlight is the sum of these numbers.
+	inFlight      map[string]int
+	totalInFlight int
 }
 
 // New returns a [Controller] for the client accounts in holder's current
@@ -49,8 +49,9 @@
 	return &Controller{holder: holder, inFlight: map[string]int{}}
 }
 
-// Authenticate returns the client account with the key in authorization, the
-// value of an Authorization header, or [ErrUnauthorized].
+// Authenticate returns the client account that has the key in authorization, the
+// value of an Authorization header. If there is none, the error is
+// [ErrUnauthorized].
 func (c *Controller) Authenticate(authorization string) (*declare.ClientAccount, error) {
 	key, ok := strings.CutPrefix(authorization, bearerScheme)
 	if !ok || key == "" {
@@ -69,22 +70,24 @@
 	return found, nil
 }
 
-// Share returns the weight with which an account takes part in the division of
-// capacity, at least 1.
+// Share returns the declared share of an account, or 1 if that is higher. Capacity
+// that is short is divided among the accounts in proportion to their shares.
 func Share(a *declare.ClientAccount) int { return max(1, a.Share) }
 
 // Admission is the result of admitting one call.
 type Admission struct {
-	// WithinFairShare is true if the call is within the fair share of its account
+	// WithinFairShare is true if the call is within the fair share of the account
 	// and other accounts have calls in flight too.
 	WithinFairShare bool
-	// Release ends the call. The caller must call it exactly once.
+	// Release removes the call from the calls in flight. It must be called exactly
+	// once, when the call has ended.
 	Release func()
 }
 
-// Admit admits one more call of an account and counts it. The caller sets
-// capacityShort while no server has a free slot for the call; only then is an
-// account limited to its fair share. The error is [ErrTooManyInFlight] or [ErrFairShare].
+// Admit counts one more call of an account as in flight, or refuses the call. The
+// caller sets capacityShort if no server has a free slot for the call; only then
+// is the account limited to its fair share. The error is [ErrTooManyInFlight] or
+// [ErrFairShare].
 func (c *Controller) Admit(a *declare.ClientAccount, capacityShort bool) (Admission, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,34 +99,34 @@
 	if capacityShort && !belowShare {
 		return Admission{}, ErrFairShare
 	}
-	withinFairShare := belowShare && inFlight < c.total
+	withinFairShare := belowShare && inFlight < c.totalInFlight
 	c.inFlight[a.Name]++
-	c.total++
+	c.totalInFlight++
 	return Admission{WithinFairShare: withinFairShare, Release: func() { c.release(a.Name) }}, nil
 }
 
-// fairShare returns the number of calls, at least 1, that an account gets when
-// the calls in flight and one more are divided by weight among this account and
-// the others that have calls in flight; fractions are rounded up. The caller
-// holds c.mu.
+// fairShare returns the fair share of an account as a number of calls, at least 1.
+// The calls in flight and one more are divided among this account and the others
+// that have calls in flight, in proportion to their shares; the result is rounded
+// up. The caller holds c.mu.
 func (c *Controller) fairShare(a *declare.ClientAccount) int {
-	weights := 0
+	totalShares := 0
 	declared := c.holder.Current().Set.ClientAccounts
 	for name := range c.inFlight {
 		if other, ok := declared[name]; ok && name != a.Name {
-			weights += Share(other)
+			totalShares += Share(other)
 		}
 	}
-	own := Share(a)
-	weights += own
-	return ((c.total+1)*own + weights - 1) / weights
+	ownShare := Share(a)
+	totalShares += ownShare
+	return ((c.totalInFlight+1)*ownShare + totalShares - 1) / totalShares
 }
 
 // release removes one call of an account from the counts.
 func (c *Controller) release(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.total--
+	c.totalInFlight--
 	c.inFlight[name]--
 	if c.inFlight[name] == 0 {
 		delete(c.inFlight, name)
--- a/request/accounts/accounts_test.go
+++ b/request/accounts/accounts_test.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// newTestController returns a [Controller] for accounts. The key of each
-// account is its name followed by "-key".
+// newTestController returns a [Controller] for the given accounts. The key of each
+// account is the account's name followed by "-key".
 func newTestController(accounts ...*declare.ClientAccount) *Controller {
 	set := declare.NewSet()
 	for _, a := range accounts {
@@ -45,12 +45,12 @@
 			_, err := controller.Admit(large, false)
 			So(err, ShouldBeNil)
 		}
-		Convey("an account that has all the calls in flight is not limited when capacity is short", func() {
+		Convey("an account is not limited to a share when capacity is short and no other account has calls in flight", func() {
 			admission, err := controller.Admit(large, true)
 			So(err, ShouldBeNil)
 			So(admission.WithinFairShare, ShouldBeFalse)
 		})
-		Convey("when capacity is short, the small account is within its share and the large one is refused", func() {
+		Convey("when capacity is short, a call of the small account is within the account's share, and a call of the large account is refused", func() {
 			admission, err := controller.Admit(small, true)
 			So(err, ShouldBeNil)
 			So(admission.WithinFairShare, ShouldBeTrue)
