--- a/request/routing/affinity.go
+++ b/request/routing/affinity.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// affinityRelativeMargin and affinityAbsoluteMargin determine the load ratio
-	// up to which a server receives calls because of the prompt's prefix:
+	// affinityRelativeMargin and affinityAbsoluteMargin determine the highest load
+	// ratio at which a server still receives calls because of the prompt's prefix:
 	// mean ratio * (1 + affinityRelativeMargin) + affinityAbsoluteMargin.
 	affinityRelativeMargin = 0.1
 	affinityAbsoluteMargin = 0.05
@@ -14,17 +14,17 @@
 
 // pickByPrefix returns the candidate with the highest rendezvous weight for the
 // prefix among those whose load ratio is not far above the mean (consistent
-// hashing with bounded loads).
+// hashing with bounded loads). It returns false if there are no candidates.
 func pickByPrefix(prefix uint64, candidates []candidate) (candidate, bool) {
 	sum := 0.0
 	for _, c := range candidates {
 		sum += c.loadRatio()
 	}
-	bound := sum/float64(len(candidates))*(1+affinityRelativeMargin) + affinityAbsoluteMargin
+	maxRatio := sum/float64(len(candidates))*(1+affinityRelativeMargin) + affinityAbsoluteMargin
 	var best candidate
 	var bestWeight uint64
 	for _, c := range candidates {
-		if c.loadRatio() > bound {
+		if c.loadRatio() > maxRatio {
 			continue
 		}
 		if w := rendezvousWeight(prefix, c.server.Instance.ID); best.server == nil || w > bestWeight {
--- a/request/routing/candidates.go
+++ b/request/routing/candidates.go
@@ -21,7 +21,8 @@
 	skipEjected       = "ejected"
 )
 
-// nearlyFullRatio is the load ratio from which calls go to more distant servers.
+// nearlyFullRatio is the load ratio from which a server counts as nearly full, so
+// that calls go to more distant servers.
 const nearlyFullRatio = 0.9
 
 // distance classifies a server by its location relative to the entry instance.
@@ -35,6 +36,7 @@
 	distanceCount // the number of distances
 )
 
+// String returns the name of the distance in log lines.
 func (d distance) String() string {
 	return [...]string{"own data centre", "own region", "other region"}[d]
 }
@@ -48,26 +50,27 @@
 	distance distance
 }
 
-// hasFreeSlot reports whether the estimated load is below the limit.
+// hasFreeSlot reports whether the estimated load is below the server's limit.
 func (c candidate) hasFreeSlot() bool { return c.load < c.server.Report.Limit }
 
-// loadRatio returns the load divided by the limit.
+// loadRatio returns the estimated load divided by the server's limit.
 func (c candidate) loadRatio() float64 {
 	return float64(c.load) / float64(max(1, c.server.Report.Limit))
 }
 
-// coldOrWarming reports whether the server's limit is still below its declared
-// limit.
-func (c candidate) coldOrWarming() bool {
+// isColdOrWarming reports whether the server has started recently and does not have
+// its full limit yet.
+func (c candidate) isColdOrWarming() bool {
 	return c.server.Report.State == frame.StateCold || c.server.Report.State == frame.StateWarming
 }
 
-// candidateSet holds the candidates for one routing decision, and the number of
-// skipped servers by reason.
+// candidateSet holds the candidates for one routing decision.
 type candidateSet struct {
+	// configNumber is the number of the configuration that was used.
 	configNumber uint64
 	candidates   []candidate
-	skipped      map[string]int
+	// skippedCounts holds the number of skipped servers by reason.
+	skippedCounts map[string]int
 }
 
 // fields returns log fields that describe the query and the candidates.
@@ -76,7 +79,7 @@
 		"request":    q.RequestID,
 		"config":     s.configNumber,
 		"candidates": len(s.candidates),
-		"skipped":    s.skipped,
+		"skipped":    s.skippedCounts,
 		"attempt":    len(q.Tried) + 1,
 	}
 	if q.Service != "" {
@@ -89,11 +92,11 @@
 }
 
 // findCandidates divides the registered servers into candidates and skipped
-// servers. If ejection leaves no candidate, the ejected servers are the
-// candidates. The caller holds r.mu.
+// servers. If there are no candidates other than ejected servers, the ejected
+// servers are the candidates. The caller holds r.mu.
 func (r *Router) findCandidates(q Query) candidateSet {
 	snapshot := r.configHolder.Current()
-	found := candidateSet{configNumber: snapshot.Number, skipped: map[string]int{}}
+	found := candidateSet{configNumber: snapshot.Number, skippedCounts: map[string]int{}}
 	var ejected []candidate
 	now := r.clock.Now()
 	servers := r.reg.All()
@@ -102,13 +105,13 @@
 		s := &servers[i]
 		reason := skipReason(snapshot.Set, s, q)
 		if reason != "" {
-			found.skipped[reason]++
+			found.skippedCounts[reason]++
 			continue
 		}
 		state := r.stateOf(s)
 		c := candidate{server: s, state: state, load: state.estimatedLoad(s), distance: r.distanceTo(s)}
 		if state.ejection.excludes(now) {
-			found.skipped[skipEjected]++
+			found.skippedCounts[skipEjected]++
 			ejected = append(ejected, c)
 			continue
 		}
@@ -129,7 +132,8 @@
 	return max(estimate, state.inFlight)
 }
 
-// skipReason returns the reason for which s is not a candidate, or "".
+// skipReason returns the reason for which s is not a candidate for q, or "" if
+// there is none. It does not consider ejection.
 func skipReason(set *declare.Set, s *registry.Server, q Query) string {
 	if reason := unavailableReason(set, s); reason != "" {
 		return reason
@@ -146,8 +150,8 @@
 	return skipHoldsOther
 }
 
-// unavailableReason returns the reason for which s takes no new calls at all, or
-// "".
+// unavailableReason returns the reason for which s must not get any new call, or
+// "" if there is none.
 func unavailableReason(set *declare.Set, s *registry.Server) string {
 	declared, ok := set.BackendServers[s.Instance.ID]
 	if !ok {
@@ -178,22 +182,23 @@
 	return otherRegion
 }
 
-// choose picks a candidate and returns the reason for the choice. It prefers
-// the nearest servers that are not nearly full, then any server with a free
-// slot. From the second attempt on, near servers are not preferred: the
-// reported loads lag behind the calls of other entry instances, and the near
-// servers may be fuller than they seem. If no server has a free slot, choose
-// picks among the warm servers, whose agents may queue the call. Cold servers
-// receive more calls than their limit only when there is no warm server. The
-// caller holds r.mu.
+// choose picks a candidate and returns the reason for the choice, or false if
+// there is no candidate. It prefers the nearest servers that are not nearly full,
+// then any server with a free slot. From the second attempt on, near servers are
+// not preferred: the reported loads lag behind the calls of other entry
+// instances, so that near servers may have less free capacity than was reported.
+// If no server has a free slot, choose picks among the servers that are neither
+// cold nor warming, whose agents may queue the call. Cold and warming servers
+// receive more calls than their limit only when there are no others. The caller
+// holds r.mu.
 func (r *Router) choose(q Query, found candidateSet) (candidate, string, bool) {
 	if len(found.candidates) == 0 {
 		return candidate{}, "no candidate", false
 	}
 	for d := sameDataCentre; d < distanceCount && len(q.Tried) == 0; d++ {
-		near := filter(found.candidates, func(c candidate) bool { return c.distance == d && c.loadRatio() < nearlyFullRatio })
-		if len(near) > 0 {
-			c, reason := r.applyPolicy(q, near)
+		atDistance := filter(found.candidates, func(c candidate) bool { return c.distance == d && c.loadRatio() < nearlyFullRatio })
+		if len(atDistance) > 0 {
+			c, reason := r.applyPolicy(q, atDistance)
 			return c, d.String() + ", " + reason, true
 		}
 	}
@@ -201,17 +206,17 @@
 		c, reason := r.applyPolicy(q, withFreeSlot)
 		return c, "any with a free slot, " + reason, true
 	}
-	queueing := filter(found.candidates, func(c candidate) bool { return !c.coldOrWarming() })
-	if len(queueing) == 0 {
-		queueing = found.candidates
+	fullyWarm := filter(found.candidates, func(c candidate) bool { return !c.isColdOrWarming() })
+	if len(fullyWarm) == 0 {
+		fullyWarm = found.candidates
 	}
 	q.Prefix = 0 // a shorter wait for a slot matters more than a cached prefix
-	c, reason := r.applyPolicy(q, queueing)
+	c, reason := r.applyPolicy(q, fullyWarm)
 	return c, "none has a free slot, " + reason, true
 }
 
-// applyPolicy chooses among servers that are equally preferred, by prefix
-// affinity or by the configured policy, and returns the reason for the choice.
+// applyPolicy chooses among equally preferred candidates, by prefix affinity or by
+// the configured policy, and returns the reason for the choice.
 func (r *Router) applyPolicy(q Query, candidates []candidate) (candidate, string) {
 	n := len(candidates)
 	if n == 1 {
@@ -226,8 +231,8 @@
 	case PolicyRandom:
 		return candidates[r.rng.IntN(n)], "random of " + strconv.Itoa(n)
 	case PolicyRoundRobin:
-		r.roundRobinTurn++
-		return nextRoundRobin(candidates, r.roundRobinTurn), "next of " + strconv.Itoa(n)
+		r.roundRobinCount++
+		return nextRoundRobin(candidates, r.roundRobinCount), "next of " + strconv.Itoa(n)
 	case PolicyLeastLoaded:
 		return leastLoaded(candidates), "least loaded of " + strconv.Itoa(n)
 	}
@@ -239,6 +244,7 @@
 	return candidates[i], "less loaded than " + candidates[j].server.Instance.ID
 }
 
+// leastLoaded returns the first of the candidates with the lowest load ratio.
 func leastLoaded(candidates []candidate) candidate {
 	best := candidates[0]
 	for _, c := range candidates[1:] {
@@ -249,18 +255,19 @@
 	return best
 }
 
-// nextRoundRobin returns the server at position turn, modulo the number of
-// candidates, in the order of the servers' IDs.
-func nextRoundRobin(candidates []candidate, turn int) candidate {
-	position := turn % len(candidates)
+// nextRoundRobin returns the candidate for the round-robin choice with the number
+// choiceCount. The candidates are taken in the order of the servers' IDs, again
+// and again.
+func nextRoundRobin(candidates []candidate, choiceCount int) candidate {
+	position := choiceCount % len(candidates)
 	for _, c := range candidates {
-		smaller := 0
+		smallerIDCount := 0
 		for _, other := range candidates {
 			if other.server.Instance.ID < c.server.Instance.ID {
-				smaller++
+				smallerIDCount++
 			}
 		}
-		if smaller == position {
+		if smallerIDCount == position {
 			return c
 		}
 	}
--- a/request/routing/ejection.go
+++ b/request/routing/ejection.go
@@ -3,13 +3,13 @@
 import "time"
 
 // ejection is the outlier detection state of one server. A server that fails or
-// stalls repeatedly gets no calls for a while. After that, one call at a time
-// probes it until one succeeds.
+// stalls repeatedly is ejected: it gets no calls for a while. After that, it gets
+// one call at a time as a probe, until a probe succeeds.
 type ejection struct {
 	// consecutiveFailures counts the failures since the last success.
 	consecutiveFailures int
-	// ejections counts the ejections since the last success.
-	ejections int
+	// ejectionCount counts the ejections since the last success.
+	ejectionCount int
 	// ejectedUntil is the earliest time of the next probe; zero when the server
 	// is not ejected.
 	ejectedUntil time.Time
@@ -17,8 +17,8 @@
 	probing bool
 }
 
-// excludes reports whether the server must not be chosen at time now, because it
-// is ejected or a probe is running.
+// excludes reports whether the server must not be chosen at now, because its
+// ejection has not ended or a probe is running.
 func (e *ejection) excludes(now time.Time) bool {
 	if e.ejectedUntil.IsZero() {
 		return false
@@ -26,23 +26,24 @@
 	return e.probing || now.Before(e.ejectedUntil)
 }
 
-// markChosen records that the server was chosen. For an ejected server the call
-// is a probe.
+// markChosen records that the server was chosen for a call. If the server is
+// ejected, this call is a probe.
 func (e *ejection) markChosen() {
 	if !e.ejectedUntil.IsZero() {
 		e.probing = true
 	}
 }
 
-// recordSuccess clears the state and reports whether the server was ejected.
+// recordSuccess clears the state and reports whether the server was ejected until
+// now.
 func (e *ejection) recordSuccess() bool {
 	wasEjected := !e.ejectedUntil.IsZero()
 	*e = ejection{}
 	return wasEjected
 }
 
-// recordFailure counts a failure. It returns the duration of the ejection if this
-// failure ejects the server, or else 0.
+// recordFailure counts a failure. It returns the duration of the new ejection if
+// this failure ejects the server, and otherwise 0.
 func (e *ejection) recordFailure(now time.Time, c Config) time.Duration {
 	e.consecutiveFailures++
 	wasProbe := e.probing
@@ -51,10 +52,10 @@
 		return 0
 	}
 	duration := c.EjectMax
-	if e.ejections < 16 {
-		duration = min(c.EjectMax, c.EjectBase<<e.ejections)
+	if e.ejectionCount < 16 {
+		duration = min(c.EjectMax, c.EjectBase<<e.ejectionCount)
 	}
-	e.ejections++
+	e.ejectionCount++
 	e.ejectedUntil = now.Add(duration)
 	return duration
 }
--- a/request/routing/pinning.go
+++ b/request/routing/pinning.go
@@ -6,10 +6,10 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// PinnedDigest implements Picker. It returns the declared version once half of
-// the replicas have loaded it. Until then it returns the version of the model
-// that most servers have loaded, so that the model stays available during a
-// rollout.
+// PinnedDigest implements Picker. It returns the digest of the declared version
+// if at least half of the replicas have loaded this version. Otherwise it returns
+// that of the version that most servers have loaded, so that the model stays
+// available during a rollout.
 func (r *Router) PinnedDigest(model string) (core.Digest, bool) {
 	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
@@ -19,7 +19,7 @@
 	serverCounts := r.countServersByDigest(snapshot.Set, model)
 	declared := snapshot.Set.Versions[m.Version]
 	if declared != nil && canTakeOver(serverCounts[declared.Manifest], m.Replicas) {
-		r.recordPin(model, declared.Manifest, declared.Manifest)
+		r.recordPinnedDigest(model, declared.Manifest, declared.Manifest)
 		return declared.Manifest, true
 	}
 	best := mostLoadedVersion(snapshot.Set, m, serverCounts)
@@ -27,15 +27,16 @@
 		return "", false
 	}
 	if declared != nil {
-		r.recordPin(model, best, declared.Manifest)
+		r.recordPinnedDigest(model, best, declared.Manifest)
 	}
 	return best, true
 }
 
-// AlternativeDigest implements Picker. During a rollout over servers that
-// cannot hold two versions at once, the declared version and the one that it
-// replaces share the servers until every replica has loaded the declared
-// version. AlternativeDigest returns the one of them that is not pinned.
+// AlternativeDigest implements Picker. During a rollout over servers that cannot
+// hold two versions at once, some servers have the declared version and others
+// still have the version that it replaces. Until every replica has loaded the
+// declared version, AlternativeDigest returns the digest of the version that is
+// not pinned.
 func (r *Router) AlternativeDigest(model string, pinned core.Digest) (core.Digest, bool) {
 	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
@@ -55,8 +56,8 @@
 	return alternative, alternative != ""
 }
 
-// countServersByDigest counts, for each manifest digest, the available servers
-// that have loaded a version of model.
+// countServersByDigest returns, for the digest of each version of model, the
+// number of available servers that have loaded this version.
 func (r *Router) countServersByDigest(set *declare.Set, model string) map[core.Digest]int {
 	counts := map[core.Digest]int{}
 	servers := r.reg.All()
@@ -74,15 +75,16 @@
 	return counts
 }
 
-// canTakeOver reports whether new calls may run on a version that this number of
-// servers have loaded: at least half of the replicas.
-func canTakeOver(servers, replicas int) bool {
-	return servers > 0 && 2*servers >= replicas
+// canTakeOver reports whether new calls may run on a version that serverCount
+// servers have loaded: there must be at least one, and at least half as many as
+// the model has replicas.
+func canTakeOver(serverCount, replicaCount int) bool {
+	return serverCount > 0 && 2*serverCount >= replicaCount
 }
 
-// mostLoadedVersion returns the digest of the declared version that is loaded on
-// the most servers. A tie goes to the model's declared version, then to the first
-// by name.
+// mostLoadedVersion returns the digest of the version of m that is loaded on the
+// most servers, or "" if none is loaded. Of versions with equally many servers it
+// takes the one that m declares as current, or else the first by name.
 func mostLoadedVersion(set *declare.Set, m *declare.Model, serverCounts map[core.Digest]int) core.Digest {
 	var best *declare.Version
 	for _, v := range set.Versions {
@@ -99,7 +101,8 @@
 	return best.Manifest
 }
 
-// isPreferred reports whether mostLoadedVersion prefers v to best.
+// isPreferred reports whether v comes before best in mostLoadedVersion: by the
+// number of servers, then the version that m declares as current, then by name.
 func isPreferred(m *declare.Model, v, best *declare.Version, serverCounts map[core.Digest]int) bool {
 	if serverCounts[v.Manifest] != serverCounts[best.Manifest] {
 		return serverCounts[v.Manifest] > serverCounts[best.Manifest]
@@ -110,9 +113,10 @@
 	return v.Name < best.Name
 }
 
-// recordPin records the version on which new calls to model run, and logs a
-// change to a version other than the declared one.
-func (r *Router) recordPin(model string, pinned, declared core.Digest) {
+// recordPinnedDigest records the digest of the version on which new calls to model
+// run. If the digest has changed and is not that of the declared version, it logs
+// the change.
+func (r *Router) recordPinnedDigest(model string, pinned, declared core.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.pinnedDigests[model] == pinned {
--- a/request/routing/router.go
+++ b/request/routing/router.go
@@ -35,13 +35,14 @@
 		"too few servers have loaded the declared version, so new calls run on another version of the model")
 )
 
-// Policy names a load balancing policy among equally preferred servers.
+// Policy is the name of a load balancing policy, which chooses among equally
+// preferred servers.
 type Policy string
 
 // The policies. Those other than PolicyTwoChoices exist for comparison with it.
 const (
-	// PolicyTwoChoices takes the less loaded of two random servers (power of two
-	// choices).
+	// PolicyTwoChoices takes the server with the lower ratio of load to limit of
+	// two random servers (power of two choices).
 	PolicyTwoChoices Policy = "two-choices"
 	// PolicyRandom takes a random server.
 	PolicyRandom Policy = "random"
@@ -53,8 +54,8 @@
 
 // Config holds the settings of a Router.
 type Config struct {
-	// Self is the entry instance. Servers in its data centre and region are
-	// preferred.
+	// Self is the entry instance that uses the Router. Servers in the same data
+	// centre are preferred, then servers in the same region.
 	Self core.Instance
 	// Policy is the load balancing policy; default PolicyTwoChoices.
 	Policy Policy
@@ -91,30 +92,31 @@
 	log          *eventlog.Logger
 	clock        clockwork.Clock
 
-	mu             sync.Mutex
-	rng            *rand.Rand
-	roundRobinTurn int
+	mu  sync.Mutex
+	rng *rand.Rand
+	// roundRobinCount is the number of choices by PolicyRoundRobin so far.
+	roundRobinCount int
 	// servers holds the states by server ID, and pinnedDigests the last pinned
-	// digests by model.
+	// digests by the name of the model.
 	servers       map[string]*serverState
 	pinnedDigests map[string]core.Digest
 }
 
 // serverState is the state that a Router keeps for one server.
 type serverState struct {
-	// incarnation is the incarnation of the server's agent. A new incarnation
-	// clears the ejection state.
+	// incarnation is the incarnation of the server's agent. The ejection state is
+	// cleared when it changes.
 	incarnation string
 	// inFlight counts the running attempts of this entry instance at the server.
 	inFlight int
-	// reportedAt is the time of the newest report and inFlightAtReport the
-	// value of inFlight at that time.
+	// reportedAt is the time of the newest load report of the agent, and
+	// inFlightAtReport the value of inFlight at that time.
 	reportedAt       time.Time
 	inFlightAtReport int
 	ejection         ejection
 }
 
-// New returns a Router over the servers of reg.
+// New returns a Router that chooses among the servers registered in reg.
 func New(c Config, reg *registry.Registry, holder *confstore.Holder, log *eventlog.Logger, clock clockwork.Clock) *Router {
 	c.applyDefaults()
 	return &Router{
@@ -219,8 +221,8 @@
 	}
 }
 
-// stateOf returns the state of s, updated to its newest report and incarnation.
-// The caller holds r.mu.
+// stateOf returns the state of s, and creates it if there is none. It updates the
+// state if s has a new report or a new incarnation. The caller holds r.mu.
 func (r *Router) stateOf(s *registry.Server) *serverState {
 	id := s.Instance.ID
 	state, ok := r.servers[id]
--- a/request/routing/router_test.go
+++ b/request/routing/router_test.go
@@ -23,7 +23,8 @@
 	newDigest = core.Digest("sha256:new")
 )
 
-// fixture is a Router over servers named DATACENTRE-N.
+// fixture holds a Router and the registry, configuration and clock that it uses.
+// The IDs of the servers have the form DATACENTRE-N.
 type fixture struct {
 	router       *Router
 	reg          *registry.Registry
@@ -32,6 +33,8 @@
 	clock        *clockwork.FakeClock
 }
 
+// newFixture returns a fixture whose Router uses p. limits holds the limit of each
+// server by ID; all servers have loaded the old version.
 func newFixture(p Policy, limits map[string]int) *fixture {
 	f := &fixture{reg: registry.New(), configHolder: confstore.NewHolder(), set: declare.NewSet(), clock: clockwork.NewFakeClock()}
 	for _, dc := range []string{"palermo", "trapani", "catania"} {
@@ -41,7 +44,7 @@
 	f.set.Versions["v1"] = &declare.Version{Name: "v1", Model: "herbs", Manifest: oldDigest}
 	f.set.Versions["v2"] = &declare.Version{Name: "v2", Model: "herbs", Manifest: newDigest}
 	for id, limit := range limits {
-		f.put(id, oldDigest, frame.Report{State: frame.StateReady, Limit: limit})
+		f.putServer(id, oldDigest, frame.Report{State: frame.StateReady, Limit: limit})
 	}
 	f.publish()
 	f.router = New(Config{Self: core.Instance{DataCentre: "palermo", Region: "west"}, Policy: p, Seed: 5},
@@ -49,9 +52,9 @@
 	return f
 }
 
-// put declares a server and registers it with a report that lists the loaded
-// weights d.
-func (f *fixture) put(id string, d core.Digest, report frame.Report) {
+// putServer declares a server and registers it with report, to which it adds that
+// the server has loaded the weights with digest d.
+func (f *fixture) putServer(id string, d core.Digest, report frame.Report) {
 	dc, region := id[:7], "west"
 	if dc == "catania" {
 		region = "east"
@@ -61,15 +64,16 @@
 	f.reg.Put(registry.Server{Instance: core.Instance{ID: id, DataCentre: dc, Region: region}, Incarnation: "1", Report: report})
 }
 
-// publish makes a copy of the configuration set current. The copy is needed
-// because a set must not be changed once it is current.
+// publish puts a copy of f.set into force as the next configuration. The copy is
+// needed because a set in force must not be changed.
 func (f *fixture) publish() {
 	set := *f.set
 	f.configHolder.Offer(&declare.Snapshot{Number: f.configHolder.Current().Number + 1, Set: &set})
 }
 
-// pick returns the ID of the server chosen for a call on the old version, or "".
-func (f *fixture) pick(tried ...string) string {
+// pickID returns the ID of the server that is chosen for a call on the old version
+// after attempts at the servers tried; "" if none is chosen.
+func (f *fixture) pickID(tried ...string) string {
 	q := Query{Model: "herbs", Digest: oldDigest, Tried: map[string]bool{}}
 	for _, id := range tried {
 		q.Tried[id] = true
@@ -84,7 +88,7 @@
 		Convey("calls fill the entry instance's data centre, then its region, then other regions", func() {
 			var order []string
 			for range 27 {
-				order = append(order, f.pick())
+				order = append(order, f.pickID())
 			}
 			for i, dc := range []string{"palermo", "trapani", "catania"} {
 				for _, id := range order[i*9 : i*9+9] {
@@ -96,25 +100,25 @@
 			f.set.DataCentres = map[string]*declare.DataCentre{
 				"palermo": {Name: "palermo", Out: true}, "trapani": {Name: "trapani"}, "catania": {Name: "catania"}}
 			f.publish()
-			So(f.pick(), ShouldEqual, "trapani-1")
+			So(f.pickID(), ShouldEqual, "trapani-1")
 		})
 		Convey("a leaving, suspect or undeclared server gets no calls", func() {
 			f.reg.Update("palermo-1", "1", func(s *registry.Server) { s.Report.State = frame.StateLeaving })
 			f.reg.Update("trapani-1", "1", func(s *registry.Server) { s.Suspect = true })
-			So(f.pick(), ShouldEqual, "catania-1")
+			So(f.pickID(), ShouldEqual, "catania-1")
 			delete(f.set.BackendServers, "catania-1")
 			f.publish()
-			So(f.pick(), ShouldEqual, "")
+			So(f.pickID(), ShouldEqual, "")
 		})
 		Convey("a server with other weights gets no calls", func() {
-			f.put("palermo-1", newDigest, frame.Report{State: frame.StateReady, Limit: 10})
-			So(f.pick(), ShouldEqual, "trapani-1")
+			f.putServer("palermo-1", newDigest, frame.Report{State: frame.StateReady, Limit: 10})
+			So(f.pickID(), ShouldEqual, "trapani-1")
 		})
 		Convey("a cold server gets no more than its limit", func() {
-			f.put("palermo-1", oldDigest, frame.Report{State: frame.StateCold, Limit: 2})
+			f.putServer("palermo-1", oldDigest, frame.Report{State: frame.StateCold, Limit: 2})
 			count := map[string]int{}
 			for range 60 {
-				count[f.pick()]++
+				count[f.pickID()]++
 			}
 			So(count["palermo-1"], ShouldEqual, 2)
 		})
@@ -122,47 +126,47 @@
 }
 
 func TestEjection(t *testing.T) {
-	Convey("Given a server that fails", t, func() {
+	Convey("Given a server that has failed repeatedly", t, func() {
 		f := newFixture(PolicyTwoChoices, map[string]int{"palermo-1": 10, "trapani-1": 10})
 		for range defaultEjectFailures {
-			So(f.pick(), ShouldEqual, "palermo-1")
+			So(f.pickID(), ShouldEqual, "palermo-1")
 			f.router.Done("palermo-1", ResultFailed, nil)
 		}
 		So(f.router.Suspended("palermo-1"), ShouldBeTrue)
-		So(f.pick(), ShouldEqual, "trapani-1")
-		Convey("one call probes it after the ejection, and a success ends the ejection", func() {
+		So(f.pickID(), ShouldEqual, "trapani-1")
+		Convey("after the ejection time the server gets one call as a probe, and gets calls again once the probe succeeds", func() {
 			f.clock.Advance(defaultEjectBase)
-			So(f.pick(), ShouldEqual, "palermo-1")
-			So(f.pick(), ShouldEqual, "trapani-1")
+			So(f.pickID(), ShouldEqual, "palermo-1")
+			So(f.pickID(), ShouldEqual, "trapani-1")
 			f.router.Done("palermo-1", ResultOK, nil)
-			So(f.pick(), ShouldEqual, "palermo-1")
+			So(f.pickID(), ShouldEqual, "palermo-1")
 		})
-		Convey("a failed probe ejects it for longer", func() {
+		Convey("a failed probe ejects the server for longer", func() {
 			f.clock.Advance(defaultEjectBase)
-			So(f.pick(), ShouldEqual, "palermo-1")
+			So(f.pickID(), ShouldEqual, "palermo-1")
 			f.router.Done("palermo-1", ResultFailed, nil)
 			f.clock.Advance(defaultEjectBase)
-			So(f.pick(), ShouldEqual, "trapani-1")
+			So(f.pickID(), ShouldEqual, "trapani-1")
 		})
-		Convey("it is chosen if there is no other server", func() {
+		Convey("the ejected server is chosen if there is no other server", func() {
 			f.reg.Update("trapani-1", "1", func(s *registry.Server) { s.Suspect = true })
-			So(f.pick(), ShouldEqual, "palermo-1")
+			So(f.pickID(), ShouldEqual, "palermo-1")
 		})
 	})
 }
 
 func TestPin(t *testing.T) {
-	Convey("Given a new version that few of four servers have loaded", t, func() {
+	Convey("Given a new version that two of four servers have loaded", t, func() {
 		f := newFixture(PolicyTwoChoices, map[string]int{"palermo-1": 10, "palermo-2": 10, "trapani-1": 10, "catania-1": 10})
 		ready := frame.Report{State: frame.StateReady, Limit: 10}
-		pin := func() core.Digest {
+		pinned := func() core.Digest {
 			d, _ := f.router.PinnedDigest("herbs")
 			return d
 		}
-		f.put("palermo-1", newDigest, ready)
-		So(pin(), ShouldEqual, oldDigest)
-		f.put("palermo-2", newDigest, ready)
-		So(pin(), ShouldEqual, newDigest)
+		f.putServer("palermo-1", newDigest, ready)
+		So(pinned(), ShouldEqual, oldDigest)
+		f.putServer("palermo-2", newDigest, ready)
+		So(pinned(), ShouldEqual, newDigest)
 		_, ok := f.router.PinnedDigest("none")
 		So(ok, ShouldBeFalse)
 
@@ -173,8 +177,8 @@
 			other, ok = f.router.AlternativeDigest("herbs", oldDigest)
 			So(ok, ShouldBeTrue)
 			So(other, ShouldEqual, newDigest)
-			f.put("trapani-1", newDigest, ready)
-			f.put("catania-1", newDigest, ready)
+			f.putServer("trapani-1", newDigest, ready)
+			f.putServer("catania-1", newDigest, ready)
 			_, ok = f.router.AlternativeDigest("herbs", newDigest)
 			So(ok, ShouldBeFalse)
 			_, ok = f.router.AlternativeDigest("none", newDigest)
@@ -183,56 +187,56 @@
 	})
 }
 
-// TestPoliciesCompared gives each policy the same calls over servers with
-// different limits and compares how many choices find a full server: with four
-// entry instances, the present number, and with 55, the number for which a data
-// centre is designed.
+// TestPoliciesCompared runs each policy with the same rate of calls and the same
+// servers, whose limits differ, and compares how many choices find a full server:
+// with four entry instances, the present number, and with 55, the number for which
+// a data centre is designed.
 func TestPoliciesCompared(t *testing.T) {
 	Convey("Given servers with different limits and reports up to a second old", t, func() {
 		policies := []Policy{PolicyRandom, PolicyRoundRobin, PolicyLeastLoaded, PolicyTwoChoices}
-		refused := map[int]map[Policy]float64{4: {}, 55: {}}
-		for entryCount, percent := range refused {
+		refusedPercents := map[int]map[Policy]float64{4: {}, 55: {}}
+		for entryInstanceCount, percent := range refusedPercents {
 			for _, p := range policies {
-				percent[p], _ = simulate(p, entryCount, false)
+				percent[p], _ = simulate(p, entryInstanceCount, false)
 			}
-			t.Logf("percent of choices refused, %d entry instances: %v", entryCount, percent)
+			t.Logf("percent of choices refused, %d entry instances: %v", entryInstanceCount, percent)
 			So(percent[PolicyTwoChoices], ShouldBeLessThan, percent[PolicyRandom])
 			So(percent[PolicyTwoChoices], ShouldBeLessThan, percent[PolicyRoundRobin])
 		}
-		So(refused[55][PolicyTwoChoices], ShouldBeLessThan, refused[55][PolicyLeastLoaded])
+		So(refusedPercents[55][PolicyTwoChoices], ShouldBeLessThan, refusedPercents[55][PolicyLeastLoaded])
 	})
 }
 
-// simulate runs entry instances that choose servers by the reports that each
-// has received, which are up to a second old. It returns the percentage of
-// choices that found the server full, and the percentage of calls that found
-// their prompt's prefix in the server's cache.
-func simulate(p Policy, entryCount int, affinity bool) (refusedPercent, hitPercent float64) {
+// simulate runs entry instances that choose servers by policy p, each by its own
+// copy of the servers' reports, which is up to a second old. It returns the
+// percentage of choices that found the server full, and the percentage of the
+// other choices for which the prompt's prefix was in the server's cache.
+func simulate(p Policy, entryInstanceCount int, affinity bool) (refusedPercent, hitPercent float64) {
 	limits := map[string]int{}
 	for i := range 12 {
 		limits["palermo-"+strconv.Itoa(i)] = 10 + 10*(i%3)
 	}
-	entryInstances := make([]*fixture, entryCount)
+	entryInstances := make([]*fixture, entryInstanceCount)
 	for i := range entryInstances {
 		entryInstances[i] = newFixture(p, limits)
 		entryInstances[i].router.config.PrefixAffinity = affinity
 	}
 	rng := rand.New(rand.NewPCG(5, 5))
-	load := map[string]int{}
-	ends := map[int][]func(){}
-	calls, refused, hits := 0, 0, 0
+	loadByServer := map[string]int{}
+	endsByTick := map[int][]func(){}
+	callCount, refusedCount, hitCount := 0, 0, 0
 	caches := map[string]*prefixCache{}
 	for id := range limits {
 		caches[id] = &prefixCache{}
 	}
 	for tick := range 6_000 { // a tick is 10 ms; a call lasts 0.5 to 3 s
-		for _, end := range ends[tick] {
+		for _, end := range endsByTick[tick] {
 			end()
 		}
-		delete(ends, tick)
+		delete(endsByTick, tick)
 		for i, f := range entryInstances {
 			if (tick+7*i)%100 == 0 {
-				f.report(load)
+				f.setReports(loadByServer)
 			}
 			f.clock.Advance(10 * time.Millisecond)
 		}
@@ -243,27 +247,27 @@
 		prefix := uint64(1 + rng.IntN(prefixCount))
 		s, _ := f.router.Pick(Query{Model: "herbs", Digest: oldDigest, Prefix: prefix})
 		id := s.Instance.ID
-		calls++
-		if load[id] >= limits[id] {
-			refused++
-			f.router.Done(id, ResultRefused, &frame.Load{Limit: limits[id], InFlight: load[id]})
+		callCount++
+		if loadByServer[id] >= limits[id] {
+			refusedCount++
+			f.router.Done(id, ResultRefused, &frame.Load{Limit: limits[id], InFlight: loadByServer[id]})
 			continue
 		}
-		load[id]++
+		loadByServer[id]++
 		if caches[id].access(prefix) {
-			hits++
+			hitCount++
 		}
-		at := tick + 50 + rng.IntN(250)
-		ends[at] = append(ends[at], func() {
-			load[id]--
+		endTick := tick + 50 + rng.IntN(250)
+		endsByTick[endTick] = append(endsByTick[endTick], func() {
+			loadByServer[id]--
 			f.router.Done(id, ResultOK, nil)
 		})
 	}
-	return 100 * float64(refused) / float64(calls), 100 * float64(hits) / float64(calls-refused)
+	return 100 * float64(refusedCount) / float64(callCount), 100 * float64(hitCount) / float64(callCount-refusedCount)
 }
 
 // prefixCount is the number of different prompt prefixes, and prefixCacheSize the
-// number of them that a server caches.
+// maximum number of prefixes in the cache of a server.
 const (
 	prefixCount     = 400
 	prefixCacheSize = 64
@@ -273,8 +277,8 @@
 // last.
 type prefixCache struct{ prefixes []uint64 }
 
-// access moves or adds the prefix p to the end of the cache and reports whether
-// the cache held it.
+// access moves the prefix p to the end of the cache, or adds it there, and reports
+// whether the cache held p before.
 func (c *prefixCache) access(p uint64) (hit bool) {
 	if i := slices.Index(c.prefixes, p); i >= 0 {
 		c.prefixes = slices.Delete(c.prefixes, i, i+1)
@@ -287,28 +291,29 @@
 
 func TestPrefixAffinityCompared(t *testing.T) {
 	Convey("Given 400 prompt prefixes and servers that cache 64 of them each", t, func() {
-		for _, entryCount := range []int{4, 55} {
-			refusedWithout, hitsWithout := simulate(PolicyTwoChoices, entryCount, false)
-			refusedWith, hitsWith := simulate(PolicyTwoChoices, entryCount, true)
+		for _, entryInstanceCount := range []int{4, 55} {
+			refusedWithout, hitsWithout := simulate(PolicyTwoChoices, entryInstanceCount, false)
+			refusedWith, hitsWith := simulate(PolicyTwoChoices, entryInstanceCount, true)
 			t.Logf("%d entry instances: cache hits %.1f %% without affinity, %.1f %% with; refused %.2f %% without, %.2f %% with",
-				entryCount, hitsWithout, hitsWith, refusedWithout, refusedWith)
+				entryInstanceCount, hitsWithout, hitsWith, refusedWithout, refusedWith)
 			So(hitsWith, ShouldBeGreaterThan, hitsWithout)
 		}
 	})
 }
 
-// report updates the reports of all servers with these numbers of running calls.
-func (f *fixture) report(load map[string]int) {
+// setReports updates the reports of all servers; loadByServer holds the number of
+// running calls by server ID.
+func (f *fixture) setReports(loadByServer map[string]int) {
 	for _, s := range f.reg.All() {
 		f.reg.Update(s.Instance.ID, "1", func(s *registry.Server) {
-			s.Report.InFlight = load[s.Instance.ID]
+			s.Report.InFlight = loadByServer[s.Instance.ID]
 			s.LastSeen = f.clock.Now()
 		})
 	}
 }
 
-// BenchmarkPick measures one decision with the number of servers that an entry
-// instance is designed to have.
+// BenchmarkPick measures one call of Pick and Done with 120 servers, the number for
+// which an entry instance is designed.
 func BenchmarkPick(b *testing.B) {
 	limits := map[string]int{}
 	for i := range 120 {
@@ -316,6 +321,6 @@
 	}
 	f := newFixture(PolicyTwoChoices, limits)
 	for b.Loop() {
-		f.router.Done(f.pick(), ResultOK, nil)
+		f.router.Done(f.pickID(), ResultOK, nil)
 	}
 }
--- a/request/routing/routing.go
+++ b/request/routing/routing.go
@@ -1,5 +1,5 @@
 // Package routing chooses the backend server for each attempt at a call. It runs
-// at an entry instance, balances load with preference for near servers, and
+// at an entry instance, balances the load with preference for near servers, and
 // ejects servers that fail repeatedly.
 package routing
 
@@ -9,9 +9,9 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Query describes the requirements of an attempt.
+// Query describes an attempt for which a server is to be chosen.
 type Query struct {
-	// RequestID is logged with the decision.
+	// RequestID is the ID of the request, for log lines.
 	RequestID string
 	// Model and Digest are set for model calls.
 	Model  string
@@ -35,14 +35,15 @@
 	// version. It returns false unless a rollout is in progress, during which
 	// each version is loaded on a part of the servers.
 	AlternativeDigest(model string, pinned core.Digest) (core.Digest, bool)
-	// NoFreeSlot reports whether none of the servers that could run the call
-	// has a free slot, by the estimate of this entry instance.
+	// NoFreeSlot reports whether, according to the estimated loads, none of the
+	// servers that could run the call has a free slot. It returns true if there is
+	// no such server.
 	NoFreeSlot(q Query) bool
 	// Suspended reports whether the server with this ID is registered but gets no
-	// calls, because its reports are overdue or because it is ejected.
+	// calls, because its agent has missed heartbeats or the server is ejected.
 	Suspended(id string) bool
-	// Pick returns a server for an attempt, or false if none is available. Each
-	// Pick that returned true must be followed by one Done.
+	// Pick returns a server for an attempt, or false if none is available. For each
+	// Pick that returned true, Done must be called once.
 	Pick(q Query) (registry.Server, bool)
 	// Done records the end of an attempt at the server with this ID. load is the
 	// load in the agent's last frame, or nil if there was none.
