--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -17,20 +17,20 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// fakePlatform is a table and an object store in memory.
+// fakePlatform is a table in memory. It also holds the objects of fakeObjects.
 type fakePlatform struct {
 	rows    map[string]platform.Row
 	objects map[string][]byte
-	// getErr and commitErr are returned by the next Get or Commit, which resets
-	// them.
+	// getErr is returned by the next Get, and commitErr by the next Commit, which
+	// then set them to nil.
 	getErr    error
 	commitErr error
-	// loseResponse makes the next commit take effect but return an unknown
-	// outcome.
+	// loseResponse makes the next successful Commit return
+	// platform.ErrUnknownOutcome although the write has taken effect.
 	loseResponse bool
 }
 
-// takeError returns the error and resets it.
+// takeError returns *err and sets it to nil.
 func takeError(err *error) error {
 	e := *err
 	*err = nil
@@ -79,6 +79,7 @@
 	return nil
 }
 
+// fakeObjects is the object store of a fakePlatform.
 type fakeObjects struct{ *fakePlatform }
 
 func (o fakeObjects) Get(_ context.Context, name string, _, _ int64) ([]byte, error) {
@@ -90,15 +91,18 @@
 	return nil
 }
 
-// fixture is a RecordStore over a fakePlatform, and one call.
+// fixture holds a RecordStore that uses a fakePlatform, a Call to record, and the
+// response to attempt queries.
 type fixture struct {
-	platform   *fakePlatform
-	clock      *clockwork.FakeClock
-	store      *RecordStore
-	call       Call
+	platform *fakePlatform
+	clock    *clockwork.FakeClock
+	store    *RecordStore
+	call     Call
+	// queryCount is the number of attempt queries so far.
 	queryCount int
-	status     frame.AttemptStatus
-	queryErr   error
+	// status and queryErr are returned by attempt queries.
+	status   frame.AttemptStatus
+	queryErr error
 }
 
 func newFixture() *fixture {
@@ -111,12 +115,14 @@
 	return f
 }
 
+// query is the AttemptQueryFunc of the tests.
 func (f *fixture) query(context.Context, core.Instance, string, int) (frame.AttemptStatus, error) {
 	f.queryCount++
 	return f.status, f.queryErr
 }
 
-// resolve runs Resolve while the fake clock advances.
+// resolve returns the result of Resolve, and advances the fake clock while Resolve
+// runs.
 func (f *fixture) resolve() (*Outcome, NextAttempt, error) {
 	done := make(chan struct{})
 	defer close(done)
@@ -133,6 +139,7 @@
 	return f.store.Resolve(context.Background(), f.call, f.query)
 }
 
+// claim runs Resolve and claims the attempt that it returns.
 func (f *fixture) claim() *Claim {
 	_, next, err := f.resolve()
 	So(err, ShouldBeNil)
@@ -162,7 +169,7 @@
 			_, _, err := f.resolve()
 			So(err, ShouldEqual, ErrKeyReused)
 		})
-		Convey("a claim is valid and its outcome can be recorded although the table's response was lost", func() {
+		Convey("a claim is valid, and the outcome can be recorded, although the table's responses to both writes were lost", func() {
 			f.platform.loseResponse = true
 			claim := f.claim()
 			f.platform.loseResponse = true
@@ -183,7 +190,7 @@
 			_, err = f.store.Claim(ctx, f.call, next, core.Instance{}, "i1")
 			So(errors.Is(err, ErrTableUnavailable), ShouldBeTrue)
 		})
-		Convey("expired records are removed, others kept", func() {
+		Convey("expired records are removed, and others are kept", func() {
 			So(f.claim().RecordOutcome(ctx, Outcome{Status: 201}), ShouldBeNil)
 			n, err := f.store.Sweep(ctx)
 			So(n, ShouldEqual, 0)
--- a/request/once/record.go
+++ b/request/once/record.go
@@ -23,32 +23,33 @@
 	Service string
 	// Key is the value of the caller's Idempotency-Key header.
 	Key string
-	// RequestDigest is the digest of method, path and body, as returned by the
-	// function RequestDigest. A resubmission must have the same digest.
+	// RequestDigest is the digest of the request's method, path and body, as the
+	// function RequestDigest returns it. A resubmission must have the same digest.
 	RequestDigest core.Digest
 }
 
-// RowKey returns the key of the call's row. It also identifies the call in
+// RowKey returns the key of the call's row. The same key identifies the call in
 // messages to agents.
 func (c Call) RowKey() string {
 	return rowPrefix + c.Account + "/" + c.Service + "/" + string(core.DigestOf([]byte(c.Key)))
 }
 
-// RequestDigest returns the digest of a request, for Call.RequestDigest.
+// RequestDigest returns the value of Call.RequestDigest for a request.
 func RequestDigest(method, path string, body []byte) core.Digest {
 	all := append([]byte(method+"\n"+path+"\n"), body...)
 	return core.DigestOf(all)
 }
 
-// Outcome is the complete response to a call.
+// Outcome is the complete response to a call, as it is recorded.
 type Outcome struct {
 	// Status is the HTTP status code.
 	Status int `json:"status"`
 	// Header holds the HTTP header fields of the response.
 	Header map[string][]string `json:"header,omitempty"`
-	// Body is the body of the response; empty in a row that refers to an object.
+	// Body is the body of the response; empty in a row whose body is in an object.
 	Body []byte `json:"body,omitempty"`
-	// Object is the name of the object that holds a body too large for the row.
+	// Object is the name of the object that holds the body if the body is too large
+	// for the row; otherwise empty.
 	Object string `json:"object,omitempty"`
 }
 
@@ -69,17 +70,19 @@
 
 // record is the content of a row.
 type record struct {
-	// Request is Call.RequestDigest of the submission that made the claim.
-	Request core.Digest `json:"request"`
-	State   state       `json:"state"`
-	// Claim is a unique ID of the claim. An entry instance that did not receive
-	// the table's response reads the row and compares this ID to find out
-	// whether its own claim was stored.
-	Claim   string `json:"claim"`
-	Attempt int    `json:"attempt"`
-	// Entry is the ID of the entry instance that claimed the attempt.
-	Entry string `json:"entry"`
-	// Agent and Incarnation identify the process that may run the attempt.
+	// RequestDigest is Call.RequestDigest of the submission that made the claim.
+	RequestDigest core.Digest `json:"request"`
+	// State is the state of the attempt.
+	State state `json:"state"`
+	// ClaimID is a unique ID of the claim. An entry instance that did not receive
+	// the table's response to a write reads the row and compares this ID to find
+	// out whether the row holds its own claim.
+	ClaimID string `json:"claim"`
+	// Attempt is the number of the attempt, from 1.
+	Attempt int `json:"attempt"`
+	// EntryInstance is the ID of the entry instance that claimed the attempt.
+	EntryInstance string `json:"entry"`
+	// Agent and Incarnation identify the agent process that may run the attempt.
 	Agent       core.Instance `json:"agent"`
 	Incarnation string        `json:"incarnation"`
 	// Expires is the time from which Sweep may remove the row.
--- a/request/once/resolve.go
+++ b/request/once/resolve.go
@@ -12,8 +12,9 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// AttemptQueryFunc queries whether an agent has run an attempt at the call that key
-// identifies. An agent that has received the query never starts that attempt.
+// AttemptQueryFunc queries an agent for the status of an attempt at the call that
+// key identifies. If the agent has not started the attempt when it receives the
+// query, it never starts the attempt.
 type AttemptQueryFunc func(ctx context.Context, agent core.Instance, key string, attempt int) (frame.AttemptStatus, error)
 
 // waitState is the state of a resubmission that waits for the outcome of an
@@ -23,22 +24,22 @@
 	attempt int
 	// firstSeen is when this resubmission first found the attempt running.
 	firstSeen time.Time
-	// unconfirmedSince is the time of the first query since which the agent has
-	// not confirmed that the attempt is running; zero if the last query
-	// confirmed it or there was none.
+	// unconfirmedSince is the time of the first of the latest consecutive queries
+	// by which the agent did not confirm that the attempt is running. It is zero if
+	// the last query confirmed this or there was no query.
 	unconfirmedSince time.Time
 }
 
-// Resolve determines what to do with a submission. It returns the recorded
-// outcome if there is one, or a NextAttempt to claim if no earlier attempt has
-// run or can still run. While an earlier attempt is running, Resolve waits for
-// its outcome until ctx ends. The error is ErrKeyReused, ErrTableUnavailable if
-// the first read failed, or ErrOutcomeUnknown.
+// Resolve determines what to do with a submission. It returns the recorded outcome
+// if there is one, or a NextAttempt to claim if no earlier attempt has run or can
+// still run. While an earlier attempt is running, Resolve waits for the outcome of
+// that attempt. The error is ErrKeyReused, ErrTableUnavailable if the record could
+// not be read the first time, or ErrOutcomeUnknown, also if ctx ends first.
 func (s *RecordStore) Resolve(ctx context.Context, call Call, query AttemptQueryFunc) (*Outcome, NextAttempt, error) {
 	w := waitState{}
-	for polls := 0; ; polls++ {
+	for pollCount := 0; ; pollCount++ {
 		rec, revision, err := s.readRecord(ctx, call)
-		if err != nil && polls == 0 {
+		if err != nil && pollCount == 0 {
 			s.log.EventWithError(eventTableFailed, err, eventlog.Fields{"request": call.RequestID, "row": call.RowKey()})
 			return nil, NextAttempt{}, errors.Wrap(ErrTableUnavailable, err.Error())
 		}
@@ -64,16 +65,17 @@
 	if err != nil || revision == next.revision || rec == nil {
 		return false
 	}
-	return claim == nil || rec.Claim != claim.record.Claim
+	return claim == nil || rec.ClaimID != claim.record.ClaimID
 }
 
-// decide determines the result of Resolve from one read of the record. done is
-// false if the record must be read again.
+// decide determines the result of Resolve from one read of the record. rec is nil
+// if there is no record. If done is false, there is no result yet, and the record
+// must be read again.
 func (s *RecordStore) decide(ctx context.Context, call Call, rec *record, revision uint64, w *waitState, query AttemptQueryFunc) (done bool, o *Outcome, next NextAttempt, err error) {
 	if rec == nil {
 		return true, nil, NextAttempt{Attempt: 1}, nil
 	}
-	if rec.Request != call.RequestDigest {
+	if rec.RequestDigest != call.RequestDigest {
 		return true, nil, NextAttempt{}, ErrKeyReused
 	}
 	switch rec.State {
@@ -100,17 +102,20 @@
 type probeResult struct {
 	// neverRuns is true if the attempt did not run and never will.
 	neverRuns bool
-	// outcomeUnknown is true if waiting longer cannot yield the outcome.
+	// outcomeUnknown is true if no outcome is expected any more.
 	outcomeUnknown bool
 	// outcome is the outcome that the agent has kept; nil if there is none.
 	outcome *Outcome
 }
 
 // probeAgent queries the agent about an attempt without a recorded outcome: at
-// once if the attempt is lost, and otherwise once it has been found running for
-// AskAfter. A zero result means that the resubmission must keep waiting. The
-// status is used only if it is from the incarnation that may run the attempt;
-// another incarnation has no record of what its predecessor ran.
+// once if the attempt is lost, and otherwise only after the attempt has been found
+// running for QueryAfter. A zero result means that the resubmission must keep
+// waiting. The agent's status is used only if it is from the incarnation that may
+// run the attempt; another incarnation has no record of the attempts of earlier
+// ones. If the agent has not kept the outcome, the outcome of a lost attempt is
+// unknown as soon as the agent has responded, and that of any other attempt after
+// RecordGrace without confirmation that the attempt is running.
 func (s *RecordStore) probeAgent(ctx context.Context, call Call, rec *record, w *waitState, query AttemptQueryFunc) probeResult {
 	now := s.clock.Now()
 	if w.attempt != rec.Attempt {
@@ -121,7 +126,7 @@
 		return probeResult{}
 	}
 	status, err := query(ctx, rec.Agent, call.RowKey(), rec.Attempt)
-	s.log.Event(eventAsked, eventlog.Fields{
+	s.log.Event(eventAgentQueried, eventlog.Fields{
 		"request": call.RequestID, "row": call.RowKey(), "attempt": rec.Attempt, "server": rec.Agent.ID,
 		"incarnation": rec.Incarnation, "answered": status.Incarnation, "ran": status.State, "error": errorText(err),
 	})
@@ -142,8 +147,9 @@
 	return probeResult{outcomeUnknown: lost && err == nil || now.Sub(w.unconfirmedSince) >= s.config.RecordGrace}
 }
 
-// recordAgentOutcome records the outcome that the agent has kept, because the
-// entry instance that claimed the attempt has not recorded it.
+// recordAgentOutcome records o, the outcome that the agent has kept, because the
+// entry instance that claimed the attempt has not recorded the outcome. It makes
+// one try to write the row; after an error the caller reads the record again.
 func (s *RecordStore) recordAgentOutcome(ctx context.Context, call Call, rec record, revision uint64, o Outcome) error {
 	if len(o.Body) > s.config.MaxRowBodyBytes {
 		stored, err := s.storeBody(ctx, o)
@@ -157,12 +163,13 @@
 	if err := s.writeRecord(ctx, call, &rec, revision); err != nil {
 		return err
 	}
-	s.log.Event(eventAdopted, eventlog.Fields{
+	s.log.Event(eventAgentOutcomeRecorded, eventlog.Fields{
 		"request": call.RequestID, "row": call.RowKey(), "attempt": rec.Attempt, "server": rec.Agent.ID,
 	})
 	return nil
 }
 
+// errorText returns the text of err for a log field, or "" if err is nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
@@ -170,9 +177,9 @@
 	return err.Error()
 }
 
-// replayOutcome returns the recorded outcome with its body, which it reads from
-// the object store if the row refers to an object. The error is
-// ErrOutcomeUnknown if the body cannot be read or does not match its digest.
+// replayOutcome returns the recorded outcome with the body, which it reads from the
+// object store if the body is in an object. The error is ErrOutcomeUnknown if the
+// body cannot be read or does not match the digest in the object's name.
 func (s *RecordStore) replayOutcome(ctx context.Context, call Call, rec *record) (*Outcome, error) {
 	o := *rec.Outcome
 	if o.Object != "" {
--- a/request/once/store.go
+++ b/request/once/store.go
@@ -1,7 +1,8 @@
 // Package once records, in rows of the platform's table, the once-only calls
-// with an idempotency key. Such a call must run at most once. Its row holds the
-// attempt that may run and the incarnation of the agent that may run it, and
-// later the outcome, which every resubmission of the call gets as its response.
+// with an idempotency key. Such a call must run at most once. The row of a call
+// holds the number of the attempt that may run and the incarnation of the agent
+// that may run this attempt, and later the outcome, which is the response to every
+// resubmission of the call.
 package once
 
 import (
@@ -22,7 +23,7 @@
 const (
 	defaultTableTimeout    = 2 * time.Second
 	defaultPollInterval    = 200 * time.Millisecond
-	defaultAskAfter        = time.Second
+	defaultQueryAfter      = time.Second
 	defaultRecordGrace     = 5 * time.Second
 	defaultTTL             = 48 * time.Hour
 	defaultMaxRowBodyBytes = 32 << 10
@@ -34,11 +35,11 @@
 var (
 	// ErrKeyReused is returned when the key was used before for another request.
 	ErrKeyReused = errors.New("the key was used before for another request")
-	// ErrOutcomeUnknown is returned when an earlier attempt may have run and
-	// its outcome cannot be determined.
+	// ErrOutcomeUnknown is returned when an earlier attempt may have run and the
+	// outcome of that attempt cannot be determined.
 	ErrOutcomeUnknown = errors.New("an earlier attempt may have run; its outcome is not known")
 	// ErrTableUnavailable is returned when the record could not be read or
-	// written. The attempt was not started.
+	// written. No attempt was started.
 	ErrTableUnavailable = errors.New("the record of once-only calls cannot be reached")
 	// ErrAlreadyClaimed is returned when another submission claimed the call
 	// first.
@@ -48,7 +49,7 @@
 var (
 	eventClaimed = eventlog.Define(520, "once-claimed", logrus.InfoLevel,
 		"an attempt at a keyed once-only call was recorded before it was allowed to run")
-	eventAsked = eventlog.Define(521, "once-asked", logrus.InfoLevel,
+	eventAgentQueried = eventlog.Define(521, "once-asked", logrus.InfoLevel,
 		"an agent was queried whether it has run an earlier attempt; from then on it does not start that attempt")
 	eventRecorded = eventlog.Define(522, "once-recorded", logrus.InfoLevel,
 		"the outcome of a keyed once-only call was recorded")
@@ -58,7 +59,7 @@
 		"the outcome of a keyed once-only call could not be recorded; resubmissions may get an error because the outcome is unknown")
 	eventSwept = eventlog.Define(525, "once-swept", logrus.InfoLevel,
 		"expired records of once-only calls were removed")
-	eventAdopted = eventlog.Define(527, "once-adopted", logrus.InfoLevel,
+	eventAgentOutcomeRecorded = eventlog.Define(527, "once-adopted", logrus.InfoLevel,
 		"a resubmission recorded the outcome that the agent had kept, because the entry instance that claimed the attempt had not recorded it")
 	eventTableFailed = eventlog.Define(526, "once-table-failed", logrus.WarnLevel,
 		"the record of a keyed once-only call could not be read or written")
@@ -76,14 +77,14 @@
 	// QueryAfter is the time for which a resubmission must have found the attempt
 	// running before it queries the agent about the attempt; default 1 s.
 	QueryAfter time.Duration
-	// RecordGrace is the time allowed for recording an outcome after its attempt
+	// RecordGrace is the time allowed for recording an outcome after the attempt
 	// has ended; default 5 s.
 	RecordGrace time.Duration
-	// TTL is the time for which records are kept. A resubmission after that time
-	// runs again. Default 48 h.
+	// TTL is the time from the claim for which a record is kept. A resubmission
+	// after that time can run the call again. Default 48 h.
 	TTL time.Duration
-	// MaxRowBodyBytes is the size of the largest body that is stored in a row.
-	// Larger bodies are stored in the object store. Default 32 KiB.
+	// MaxRowBodyBytes is the maximum size of a body that is stored in a row. Larger
+	// bodies are stored in the object store. Default 32 KiB.
 	MaxRowBodyBytes int
 	// MaxRecordTries is the maximum number of tries to record one outcome;
 	// default 20.
@@ -96,7 +97,7 @@
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.TableTimeout, defaultTableTimeout)
 	core.SetDefault(&c.PollInterval, defaultPollInterval)
-	core.SetDefault(&c.QueryAfter, defaultAskAfter)
+	core.SetDefault(&c.QueryAfter, defaultQueryAfter)
 	core.SetDefault(&c.RecordGrace, defaultRecordGrace)
 	core.SetDefault(&c.TTL, defaultTTL)
 	core.SetDefault(&c.MaxRowBodyBytes, defaultMaxRowBodyBytes)
@@ -131,26 +132,27 @@
 
 // Claim is the recorded right to run one attempt.
 type Claim struct {
-	store    *RecordStore
-	call     Call
-	record   record
+	store  *RecordStore
+	call   Call
+	record record
+	// revision is the revision that the row is expected to have.
 	revision uint64
 }
 
-// Claim records that the agent's incarnation may run the attempt. It returns
-// ErrAlreadyClaimed if another submission claimed the call first, and
-// ErrTableUnavailable if it is not certain that the claim was recorded. After
-// either error the attempt must not be run.
+// Claim records that this incarnation of the agent may run the attempt next. The
+// error is ErrAlreadyClaimed if another submission claimed the call first, and
+// ErrTableUnavailable if it is not certain that the claim was recorded. After an
+// error the attempt must not be run.
 func (s *RecordStore) Claim(ctx context.Context, call Call, next NextAttempt, agent core.Instance, incarnation string) (*Claim, error) {
 	c := &Claim{store: s, call: call, revision: next.revision + 1, record: record{
-		Request:     call.RequestDigest,
-		State:       stateRunning,
-		Claim:       uuid.NewString(),
-		Attempt:     next.Attempt,
-		Entry:       s.config.Entry,
-		Agent:       agent,
-		Incarnation: incarnation,
-		Expires:     s.clock.Now().Add(s.config.TTL).UTC(),
+		RequestDigest: call.RequestDigest,
+		State:         stateRunning,
+		ClaimID:       uuid.NewString(),
+		Attempt:       next.Attempt,
+		EntryInstance: s.config.Entry,
+		Agent:         agent,
+		Incarnation:   incarnation,
+		Expires:       s.clock.Now().Add(s.config.TTL).UTC(),
 	}}
 	err := s.writeRecord(ctx, call, &c.record, next.revision)
 	if errors.Is(err, platform.ErrUnknownOutcome) {
@@ -168,22 +170,24 @@
 }
 
 // confirm reads the record to find out whether the claim was stored, after the
-// table's response was lost. The error is platform.ErrConflict if it was not.
+// table's response was lost. The error is platform.ErrConflict if the claim was
+// not stored.
 func (c *Claim) confirm(ctx context.Context) error {
 	rec, revision, err := c.store.readRecord(ctx, c.call)
 	if err != nil {
 		return err
 	}
-	if rec == nil || rec.Claim != c.record.Claim {
+	if rec == nil || rec.ClaimID != c.record.ClaimID {
 		return platform.ErrConflict
 	}
 	c.revision = revision
 	return nil
 }
 
-// RecordOutcome records the outcome. While the table or the object store is
-// unavailable it retries, up to Config.MaxRecordTries tries each or until ctx
-// ends.
+// RecordOutcome records the outcome of the claimed attempt. It makes up to
+// Config.MaxRecordTries tries to write a large body to the object store, and then
+// as many to write the row, but stops when ctx ends. The error is
+// ErrAlreadyClaimed if another submission has claimed the call since.
 func (c *Claim) RecordOutcome(ctx context.Context, o Outcome) error {
 	if len(o.Body) > c.store.config.MaxRowBodyBytes {
 		stored, err := c.store.storeBody(ctx, o)
@@ -204,7 +208,8 @@
 // lost.
 func (c *Claim) RecordLost(ctx context.Context) error { return c.writeFinalState(ctx, stateLost) }
 
-// writeFinalState records the final state of the claimed attempt, with retries.
+// writeFinalState records s as the final state of the claimed attempt, with up to
+// Config.MaxRecordTries tries.
 func (c *Claim) writeFinalState(ctx context.Context, s state) error {
 	c.record.State = s
 	var err error
@@ -221,6 +226,11 @@
 	return err
 }
 
+// tryWriteFinalState makes one try to write the record. If the row has another
+// revision than expected or the table's response was lost, it reads the row: the
+// result is nil if the row holds this claim in the final state already, and
+// ErrAlreadyClaimed if it does not hold this claim. Otherwise it returns another
+// error, and the next try expects the revision that was read.
 func (c *Claim) tryWriteFinalState(ctx context.Context) error {
 	err := c.store.writeRecord(ctx, c.call, &c.record, c.revision)
 	if !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrUnknownOutcome) {
@@ -230,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	if rec == nil || rec.Claim != c.record.Claim {
+	if rec == nil || rec.ClaimID != c.record.ClaimID {
 		return ErrAlreadyClaimed
 	}
 	if rec.State == c.record.State {
@@ -254,8 +264,8 @@
 // Attempt returns the number of the claimed attempt.
 func (c *Claim) Attempt() int { return c.record.Attempt }
 
-// readRecord returns the record of the call and the revision of its row, or nil
-// and 0 if there is none.
+// readRecord returns the record of the call and the revision of the row, or nil
+// and 0 if there is no row.
 func (s *RecordStore) readRecord(ctx context.Context, call Call) (*record, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.TableTimeout)
 	defer cancel()
@@ -270,8 +280,8 @@
 	return rec, row.Revision, err
 }
 
-// writeRecord writes the row of the call if its revision is still the given
-// one; 0 means that there is no row. Otherwise the error is
+// writeRecord writes the row of the call if the row still has the given revision,
+// or if there is no row and revision is 0. Otherwise the error is
 // platform.ErrConflict.
 func (s *RecordStore) writeRecord(ctx context.Context, call Call, r *record, revision uint64) error {
 	value, err := r.encode()
@@ -304,7 +314,7 @@
 	return o, core.WrapStep("store once-only body", "objects", err)
 }
 
-// sleep waits for d or until ctx ends.
+// sleep waits for d. If ctx ends first, it returns the error of ctx.
 func (s *RecordStore) sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/request/once/sweep.go
+++ b/request/once/sweep.go
@@ -9,55 +9,55 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// sweepPage is the number of rows that Sweep lists at once.
-const sweepPage = 200
+// sweepPageSize is the maximum number of rows that Sweep lists at once.
+const sweepPageSize = 200
 
-// Run removes expired records at random intervals until ctx ends. Random
-// intervals make it unlikely that several entry instances do this at the same
-// time.
+// Run removes expired records at random intervals until ctx ends. Because the
+// intervals are random, several entry instances seldom do this at the same time.
 func (s *RecordStore) Run(ctx context.Context) error {
 	for {
 		pause := s.config.SweepInterval/2 + rand.N(s.config.SweepInterval)
 		if err := s.sleep(ctx, pause); err != nil {
 			return nil
 		}
-		n, err := s.Sweep(ctx)
+		removedCount, err := s.Sweep(ctx)
 		if err != nil {
 			s.log.EventWithError(eventTableFailed, err, eventlog.Fields{"step": "sweep"})
 			continue
 		}
-		if n > 0 {
-			s.log.Event(eventSwept, eventlog.Fields{"rows": n})
+		if removedCount > 0 {
+			s.log.Event(eventSwept, eventlog.Fields{"rows": removedCount})
 		}
 	}
 }
 
-// Sweep removes the expired records and returns their number.
+// Sweep removes the expired records and returns the number of records that it
+// removed, also if there is an error.
 func (s *RecordStore) Sweep(ctx context.Context) (int, error) {
-	removed := 0
+	removedCount := 0
 	for after := ""; ; {
-		rows, err := s.table.List(ctx, rowPrefix, after, sweepPage)
+		rows, err := s.table.List(ctx, rowPrefix, after, sweepPageSize)
 		if err != nil {
-			return removed, core.WrapStep("list once-only records", "table", err)
+			return removedCount, core.WrapStep("list once-only records", "table", err)
 		}
 		for _, row := range rows {
-			ok, err := s.removeIfExpired(ctx, row)
+			removed, err := s.removeIfExpired(ctx, row)
 			if err != nil {
-				return removed, err
+				return removedCount, err
 			}
-			if ok {
-				removed++
+			if removed {
+				removedCount++
 			}
 		}
-		if len(rows) < sweepPage {
-			return removed, nil
+		if len(rows) < sweepPageSize {
+			return removedCount, nil
 		}
 		after = rows[len(rows)-1].Key
 	}
 }
 
-// removeIfExpired removes row if its record has expired, and reports whether it
-// did.
+// removeIfExpired removes row if the record in it has expired, and reports whether
+// the row was removed.
 func (s *RecordStore) removeIfExpired(ctx context.Context, row platform.Row) (bool, error) {
 	rec, err := decodeRecord(row.Value)
 	if err != nil {
