--- a/request/dispatch/move.go
+++ b/request/dispatch/move.go
@@ -18,10 +18,9 @@
 const movePriority = -1
 
 // Move is the search for a slot at another server for a running stream, which
-// continues at its present server in the meantime. A server that is to load new
-// weights gets no further requests and must wait until its longest stream has
-// ended. Under full load the last few streams are therefore moved to servers
-// that accept requests.
+// continues at its present server in the meantime. A server that loads new weights
+// serves no other requests until its longest stream has ended. Under full load the
+// last few streams are therefore moved to servers that accept requests.
 type Move struct {
 	scheduler *Scheduler
 	waiter    *waiter
--- a/request/dispatch/move_test.go
+++ b/request/dispatch/move_test.go
@@ -60,7 +60,7 @@
 		So(<-waited, ShouldBeNil)
 	})
 
-	Convey("A stream that ends before it moves releases its new slot", t, func() {
+	Convey("Cancel releases the new slot of a stream that ends before the move", t, func() {
 		f, from := newMoveFixture()
 		f.scheduler.StartMove(f.request(), from).Cancel()
 		So(f.scheduler.RunningByServer(), ShouldResemble, map[string]int{"a": 1, "b": 0})
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -3,10 +3,11 @@
 import "time"
 
 const (
-	// localPreference is the difference of load, in requests, up to which a server
-	// of the own data centre is chosen although one in another data centre has a
-	// lower load. A request to another data centre uses bandwidth between regions;
-	// one more request in a batch costs about 0.1 ms per token.
+	// localPreference is the difference of load, in requests at a server with a
+	// limit of referenceLimit, up to which a server of the own data centre is
+	// chosen although one in another data centre has a lower load. A request to
+	// another data centre uses bandwidth between regions; one more request in a
+	// batch costs about 0.1 ms per token.
 	localPreference = 4
 	// referenceLimit is the limit to which the loads of servers with other
 	// limits are scaled, so that localPreference has the same meaning for all
--- a/request/dispatch/scheduler.go
+++ b/request/dispatch/scheduler.go
@@ -50,12 +50,12 @@
 // delay the first token by more than they gain (docs/design/load.md).
 const maxServerQueueLength = 1
 
-// peerTimeout is how long the load reported by another entry instance is used
-// without a new message from it. Heartbeats arrive twice a second.
+// peerTimeout is the time for which the load reported by another entry instance is
+// used after the last message from there. Heartbeats arrive twice a second.
 const peerTimeout = 2 * time.Second
 
 // Scheduler assigns slots at servers to requests and keeps a queue of the
-// requests that wait for one. It is safe for concurrent use.
+// requests that wait for a slot. It is safe for concurrent use.
 type Scheduler struct {
 	cfg    Config
 	holder *catalog.Holder
@@ -72,7 +72,7 @@
 	// consecutive choices begin their search at different servers, so that
 	// equally loaded servers are chosen in turn.
 	choiceCount int
-	// assigned is the number of slots assigned to waiting requests so far.
+	// assignedCount is the number of slots assigned to waiting requests so far.
 	assignedCount int
 }
 
@@ -91,7 +91,8 @@
 	// runningByServer is the number of that entry instance's requests at each
 	// server, by server ID.
 	runningByServer map[string]int
-	lastMessage     time.Time
+	// lastMessage is when the last message from that entry instance arrived.
+	lastMessage time.Time
 }
 
 // agentReport is the latest report of an agent about its server.
@@ -148,8 +149,8 @@
 }
 
 // knownEntryInstanceCount returns the number of entry instances that may be sending
-// requests, including this one and those without recent messages. The caller
-// holds s.mu.
+// requests: this one and all others that have ever sent a message, even if their
+// last message is older than peerTimeout. The caller holds s.mu.
 func (s *Scheduler) knownEntryInstanceCount() int { return len(s.peers) + 1 }
 
 // activeEntryInstanceCount returns the number of entry instances, including this
@@ -243,7 +244,7 @@
 	s.waiting = slices.Insert(s.waiting, i, w)
 }
 
-// Release gives a slot back and records the outcome of the request at its
+// Release gives a slot back and records the outcome of the request at the slot's
 // server.
 func (s *Scheduler) Release(slot Slot, o Outcome) {
 	s.mu.Lock()
--- a/request/dispatch/scheduler_test.go
+++ b/request/dispatch/scheduler_test.go
@@ -96,7 +96,7 @@
 		So(acquiredCount, ShouldEqual, 2*(2+maxServerQueueLength))
 	})
 
-	Convey("A slot that becomes free goes to the most urgent waiting request", t, func() {
+	Convey("A slot that becomes free goes to the waiting request with the lowest priority value", t, func() {
 		f := newSchedulerFixture()
 		var slots []Slot
 		for range 2 * (2 + maxServerQueueLength) {
