--- a/request/forward/config.go
+++ b/request/forward/config.go
@@ -90,9 +90,10 @@
 	// retryAfterUnready is the Retry-After value while the configuration is not
 	// known yet.
 	retryAfterUnready = 300 * time.Millisecond
-	// A stream that sends nothing for firstEventTimeout before its first event,
-	// or for eventTimeout between two events, is continued at another server.
-	// Clients give up after 2 s or more; an event is due every 50 ms.
+	// A resumable stream without an event for firstEventTimeout before its first
+	// event, or for eventTimeout after an event, is continued at another server if
+	// there is one with a free slot. Clients give up after 2 s or more; an event is
+	// due every 50 ms.
 	firstEventTimeout = 1200 * time.Millisecond
 	eventTimeout      = 900 * time.Millisecond
 	// stallRecheckInterval is the time between two searches for another server for
--- a/request/forward/fixture_test.go
+++ b/request/forward/fixture_test.go
@@ -35,6 +35,7 @@
 type receivedRequest struct {
 	req  *http.Request
 	body string
+	// conn is the connection on which the request arrived.
 	conn net.Conn
 }
 
@@ -44,7 +45,7 @@
 	id         string
 	listener   net.Listener
 	respond    func(r receivedRequest, n int) string
-	mu         sync.Mutex
+	mu         sync.Mutex // protects requests and conns
 	requests   []receivedRequest
 	conns      []net.Conn
 	goroutines sync.WaitGroup
--- a/request/forward/forward_test.go
+++ b/request/forward/forward_test.go
@@ -163,10 +163,10 @@
 }
 
 func TestStreams(t *testing.T) {
-	// events returns the events with the IDs from from to to.
-	events := func(from, to int) string {
+	// events returns the events with the IDs from firstID to lastID.
+	events := func(firstID, lastID int) string {
 		all := ""
-		for id := from; id <= to; id++ {
+		for id := firstID; id <= lastID; id++ {
 			all += event(id)
 		}
 		return all
@@ -217,7 +217,7 @@
 		So(r.body, ShouldEqual, events(1, 2))
 	})
 
-	Convey("A non-repeatable stream runs once, and the client sees that it broke off", t, func() {
+	Convey("A non-repeatable stream runs once, and the client gets an incomplete response if the stream breaks off", t, func() {
 		a, b := newServer(t, "s1", breakAfter(2)), newServer(t, "s2", breakAfter(2))
 		r := newFixture(t, nil, a, b).send(t, http.MethodPost, "/stream/", "prompt")
 		So(r.err, ShouldNotBeNil)
--- a/request/forward/handler.go
+++ b/request/forward/handler.go
@@ -102,9 +102,11 @@
 	movedTo *dispatch.Slot
 	// headerSent is true once the response header was written to the client.
 	headerSent bool
-	// clientGone is true once writing to the client has failed.
+	// clientGone is true once writing to the client, or setting the time limit for
+	// this, has failed.
 	clientGone bool
-	// lastEventID is the ID of the last event that the client has received.
+	// lastEventID is the ID of the last event that the client has received, at first
+	// according to the client's request; empty if there is none.
 	lastEventID string
 	// serverError is the last response with a 5xx status to a repeatable request;
 	// nil if there was none. It is forwarded if no other server gives a better
@@ -112,14 +114,16 @@
 	serverError *response
 	// firstByteAt is when the response header was written to the client.
 	firstByteAt time.Time
-	// triedServers lists the ID of the server of each attempt, for the log.
-	triedServers []string
+	// attemptServers lists the ID of the server of each attempt, for the log.
+	attemptServers []string
 }
 
 // refusal is the response to a request that was not run.
 type refusal struct {
-	status     int
-	reason     string
+	status int
+	// reason is the text in the body.
+	reason string
+	// retryAfter is the Retry-After value; 0 if there is none.
 	retryAfter time.Duration
 }
 
@@ -297,8 +301,8 @@
 	if c.account != nil {
 		f["account"] = c.account.Name
 	}
-	if len(c.triedServers) > 0 {
-		f["servers"], f["sends"] = c.triedServers, c.attemptCount
+	if len(c.attemptServers) > 0 {
+		f["servers"], f["sends"] = c.attemptServers, c.attemptCount
 	}
 	c.cfg.Log.Event(e, f)
 }
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -52,7 +52,7 @@
 func (c *call) send(ctx context.Context, slot dispatch.Slot) attemptResult {
 	c.attemptCount++
 	c.stats.attempts.Inc(1)
-	c.triedServers = append(c.triedServers, slot.Server.ID)
+	c.attemptServers = append(c.attemptServers, slot.Server.ID)
 	// A request that may not be repeated uses a new connection, because a server
 	// may close an idle connection while the request is being sent.
 	useNewConn := !c.route.Repeatable()
@@ -79,7 +79,9 @@
 	return r
 }
 
-// exchange sends the request on a connection and handles the response.
+// exchange sends the request on a connection and handles the response. Then it
+// returns the connection to the pool, or closes the connection if it cannot be
+// used again.
 func (c *call) exchange(ctx context.Context, conn *backend.Conn, slot dispatch.Slot) attemptResult {
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
