--- a/request/routing/ejection.go
+++ b/request/routing/ejection.go
@@ -48,12 +48,12 @@
 	e.consecutiveFailures++
 	wasProbe := e.probing
 	e.probing = false
-	if !wasProbe && (e.consecutiveFailures < c.EjectFailures || now.Before(e.ejectedUntil)) {
+	if !wasProbe && (e.consecutiveFailures < c.EjectionThreshold || now.Before(e.ejectedUntil)) {
 		return 0
 	}
-	duration := c.EjectMax
+	duration := c.MaxEjectionTime
 	if e.ejectionCount < 16 {
-		duration = min(c.EjectMax, c.EjectBase<<e.ejectionCount)
+		duration = min(c.MaxEjectionTime, c.BaseEjectionTime<<e.ejectionCount)
 	}
 	e.ejectionCount++
 	e.ejectedUntil = now.Add(duration)
--- a/request/routing/router.go
+++ b/request/routing/router.go
@@ -17,9 +17,9 @@
 
 // Defaults of Config.
 const (
-	defaultEjectFailures = 3
-	defaultEjectBase     = time.Second
-	defaultEjectMax      = 30 * time.Second
+	defaultEjectionThreshold = 3
+	defaultBaseEjectionTime  = time.Second
+	defaultMaxEjectionTime   = 30 * time.Second
 )
 
 var (
@@ -62,23 +62,24 @@
 	// PrefixAffinity sends calls whose prompts have the same prefix to the same
 	// server, unless the load of that server is far above the mean.
 	PrefixAffinity bool
-	// EjectFailures is the number of consecutive failures after which a server is
+	// EjectionThreshold is the number of consecutive failures after which a server is
 	// ejected; default 3.
-	EjectFailures int
-	// EjectBase is the duration of the first ejection; default 1 s. Each further
-	// ejection lasts twice as long, up to EjectMax.
-	EjectBase time.Duration
-	// EjectMax is the longest duration of an ejection; default 30 s.
-	EjectMax time.Duration
+	EjectionThreshold int
+	// BaseEjectionTime is the duration of the first ejection; default 1 s. Each
+	// further ejection without a success in between lasts twice as long as the one
+	// before, up to MaxEjectionTime.
+	BaseEjectionTime time.Duration
+	// MaxEjectionTime is the longest duration of an ejection; default 30 s.
+	MaxEjectionTime time.Duration
 	// Seed makes choices reproducible in tests; 0 takes a random seed.
 	Seed uint64
 }
 
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.Policy, PolicyTwoChoices)
-	core.SetDefault(&c.EjectFailures, defaultEjectFailures)
-	core.SetDefault(&c.EjectBase, defaultEjectBase)
-	core.SetDefault(&c.EjectMax, defaultEjectMax)
+	core.SetDefault(&c.EjectionThreshold, defaultEjectionThreshold)
+	core.SetDefault(&c.BaseEjectionTime, defaultBaseEjectionTime)
+	core.SetDefault(&c.MaxEjectionTime, defaultMaxEjectionTime)
 	if c.Seed == 0 {
 		c.Seed = rand.Uint64()
 	}
--- a/request/routing/router_test.go
+++ b/request/routing/router_test.go
@@ -128,24 +128,24 @@
 func TestEjection(t *testing.T) {
 	Convey("Given a server that has failed repeatedly", t, func() {
 		f := newFixture(PolicyTwoChoices, map[string]int{"palermo-1": 10, "trapani-1": 10})
-		for range defaultEjectFailures {
+		for range defaultEjectionThreshold {
 			So(f.pickID(), ShouldEqual, "palermo-1")
 			f.router.Done("palermo-1", ResultFailed, nil)
 		}
 		So(f.router.Suspended("palermo-1"), ShouldBeTrue)
 		So(f.pickID(), ShouldEqual, "trapani-1")
 		Convey("after the ejection time the server gets one call as a probe, and gets calls again once the probe succeeds", func() {
-			f.clock.Advance(defaultEjectBase)
+			f.clock.Advance(defaultBaseEjectionTime)
 			So(f.pickID(), ShouldEqual, "palermo-1")
 			So(f.pickID(), ShouldEqual, "trapani-1")
 			f.router.Done("palermo-1", ResultOK, nil)
 			So(f.pickID(), ShouldEqual, "palermo-1")
 		})
 		Convey("a failed probe ejects the server for longer", func() {
-			f.clock.Advance(defaultEjectBase)
+			f.clock.Advance(defaultBaseEjectionTime)
 			So(f.pickID(), ShouldEqual, "palermo-1")
 			f.router.Done("palermo-1", ResultFailed, nil)
-			f.clock.Advance(defaultEjectBase)
+			f.clock.Advance(defaultBaseEjectionTime)
 			So(f.pickID(), ShouldEqual, "trapani-1")
 		})
 		Convey("the ejected server is chosen if there is no other server", func() {
