--- a/request/once/record.go
+++ b/request/once/record.go
@@ -85,8 +85,8 @@
 	// Agent and Incarnation identify the agent process that may run the attempt.
 	Agent       core.Instance `json:"agent"`
 	Incarnation string        `json:"incarnation"`
-	// Expires is the time from which Sweep may remove the row.
-	Expires time.Time `json:"expires"`
+	// ExpiresAt is the time from which Sweep may remove the row.
+	ExpiresAt time.Time `json:"expires"`
 	// Outcome is nil unless State is stateDone.
 	Outcome *Outcome `json:"outcome,omitempty"`
 }
--- a/request/once/resolve.go
+++ b/request/once/resolve.go
@@ -113,9 +113,10 @@
 // running for QueryAfter. A zero result means that the resubmission must keep
 // waiting. The agent's status is used only if it is from the incarnation that may
 // run the attempt; another incarnation has no record of the attempts of earlier
-// ones. If the agent has not kept the outcome, the outcome of a lost attempt is
-// unknown as soon as the agent has responded, and that of any other attempt after
-// RecordGrace without confirmation that the attempt is running.
+// ones. If the agent has not kept the outcome, the outcome is given up as unknown
+// after RecordGrace without confirmation that the attempt is running; that of a
+// lost attempt is given up as soon as the agent has responded without this
+// confirmation.
 func (s *RecordStore) probeAgent(ctx context.Context, call Call, rec *record, w *waitState, query AttemptQueryFunc) probeResult {
 	now := s.clock.Now()
 	if w.attempt != rec.Attempt {
--- a/request/once/store.go
+++ b/request/once/store.go
@@ -86,8 +86,8 @@
 	// MaxRowBodyBytes is the maximum size of a body that is stored in a row. Larger
 	// bodies are stored in the object store. Default 32 KiB.
 	MaxRowBodyBytes int
-	// MaxRecordTries is the maximum number of tries to record one outcome;
-	// default 20.
+	// MaxRecordTries is the maximum number of tries to write the row with an
+	// outcome, and likewise to write a body to the object store; default 20.
 	MaxRecordTries int
 	// SweepInterval is the mean interval between removals of expired records;
 	// default 10 min.
@@ -152,7 +152,7 @@
 		EntryInstance: s.config.Entry,
 		Agent:         agent,
 		Incarnation:   incarnation,
-		Expires:       s.clock.Now().Add(s.config.TTL).UTC(),
+		ExpiresAt:     s.clock.Now().Add(s.config.TTL).UTC(),
 	}}
 	err := s.writeRecord(ctx, call, &c.record, next.revision)
 	if errors.Is(err, platform.ErrUnknownOutcome) {
--- a/request/once/sweep.go
+++ b/request/once/sweep.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return false, err
 	}
-	if s.clock.Now().Before(rec.Expires) {
+	if s.clock.Now().Before(rec.ExpiresAt) {
 		return false, nil
 	}
 	err = s.table.Commit(ctx, []platform.Write{{
