--- a/request/admission/adapt.go
+++ b/request/admission/adapt.go
@@ -12,7 +12,7 @@
 	// maxStepRatio is the largest growth of the limit in one step, as a
 	// fraction of the limit. A step is always at least one call.
 	maxStepRatio = 0.1
-	// overloadFactor multiplies the limit when the engine refuses a call.
+	// overloadFactor multiplies the limit when a call ends because of overload.
 	overloadFactor = 0.7
 	// settleTime is the time after a change of the limit in which samples do not
 	// enter the rate curve, because they still cover the time before the change.
@@ -21,19 +21,21 @@
 	// is not decreased and samples are ignored.
 	coldCooldown = 400 * time.Millisecond
 	// minGrowthPause and maxGrowthPause bound the time after a decrease in which
-	// the limit does not grow. The pause doubles after each decrease that raised
-	// the token rate.
+	// the limit does not grow. The pause doubles after each decrease that did not
+	// lower the token rate.
 	minGrowthPause = 2 * time.Second
 	maxGrowthPause = 30 * time.Second
-	// minGrowthTrial is the shortest time for which a growth step is on trial.
+	// minGrowthTrial is the shortest time after its start for which a growth step
+	// counts as the likely cause of a lower token rate: the step is on trial.
 	minGrowthTrial = time.Second
-	// failedStepPauseFactor times the mean slot time is the shortest growth
-	// pause after a growth step that was followed by a decrease. The calls that
-	// the step admitted overload the server until they end, so at most a fifth
-	// of the time is spent on failed steps.
+	// failedStepPauseFactor is the shortest growth pause after a failed growth
+	// step, which is one that led to a decrease; in mean slot times. The calls
+	// that the step admitted overload the server until they end, which takes one
+	// mean slot time. With a factor of 4, at most 1/(1+4) of the time, a fifth, is
+	// spent on failed steps.
 	failedStepPauseFactor = 4
-	// pauseResetRatio is the ratio of the limit to the limit after the last
-	// decrease above which the growth pause returns to minGrowthPause.
+	// pauseResetRatio times the limit after the last decrease is the limit above
+	// which the growth pause returns to minGrowthPause.
 	pauseResetRatio = 1.25
 	// perTokenJumpRatio is the ratio of the recent time per token to its baseline
 	// above which the server counts as having turned cold.
@@ -41,12 +43,12 @@
 	// keepDecreaseRatio is the smallest ratio of the token rate after a
 	// decrease to the rate before it at which the decrease is kept.
 	keepDecreaseRatio = 1.0
-	// trialDecreaseWindows is the number of consecutive windows in which fewer
-	// calls would have been better before the limit is decreased, while a growth
-	// step is on trial.
+	// trialDecreaseWindows is the number of consecutive windows with too many
+	// calls (see countOverloadedWindow) after which the limit is decreased while a
+	// growth step is on trial.
 	trialDecreaseWindows = 2
-	// stableDecreaseWindows replaces trialDecreaseWindows when the limit has not
-	// grown recently. It is larger so that a short stall of the machine does not
+	// stableDecreaseWindows replaces trialDecreaseWindows while no growth step is
+	// on trial. It is larger so that a short stall of the machine does not
 	// decrease the limit.
 	stableDecreaseWindows = 4
 	// collapseWindows is the number of consecutive windows with a collapsed token
@@ -63,9 +65,9 @@
 const (
 	// reasonTokenRate means that the token rate is higher with fewer calls.
 	reasonTokenRate = "token rate"
-	// reasonLessCapacity means that the token rate is lower than it was before
-	// with as many calls, so the rates measured with other numbers of calls are
-	// outdated too.
+	// reasonLessCapacity means that the token rate is lower than an earlier one
+	// with the same number of calls, so the rates measured with other numbers of
+	// calls are outdated too.
 	reasonLessCapacity = "less capacity"
 )
 
@@ -77,18 +79,20 @@
 	eventCallsShed       = eventlog.Define(414, "calls-shed", logrus.WarnLevel, "Running calls were ended early because the server had turned cold.")
 )
 
-// adaptToOutcome adapts the limit to a finished call. nearLimit is true when the
-// number of calls in flight was near the limit. The caller holds l.mu.
+// adaptToOutcome adapts the limit to a finished call: it decreases the limit after
+// an overload, and otherwise lets it grow within the present growth step.
+// nearLimit is true when the number of calls in flight was near the limit. The
+// caller holds l.mu.
 func (l *AdaptiveLimiter) adaptToOutcome(o Outcome, nearLimit bool) {
 	if o.Overloaded {
 		l.decrease(l.limit*overloadFactor, "overloaded")
-		l.pending = pendingDecrease{}
+		l.pendingDecrease = pendingDecrease{}
 		return
 	}
 	if o.Cancelled || !nearLimit || l.clock.Now().Before(l.growthPausedUntil) {
 		return
 	}
-	l.finishedSinceSample++
+	l.finishedCallCount++
 	l.startStepIfDue(l.clock.Now())
 	previous := l.limit
 	l.setLimit(max(l.limit, min(l.limit+l.cfg.GrowthPerCall, l.stepLimit)))
@@ -102,9 +106,9 @@
 
 // startStepIfDue starts the next growth step once the token rate at the present
 // limit has been evaluated, or when the calls of this server yield no samples.
-// The caller holds l.mu.
+// Earlier, it does nothing. The caller holds l.mu.
 func (l *AdaptiveLimiter) startStepIfDue(now time.Time) {
-	noSamples := float64(l.finishedSinceSample) > l.limit
+	noSamples := float64(l.finishedCallCount) > l.limit
 	if now.Sub(l.stepStart) < settleTime+windowTime || !l.stepEvaluated && !noSamples {
 		return
 	}
@@ -119,12 +123,12 @@
 	return l.limit < float64(l.cfg.Limit) && l.clock.Since(l.stepStart) <= max(l.meanSlotTime.value, minGrowthTrial)
 }
 
-// maxStep returns the largest growth in one step. Below a number of calls that
-// overloaded the server before, a step covers at most half of the distance to
-// that number. The caller holds l.mu.
+// maxStep returns the largest growth in one step. While the limit is below
+// overloadCallCount, a step covers at most half of the distance to that number.
+// The caller holds l.mu.
 func (l *AdaptiveLimiter) maxStep() float64 {
 	largest := l.limit * maxStepRatio
-	if gap := float64(l.overloadedAt) - l.limit; gap > 0 {
+	if gap := float64(l.overloadCallCount) - l.limit; gap > 0 {
 		largest = min(largest, gap/2)
 	}
 	return max(1, largest)
@@ -135,7 +139,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	l.finishedSinceSample = 0
+	l.finishedCallCount = 0
 	if now.Before(l.cooldownEnd) {
 		return
 	}
@@ -148,13 +152,13 @@
 	if l.firstToken.exceeds(firstTokenJumpRatio) {
 		l.resetToCold("first token")
 	}
-	if l.window.full(now) {
+	if l.window.isFull(now) {
 		l.evaluateWindow(now)
 	}
 }
 
 // evaluateWindow adapts the limit to the mean time per token of the full window
-// and starts a new one. The caller holds l.mu.
+// and starts a new window. The caller holds l.mu.
 func (l *AdaptiveLimiter) evaluateWindow(now time.Time) {
 	w := l.window
 	l.window = window{}
@@ -163,57 +167,57 @@
 		l.resetToCold("token pace")
 		return
 	}
-	inFlight, steady := w.inFlight()
+	inFlight, steady := w.middleInFlight()
 	if !steady {
 		return
 	}
 	if l.curve.collapsed(now, w.mean(), inFlight) {
-		l.collapsedWindows++
-		if l.collapsedWindows >= collapseWindows {
+		l.collapsedWindowCount++
+		if l.collapsedWindowCount >= collapseWindows {
 			l.resetToCold("token rate")
 		}
 		return
 	}
-	l.collapsedWindows = 0
+	l.collapsedWindowCount = 0
 	if now.Before(l.settledAt) {
 		return
 	}
 	rate := float64(inFlight) / w.mean().Seconds()
-	if l.pendingDecreaseFailed(inFlight, rate) {
+	if l.checkPendingDecrease(inFlight, rate) {
 		l.undoDecrease()
 		return
 	}
 	if ratio := l.curve.relativeRate(now, rate, inFlight); ratio < droppedRatio {
-		l.countWorseWindow(inFlight, int(ratio*float64(inFlight)), rate, reasonLessCapacity)
+		l.countOverloadedWindow(inFlight, int(ratio*float64(inFlight)), rate, reasonLessCapacity)
 		return
 	}
 	l.curve.add(now, rate, inFlight)
-	l.stepEvaluated = l.nearLimit(inFlight)
+	l.stepEvaluated = l.isNearLimit(inFlight)
 	best, ok := l.curve.betterCallCount(now, inFlight, l.perToken.baseline)
 	if !ok {
-		l.worseWindows = 0
-		if inFlight >= l.overloadedAt {
-			l.overloadedAt = 0
+		l.overloadedWindowCount = 0
+		if inFlight >= l.overloadCallCount {
+			l.overloadCallCount = 0
 		}
 		return
 	}
 	l.stepEvaluated = false
-	l.countWorseWindow(inFlight, best, rate, reasonTokenRate)
+	l.countOverloadedWindow(inFlight, best, rate, reasonTokenRate)
 }
 
-// countWorseWindow counts a window with inFlight calls and the token rate rate
-// for which the lower number best would have given a higher token rate. After
-// several such windows in a row it decreases the limit to best, but not below
-// the cold limit. The caller holds l.mu.
-func (l *AdaptiveLimiter) countWorseWindow(inFlight, best int, rate float64, reason string) {
-	l.worseWindows++
-	if l.worseWindows < trialDecreaseWindows || !l.growthOnTrial() && l.worseWindows < stableDecreaseWindows {
+// countOverloadedWindow counts a window in which inFlight calls were too many for
+// the server. After several such windows in a row it decreases the limit to
+// suitableCount, the number of calls that suits the server, but not below the
+// cold limit. rate is the token rate of the window. The caller holds l.mu.
+func (l *AdaptiveLimiter) countOverloadedWindow(inFlight, suitableCount int, rate float64, reason string) {
+	l.overloadedWindowCount++
+	if l.overloadedWindowCount < trialDecreaseWindows || !l.growthOnTrial() && l.overloadedWindowCount < stableDecreaseWindows {
 		return
 	}
 	previous := l.limit
-	l.decrease(float64(max(best, l.cfg.ColdLimit)), reason)
-	l.pending = pendingDecrease{limitBefore: previous, rateBefore: rate}
-	l.overloadedAt = inFlight
+	l.decrease(float64(max(suitableCount, l.cfg.ColdLimit)), reason)
+	l.pendingDecrease = pendingDecrease{limitBefore: previous, rateBefore: rate}
+	l.overloadCallCount = inFlight
 	if reason == reasonLessCapacity {
 		l.curve.clear()
 	}
@@ -229,38 +233,40 @@
 	rateBefore float64
 }
 
-// pendingDecreaseFailed reports whether the token rate is now lower than before
-// the pending decrease. In that case the number of calls was not what made the
-// server slow. Otherwise the decrease is no longer pending once its effect has
-// been measured. The caller holds l.mu.
-func (l *AdaptiveLimiter) pendingDecreaseFailed(inFlight int, rate float64) bool {
-	if l.pending.limitBefore <= l.limit || inFlight > int(l.limit) {
+// checkPendingDecrease returns true if the token rate is now lower than before
+// the pending decrease. In that case the number of calls did not make the server
+// slow, and the caller undoes the decrease. If the rate is not lower, the decrease
+// is no longer pending, and the next growth pause is doubled. Nothing happens
+// until as many calls have ended as the decrease requires. The caller holds l.mu.
+func (l *AdaptiveLimiter) checkPendingDecrease(inFlight int, rate float64) bool {
+	if l.pendingDecrease.limitBefore <= l.limit || inFlight > int(l.limit) {
 		return false
 	}
-	if rate < l.pending.rateBefore*keepDecreaseRatio {
+	if rate < l.pendingDecrease.rateBefore*keepDecreaseRatio {
 		return true
 	}
-	l.pending = pendingDecrease{}
+	l.pendingDecrease = pendingDecrease{}
 	l.growthPause = min(2*l.growthPause, maxGrowthPause)
 	return false
 }
 
-// undoDecrease restores the limit that preceded the pending decrease and clears
+// undoDecrease restores the limit that preceded the pending decrease, and discards
 // the rate curve, which was measured under other conditions. The caller holds
 // l.mu.
 func (l *AdaptiveLimiter) undoDecrease() {
 	previous := int(l.limit)
-	l.setLimit(l.pending.limitBefore)
-	l.pending = pendingDecrease{}
+	l.setLimit(l.pendingDecrease.limitBefore)
+	l.pendingDecrease = pendingDecrease{}
 	l.growthPausedUntil = time.Time{}
-	l.clearCurve()
+	l.forgetCapacity()
 	l.startSettling(l.clock.Now())
 	l.cfg.Log.Event(eventLimitFallUndone, eventlog.Fields{"was": previous, "limit": int(l.limit)})
 }
 
-// decrease lowers the limit, to at least 1, and pauses its growth. It does
-// nothing to a fixed limit, within settleTime after the last change, and within
-// coldCooldown after a reset. The caller holds l.mu.
+// decrease lowers the limit to the given one, but to at least 1, and pauses its
+// growth. It does nothing if the limiter is fixed, if the given limit is not
+// lower, within settleTime after the limit last changed, and within coldCooldown
+// after a reset to the cold limit. The caller holds l.mu.
 func (l *AdaptiveLimiter) decrease(limit float64, reason string) {
 	now := l.clock.Now()
 	if l.cfg.Fixed || now.Before(l.settledAt) || now.Before(l.cooldownEnd) || limit >= l.limit {
@@ -275,24 +281,24 @@
 		pause = min(max(pause, failedStepPauseFactor*l.meanSlotTime.value), maxGrowthPause)
 	}
 	l.growthPausedUntil = now.Add(pause)
-	l.worseWindows = 0
+	l.overloadedWindowCount = 0
 	l.startSettling(now)
 	l.cfg.Log.Event(eventLimitFell, eventlog.Fields{
 		"why": reason, "was": previous, "limit": int(l.limit), "in_flight": l.inFlight(), "held_ms": pause.Milliseconds(),
 	})
 }
 
-// clearCurve discards the rates measured for each number of calls. The caller
-// holds l.mu.
-func (l *AdaptiveLimiter) clearCurve() {
+// forgetCapacity discards all that was measured about the capacity of the server:
+// the rate curve and overloadCallCount. The caller holds l.mu.
+func (l *AdaptiveLimiter) forgetCapacity() {
 	l.curve.clear()
-	l.overloadedAt = 0
+	l.overloadCallCount = 0
 }
 
-// startSettling keeps samples out of the rate curve until settleTime after now.
-// The caller holds l.mu.
-func (l *AdaptiveLimiter) startSettling(now time.Time) {
-	l.settledAt = now.Add(settleTime)
+// startSettling keeps samples out of the rate curve until settleTime after from,
+// and discards those of the present window. The caller holds l.mu.
+func (l *AdaptiveLimiter) startSettling(from time.Time) {
+	l.settledAt = from.Add(settleTime)
 	l.window = window{}
 }
 
@@ -303,8 +309,9 @@
 	l.resetToCold("restart")
 }
 
-// resetToCold lowers the limit to the cold limit and sheds the calls above it.
-// The caller holds l.mu.
+// resetToCold lowers the limit to the cold limit and sheds the calls above it, as
+// far as they are repeatable. It does nothing if the limiter is fixed. The caller
+// holds l.mu.
 func (l *AdaptiveLimiter) resetToCold(reason string) {
 	if l.cfg.Fixed {
 		return
@@ -312,9 +319,9 @@
 	previous := int(l.limit)
 	l.setLimit(min(l.limit, float64(l.cfg.ColdLimit)))
 	l.stepLimit = l.limit
-	l.clearCurve()
-	l.pending = pendingDecrease{}
-	l.collapsedWindows = 0
+	l.forgetCapacity()
+	l.pendingDecrease = pendingDecrease{}
+	l.collapsedWindowCount = 0
 	now := l.clock.Now()
 	l.cooldownEnd = now.Add(coldCooldown)
 	l.decreasedTo, l.growthPause, l.growthPausedUntil = l.limit, minGrowthPause, now.Add(minGrowthPause)
@@ -330,8 +337,8 @@
 func (l *AdaptiveLimiter) shedCalls(n int) {
 	ended := 0
 	for priority := 0; priority <= maxPriority && ended < n; priority++ {
-		for i := len(l.calls) - 1; i >= 0 && ended < n; i-- {
-			call := l.calls[i]
+		for i := len(l.runningCalls) - 1; i >= 0 && ended < n; i-- {
+			call := l.runningCalls[i]
 			if call.shed || call.request.Shed == nil || call.request.Priority != priority {
 				continue
 			}
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -16,14 +16,16 @@
 type SlotRequest struct {
 	// Account is the name of the client account.
 	Account string
-	// Share is the account's weight when slots are scarce, at least 1.
+	// Share is the account's weight when slots are scarce; values below 1 count
+	// as 1.
 	Share int
 	// Priority is 0 (lowest) to 9.
 	Priority int
 	// Deadline is the time at which the caller gives up; zero means never.
 	Deadline time.Time
 	// Shed, if set, is called at most once, to end the call early because the
-	// server has turned cold. It is nil for non-repeatable calls.
+	// server has turned cold. It is nil for once-only calls, which must run to
+	// their end.
 	Shed func()
 }
 
@@ -43,10 +45,11 @@
 	FirstToken time.Duration
 	// PerToken is the mean time between tokens; 0 when unknown.
 	PerToken time.Duration
-	// Overloaded is true when the engine refused the call or failed because of
-	// overload.
+	// Overloaded is true when the engine refused the call because of overload, or
+	// sent no data in time.
 	Overloaded bool
-	// Cancelled is true when the caller cancelled the call.
+	// Cancelled is true when the limiter must not adapt to this call, because it
+	// was cancelled or failed for another reason than overload.
 	Cancelled bool
 }
 
@@ -55,16 +58,17 @@
 	// Acquire waits in the queue for a slot. It returns either a release
 	// function, which must be called exactly once, or the reason for the
 	// refusal.
-	Acquire(ctx context.Context, req SlotRequest) (release func(Outcome), refused frame.Reason)
-	// Observe adapts the limit to a sample of a running call, so that a server
-	// that has turned cold is detected before its calls end.
+	Acquire(ctx context.Context, req SlotRequest) (release func(Outcome), refusalReason frame.Reason)
+	// Observe adapts the limit to a sample of a running call. Samples show that a
+	// server has turned cold before its calls end.
 	Observe(s Sample)
 	// Load returns the current load.
 	Load() frame.Load
-	// State returns StateCold, StateWarming or StateReady.
+	// State returns frame.StateReady at the declared limit, frame.StateCold at the
+	// cold limit, and frame.StateWarming in between.
 	State() frame.State
-	// Reset lowers the limit to the cold limit, for a server that has restarted
-	// or turned cold.
+	// Reset lowers the limit to the cold limit. It is called when the server has
+	// restarted or turned cold.
 	Reset()
 	// Configure sets the declared limits of the backend server.
 	Configure(limit, coldLimit int)
--- a/request/admission/latency.go
+++ b/request/admission/latency.go
@@ -9,12 +9,12 @@
 	// windowTime is the time over which samples are averaged.
 	windowTime = 100 * time.Millisecond
 	// steadyRatio is the largest variation of the number of calls in flight
-	// during a window, as a fraction of the maximum, at which the window is
-	// attributed to one number of calls.
+	// within a window, as a fraction of the maximum, at which the window counts as
+	// measured with one number of calls.
 	steadyRatio = 0.05
-	// baselineFallWeight and baselineRiseWeight are the weights of a new mean in
-	// the baseline when the mean is below and above the baseline.
+	// baselineFallWeight is the weight of a new mean that lowers the baseline.
 	baselineFallWeight = 0.1
+	// baselineRiseWeight is the weight of a new mean that raises the baseline.
 	baselineRiseWeight = 0.005
 	// recentWeight is the weight of a new mean in the recent mean.
 	recentWeight = 0.5
@@ -23,45 +23,48 @@
 	// minBaselineMeans is the number of window means that a latencyTracker needs
 	// before it detects jumps.
 	minBaselineMeans = 5
-	// maxBaselineRatio bounds a mean that enters the baseline, as a multiple of
-	// the baseline.
+	// maxBaselineRatio times the baseline is the largest mean that enters the
+	// baseline; a larger mean counts as this value.
 	maxBaselineRatio = 1.5
-	// minJump is the smallest increase that counts as a jump, so that scheduling
-	// noise on short times does not.
+	// minJump is the smallest increase that counts as a jump. Scheduling noise on
+	// short times stays below it.
 	minJump = 10 * time.Millisecond
 )
 
-// window averages the samples of a period of windowTime.
+// window averages the samples of the time per token in a period of windowTime.
 type window struct {
 	// start is the time of the first sample.
-	start time.Time
-	sum   time.Duration
-	count int
+	start       time.Time
+	sum         time.Duration
+	sampleCount int
 	// minInFlight and maxInFlight bound the number of calls in flight during the
 	// window.
 	minInFlight, maxInFlight int
 }
 
 // add adds a sample that was taken with this number of calls in flight.
-func (w *window) add(now time.Time, d time.Duration, calls int) {
-	if w.count == 0 {
-		*w = window{start: now, minInFlight: calls, maxInFlight: calls}
+func (w *window) add(now time.Time, perToken time.Duration, inFlight int) {
+	if w.sampleCount == 0 {
+		*w = window{start: now, minInFlight: inFlight, maxInFlight: inFlight}
 	}
-	w.sum += d
-	w.count++
-	w.minInFlight = min(w.minInFlight, calls)
-	w.maxInFlight = max(w.maxInFlight, calls)
+	w.sum += perToken
+	w.sampleCount++
+	w.minInFlight = min(w.minInFlight, inFlight)
+	w.maxInFlight = max(w.maxInFlight, inFlight)
 }
 
-// full reports whether windowTime has passed since the first sample.
-func (w *window) full(now time.Time) bool { return w.count > 0 && now.Sub(w.start) >= windowTime }
+// isFull reports whether windowTime has passed since the first sample.
+func (w *window) isFull(now time.Time) bool {
+	return w.sampleCount > 0 && now.Sub(w.start) >= windowTime
+}
 
 // mean returns the mean of the samples.
-func (w *window) mean() time.Duration { return w.sum / time.Duration(w.count) }
+func (w *window) mean() time.Duration { return w.sum / time.Duration(w.sampleCount) }
 
-// inFlight returns the middle of the range of calls in flight during the window,
-// and whether the range is within steadyRatio.
-func (w *window) inFlight() (int, bool) {
+// middleInFlight returns the middle of the range of the number of calls in flight
+// during the window. It returns false if there were none or the range exceeds
+// steadyRatio.
+func (w *window) middleInFlight() (int, bool) {
 	steady := float64(w.maxInFlight-w.minInFlight) <= steadyRatio*float64(w.maxInFlight)
 	return (w.maxInFlight + w.minInFlight) / 2, steady && w.maxInFlight > 0
 }
@@ -75,7 +78,8 @@
 	meanCount int
 }
 
-// add adds one mean or, for the time to the first token, one sample.
+// add takes one more latency into account: the mean of a window or, for the time
+// to the first token, one sample.
 func (l *latencyTracker) add(d time.Duration) {
 	mean := float64(d)
 	if l.meanCount == 0 {
@@ -104,13 +108,14 @@
 	return l.recent > ratio*l.baseline && l.recent-l.baseline > float64(minJump)
 }
 
-// resetRecent sets the recent mean to the baseline after a change of the limit.
+// resetRecent sets the recent mean to the baseline, after a reset to the cold
+// limit.
 func (l *latencyTracker) resetRecent() { l.recent = l.baseline }
 
 // movingAverage is an exponentially weighted moving average of durations.
 type movingAverage struct{ value time.Duration }
 
-// add adds one duration. The first becomes the average.
+// add takes one more duration into account. The first one becomes the average.
 func (m *movingAverage) add(d time.Duration) {
 	if m.value == 0 {
 		m.value = d
--- a/request/admission/limiter.go
+++ b/request/admission/limiter.go
@@ -26,8 +26,8 @@
 	DefaultGrowthPerCall = 0.5
 	// minQueueLength is the lower bound of the maximum queue length.
 	minQueueLength = 4
-	// nearLimitRatio is the fraction of the limit that must be in use for a
-	// finished call to raise the limit.
+	// nearLimitRatio is the smallest fraction of the limit in use at which a
+	// finished call raises the limit.
 	nearLimitRatio = 0.75
 )
 
@@ -45,8 +45,8 @@
 	MaxQueueWait time.Duration
 	// QueueRatio is the maximum length of the queue, as a fraction of the limit.
 	QueueRatio float64
-	// GrowthPerCall is added to the limit by each finished call while the limit
-	// is in use and calls do not slow down.
+	// GrowthPerCall is added to the limit by each finished call while at least
+	// nearLimitRatio of the limit is in use and growth is not paused.
 	GrowthPerCall float64
 	// Fixed keeps the limit constant at Limit: no cold limit, no growth and no
 	// decreases.
@@ -86,56 +86,62 @@
 }
 
 // AdaptiveLimiter is a Limiter for the calls of one backend server that adapts
-// its limit. The limit grows while the token rate grows with the number of
-// calls. It is decreased when fewer calls have a higher token rate. The token
-// rate is the number of tokens per second of all calls together.
+// its limit. The limit grows while more calls give a higher token rate, and is
+// decreased when fewer calls give a higher one. The token rate is the number of
+// tokens per second of all calls together.
 type AdaptiveLimiter struct {
-	cfg   Config
-	clock clockwork.Clock
-	gauge metrics.Gauge
+	cfg        Config
+	clock      clockwork.Clock
+	limitGauge metrics.Gauge
 
-	mu               sync.Mutex
-	limit            float64
-	calls            []*runningCall
+	mu           sync.Mutex
+	limit        float64
+	runningCalls []*runningCall
+	// runningByAccount maps accounts to the number of slots that they use. It
+	// counts a slot from the time at which the slot is given to a waiter, before
+	// the call is in runningCalls.
 	runningByAccount map[string]int
 	queue            queue
-	window           window
-	firstToken       latencyTracker
-	perToken         latencyTracker
-	curve            rateCurve
-	// finishedSinceSample counts the calls that finished since the last sample.
+	// window holds the samples of the time per token since the last evaluation.
+	window window
+	// firstToken tracks the time to the first token.
+	firstToken latencyTracker
+	// perToken tracks the time per token.
+	perToken latencyTracker
+	curve    rateCurve
+	// finishedCallCount counts the calls that finished since the last sample.
+	finishedCallCount int
 	// stepEvaluated is true once a window has been evaluated in the present
 	// growth step.
-	finishedSinceSample int
-	stepEvaluated       bool
-	// collapsedWindows counts the consecutive windows in which the token rate was
-	// far below the one measured before with as many calls.
-	collapsedWindows int
-	// pending is the last decrease while its effect has not been measured.
-	pending pendingDecrease
-	// worseWindows counts the consecutive windows in which fewer calls would have
-	// been better.
-	worseWindows int
-	// overloadedAt is the number of calls in flight at the last decrease because
-	// fewer calls would have been better; 0 when there was none or the server has
-	// handled that many since.
-	overloadedAt int
+	stepEvaluated bool
+	// collapsedWindowCount counts the consecutive windows in which the token rate
+	// had collapsed (see rateCurve.collapsed).
+	collapsedWindowCount int
+	// pendingDecrease is the last decrease while its effect has not been measured.
+	pendingDecrease pendingDecrease
+	// overloadedWindowCount counts the consecutive windows with too many calls.
+	overloadedWindowCount int
+	// overloadCallCount is the number of calls in flight when the limit was last
+	// decreased after overloaded windows; 0 when it never was, or when the server
+	// has handled that many calls since.
+	overloadCallCount int
 	// settledAt is the time from which samples enter the rate curve again.
+	settledAt time.Time
 	// cooldownEnd is the time from which the limit may be decreased again after a
 	// reset to the cold limit.
-	settledAt   time.Time
 	cooldownEnd time.Time
-	// stepStart is the start of the present growth step and stepLimit the limit
-	// that it may reach. Steps keep the effects of successive increases on the
-	// token rate apart.
+	// stepStart is the start of the present growth step. Steps keep the effects
+	// of successive increases on the token rate apart.
 	stepStart time.Time
+	// stepLimit is the limit that the present growth step may reach.
 	stepLimit float64
-	// decreasedTo is the limit after the last decrease. growthPausedUntil is the
-	// time from which the limit may grow again, and growthPause the length of the
-	// pause after the next decrease.
-	decreasedTo       float64
+	// decreasedTo is the limit after the last decrease.
+	decreasedTo float64
+	// growthPausedUntil is the time from which the limit may grow again.
 	growthPausedUntil time.Time
-	growthPause       time.Duration
+	// growthPause is the length of the pause after the next decrease, unless a
+	// failed growth step requires a longer one.
+	growthPause time.Duration
 	// meanSlotTime is the mean time for which a call holds its slot.
 	meanSlotTime movingAverage
 }
@@ -148,7 +154,7 @@
 	l := &AdaptiveLimiter{
 		cfg:              cfg,
 		clock:            clock,
-		gauge:            metrics.GetOrRegisterGauge("agent.limit", cfg.Metrics),
+		limitGauge:       metrics.GetOrRegisterGauge("agent.limit", cfg.Metrics),
 		runningByAccount: map[string]int{},
 	}
 	l.growthPause = minGrowthPause
@@ -157,13 +163,14 @@
 	return l
 }
 
-// setLimit sets the limit and its gauge. The caller holds l.mu.
+// setLimit sets the limit, to at most the declared limit, and its gauge. The caller
+// holds l.mu.
 func (l *AdaptiveLimiter) setLimit(limit float64) {
 	if l.cfg.Fixed {
 		limit = float64(l.cfg.Limit)
 	}
 	l.limit = min(limit, float64(l.cfg.Limit))
-	l.gauge.Update(int64(l.limit))
+	l.limitGauge.Update(int64(l.limit))
 }
 
 // Configure implements Limiter.
@@ -184,7 +191,7 @@
 }
 
 // Acquire implements Limiter.
-func (l *AdaptiveLimiter) Acquire(ctx context.Context, req SlotRequest) (release func(Outcome), refused frame.Reason) {
+func (l *AdaptiveLimiter) Acquire(ctx context.Context, req SlotRequest) (release func(Outcome), refusalReason frame.Reason) {
 	l.mu.Lock()
 	if l.queue.len() == 0 && l.hasFreeSlot() {
 		call := l.admit(req)
@@ -200,8 +207,8 @@
 	return l.wait(ctx, w)
 }
 
-// enqueue adds w to the queue and reports whether w was added. When the queue
-// is full, w may displace another waiter. The caller holds l.mu.
+// enqueue adds w to the queue. If the queue is full, w displaces another waiter
+// (see queue.displace), or else enqueue returns false. The caller holds l.mu.
 func (l *AdaptiveLimiter) enqueue(w *waiter) bool {
 	maxLength := max(minQueueLength, int(l.limit*l.cfg.QueueRatio))
 	if l.queue.len() >= maxLength {
@@ -217,15 +224,15 @@
 
 // wait waits until w gets a slot or is refused.
 func (l *AdaptiveLimiter) wait(ctx context.Context, w *waiter) (func(Outcome), frame.Reason) {
-	longest, reason := l.cfg.MaxQueueWait, frame.ReasonFull
-	if remaining := w.request.Deadline.Sub(l.clock.Now()); !w.request.Deadline.IsZero() && remaining < longest {
-		longest, reason = remaining, frame.ReasonExpired
+	maxWait, reason := l.cfg.MaxQueueWait, frame.ReasonFull
+	if remaining := w.request.Deadline.Sub(l.clock.Now()); !w.request.Deadline.IsZero() && remaining < maxWait {
+		maxWait, reason = remaining, frame.ReasonExpired
 	}
-	timer := l.clock.NewTimer(longest)
+	timer := l.clock.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
-	case refused := <-w.result:
-		return l.acquireResult(w, refused)
+	case refusalReason := <-w.result:
+		return l.finishAcquire(w, refusalReason)
 	case <-ctx.Done():
 		reason = frame.ReasonExpired
 	case <-timer.Chan():
@@ -236,14 +243,14 @@
 	if removed {
 		return nil, reason
 	}
-	return l.acquireResult(w, <-w.result)
+	return l.finishAcquire(w, <-w.result)
 }
 
-// acquireResult returns the results of Acquire for w. refused is the reason for
-// its refusal, or empty when w was given a slot.
-func (l *AdaptiveLimiter) acquireResult(w *waiter, refused frame.Reason) (func(Outcome), frame.Reason) {
-	if refused != "" {
-		return nil, refused
+// finishAcquire adds the call of w to the running calls if w was given a slot, and
+// returns the results of Acquire. refusalReason is empty if w was given a slot.
+func (l *AdaptiveLimiter) finishAcquire(w *waiter, refusalReason frame.Reason) (func(Outcome), frame.Reason) {
+	if refusalReason != "" {
+		return nil, refusalReason
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -262,21 +269,23 @@
 	return n
 }
 
-// admit gives a slot to a call. The caller holds l.mu.
+// admit gives a free slot to a new call and returns the call. The caller holds
+// l.mu.
 func (l *AdaptiveLimiter) admit(req SlotRequest) *runningCall {
 	l.runningByAccount[req.Account]++
 	return l.track(req)
 }
 
-// track adds a call to the running calls. Its slot must already be counted in
-// runningByAccount. The caller holds l.mu.
+// track adds a new call to the running calls and returns the call. Its slot must
+// already be counted in runningByAccount. The caller holds l.mu.
 func (l *AdaptiveLimiter) track(req SlotRequest) *runningCall {
 	call := &runningCall{request: req, start: l.clock.Now()}
-	l.calls = append(l.calls, call)
+	l.runningCalls = append(l.runningCalls, call)
 	return call
 }
 
-// grantFreeSlots gives the free slots to waiters. The caller holds l.mu.
+// grantFreeSlots gives the free slots to waiters, in the order of the queue. The
+// caller holds l.mu.
 func (l *AdaptiveLimiter) grantFreeSlots() {
 	for l.hasFreeSlot() {
 		w := l.queue.pop(l.runningByAccount)
@@ -294,7 +303,7 @@
 	return func(o Outcome) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		nearLimit := l.nearLimit(l.inFlight())
+		nearLimit := l.isNearLimit(l.inFlight())
 		l.freeSlot(call)
 		if !o.Cancelled && !call.shed {
 			l.meanSlotTime.add(l.clock.Since(call.start))
@@ -304,19 +313,20 @@
 	}
 }
 
-// nearLimit reports whether this number of calls is at least nearLimitRatio of
-// the limit. The caller holds l.mu.
-func (l *AdaptiveLimiter) nearLimit(calls int) bool {
-	return float64(calls) >= nearLimitRatio*math.Floor(l.limit)
+// isNearLimit reports whether callCount is at least nearLimitRatio of the limit.
+// The caller holds l.mu.
+func (l *AdaptiveLimiter) isNearLimit(callCount int) bool {
+	return float64(callCount) >= nearLimitRatio*math.Floor(l.limit)
 }
 
-// freeSlot frees the slot of call. The caller holds l.mu.
+// freeSlot frees the slot of call, or does nothing if call holds none. The caller
+// holds l.mu.
 func (l *AdaptiveLimiter) freeSlot(call *runningCall) {
-	i := slices.Index(l.calls, call)
+	i := slices.Index(l.runningCalls, call)
 	if i < 0 {
 		return
 	}
-	l.calls = slices.Delete(l.calls, i, i+1)
+	l.runningCalls = slices.Delete(l.runningCalls, i, i+1)
 	account := call.request.Account
 	l.runningByAccount[account]--
 	if l.runningByAccount[account] == 0 {
--- a/request/admission/limiter_test.go
+++ b/request/admission/limiter_test.go
@@ -18,8 +18,8 @@
 	return New(cfg, clock), clock
 }
 
-// startAcquire calls Acquire in a goroutine and returns the channel that receives
-// the reason of a refusal, or the empty reason.
+// startAcquire calls Acquire in a goroutine and returns a channel that receives
+// the reason for the refusal, or the empty reason once a slot has been acquired.
 func startAcquire(l *AdaptiveLimiter, req SlotRequest) <-chan frame.Reason {
 	reasons := make(chan frame.Reason, 1)
 	go func() {
@@ -48,7 +48,7 @@
 		release, reason := l.Acquire(context.Background(), SlotRequest{Account: "large"})
 		So(reason, ShouldBeEmpty)
 
-		Convey("a waiter is refused after the longest wait", func() {
+		Convey("a waiter is refused after the maximum wait", func() {
 			reasons := acquireQueued(l, SlotRequest{Account: "a"})
 			So(clock.BlockUntilContext(context.Background(), 1), ShouldBeNil)
 			clock.Advance(DefaultMaxQueueWait)
@@ -100,7 +100,7 @@
 			release, _ := l.Acquire(context.Background(), SlotRequest{Account: "small", Share: 1})
 			small := acquireQueued(l, SlotRequest{Account: "small", Share: 1})
 			big := acquireQueued(l, SlotRequest{Account: "big", Share: 4})
-			_, reason := l.Acquire(cancelled(), SlotRequest{Account: "other"})
+			_, reason := l.Acquire(cancelledContext(), SlotRequest{Account: "other"})
 			So(reason, ShouldEqual, frame.ReasonExpired)
 			release(Outcome{})
 			So(<-small, ShouldBeEmpty)
@@ -109,13 +109,14 @@
 	})
 }
 
-func cancelled() context.Context {
+func cancelledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
-// runOneCall acquires a slot, if one is free, and releases it with the outcome.
+// runOneCall acquires a slot and releases it with the outcome, or does nothing if
+// Acquire refuses the call.
 func runOneCall(l *AdaptiveLimiter, o Outcome) {
 	release, reason := l.Acquire(context.Background(), SlotRequest{Account: "a"})
 	if reason == "" {
@@ -136,8 +137,8 @@
 		}
 		So(l.Load().Limit, ShouldEqual, 4)
 		So(l.State(), ShouldEqual, frame.StateCold)
-		// passWindow advances the clock by one window and passes samples with
-		// this time per token to the limiter.
+		// passWindow advances the clock past settleTime and then by one window, and
+		// passes samples with this time per token to the limiter.
 		passWindow := func(timePerToken time.Duration) {
 			clock.Advance(settleTime)
 			l.Observe(Sample{PerToken: timePerToken})
@@ -308,7 +309,8 @@
 				So(reason, ShouldBeEmpty)
 			}
 		}
-		// passWindow advances the clock by one window in which no call ends.
+		// passWindow advances the clock past settleTime and then by one window, in
+		// which no call ends.
 		passWindow := func() {
 			clock.Advance(settleTime)
 			l.Observe(Sample{PerToken: timePerToken(l.Load().InFlight)})
@@ -369,7 +371,7 @@
 			clock.Advance(3 * time.Second)
 			release(Outcome{})
 		}
-		Convey("the limit does not grow for four times that long after a decrease", func() {
+		Convey("after a decrease the limit does not grow for four times three seconds", func() {
 			l.mu.Lock()
 			l.limit, l.stepStart = 9, clock.Now()
 			l.decrease(8, reasonTokenRate)
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -14,9 +14,9 @@
 	result chan frame.Reason
 }
 
-// queue holds the waiting slot requests. They get slots in the order of their
-// priority, highest first, then of the running calls per share of their account,
-// fewest first, then of their arrival.
+// queue holds the waiting slot requests. They get slots by priority, highest
+// first; within a priority by the number of running calls of their account divided
+// by the account's share, lowest first; then by arrival.
 type queue struct {
 	// waiting holds the waiters in the order of their arrival.
 	waiting []*waiter
@@ -36,7 +36,8 @@
 	return true
 }
 
-// pop removes and returns the waiter that is first in order, or returns nil.
+// pop removes and returns the waiter that gets the next slot, or returns nil if
+// the queue is empty.
 func (q *queue) pop(runningByAccount map[string]int) *waiter {
 	best := -1
 	for i, w := range q.waiting {
@@ -60,16 +61,17 @@
 	return callsPerShare(runningByAccount[a.Account], a) < callsPerShare(runningByAccount[b.Account], b)
 }
 
-// callsPerShare returns the number of calls of the account divided by its share.
-func callsPerShare(calls int, req SlotRequest) float64 {
-	return float64(calls) / float64(max(req.Share, 1))
+// callsPerShare returns the number of calls of the account of req, divided by the
+// account's share.
+func callsPerShare(callCount int, req SlotRequest) float64 {
+	return float64(callCount) / float64(max(req.Share, 1))
 }
 
 // displace makes room for the new request req in a full queue: it removes and
-// returns the waiter that is last in order, counting waiting calls as running,
-// or returns nil if req must not displace that waiter. req displaces a waiter
-// of lower priority, and one of the same priority whose account has more calls
-// per share than the account of req would have.
+// returns the waiter that would get a slot last, or returns nil if req must not
+// displace that waiter. req displaces a waiter of lower priority, and one of the
+// same priority whose account has more calls per share than the account of req
+// would have. Waiting calls count like running ones.
 func (q *queue) displace(req SlotRequest, runningByAccount map[string]int) *waiter {
 	calls := q.callsByAccount(runningByAccount)
 	worst := -1
--- a/request/admission/ratecurve.go
+++ b/request/admission/ratecurve.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// pointWeight is the weight of a new rate in a point of the curve.
+	// pointWeight is the weight of a new rate when it is averaged with the earlier
+	// rate of a point.
 	pointWeight = 0.3
 	// maxPointAge is the age from which a point is ignored.
 	maxPointAge = time.Minute
-	// betterRatio is the smallest ratio of the token rate with fewer calls to the
-	// present rate at which the present number of calls is too high.
+	// betterRatio times the present token rate is the rate that fewer calls must
+	// exceed for the present number of calls to count as too high.
 	betterRatio = 1.03
 	// estimatedBetterRatio replaces betterRatio when the rate was not measured
 	// but estimated from the baseline. It is larger because cached prompts make
 	// the baseline slightly too fast.
 	estimatedBetterRatio = 1.1
-	// collapsedRatio is the ratio of the token rate to an earlier one with as
-	// many or slightly fewer calls below which the server counts as having
+	// collapsedRatio times an earlier token rate, measured with as many or
+	// slightly fewer calls, is the rate below which the server counts as having
 	// turned cold.
 	collapsedRatio = 0.5
-	// droppedRatio is the ratio of the token rate to an earlier one with as
-	// many calls below which the server's capacity has dropped. A growth step
-	// that is a tenth too large still gives 0.83 of the best rate.
+	// droppedRatio times an earlier token rate with the same number of calls is
+	// the rate below which the server's capacity has dropped. For comparison, a
+	// growth step that is a tenth too large still gives 0.83 of the best rate.
 	droppedRatio = 0.85
 	// minNearRatio is the smallest ratio of an earlier number of calls to the
 	// present one at which their token rates are compared. If the server only has
@@ -33,6 +34,7 @@
 
 // ratePoint is the token rate at one number of calls in flight.
 type ratePoint struct {
+	// rate is in tokens per second over all calls.
 	rate       float64
 	measuredAt time.Time
 }
@@ -42,6 +44,7 @@
 // number of calls; above it the rate falls, even if each call slows down only a
 // little.
 type rateCurve struct {
+	// points maps a number of calls in flight to its token rate.
 	points map[int]ratePoint
 }
 
@@ -58,8 +61,8 @@
 	c.points[inFlight] = ratePoint{rate: rate, measuredAt: now}
 }
 
-// collapsed reports whether the token rate is far below one measured before with
-// as many calls or, down to minNearRatio, fewer.
+// collapsed reports whether the present token rate is below collapsedRatio times
+// one measured before with as many calls or, down to minNearRatio, fewer.
 func (c *rateCurve) collapsed(now time.Time, perToken time.Duration, inFlight int) bool {
 	rate := float64(inFlight) / perToken.Seconds()
 	for calls, p := range c.points {
@@ -71,8 +74,8 @@
 	return false
 }
 
-// relativeRate returns the ratio of the token rate to the one measured before
-// with as many calls; 1 when none was measured.
+// relativeRate returns the ratio of rate to the token rate measured before with
+// the same number of calls; 1 when there is none or it is older than maxPointAge.
 func (c *rateCurve) relativeRate(now time.Time, rate float64, inFlight int) float64 {
 	p, ok := c.points[inFlight]
 	if !ok || now.Sub(p.measuredAt) >= maxPointAge {
@@ -82,10 +85,11 @@
 }
 
 // betterCallCount returns the number of calls below inFlight with the highest
-// token rate, if that rate is above betterRatio times the rate at inFlight, or
-// else false. If there is none and no rate was measured with one call less, that
-// rate is estimated from baseline, the time per token in nanoseconds, and must be
-// above estimatedBetterRatio times the rate at inFlight.
+// measured token rate, if that rate is above betterRatio times the rate at
+// inFlight. Otherwise, if no rate was measured with one call less, it estimates
+// that rate from baseline, the time per token in nanoseconds, and returns that
+// number if the rate is above estimatedBetterRatio times the rate at inFlight. It
+// returns false if no lower number of calls is better.
 func (c *rateCurve) betterCallCount(now time.Time, inFlight int, baseline float64) (int, bool) {
 	best, rate := 0, c.points[inFlight].rate*betterRatio
 	for calls, p := range c.points {
