--- a/request/serve/check.go
+++ b/request/serve/check.go
@@ -19,8 +19,8 @@
 // without an offer.
 func (h *Handler) refusalReason(req *frame.Request, repeatable bool) frame.Reason {
 	// The confirmation is checked before the configuration is read. In the other
-	// order a newer version could arrive in between, and its confirmation would
-	// be taken for that of the older version.
+	// order a newer version could arrive in between, and the confirmation of the
+	// newer version would be taken for that of the older one.
 	unconfirmed := h.configUnconfirmed()
 	current := h.holder.Current()
 	if unconfirmed || req.Config > current.Number {
@@ -73,8 +73,8 @@
 	return false
 }
 
-// pathMatches reports whether path equals pattern or, when pattern ends in a
-// slash, begins with it.
+// pathMatches reports whether path begins with pattern if pattern ends in a slash,
+// or otherwise equals pattern.
 func pathMatches(pattern, path string) bool {
 	if strings.HasSuffix(pattern, "/") {
 		return strings.HasPrefix(path, pattern)
@@ -82,8 +82,9 @@
 	return path == pattern
 }
 
-// engineRefusalReason returns why the engine or service can't run req according
-// to its latest status, or "" when it can.
+// engineRefusalReason returns why, according to its latest status, the engine or
+// service cannot run req, or "" when it can. It passes the boot id in the status
+// to SetBootID.
 func (h *Handler) engineRefusalReason(req *frame.Request) frame.Reason {
 	status, ok := h.status()
 	if !ok {
--- a/request/serve/faults_test.go
+++ b/request/serve/faults_test.go
@@ -30,14 +30,14 @@
 			So(r.head, ShouldBeNil)
 			So(r.body, ShouldBeEmpty)
 		})
-		Convey("a stream whose model version changes is cut before the first token of the other version", func() {
+		Convey("a stream whose model version changes is ended before the first token of the other version", func() {
 			h.engine.SetFaults(standin.Faults{Swap: otherDigest, SwapAfter: 7})
 			r := h.do(frame.KindRequest, req)
 			So(r.summary(), ShouldEqual, "failed incomplete")
 			So(r.tokens, ShouldEqual, 7)
-			whole, err := standin.ExpectedText(testDigest, req.Body)
+			completeText, err := standin.ExpectedText(testDigest, req.Body)
 			So(err, ShouldBeNil)
-			So(strings.HasPrefix(whole, joinTokens(r.body)), ShouldBeTrue)
+			So(strings.HasPrefix(completeText, joinTokens(r.body)), ShouldBeTrue)
 		})
 		Convey("a call for a version that the engine does not report as loaded is refused and does not run", func() {
 			req.Digest = otherDigest
@@ -82,7 +82,7 @@
 			r := h.do(frame.KindRequest, long)
 			So(r.summary(), ShouldEqual, "failed incomplete")
 			So(r.fail.Detail, ShouldContainSubstring, errDeadlinePassed.Error())
-			eventually(t, "the engine sees the cancellation", func() bool { return h.engine.Counters().Cancelled == 1 })
+			eventually(t, "the engine has counted the cancellation", func() bool { return h.engine.Counters().Cancelled == 1 })
 		})
 		Convey("a new boot id resets the limit to the cold limit", func() {
 			h.limiter.Configure(8, 2)
@@ -97,10 +97,10 @@
 
 func TestChecksBeforeNewWork(t *testing.T) {
 	Convey("Given an agent in front of an engine", t, func() {
-		confirmed, onConfirmCheck := time.Now(), func() {}
+		confirmedAt, onConfirmCheck := time.Now(), func() {}
 		h := newHarness(t, options{serve: Config{LastConfirmed: func() time.Time {
 			onConfirmCheck()
-			return confirmed
+			return confirmedAt
 		}}})
 		req := completionRequest("r1", "1")
 
@@ -109,7 +109,7 @@
 			So(h.do(frame.KindRequest, req).summary(), ShouldEqual, "refused stale")
 		})
 		Convey("a call is refused when the configuration has not been confirmed recently", func() {
-			confirmed = time.Now().Add(-time.Minute)
+			confirmedAt = time.Now().Add(-time.Minute)
 			So(h.do(frame.KindRequest, req).summary(), ShouldEqual, "refused stale")
 		})
 		Convey("a call is refused when the data centre is out", func() {
@@ -147,8 +147,9 @@
 	})
 }
 
-// misroutingEngine returns the response to its first call to the second caller,
-// like an engine that mixes up its connections. The first call gets no response.
+// misroutingEngine returns the response to the first call as the response to the
+// second one, like an engine that mixes up its connections. The first call gets no
+// response.
 type misroutingEngine struct {
 	engine.Engine
 	firstResponse engine.Response
--- a/request/serve/ledger.go
+++ b/request/serve/ledger.go
@@ -7,11 +7,11 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// maxEarlierForbidden is the largest number of earlier attempts with the same
-// key that a query about an attempt also forbids.
+// maxEarlierForbidden is the number of earlier attempts with the same key that a
+// query about an attempt forbids at most, in addition to the attempt itself.
 const maxEarlierForbidden = 64
 
-// attemptID identifies one attempt at a non-repeatable call.
+// attemptID identifies one attempt to run a once-only call.
 type attemptID struct {
 	key     string
 	attempt int
@@ -22,8 +22,8 @@
 
 // The states of an attempt.
 const (
-	// attemptOffered means that the attempt may still be started.
-	attemptOffered attemptState = iota
+	// attemptNotStarted means that the attempt has not started and may still start.
+	attemptNotStarted attemptState = iota
 	// attemptForbidden means that the attempt did not run and never will.
 	attemptForbidden
 	// attemptRunning means that the attempt was started and has not ended.
@@ -38,18 +38,19 @@
 	state attemptState
 	// openOffers is the number of exchanges that offer the attempt now.
 	openOffers int
-	// outcome is nil while the attempt has not finished, and when its outcome
-	// is unknown or has been dropped.
+	// outcome is nil while the attempt has not finished, and when the outcome is
+	// unknown or has been evicted.
 	outcome *frame.Outcome
 }
 
-// evictable reports whether the record may be dropped to make room: its attempt
-// has finished, is forbidden, or has not started and has no open offer.
-func (r *attemptRecord) evictable() bool {
-	return r.state == attemptFinished || r.state == attemptForbidden || r.state == attemptOffered && r.openOffers == 0
+// isEvictable reports whether the record may be evicted to make room for another:
+// its attempt has finished, is forbidden, or has not started and has no open
+// offer.
+func (r *attemptRecord) isEvictable() bool {
+	return r.state == attemptFinished || r.state == attemptForbidden || r.state == attemptNotStarted && r.openOffers == 0
 }
 
-// outcomeBytes returns the size of the outcome's body, 0 without an outcome.
+// outcomeBytes returns the size of the outcome's body; 0 without an outcome.
 func (r *attemptRecord) outcomeBytes() int {
 	if r.outcome == nil {
 		return 0
@@ -58,32 +59,33 @@
 }
 
 // ledger lets each attempt start at most once in this incarnation of the agent
-// and keeps its outcome. Its size is bounded: the oldest evictable records are
-// dropped first. Once a record has been dropped, an attempt without a record is
-// reported as unknown, never as not run.
+// and keeps the outcomes of the attempts. The size of the ledger is bounded: the
+// oldest evictable records are evicted first. Once a record has been evicted, an
+// attempt without a record is reported as unknown, never as not run.
 type ledger struct {
-	maxEntries int
-	maxBytes   int
+	maxRecords           int
+	maxTotalOutcomeBytes int
 
 	mu sync.Mutex
-	// records holds the list element of each record, oldestFirst the records
-	// (*attemptRecord) in the order in which they were added.
-	records     map[attemptID]*list.Element
+	// records holds the element of oldestFirst of each record.
+	records map[attemptID]*list.Element
+	// oldestFirst holds the records (*attemptRecord) in the order in which they
+	// were added.
 	oldestFirst *list.List
-	// outcomeBytes is the total size of the kept outcomes' bodies.
-	outcomeBytes int
-	// evicted is true once a record has been dropped.
-	evicted bool
+	// totalOutcomeBytes is the total size of the kept outcomes' bodies.
+	totalOutcomeBytes int
+	// hasEvicted is true once a record has been evicted.
+	hasEvicted bool
 }
 
-// newLedger returns an empty ledger for at most maxEntries records and maxBytes
-// bytes of outcome bodies.
-func newLedger(maxEntries, maxBytes int) *ledger {
+// newLedger returns an empty ledger for at most maxRecords records, and outcome
+// bodies of at most maxTotalOutcomeBytes together.
+func newLedger(maxRecords, maxTotalOutcomeBytes int) *ledger {
 	return &ledger{
-		maxEntries:  maxEntries,
-		maxBytes:    maxBytes,
-		records:     map[attemptID]*list.Element{},
-		oldestFirst: list.New(),
+		maxRecords:           maxRecords,
+		maxTotalOutcomeBytes: maxTotalOutcomeBytes,
+		records:              map[attemptID]*list.Element{},
+		oldestFirst:          list.New(),
 	}
 }
 
@@ -96,7 +98,7 @@
 	if r == nil {
 		r = l.add(id)
 	}
-	if r == nil || r.state != attemptOffered {
+	if r == nil || r.state != attemptNotStarted {
 		return false
 	}
 	r.openOffers++
@@ -119,7 +121,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.find(id)
-	if r == nil || r.state != attemptOffered || r.openOffers == 0 {
+	if r == nil || r.state != attemptNotStarted || r.openOffers == 0 {
 		return false
 	}
 	r.state = attemptRunning
@@ -136,8 +138,8 @@
 	}
 }
 
-// finish marks a started attempt as finished and keeps its outcome, which is nil
-// when it is unknown.
+// finish marks a started attempt as finished and keeps the outcome, which is nil
+// when the outcome is unknown.
 func (l *ledger) finish(id attemptID, outcome *frame.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,13 +149,15 @@
 	}
 	r.state = attemptFinished
 	r.outcome = outcome
-	l.outcomeBytes += r.outcomeBytes()
+	l.totalOutcomeBytes += r.outcomeBytes()
 	l.evictOutcomes()
 }
 
-// queryAndForbid returns the state of the attempt, with its outcome if the ledger
-// still has it. It forbids the attempt and up to maxEarlierForbidden earlier
-// attempts with the same key unless they have started.
+// queryAndForbid returns the state of the attempt, with the outcome if the ledger
+// still has the outcome. It forbids the attempt and up to maxEarlierForbidden
+// earlier attempts with the same key, unless they have started. For an attempt
+// without a record it adds one, so that a later offer is refused; but if records
+// have been evicted or the ledger is full, it returns frame.AttemptUnknown.
 func (l *ledger) queryAndForbid(id attemptID) (frame.AttemptState, *frame.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +165,7 @@
 		l.forbid(attemptID{key: id.key, attempt: n})
 	}
 	r := l.find(id)
-	if r == nil && l.evicted {
+	if r == nil && l.hasEvicted {
 		return frame.AttemptUnknown, nil
 	}
 	if r == nil {
@@ -184,7 +188,7 @@
 // forbid forbids the attempt if it has a record and has not started. The caller
 // holds l.mu.
 func (l *ledger) forbid(id attemptID) {
-	if r := l.find(id); r != nil && r.state == attemptOffered {
+	if r := l.find(id); r != nil && r.state == attemptNotStarted {
 		r.state = attemptForbidden
 	}
 }
@@ -198,10 +202,10 @@
 	return e.Value.(*attemptRecord)
 }
 
-// add adds a record for id and returns it, or nil when the ledger is full of
-// records that may not be dropped. The caller holds l.mu.
+// add adds a record for id and returns the record, or nil when the ledger is full
+// of records that may not be evicted. The caller holds l.mu.
 func (l *ledger) add(id attemptID) *attemptRecord {
-	if len(l.records) >= l.maxEntries && !l.evictOldest() {
+	if len(l.records) >= l.maxRecords && !l.evictOldest() {
 		return nil
 	}
 	r := &attemptRecord{id: id}
@@ -209,29 +213,30 @@
 	return r
 }
 
-// evictOldest drops the oldest evictable record and reports whether there was
-// one. The caller holds l.mu.
+// evictOldest evicts the oldest evictable record, or returns false if there is
+// none. The caller holds l.mu.
 func (l *ledger) evictOldest() bool {
 	for e := l.oldestFirst.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*attemptRecord)
-		if !r.evictable() {
+		if !r.isEvictable() {
 			continue
 		}
 		l.oldestFirst.Remove(e)
 		delete(l.records, r.id)
-		l.outcomeBytes -= r.outcomeBytes()
-		l.evicted = true
+		l.totalOutcomeBytes -= r.outcomeBytes()
+		l.hasEvicted = true
 		return true
 	}
 	return false
 }
 
-// evictOutcomes drops the oldest outcomes until the rest fit into maxBytes. The
-// records stay, so the attempts still count as finished. The caller holds l.mu.
+// evictOutcomes evicts the oldest outcomes until the rest fit into
+// maxTotalOutcomeBytes. Their records stay, so the attempts still count as
+// finished. The caller holds l.mu.
 func (l *ledger) evictOutcomes() {
-	for e := l.oldestFirst.Front(); e != nil && l.outcomeBytes > l.maxBytes; e = e.Next() {
+	for e := l.oldestFirst.Front(); e != nil && l.totalOutcomeBytes > l.maxTotalOutcomeBytes; e = e.Next() {
 		r := e.Value.(*attemptRecord)
-		l.outcomeBytes -= r.outcomeBytes()
+		l.totalOutcomeBytes -= r.outcomeBytes()
 		r.outcome = nil
 	}
 }
--- a/request/serve/load_test.go
+++ b/request/serve/load_test.go
@@ -31,8 +31,8 @@
 	perToken = 5 * time.Millisecond
 	// capacityTestTime is how long the capacity of an engine is measured.
 	capacityTestTime = 10 * time.Second
-	// overloadTestTime is how long an overload lasts. It is long so that calls
-	// which are cut by its start or end count for little.
+	// overloadTestTime is how long an overload lasts. It is long so that the calls
+	// at its start and end, which are counted only in part, matter little.
 	overloadTestTime = 20 * time.Second
 	// negligibleWarmPerCall keeps an engine cold however many calls finish.
 	negligibleWarmPerCall = 1e-9
@@ -50,14 +50,14 @@
 // next returns a length as the value of max_tokens.
 func (l responseLengths) next() string { return strconv.Itoa(loadTokens/2 + l.rng.IntN(loadTokens+1)) }
 
-// tally counts replies by client account.
+// tally counts the replies to calls, by client account.
 type tally struct {
 	mu             sync.Mutex
 	completed      map[string]int
 	refused        map[string]int
 	otherReplies   int
 	slowestRefusal time.Duration
-	finished       int
+	finishedCount  int
 }
 
 func newTally() *tally { return &tally{completed: map[string]int{}, refused: map[string]int{}} }
@@ -65,7 +65,7 @@
 func (c *tally) add(account string, r reply, elapsed time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.finished++
+	c.finishedCount++
 	switch {
 	case r.end != nil:
 		c.completed[account]++
@@ -87,14 +87,14 @@
 	return n
 }
 
-// offerLoad sends calls of account at a constant rate for the time total, without
-// waiting for responses, and adds every reply to c. It returns when that time is
-// over; the returned wait function waits for the remaining responses.
-func (h *harness) offerLoad(c *tally, account string, perSecond float64, total time.Duration) (wait func()) {
+// offerLoad sends calls of account at a constant rate for the given duration,
+// without waiting for responses, and adds every reply to c. It returns when the
+// duration is over; the returned function waits for the remaining responses.
+func (h *harness) offerLoad(c *tally, account string, callsPerSecond float64, duration time.Duration) (wait func()) {
 	var calls sync.WaitGroup
-	ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / callsPerSecond))
 	defer ticker.Stop()
-	end := time.After(total)
+	end := time.After(duration)
 	tokens := newResponseLengths(xxhash.Sum64String(account))
 	for i := 0; ; i++ {
 		select {
@@ -114,11 +114,11 @@
 	}
 }
 
-// closedLoop keeps n calls running for the time total and returns the number of
-// complete responses per second, which is the engine's throughput at concurrency n.
-func (h *harness) closedLoop(n int, total time.Duration) float64 {
+// measureThroughput keeps n calls running for the given duration and returns the
+// engine's throughput, in complete responses per second.
+func (h *harness) measureThroughput(n int, duration time.Duration) float64 {
 	c := newTally()
-	ctx, cancel := context.WithTimeout(context.Background(), total)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	start := time.Now()
 	var workers sync.WaitGroup
@@ -137,28 +137,28 @@
 	return float64(c.totalCompleted()) / time.Since(start).Seconds()
 }
 
-// loadTestEngine returns the settings of the stand-in engine. Each finished call
-// adds warmPerCall to the number of calls that the engine runs at full speed.
-func loadTestEngine(warmPerCall float64) standin.Config {
+// loadTestEngineConfig returns the settings of the stand-in engine. Each finished
+// call adds warmPerCall to the number of calls that the engine runs at full speed.
+func loadTestEngineConfig(warmPerCall float64) standin.Config {
 	return standin.Config{
 		Slots: 128, WarmLimit: warmCapacity, ColdLimit: coldCapacity, WarmPerCall: warmPerCall,
 		FirstToken: 2 * perToken, PerToken: perToken,
 	}
 }
 
-// loadTestLimiter returns the settings of the limiter. With fixed, the limit is
+// loadTestLimiterConfig returns the settings of the limiter. With fixed, the limit is
 // warmCapacity from the start and does not adapt.
-func loadTestLimiter(fixed bool) admission.Config {
+func loadTestLimiterConfig(fixed bool) admission.Config {
 	return admission.Config{Limit: warmCapacity, ColdLimit: coldCapacity, Fixed: fixed}
 }
 
-// coldGoodput offers a cold engine three times its capacity in calls per second,
-// and returns the goodput as a share of that capacity.
-func coldGoodput(t *testing.T, capacity float64, fixed bool, total time.Duration) float64 {
-	h := newVirtualHarness(t, options{engine: loadTestEngine(negligibleWarmPerCall), limiter: loadTestLimiter(fixed)})
+// coldGoodput offers a cold engine three times its capacity, which is in calls per
+// second, and returns the goodput as a share of the capacity.
+func coldGoodput(t *testing.T, capacity float64, fixed bool, duration time.Duration) float64 {
+	h := newVirtualHarness(t, options{engine: loadTestEngineConfig(negligibleWarmPerCall), limiter: loadTestLimiterConfig(fixed)})
 	c := newTally()
 	start := time.Now()
-	h.offerLoad(c, "a", 3*capacity, total)()
+	h.offerLoad(c, "a", 3*capacity, duration)()
 	share := float64(c.totalCompleted()) / time.Since(start).Seconds() / capacity
 	t.Logf("fixed=%v: cold engine capacity %.1f calls/s, goodput %.2f of it, engine %+v", fixed, capacity, share, h.engine.Counters())
 	return share
@@ -166,8 +166,8 @@
 
 // coldCallRate returns the capacity of a cold engine, in calls per second.
 func coldCallRate(t *testing.T) float64 {
-	baseline := newVirtualHarness(t, options{engine: loadTestEngine(negligibleWarmPerCall), limiter: loadTestLimiter(false)})
-	return baseline.closedLoop(coldCapacity, capacityTestTime)
+	baseline := newVirtualHarness(t, options{engine: loadTestEngineConfig(negligibleWarmPerCall), limiter: loadTestLimiterConfig(false)})
+	return baseline.measureThroughput(coldCapacity, capacityTestTime)
 }
 
 func TestColdEngine(t *testing.T) { inprocess.RunInVirtualTime(t, coldEngine) }
@@ -181,7 +181,7 @@
 		So(coldGoodput(t, capacity, true, time.Second), ShouldBeLessThan, 0.5)
 	})
 	Convey("An engine that turns cold under load without warning keeps 90% of the throughput of a cold engine", t, func() {
-		h := newVirtualHarness(t, options{engine: loadTestEngine(100), limiter: loadTestLimiter(false)})
+		h := newVirtualHarness(t, options{engine: loadTestEngineConfig(100), limiter: loadTestLimiterConfig(false)})
 		h.offerLoad(newTally(), "a", 3*capacity, 1500*time.Millisecond)
 		So(h.limiter.State(), ShouldNotEqual, frame.StateCold)
 		h.engine.SetFaults(standin.Faults{Cold: true, StayCold: true})
@@ -198,13 +198,13 @@
 
 func twiceTheCapacity(t *testing.T) {
 	Convey("Given a warm engine, a declared limit of four times its capacity, and a load of twice its capacity, mostly from one large account", t, func() {
-		engine := loadTestEngine(1)
-		engine.ColdLimit = warmCapacity
-		limiter := admission.Config{Limit: 4 * warmCapacity, ColdLimit: warmCapacity}
-		baseline := newVirtualHarness(t, options{engine: engine, limiter: limiter})
-		capacity := baseline.closedLoop(warmCapacity, capacityTestTime)
+		engineConfig := loadTestEngineConfig(1)
+		engineConfig.ColdLimit = warmCapacity
+		limiterConfig := admission.Config{Limit: 4 * warmCapacity, ColdLimit: warmCapacity}
+		baseline := newVirtualHarness(t, options{engine: engineConfig, limiter: limiterConfig})
+		capacity := baseline.measureThroughput(warmCapacity, capacityTestTime)
 
-		h := newVirtualHarness(t, options{engine: engine, limiter: limiter})
+		h := newVirtualHarness(t, options{engine: engineConfig, limiter: limiterConfig})
 		c := newTally()
 		var accounts sync.WaitGroup
 		load := func(account string, share float64) {
--- a/request/serve/once.go
+++ b/request/serve/once.go
@@ -16,10 +16,10 @@
 	"github.com/rattanway/rattanway/request/admission"
 )
 
-// maxOutcomeBytes is the largest body of a response to a non-repeatable call.
-const maxOutcomeBytes = 4 << 20
+// maxOnceBodyBytes is the largest body of a response to a once-only call.
+const maxOnceBodyBytes = 4 << 20
 
-// Errors of non-repeatable calls.
+// Errors of once-only calls, for logs and Fail frames.
 var (
 	errResponseTooLong = errors.New("answer too long")
 	errStillRunning    = errors.New("call still runs at the deadline")
@@ -41,14 +41,14 @@
 	return attemptID{key: "key/" + req.Key, attempt: req.Attempt}
 }
 
-// handleOffer runs a non-repeatable call: it holds a slot, waits for the entry
-// instance's Go frame, and makes the call once.
+// handleOffer runs an offered once-only call, or sends a refusal: it holds a slot,
+// waits for the entry instance's Go frame, and makes the call once.
 func (h *Handler) handleOffer(ctx context.Context, first frame.Frame, exchange work.AgentExchange) error {
 	var req frame.Request
 	if err := first.Decode(&req); err != nil {
 		return core.WrapStep("serve offer", exchange.Peer(), err)
 	}
-	received := h.clock.Now()
+	receivedAt := h.clock.Now()
 	if reason := h.refusalReason(&req, false); reason != "" {
 		return h.sendRefusal(exchange, &req, reason)
 	}
@@ -57,7 +57,7 @@
 		return h.sendRefusal(exchange, &req, frame.ReasonDuplicate)
 	}
 	defer h.ledger.endOffer(id)
-	release, reason := h.limiter.Acquire(ctx, h.newSlotRequest(&req, received))
+	release, reason := h.limiter.Acquire(ctx, h.newSlotRequest(&req, receivedAt))
 	if reason != "" {
 		return h.sendRefusal(exchange, &req, reason)
 	}
@@ -78,7 +78,7 @@
 	if !h.ledger.start(id) {
 		return h.sendRefusal(exchange, &req, frame.ReasonDuplicate)
 	}
-	return h.runOnce(ctx, &req, exchange, slot, received)
+	return h.runOnce(ctx, &req, exchange, slot, receivedAt)
 }
 
 // heldSlot is a slot of the limiter that is released at most once.
@@ -106,7 +106,7 @@
 }
 
 // awaitGo waits for the entry instance's Go frame. When the hold expires first,
-// it frees the slot and keeps waiting, so that a late Go can be refused.
+// awaitGo frees the slot and keeps waiting, so that a late Go can be refused.
 func (h *Handler) awaitGo(ctx context.Context, req *frame.Request, exchange work.AgentExchange, slot *heldSlot) error {
 	holdCtx, cancel := context.WithTimeout(ctx, h.cfg.HoldTimeout)
 	defer cancel()
@@ -131,17 +131,17 @@
 	return nil
 }
 
-// onceResult is the result of a started non-repeatable call: its outcome, or an
-// error.
+// onceResult is the result of a started once-only call: the outcome, or an error.
 type onceResult struct {
 	outcome *frame.Outcome
 	err     error
 }
 
-// runOnce makes the call of a started attempt and sends its outcome. When the
-// entry instance disconnects, the call still runs to its end, and the ledger
-// keeps the outcome for a later attempt query.
-func (h *Handler) runOnce(ctx context.Context, req *frame.Request, exchange work.AgentExchange, slot *heldSlot, received time.Time) error {
+// runOnce makes the call of a started attempt and sends the result to the entry
+// instance. If the deadline passes first, it sends a Fail frame with the outcome
+// "unknown". In that case, and when the entry instance disconnects, the call still
+// runs to its end, and the ledger keeps the outcome for a later attempt query.
+func (h *Handler) runOnce(ctx context.Context, req *frame.Request, exchange work.AgentExchange, slot *heldSlot, receivedAt time.Time) error {
 	h.logCall(eventOnceStarted, req, eventlog.Fields{})
 	done := make(chan onceResult, 1)
 	release := slot.takeRelease()
@@ -154,7 +154,7 @@
 	}()
 	var deadline <-chan time.Time
 	if req.TimeoutMillis > 0 {
-		remaining := time.Duration(req.TimeoutMillis)*time.Millisecond - h.clock.Since(received)
+		remaining := time.Duration(req.TimeoutMillis)*time.Millisecond - h.clock.Since(receivedAt)
 		timer := h.clock.NewTimer(remaining)
 		defer timer.Stop()
 		deadline = timer.Chan()
@@ -169,7 +169,8 @@
 	}
 }
 
-// executeOnce makes the call and records its outcome in the ledger.
+// executeOnce makes the call and records the outcome in the ledger, or that the
+// call did not reach the service.
 func (h *Handler) executeOnce(ctx context.Context, req *frame.Request) onceResult {
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.OnceTimeout)
 	defer cancel()
@@ -198,11 +199,11 @@
 	if resp.ID != "" && resp.ID != req.ID {
 		return nil, errWrongRequest
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOutcomeBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOnceBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxOutcomeBytes {
+	if len(body) > maxOnceBodyBytes {
 		return nil, errResponseTooLong
 	}
 	return &frame.Outcome{Status: resp.Status, Header: forwardedHeader(resp.Header), Body: body}, nil
--- a/request/serve/once_test.go
+++ b/request/serve/once_test.go
@@ -16,7 +16,7 @@
 	"github.com/rattanway/rattanway/standin/service"
 )
 
-// lotRequest returns a non-repeatable call to the service "lots". An empty key
+// lotRequest returns a once-only call to the service "lots". An empty key
 // makes a call without an Idempotency-Key.
 func lotRequest(id, key string, attempt int) frame.Request {
 	r := frame.Request{
@@ -41,7 +41,8 @@
 	return exchange, msg
 }
 
-// sendGo sends Go and returns the reply.
+// sendGo sends a Go frame, which starts the offered call, and returns the agent's
+// reply.
 func sendGo(exchange work.Exchange, id string) reply {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -133,7 +134,7 @@
 			So(status.State, ShouldEqual, frame.AttemptRan)
 			So(status.Outcome, ShouldBeNil)
 		})
-		Convey("a non-repeatable call is refused without an offer", func() {
+		Convey("a once-only call is refused without an offer", func() {
 			So(h.do(frame.KindRequest, lotRequest("r1", "k1", 1)).summary(), ShouldEqual, "refused unknown-op")
 			So(h.service.Executions(), ShouldBeEmpty)
 		})
@@ -216,8 +217,8 @@
 	return l.find(attemptID{key: "key/" + key, attempt: 1}) != nil
 }
 
-// offerAndGo offers a call, sends Go when the call is admitted, and returns the
-// reply.
+// offerAndGo offers a call, sends a Go frame if the agent admits the call, and
+// returns the agent's reply.
 func (h *harness) offerAndGo(req frame.Request) reply {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -248,16 +249,16 @@
 		}
 		c := attemptID{key: "c", attempt: 1}
 
-		Convey("running attempts are never dropped, so a new attempt is refused", func() {
+		Convey("records of running attempts are never evicted, so a new attempt is refused", func() {
 			So(l.beginOffer(c), ShouldBeFalse)
 		})
-		Convey("an attempt whose record was dropped is reported as unknown, never as not run", func() {
+		Convey("an attempt whose record was evicted is reported as unknown, never as not run", func() {
 			l.finish(attemptID{key: "a", attempt: 1}, &frame.Outcome{Body: []byte("done")})
 			So(l.beginOffer(c), ShouldBeTrue)
 			state, _ := l.queryAndForbid(attemptID{key: "a", attempt: 1})
 			So(state, ShouldEqual, frame.AttemptUnknown)
 		})
-		Convey("outcomes beyond the size limit are dropped, but the attempts still count as run", func() {
+		Convey("outcomes beyond the size limit are evicted, but the attempts still count as run", func() {
 			l.finish(attemptID{key: "a", attempt: 1}, &frame.Outcome{Body: make([]byte, 8)})
 			l.finish(attemptID{key: "b", attempt: 1}, &frame.Outcome{Body: make([]byte, 8)})
 			state, outcome := l.queryAndForbid(attemptID{key: "a", attempt: 1})
--- a/request/serve/run.go
+++ b/request/serve/run.go
@@ -36,8 +36,8 @@
 // Unwrap returns the wrapped error.
 func (e sendError) Unwrap() error { return e.error }
 
-// responseForwarder forwards the response to one repeatable call to the entry
-// instance.
+// responseForwarder forwards the response of the engine or service to one
+// repeatable call to the entry instance.
 type responseForwarder struct {
 	handler  *Handler
 	req      *frame.Request
@@ -45,10 +45,10 @@
 	call     *watchedCall
 	// headSent is true from just before the Head frame is sent.
 	headSent bool
-	// bodyBytes and checksum are the length and the xxhash64 of the body sent so
-	// far.
+	// bodyBytes is the length of the body sent so far.
 	bodyBytes int64
-	checksum  *xxhash.Digest
+	// checksum is the xxhash64 of the body sent so far.
+	checksum *xxhash.Digest
 }
 
 // runRepeatable calls the engine or service and forwards the response. cancel must
@@ -66,8 +66,9 @@
 }
 
 // firstByteTimeout returns the longest wait for the first byte of the response
-// to req. It is longer for a response from an engine that is not streamed,
-// because the engine sends nothing until the response is complete.
+// to req: OnceTimeout for a response from an engine that is not streamed, because
+// the engine sends nothing until the response is complete, and otherwise
+// FirstByteTimeout.
 func (h *Handler) firstByteTimeout(req *frame.Request) time.Duration {
 	var options struct {
 		Stream bool `json:"stream"`
@@ -78,8 +79,9 @@
 	return h.cfg.FirstByteTimeout
 }
 
-// limiterOutcome returns what to report to the limiter about a call that ended
-// with err.
+// limiterOutcome returns the outcome to report to the limiter for a call that
+// ended with err. An error that does not indicate an overload counts as cancelled,
+// so that the limiter does not adapt to the call.
 func limiterOutcome(ctx context.Context, err error) admission.Outcome {
 	switch {
 	case err == nil:
@@ -91,8 +93,10 @@
 	}
 }
 
-// finish sends the last frame of the exchange: End when err is nil, otherwise
-// Refuse or Fail. It sends nothing when the entry instance has disconnected.
+// finish sends the last frame of the exchange: End when err is nil, Refuse when
+// err shows that the call did not run, and Fail otherwise. Once the Head frame has
+// been sent, every error leads to Fail. finish sends nothing when the entry
+// instance has disconnected.
 func (f *responseForwarder) finish(ctx context.Context, err error) error {
 	var sendErr sendError
 	switch {
@@ -138,8 +142,7 @@
 	return f.forwardBytes(resp.Body)
 }
 
-// newEngineCall returns the call to the engine or service for req. onceOnly is
-// true for a non-repeatable call.
+// newEngineCall returns the call to the engine or service for req.
 func newEngineCall(req *frame.Request, onceOnly bool) engine.Call {
 	return engine.Call{
 		ID:           req.ID,
@@ -154,9 +157,12 @@
 	}
 }
 
-// checkResponse returns an error unless resp belongs to this request and comes
-// from the pinned model version, or is a client error (4xx) to be forwarded. It
-// is called before any part of the response is forwarded.
+// checkResponse returns an error if resp must not be forwarded. A response of an
+// engine must not be forwarded if its status is 404, 409, 429 or 5xx; other 4xx
+// responses are forwarded unchecked. Any other response must belong to this
+// request and come from the pinned model version. A response of a plain service
+// must not be forwarded if it carries the id of another request.
+// checkResponse is called before any part of the response is forwarded.
 func (f *responseForwarder) checkResponse(resp engine.Response) error {
 	if f.req.Digest == "" {
 		if resp.ID != "" && resp.ID != f.req.ID {
@@ -191,7 +197,8 @@
 	}
 }
 
-// logMismatch logs a response that must not be forwarded, and returns err.
+// logMismatch logs err for a response that must not be forwarded, and returns err
+// so that it can be used in a return statement.
 func (f *responseForwarder) logMismatch(err error, resp engine.Response) error {
 	f.handler.log.EventWithError(eventResponseMismatch, err, eventlog.Fields{
 		"request": f.req.ID, "answered": resp.ID, "want": f.req.Digest.Short(), "digest": resp.Digest.Short(), "status": resp.Status,
@@ -222,8 +229,8 @@
 	return f.sendFrame(frame.KindData, frame.Data{ID: f.req.ID, Body: chunk, Tokens: tokens})
 }
 
-// forwardEvents forwards an event stream as it arrives. It sends complete events
-// only.
+// forwardEvents forwards an event stream: each event is sent as soon as it has
+// arrived completely.
 func (f *responseForwarder) forwardEvents(body io.Reader) error {
 	parser := eventParser{digest: f.req.Digest}
 	buf := make([]byte, 0, readBufferBytes)
@@ -260,13 +267,13 @@
 }
 
 // streamEndError returns the error of an event stream whose last read returned
-// err. The stream is complete, and the error nil, only if err is io.EOF, the
+// err. It returns nil, because the stream is complete, only if err is io.EOF, the
 // [DONE] event was seen and no bytes of an incomplete event are left over.
-func streamEndError(err error, doneSeen bool, leftover int) error {
+func streamEndError(err error, doneSeen bool, leftoverBytes int) error {
 	if err != io.EOF {
 		return err
 	}
-	if !doneSeen || leftover > 0 {
+	if !doneSeen || leftoverBytes > 0 {
 		return errMissingDone
 	}
 	return nil
@@ -292,8 +299,8 @@
 	}
 }
 
-// unforwardedHeaders are the headers of a response that are not forwarded: Date
-// and the hop-by-hop headers.
+// unforwardedHeaders are the header fields of a response that are not forwarded:
+// Date and the hop-by-hop fields.
 var unforwardedHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Trailer", "Upgrade", "Date"}
 
 // forwardedHeader returns a copy of a response's header without the
--- a/request/serve/serve.go
+++ b/request/serve/serve.go
@@ -1,9 +1,9 @@
 // Package serve handles the calls that entry instances send to an agent: it
 // checks that a call may run on this server now, acquires a slot from the
 // limiter, calls the engine or service, and forwards the response followed by an
-// explicit End frame. A non-repeatable call, which must not be executed twice,
-// runs at most once: the entry instance offers it, the agent holds a slot for it,
-// and the entry instance then sends Go.
+// explicit End frame. A once-only call, which must not be executed twice, runs at
+// most once: the entry instance offers the call, the agent holds a slot for the
+// call, and the entry instance then sends a Go frame.
 package serve
 
 import (
@@ -34,17 +34,17 @@
 	// DefaultStallTimeout is the longest time between two reads of a response
 	// that return data.
 	DefaultStallTimeout = 5 * time.Second
-	// DefaultOnceTimeout is the longest run time of a non-repeatable call.
+	// DefaultOnceTimeout is the longest run time of a once-only call.
 	DefaultOnceTimeout = time.Minute
 	// DefaultMaxConfirmAge is the longest time since the configuration was
 	// last confirmed during which new calls are accepted.
 	DefaultMaxConfirmAge = 10 * time.Second
-	// DefaultLedgerEntries is the largest number of attempts at
-	// non-repeatable calls that the ledger keeps.
-	DefaultLedgerEntries = 64 << 10
-	// DefaultLedgerBytes is the largest total size of the response bodies
+	// DefaultMaxLedgerRecords is the largest number of attempts to run once-only
+	// calls of which the ledger keeps a record.
+	DefaultMaxLedgerRecords = 64 << 10
+	// DefaultMaxLedgerBytes is the largest total size of the response bodies
 	// that the ledger keeps, in bytes.
-	DefaultLedgerBytes = 8 << 20
+	DefaultMaxLedgerBytes = 8 << 20
 	// fullRetryAfter is the retry delay suggested when a call is refused
 	// because the server is full.
 	fullRetryAfter = 500 * time.Millisecond
@@ -68,13 +68,13 @@
 	// StallTimeout is the longest time between two reads of a response that
 	// return data.
 	StallTimeout time.Duration
-	// OnceTimeout is the longest run time of a non-repeatable call. The
-	// outcome of a call that exceeds it is recorded as unknown. It is also the
-	// longest wait for an engine's response that is not streamed.
+	// OnceTimeout is the longest run time of a once-only call; the outcome of a
+	// call that exceeds this time is recorded as unknown. OnceTimeout is also the
+	// longest wait for a response from an engine that is not streamed.
 	OnceTimeout time.Duration
 	// OnWrongVersion is called with the manifest digest of a version that the
-	// engine reports as loaded but did not use for a call that pins it. It may
-	// be nil.
+	// engine reports as loaded but did not use for a call that pins this version.
+	// OnWrongVersion may be nil.
 	OnWrongVersion func(core.Digest)
 	// LastConfirmed returns when an entry instance last confirmed that the
 	// agent's configuration is the newest. Nil disables the check.
@@ -82,12 +82,12 @@
 	// MaxConfirmAge is the longest time since LastConfirmed during which new
 	// calls are accepted.
 	MaxConfirmAge time.Duration
-	// LedgerEntries is the largest number of attempts at non-repeatable
-	// calls that the ledger keeps.
-	LedgerEntries int
-	// LedgerBytes is the largest total size of the response bodies that the
+	// MaxLedgerRecords is the largest number of attempts to run once-only calls of
+	// which the ledger keeps a record.
+	MaxLedgerRecords int
+	// MaxLedgerBytes is the largest total size of the response bodies that the
 	// ledger keeps, in bytes.
-	LedgerBytes int
+	MaxLedgerBytes int
 }
 
 func (c *Config) applyDefaults() {
@@ -96,8 +96,8 @@
 	core.SetDefault(&c.StallTimeout, DefaultStallTimeout)
 	core.SetDefault(&c.OnceTimeout, DefaultOnceTimeout)
 	core.SetDefault(&c.MaxConfirmAge, DefaultMaxConfirmAge)
-	core.SetDefault(&c.LedgerEntries, DefaultLedgerEntries)
-	core.SetDefault(&c.LedgerBytes, DefaultLedgerBytes)
+	core.SetDefault(&c.MaxLedgerRecords, DefaultMaxLedgerRecords)
+	core.SetDefault(&c.MaxLedgerBytes, DefaultMaxLedgerBytes)
 }
 
 // Handler implements work.Handler for the agent.
@@ -106,6 +106,8 @@
 	holder  *confstore.Holder
 	limiter admission.Limiter
 	engine  engine.Engine
+	// status returns the latest status of the engine or service, or false while
+	// the engine or service does not respond.
 	status  func() (engine.Status, bool)
 	log     *eventlog.Logger
 	clock   clockwork.Clock
@@ -116,10 +118,10 @@
 
 	mu      sync.Mutex
 	leaving bool
-	// active is the number of exchanges being handled plus the number of
-	// started non-repeatable calls.
-	active int
-	// idle is closed when active drops to 0; nil while no Drain waits.
+	// activeCount is the number of exchanges being handled plus the number of
+	// started once-only calls.
+	activeCount int
+	// idle is closed when activeCount drops to 0; nil while no Drain waits.
 	idle chan struct{}
 	// bootID is the engine's last reported boot id.
 	bootID string
@@ -141,7 +143,7 @@
 		status:   status,
 		log:      log,
 		clock:    clock,
-		ledger:   newLedger(cfg.LedgerEntries, cfg.LedgerBytes),
+		ledger:   newLedger(cfg.MaxLedgerRecords, cfg.MaxLedgerBytes),
 		watcher:  newCallWatcher(cfg, limiter, clock),
 		versions: newVersionCalls(),
 	}
@@ -163,7 +165,8 @@
 	}
 }
 
-// Leave makes the handler refuse new calls from now on.
+// Leave makes the handler refuse new calls from now on. Further calls of Leave do
+// nothing.
 func (h *Handler) Leave() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -171,7 +174,7 @@
 		return
 	}
 	h.leaving = true
-	h.log.Event(eventLeaving, eventlog.Fields{"active": h.active})
+	h.log.Event(eventLeaving, eventlog.Fields{"active": h.activeCount})
 }
 
 // Leaving reports whether the handler refuses new calls, either after Leave or
@@ -188,7 +191,7 @@
 func (h *Handler) Drain(ctx context.Context) error {
 	for {
 		h.mu.Lock()
-		if h.active == 0 {
+		if h.activeCount == 0 {
 			h.mu.Unlock()
 			h.log.Event(eventDrained, nil)
 			return nil
@@ -206,26 +209,27 @@
 	}
 }
 
-// addActive counts an exchange or a started non-repeatable call as in flight.
+// addActive counts an exchange or a started once-only call as in flight.
 func (h *Handler) addActive() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.active++
+	h.activeCount++
 }
 
-// removeActive undoes one addActive, and wakes Drain when nothing is in flight
-// any more.
+// removeActive ends what one addActive counted, and wakes Drain when nothing is
+// in flight any more.
 func (h *Handler) removeActive() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.active--
-	if h.active == 0 && h.idle != nil {
+	h.activeCount--
+	if h.activeCount == 0 && h.idle != nil {
 		close(h.idle)
 		h.idle = nil
 	}
 }
 
-// handleRequest runs a repeatable call.
+// handleRequest runs a repeatable call and forwards the response, or sends a
+// refusal.
 func (h *Handler) handleRequest(ctx context.Context, first frame.Frame, exchange work.AgentExchange) error {
 	var req frame.Request
 	if err := first.Decode(&req); err != nil {
@@ -238,7 +242,7 @@
 		return h.sendRefusal(exchange, &req, frame.ReasonDigestMismatch)
 	}
 	defer h.versions.end(req.Digest)
-	received := h.clock.Now()
+	receivedAt := h.clock.Now()
 	if req.TimeoutMillis > 0 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeoutCause(ctx, time.Duration(req.TimeoutMillis)*time.Millisecond, errDeadlinePassed)
@@ -246,21 +250,22 @@
 	}
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	slotReq := h.newSlotRequest(&req, received)
+	slotReq := h.newSlotRequest(&req, receivedAt)
 	slotReq.Shed = func() { cancel(errShed) }
 	release, reason := h.limiter.Acquire(runCtx, slotReq)
 	if reason != "" {
 		return h.sendRefusal(exchange, &req, reason)
 	}
-	h.logCall(eventCallAdmitted, &req, eventlog.Fields{"waited_ms": h.clock.Since(received).Milliseconds()})
+	h.logCall(eventCallAdmitted, &req, eventlog.Fields{"waited_ms": h.clock.Since(receivedAt).Milliseconds()})
 	return h.runRepeatable(runCtx, cancel, &req, exchange, release)
 }
 
-// newSlotRequest returns the request to the limiter for a slot for req.
-func (h *Handler) newSlotRequest(req *frame.Request, received time.Time) admission.SlotRequest {
+// newSlotRequest returns the request for a slot that is made to the limiter for
+// the call req.
+func (h *Handler) newSlotRequest(req *frame.Request, receivedAt time.Time) admission.SlotRequest {
 	slotReq := admission.SlotRequest{Account: req.Account, Share: req.Share, Priority: req.Priority}
 	if req.TimeoutMillis > 0 {
-		slotReq.Deadline = received.Add(time.Duration(req.TimeoutMillis) * time.Millisecond)
+		slotReq.Deadline = receivedAt.Add(time.Duration(req.TimeoutMillis) * time.Millisecond)
 	}
 	return slotReq
 }
@@ -279,7 +284,8 @@
 }
 
 // sendFailure sends a Fail frame for a call without a complete response. outcome
-// is the outcome for the caller, cause the reason for the logs.
+// is the outcome for the caller; cause is the reason, for the log and for the
+// detail of the Fail frame.
 func (h *Handler) sendFailure(exchange work.AgentExchange, req *frame.Request, outcome core.Refusal, cause error) error {
 	h.log.EventWithError(eventCallFailed, cause, eventlog.Fields{"request": req.ID, "account": req.Account, "word": outcome})
 	return exchange.Send(frame.KindFail, frame.Fail{ID: req.ID, Refusal: outcome, Detail: cause.Error(), Load: h.limiter.Load()})
--- a/request/serve/serve_test.go
+++ b/request/serve/serve_test.go
@@ -64,7 +64,7 @@
 // newHarness returns a harness whose work connection and connection to the
 // stand-in use sockets.
 func newHarness(t testing.TB, o options) *harness {
-	h := assemble(t, o, (*harness).serveStandin)
+	h := newUnconnectedHarness(t, o, (*harness).serveStandin)
 	server := work.NewServer(h.handler, eventlog.Discard())
 	listener := httptest.NewServer(server)
 	t.Cleanup(func() { server.Close(); listener.Close() })
@@ -77,15 +77,16 @@
 
 // newVirtualHarness returns a harness without sockets, for tests in virtual time.
 func newVirtualHarness(t testing.TB, o options) *harness {
-	h := assemble(t, o, func(_ *harness, handler http.Handler) engine.Engine { return inprocess.NewEngineClient(handler) })
+	h := newUnconnectedHarness(t, o, func(_ *harness, handler http.Handler) engine.Engine { return inprocess.NewEngineClient(handler) })
 	h.agent = core.Instance{ID: "s1"}
 	h.opener = inprocess.Opener{AgentHandlers: map[string]work.Handler{"s1": h.handler}}
 	return h
 }
 
-// assemble makes the handler and the stand-in, but nothing that plays the entry
-// instance. connect returns a client for the stand-in's HTTP handler.
-func assemble(t testing.TB, o options, connect func(*harness, http.Handler) engine.Engine) *harness {
+// newUnconnectedHarness returns a harness with the handler and the stand-in, but
+// without the connection of the entry instance. connect returns a client for the
+// stand-in's HTTP handler.
+func newUnconnectedHarness(t testing.TB, o options, connect func(*harness, http.Handler) engine.Engine) *harness {
 	h := &harness{t: t, holder: confstore.NewHolder(), clock: o.clock}
 	if h.clock == nil {
 		h.clock = clockwork.NewRealClock()
@@ -116,7 +117,8 @@
 	return h
 }
 
-// newStandin makes the stand-in engine or service and returns its HTTP handler.
+// newStandin starts the stand-in engine or service of h and returns the stand-in's
+// HTTP handler.
 func (h *harness) newStandin(o options) http.Handler {
 	if o.service {
 		h.service = service.New(service.Config{Name: "lots"}, clockwork.NewRealClock())
@@ -142,8 +144,8 @@
 	return engine.NewHTTPClient(addr, "")
 }
 
-// configure puts a configuration with the given number in force. change modifies
-// the default one.
+// configure puts a configuration with the given number in force: the default
+// declarations, modified by change.
 func (h *harness) configure(number uint64, change func(*declare.Set)) {
 	set := declare.NewSet()
 	set.DataCentres["palermo"] = &declare.DataCentre{Name: "palermo"}
@@ -230,7 +232,7 @@
 	return r
 }
 
-// joinTokens returns the text of an event stream.
+// joinTokens returns the text of all tokens of an event stream.
 func joinTokens(stream []byte) string {
 	var out strings.Builder
 	for _, line := range strings.Split(string(stream), "\n") {
@@ -278,12 +280,12 @@
 		})
 		Convey("a resumed stream continues after the tokens that the caller already has", func() {
 			req := completionRequest("r1", "20")
-			whole, err := standin.ExpectedText(testDigest, req.Body)
+			completeText, err := standin.ExpectedText(testDigest, req.Body)
 			So(err, ShouldBeNil)
 			req.ResumeTokens = 12
 			r := h.do(frame.KindRequest, req)
 			So(r.tokens, ShouldEqual, 8)
-			So(strings.HasSuffix(whole, joinTokens(r.body)), ShouldBeTrue)
+			So(strings.HasSuffix(completeText, joinTokens(r.body)), ShouldBeTrue)
 		})
 		Convey("a response that is not streamed is forwarded completely", func() {
 			req := completionRequest("r1", "5")
@@ -302,7 +304,7 @@
 			_, err = exchange.Receive(ctx)
 			So(err, ShouldBeNil)
 			exchange.Close(false)
-			eventually(t, "the engine sees the cancellation", func() bool { return h.engine.Counters().Cancelled == 1 })
+			eventually(t, "the engine has counted the cancellation", func() bool { return h.engine.Counters().Cancelled == 1 })
 			eventually(t, "the slot is free", func() bool { return h.limiter.Load().InFlight == 0 })
 		})
 	})
--- a/request/serve/versions.go
+++ b/request/serve/versions.go
@@ -10,9 +10,9 @@
 // versionCalls counts the running calls of each model version, so that a version
 // can be drained before the engine unloads it.
 type versionCalls struct {
-	mu       sync.Mutex
-	running  map[core.Digest]int
-	draining map[core.Digest]bool
+	mu            sync.Mutex
+	runningCounts map[core.Digest]int
+	draining      map[core.Digest]bool
 	// changed is closed and replaced when the last running call of a version
 	// ends.
 	changed chan struct{}
@@ -20,9 +20,9 @@
 
 func newVersionCalls() *versionCalls {
 	return &versionCalls{
-		running:  map[core.Digest]int{},
-		draining: map[core.Digest]bool{},
-		changed:  make(chan struct{}),
+		runningCounts: map[core.Digest]int{},
+		draining:      map[core.Digest]bool{},
+		changed:       make(chan struct{}),
 	}
 }
 
@@ -34,41 +34,41 @@
 	if v.draining[d] {
 		return false
 	}
-	v.running[d]++
+	v.runningCounts[d]++
 	return true
 }
 
-// end removes a call of version d, which begin counted, from the count.
+// end removes from the count a call of version d for which begin returned true.
 func (v *versionCalls) end(d core.Digest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.running[d]--
-	if v.running[d] > 0 {
+	v.runningCounts[d]--
+	if v.runningCounts[d] > 0 {
 		return
 	}
-	delete(v.running, d)
+	delete(v.runningCounts, d)
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// idle reports whether no call of version d is running, and returns a channel
+// isIdle reports whether no call of version d is running, and returns a channel
 // that is closed when this may have changed.
-func (v *versionCalls) idle(d core.Digest) (bool, <-chan struct{}) {
+func (v *versionCalls) isIdle(d core.Digest) (bool, <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.running[d] == 0, v.changed
+	return v.runningCounts[d] == 0, v.changed
 }
 
 // DrainVersion makes the handler refuse new calls of the version with manifest
 // digest d and waits until its running calls have ended, or returns an error
 // when ctx ends first. In both cases the handler refuses calls of the version
-// until ResumeVersion.
+// until ResumeVersion is called.
 func (h *Handler) DrainVersion(ctx context.Context, d core.Digest) error {
 	h.versions.mu.Lock()
 	h.versions.draining[d] = true
 	h.versions.mu.Unlock()
 	for {
-		idle, changed := h.versions.idle(d)
+		idle, changed := h.versions.isIdle(d)
 		if idle {
 			return nil
 		}
--- a/request/serve/watch.go
+++ b/request/serve/watch.go
@@ -33,9 +33,10 @@
 	// lastArrival is when the last chunk of the response arrived, in nanoseconds
 	// after started; 0 before the first chunk.
 	lastArrival atomic.Int64
-	// firstTokenAt is when the first tokens arrived, in nanoseconds after
-	// started, and firstTokenCount the number of tokens in that chunk.
-	firstTokenAt    atomic.Int64
+	// firstTokenAt is when the first chunk with tokens arrived, in nanoseconds
+	// after started; 0 before that.
+	firstTokenAt atomic.Int64
+	// firstTokenCount is the number of tokens in that chunk.
 	firstTokenCount atomic.Int64
 	// tokenCount is the number of complete tokens that have arrived.
 	tokenCount atomic.Int64
@@ -44,13 +45,15 @@
 	// count as stalled meanwhile.
 	sending atomic.Bool
 
-	// sampledAt and sampledTokens are the values of lastArrival and tokenCount
-	// up to which tokens have been reported to the limiter or skipped.
-	// lastTokenTime is the time per token reported last. The mutex of the
-	// callWatcher guards all three.
-	sampledAt     int64
-	sampledTokens int64
-	lastTokenTime time.Duration
+	// The mutex of the callWatcher guards the following fields.
+
+	// sampledAt is a time in nanoseconds after started. Tokens that arrived up to
+	// then have been reported to the limiter or skipped.
+	sampledAt int64
+	// sampledTokenCount is the number of these tokens.
+	sampledTokenCount int64
+	// reportedTimePerToken is the time per token reported last.
+	reportedTimePerToken time.Duration
 }
 
 // recordArrival records that a chunk with the given number of tokens arrived.
@@ -64,9 +67,9 @@
 	c.lastArrival.Store(now)
 }
 
-// callWatcher cancels calls that stall and reports the time per token of the
-// others to the limiter. It checks all running calls in one goroutine, which
-// ends when there are none.
+// callWatcher cancels calls whose response stalls, and reports the time per token
+// of the others to the limiter. It checks all running calls in one goroutine,
+// which ends when there are no calls.
 type callWatcher struct {
 	cfg     Config
 	limiter admission.Limiter
@@ -96,18 +99,18 @@
 	return c
 }
 
-// remove stops watching a call, after reporting the tokens that arrived since
-// the last check.
+// remove stops watching a call, after reporting the time per token since the last
+// check.
 func (w *callWatcher) remove(c *watchedCall) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.calls, c)
 	if !c.sending.Load() {
-		w.observeTokenTime(c, c.lastArrival.Load(), c.lastArrival.Load())
+		w.reportTimePerToken(c, c.lastArrival.Load(), c.lastArrival.Load())
 	}
 }
 
-// run checks the calls at every watchInterval until there are none.
+// run checks the calls every watchInterval, until there are none.
 func (w *callWatcher) run() {
 	ticker := w.clock.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -118,7 +121,7 @@
 	}
 }
 
-// checkAll checks every call once and reports whether there are any.
+// checkAll checks every call once, and returns false if there are no calls.
 func (w *callWatcher) checkAll() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -130,7 +133,8 @@
 }
 
 // checkCall cancels c when its first byte is overdue or its response has stalled,
-// and otherwise reports its time per token. The caller holds w.mu.
+// and otherwise reports the time per token of c. Tokens that arrived while a frame
+// was being sent are skipped. The caller holds w.mu.
 func (w *callWatcher) checkCall(c *watchedCall) {
 	now := int64(w.clock.Since(c.started))
 	last := c.lastArrival.Load()
@@ -138,35 +142,36 @@
 	case last == 0 && time.Duration(now) > c.firstByteTimeout:
 		c.cancel(errFirstByteTimeout)
 	case last == 0:
+		// The first byte is not overdue yet, and there are no tokens to report.
 	case c.sending.Load():
-		c.sampledAt, c.sampledTokens = last, c.tokenCount.Load()
+		c.sampledAt, c.sampledTokenCount = last, c.tokenCount.Load()
 	case time.Duration(now-last) > w.cfg.StallTimeout:
 		c.cancel(errStalled)
 	default:
-		w.observeTokenTime(c, now, last)
+		w.reportTimePerToken(c, now, last)
 	}
 }
 
-// observeTokenTime reports to the limiter the mean time between the tokens that
+// reportTimePerToken reports to the limiter the mean time between the tokens that
 // arrived since the last report. When none arrived, it reports the time since
 // the last arrival if that is longer than the time per token reported last. now
 // is the current time and last that of the last arrival, both in nanoseconds
 // after c.started. The caller holds w.mu.
-func (w *callWatcher) observeTokenTime(c *watchedCall, now, last int64) {
+func (w *callWatcher) reportTimePerToken(c *watchedCall, now, last int64) {
 	if c.firstTokenAt.Load() == 0 {
 		return
 	}
 	if c.sampledAt == 0 {
-		c.sampledAt, c.sampledTokens = c.firstTokenAt.Load(), c.firstTokenCount.Load()
+		c.sampledAt, c.sampledTokenCount = c.firstTokenAt.Load(), c.firstTokenCount.Load()
 	}
-	if count := c.tokenCount.Load() - c.sampledTokens; count > 0 {
-		c.lastTokenTime = time.Duration(last-c.sampledAt) / time.Duration(count)
-		c.sampledAt, c.sampledTokens = last, c.sampledTokens+count
-		w.limiter.Observe(admission.Sample{PerToken: c.lastTokenTime})
+	if count := c.tokenCount.Load() - c.sampledTokenCount; count > 0 {
+		c.reportedTimePerToken = time.Duration(last-c.sampledAt) / time.Duration(count)
+		c.sampledAt, c.sampledTokenCount = last, c.sampledTokenCount+count
+		w.limiter.Observe(admission.Sample{PerToken: c.reportedTimePerToken})
 		return
 	}
-	if gap := time.Duration(now - last); gap > c.lastTokenTime {
-		c.lastTokenTime = gap
+	if gap := time.Duration(now - last); gap > c.reportedTimePerToken {
+		c.reportedTimePerToken = gap
 		w.limiter.Observe(admission.Sample{PerToken: gap})
 	}
 }
