--- a/request/relay/attempt.go
+++ b/request/relay/attempt.go
@@ -22,7 +22,7 @@
 	errWrongDigest     = errors.New("response was produced from other weights")
 	errIncomplete      = errors.New("response is incomplete or corrupt")
 	errResponseFailed  = errors.New("response ended early")
-	errOverloaded      = errors.New("server is overloaded")
+	errServerStatus    = errors.New("server responded with an error")
 	errUnexpectedFrame = errors.New("unexpected frame")
 )
 
@@ -40,7 +40,7 @@
 	// refusal is the agent's Refuse frame; nil unless the agent refused the
 	// call.
 	refusal *frame.Refuse
-	// failOutcome is the outcome in the agent's Fail frame; "" without one.
+	// failOutcome is the outcome in the agent's Fail frame; "" if there was none.
 	failOutcome core.Refusal
 	err         error
 }
@@ -49,7 +49,7 @@
 	return attemptResult{result: routing.ResultFailed, err: err}
 }
 
-// receiveWithTimeout is receive with a time limit.
+// receiveWithTimeout calls receive with a context that ends after timeout.
 func receiveWithTimeout(ctx context.Context, x work.Exchange, id string, timeout time.Duration) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -115,15 +115,16 @@
 	// digest is the weights digest that the response must carry; empty for
 	// calls to plain services.
 	digest core.Digest
-	// onProgress is called for each chunk of the body, before onData.
+	// onProgress is called for each Data frame, before onData.
 	onProgress func()
-	// onHead and onData process the frames in order; an error ends the attempt.
+	// onHead and onData process the Head and Data frames, in the order of their
+	// arrival; an error ends the attempt.
 	onHead func(frame.Head) error
 	onData func(frame.Data) error
 }
 
-// read reads frames until the response is complete, refused or failed, or ctx
-// ends.
+// read reads frames until the response is complete, the agent has refused or
+// failed the call, or ctx ends.
 func (rd *responseReader) read(ctx context.Context, x work.Exchange) attemptResult {
 	checksum := newBodyChecksum()
 	headReceived := false
@@ -165,9 +166,8 @@
 	}
 }
 
-// closeExchange closes x. It returns the connection to the pool if the agent
-// ended the exchange with a final frame, and cancels the call at the agent
-// otherwise.
+// closeExchange closes x. If the agent ended the exchange with a final frame, the
+// connection returns to the pool; otherwise the call is cancelled at the agent.
 func (res attemptResult) closeExchange(x work.Exchange) {
 	x.Close(res.result == routing.ResultOK || res.refusal != nil || res.failOutcome != "")
 }
--- a/request/relay/budget.go
+++ b/request/relay/budget.go
@@ -11,18 +11,19 @@
 type retryBudget struct {
 	// ratio is the share of the calls in flight; negative for no limit.
 	ratio float64
-	// minRetries is the smallest limit.
-	minRetries int
+	// minConcurrentRetries is the limit while that share is smaller.
+	minConcurrentRetries int
 
 	mu            sync.Mutex
 	callsInFlight int
-	retries       int
+	// retryCount is the number of retries that the budget counts.
+	retryCount int
 	// retryReleased is closed, and replaced, when a retry is released.
 	retryReleased chan struct{}
 }
 
-func newRetryBudget(ratio float64, minRetries int) *retryBudget {
-	return &retryBudget{ratio: ratio, minRetries: minRetries, retryReleased: make(chan struct{})}
+func newRetryBudget(ratio float64, minConcurrentRetries int) *retryBudget {
+	return &retryBudget{ratio: ratio, minConcurrentRetries: minConcurrentRetries, retryReleased: make(chan struct{})}
 }
 
 // addCall counts one more call in flight until the returned function is called.
@@ -31,14 +32,14 @@
 	return func() { b.adjust(-1, 0) }
 }
 
-// acquire waits until the budget admits one more retry, or returns false when ctx
-// ends first. The first call of release releases the retry; further calls do
-// nothing.
+// acquire waits until the budget admits one more retry and counts that retry, or
+// returns false when ctx ends first. The first call of release ends the counting;
+// further calls do nothing.
 func (b *retryBudget) acquire(ctx context.Context) (release func(), ok bool) {
 	for {
 		b.mu.Lock()
-		if b.ratio < 0 || b.retries < b.retryLimit() {
-			b.retries++
+		if b.ratio < 0 || b.retryCount < b.retryLimit() {
+			b.retryCount++
 			b.mu.Unlock()
 			return sync.OnceFunc(func() { b.adjust(0, -1) }), true
 		}
@@ -55,7 +56,7 @@
 // retryLimit returns the number of retries that may wait for their first byte at
 // the same time. The caller must hold b.mu.
 func (b *retryBudget) retryLimit() int {
-	return max(b.minRetries, int(b.ratio*float64(b.callsInFlight)))
+	return max(b.minConcurrentRetries, int(b.ratio*float64(b.callsInFlight)))
 }
 
 // adjust changes the counts of calls in flight and of retries, and wakes waiting
@@ -64,7 +65,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.callsInFlight += callsDelta
-	b.retries += retriesDelta
+	b.retryCount += retriesDelta
 	if retriesDelta < 0 {
 		close(b.retryReleased)
 		b.retryReleased = make(chan struct{})
--- a/request/relay/budget_test.go
+++ b/request/relay/budget_test.go
@@ -10,18 +10,18 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-const overloadCalls = 100
+const overloadCallCount = 100
 
-// attemptsUnderOverload returns the number of attempts that the servers receive
-// for overloadCalls calls when no server responds in time. ratio is the
+// attemptsUnderOverload makes overloadCallCount calls while no server responds in
+// time, and returns the number of attempts that the servers receive. ratio is the
 // RetryBudgetRatio.
 func attemptsUnderOverload(t *testing.T, ratio float64) int {
-	stall := func(x *fakeExchange, _ frame.Kind, _ any) { <-x.closed }
+	stallingAgent := func(x *fakeExchange, _ frame.Kind, _ any) { <-x.closed }
 	fx := newFixture(t, Config{
 		RetryBudgetRatio: ratio, MinConcurrentRetries: 2, RetryBudgetTimeout: 100 * time.Millisecond, FirstTokenTimeout: 200 * time.Millisecond,
-	}, nil, map[string]fakeAgent{"a": stall, "b": stall, "c": stall, "d": stall})
+	}, nil, map[string]fakeAgent{"a": stallingAgent, "b": stallingAgent, "c": stallingAgent, "d": stallingAgent})
 	var calls sync.WaitGroup
-	for range overloadCalls {
+	for range overloadCallCount {
 		calls.Go(func() {
 			if resp, err := fx.post("/v1/completions", streamBody); err == nil {
 				_, _ = readBody(resp)
@@ -38,8 +38,8 @@
 	Convey("Given servers that time out on every call", t, func() {
 		attemptsWithoutBudget := attemptsUnderOverload(t, -1)
 		attemptsWithBudget := attemptsUnderOverload(t, defaultRetryBudgetRatio)
-		t.Logf("attempts for %d calls: %d without a budget, %d with a budget of %.1f", overloadCalls, attemptsWithoutBudget, attemptsWithBudget, defaultRetryBudgetRatio)
-		So(attemptsWithoutBudget, ShouldBeGreaterThan, 2*overloadCalls)
-		So(attemptsWithBudget, ShouldBeLessThan, 2*overloadCalls)
+		t.Logf("attempts for %d calls: %d without a budget, %d with a budget of %.1f", overloadCallCount, attemptsWithoutBudget, attemptsWithBudget, defaultRetryBudgetRatio)
+		So(attemptsWithoutBudget, ShouldBeGreaterThan, 2*overloadCallCount)
+		So(attemptsWithBudget, ShouldBeLessThan, 2*overloadCallCount)
 	})
 }
--- a/request/relay/call.go
+++ b/request/relay/call.go
@@ -21,7 +21,7 @@
 )
 
 // maxRequestIDBytes is the greatest length of a request id that a caller may
-// choose.
+// send; a longer one is replaced.
 const maxRequestIDBytes = 128
 
 // resumePriority is the priority of a call whose response has begun: such a
@@ -63,9 +63,10 @@
 	}
 }
 
-// attemptRequest returns the request for one attempt. Its timeout is the time
-// left until the deadline of ctx, and resumeTokens is the number of tokens that
-// the caller has already received.
+// attemptRequest returns the request for one attempt. The timeout of the request
+// is the time left until the deadline of ctx. resumeTokens is the number of tokens
+// that the caller has already received; if there are any, the request has
+// resumePriority.
 func (c *call) attemptRequest(ctx context.Context, resumeTokens int) frame.Request {
 	req := c.request
 	req.ResumeTokens = resumeTokens
@@ -78,9 +79,10 @@
 	return req
 }
 
-// requestID returns the request id that the caller sent, or a new one when it
-// is missing or invalid, and sets it in the response header.
-func requestID(c echo.Context) string {
+// assignRequestID returns the request id that the caller sent, or a new id when
+// the caller's is missing or invalid, and sets the returned id in the response
+// header.
+func assignRequestID(c echo.Context) string {
 	id := c.Request().Header.Get(core.HeaderRequestID)
 	if id == "" || len(id) > maxRequestIDBytes || strings.ContainsFunc(id, isUnprintable) {
 		id = uuid.NewString()
@@ -89,11 +91,12 @@
 	return id
 }
 
-// reserveRequestID returns the result of requestID, or a new id when another call
-// in flight has the same id, because responses are matched to calls by their id.
-// release must be called once.
+// reserveRequestID returns an id that no other call in flight has, because
+// responses are matched to calls by their id: the result of assignRequestID or, if
+// another call has that id, a new one. The caller must call release once, when the
+// call has ended.
 func (r *Relay) reserveRequestID(c echo.Context) (id string, release func()) {
-	id = requestID(c)
+	id = assignRequestID(c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.requestIDs[id] {
@@ -108,11 +111,12 @@
 	}
 }
 
-// isUnprintable reports whether r is a space or not a printable ASCII character.
+// isUnprintable reports whether r is a space or outside the printable ASCII
+// characters.
 func isUnprintable(r rune) bool { return r <= ' ' || r > '~' }
 
 // newCall authenticates the caller, reads the request body and returns the
-// call. It returns a Problem when either fails.
+// call. It returns a Problem when the authentication or the reading fails.
 func (r *Relay) newCall(c echo.Context, id string) (*call, *Problem) {
 	req := c.Request()
 	account, err := r.accounts.Authenticate(req.Header.Get(echo.HeaderAuthorization))
@@ -155,8 +159,8 @@
 }
 
 // notForwarded lists the header fields that are not copied between caller and
-// backend server: they concern a single connection, or the system itself sets
-// them.
+// backend server, because they concern a single connection or are set by the
+// system itself.
 var notForwarded = map[string]bool{
 	"Authorization": true, "Connection": true, "Content-Length": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true, "Trailer": true,
@@ -164,7 +168,8 @@
 	core.HeaderRequestID: true, core.HeaderPeerToken: true, core.HeaderPriority: true, core.HeaderDigest: true,
 }
 
-// forwardedHeader returns the fields of h that are forwarded end to end.
+// forwardedHeader returns the fields of h that are copied between caller and
+// backend server.
 func forwardedHeader(h http.Header) map[string][]string {
 	forwarded := map[string][]string{}
 	for name, values := range h {
--- a/request/relay/fakes_test.go
+++ b/request/relay/fakes_test.go
@@ -38,10 +38,10 @@
 // fakeExchange is an exchange between an entry instance and a fakeAgent. The
 // entry instance uses its exported methods.
 type fakeExchange struct {
-	toEntry chan any
-	toAgent chan any
-	closed  chan struct{}
-	once    sync.Once
+	toEntryInstance chan any
+	toAgent         chan any
+	closed          chan struct{}
+	closeOnce       sync.Once
 }
 
 func (x *fakeExchange) Send(_ frame.Kind, msg any) error {
@@ -55,7 +55,7 @@
 
 func (x *fakeExchange) Receive(ctx context.Context) (any, error) {
 	select {
-	case msg, ok := <-x.toEntry:
+	case msg, ok := <-x.toEntryInstance:
 		if !ok {
 			return nil, errors.New("connection reset")
 		}
@@ -65,22 +65,23 @@
 	}
 }
 
-func (x *fakeExchange) Close(bool) { x.once.Do(func() { close(x.closed) }) }
+func (x *fakeExchange) Close(bool) { x.closeOnce.Do(func() { close(x.closed) }) }
 
-// sendToEntry sends messages to the entry instance, and stops once the entry
-// instance has closed the exchange.
-func (x *fakeExchange) sendToEntry(msgs ...any) {
+// sendToEntryInstance sends messages to the entry instance, and stops once the
+// entry instance has closed the exchange.
+func (x *fakeExchange) sendToEntryInstance(msgs ...any) {
 	for _, m := range msgs {
 		select {
-		case x.toEntry <- m:
+		case x.toEntryInstance <- m:
 		case <-x.closed:
 			return
 		}
 	}
 }
 
-// breakConnection makes Receive return a connection reset to the entry instance.
-func (x *fakeExchange) breakConnection() { close(x.toEntry) }
+// breakConnection makes the entry instance's next Receive return the error of a
+// reset connection.
+func (x *fakeExchange) breakConnection() { close(x.toEntryInstance) }
 
 // fakeOpener opens exchanges with fakeAgents.
 type fakeOpener struct {
@@ -100,7 +101,7 @@
 	if !ok {
 		return nil, errors.New("connection refused")
 	}
-	x := &fakeExchange{toEntry: make(chan any), toAgent: make(chan any, 1), closed: make(chan struct{})}
+	x := &fakeExchange{toEntryInstance: make(chan any), toAgent: make(chan any, 1), closed: make(chan struct{})}
 	o.running.Go(func() { respond(x, kind, msg) })
 	return x, nil
 }
@@ -181,7 +182,7 @@
 func streamingAgent(total, breakAfter int) fakeAgent {
 	return func(x *fakeExchange, _ frame.Kind, msg any) {
 		req := msg.(frame.Request)
-		x.sendToEntry(&frame.Head{ID: req.ID, Status: 200, Digest: testDigest, Header: map[string][]string{"Content-Type": {"text/event-stream"}}})
+		x.sendToEntryInstance(&frame.Head{ID: req.ID, Status: 200, Digest: testDigest, Header: map[string][]string{"Content-Type": {"text/event-stream"}}})
 		var sent bytes.Buffer
 		for n := req.ResumeTokens; n < total; n++ {
 			if breakAfter > 0 && n >= breakAfter {
@@ -189,12 +190,12 @@
 				return
 			}
 			sent.Write(tokenEvent(n))
-			x.sendToEntry(&frame.Data{ID: req.ID, Body: tokenEvent(n), Tokens: 1})
+			x.sendToEntryInstance(&frame.Data{ID: req.ID, Body: tokenEvent(n), Tokens: 1})
 		}
 		done := []byte("data: [DONE]\n\n")
 		sent.Write(done)
-		x.sendToEntry(&frame.Data{ID: req.ID, Body: done})
-		x.sendToEntry(endFrame(req.ID, sent.Bytes()))
+		x.sendToEntryInstance(&frame.Data{ID: req.ID, Body: done})
+		x.sendToEntryInstance(endFrame(req.ID, sent.Bytes()))
 	}
 }
 
--- a/request/relay/handlers.go
+++ b/request/relay/handlers.go
@@ -31,8 +31,8 @@
 // compares.
 const affinityPrefixBytes = 256
 
-// prefixHash returns the hash of the beginning of the prompt or messages, as raw
-// JSON.
+// prefixHash returns the hash of the first affinityPrefixBytes of the prompt or,
+// without a prompt, of the messages, as raw JSON.
 func (b completionBody) prefixHash() uint64 {
 	text := b.Prompt
 	if len(text) == 0 {
@@ -56,7 +56,7 @@
 
 // handleModels lists the declared models.
 func (r *Relay) handleModels(c echo.Context) error {
-	id := requestID(c)
+	id := assignRequestID(c)
 	if _, err := r.accounts.Authenticate(c.Request().Header.Get(echo.HeaderAuthorization)); err != nil {
 		return r.refuseCall(c, id, newProblem(http.StatusUnauthorized, core.RefusalNotRun, err.Error()))
 	}
@@ -68,7 +68,7 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-// handleCompletion serves a call to a model.
+// handleCompletion serves a call to a model, which is always repeatable.
 func (r *Relay) handleCompletion(c echo.Context) error {
 	return r.serveCall(c, func(call *call) (bool, *Problem) {
 		var body completionBody
@@ -92,7 +92,8 @@
 	})
 }
 
-// handleService serves a call to a plain service.
+// handleService serves a call to a plain service. The declared route decides
+// whether the call is repeatable.
 func (r *Relay) handleService(c echo.Context) error {
 	return r.serveCall(c, func(call *call) (bool, *Problem) {
 		url := c.Request().URL
--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -17,8 +17,8 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// faultSource decides at random, from a seed, which faults happen. All fakes
-// share one.
+// faultSource decides at random, from a seed, which faults happen. All fakes of a
+// test share one faultSource.
 type faultSource struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -31,7 +31,7 @@
 	return f.rng.Float64() < p
 }
 
-// fakeTable is a table with outages and lost requests and responses.
+// fakeTable is a table that may be down, and may lose requests and responses.
 type fakeTable struct {
 	faults *faultSource
 	down   atomic.Bool
@@ -87,13 +87,16 @@
 	incarnation int
 	// killed is closed when the current incarnation is killed.
 	killed chan struct{}
-	// forbidden is the highest attempt that must not run, by key of the call;
-	// executions and outcomes are by key and attempt. All are of the current
-	// incarnation.
-	forbidden  map[string]int
-	executions map[string]frame.AttemptState
-	outcomes   map[string]*frame.Outcome
-	runCount   int
+	// forbidden maps the key of a call to the highest attempt that must not run.
+	// Like states and outcomes, it concerns the current incarnation.
+	forbidden map[string]int
+	// states maps the key and attempt of a call ("key#attempt") to the state of
+	// the attempt.
+	states map[string]frame.AttemptState
+	// outcomes maps the key and attempt of a call to the outcome of the attempt.
+	outcomes map[string]*frame.Outcome
+	// runCount counts the executions in all incarnations.
+	runCount int
 }
 
 func newFakeServer(id string, f *faultSource, h *history.Writer) *fakeServer {
@@ -112,11 +115,11 @@
 	s.incarnation++
 	s.killed = make(chan struct{})
 	s.forbidden = map[string]int{}
-	s.executions = map[string]frame.AttemptState{}
+	s.states = map[string]frame.AttemptState{}
 	s.outcomes = map[string]*frame.Outcome{}
 }
 
-// respond is the fakeAgent of the server.
+// respond is the fakeAgent of the server: it handles one exchange.
 func (s *fakeServer) respond(x *fakeExchange, kind frame.Kind, msg any) {
 	s.mu.Lock()
 	incarnation, killed := strconv.Itoa(s.incarnation), s.killed
@@ -128,16 +131,16 @@
 	if kind == frame.KindAttemptQuery {
 		query := msg.(frame.AttemptQuery)
 		if state, alive := s.queryAndForbid(query, incarnation); alive {
-			x.sendToEntry(&frame.AttemptStatus{ID: query.ID, Incarnation: incarnation, State: state, Outcome: s.keptOutcome(query, state)})
+			x.sendToEntryInstance(&frame.AttemptStatus{ID: query.ID, Incarnation: incarnation, State: state, Outcome: s.keptOutcome(query, state)})
 		}
 		return
 	}
 	req := msg.(frame.Request)
 	if s.faults.happens(0.02) {
-		x.sendToEntry(&frame.Refuse{ID: req.ID, Reason: frame.ReasonFull, Load: frame.Load{Limit: 1000}})
+		x.sendToEntryInstance(&frame.Refuse{ID: req.ID, Reason: frame.ReasonFull, Load: frame.Load{Limit: 1000}})
 		return
 	}
-	x.sendToEntry(&frame.Admit{ID: req.ID, Incarnation: incarnation, HoldMillis: 100})
+	x.sendToEntryInstance(&frame.Admit{ID: req.ID, Incarnation: incarnation, HoldMillis: 100})
 	select {
 	case <-x.toAgent:
 	case <-x.closed:
@@ -160,7 +163,7 @@
 	if incarnation != strconv.Itoa(s.incarnation) {
 		return "", false
 	}
-	if state, ok := s.executions[query.Key+"#"+strconv.Itoa(query.Attempt)]; ok {
+	if state, ok := s.states[query.Key+"#"+strconv.Itoa(query.Attempt)]; ok {
 		return state, true
 	}
 	s.forbidden[query.Key] = max(s.forbidden[query.Key], query.Attempt)
@@ -168,7 +171,7 @@
 }
 
 // keptOutcome returns the outcome of an attempt that ran. With a probability of
-// 0.3 it returns nil instead, as if the outcome had been dropped.
+// 0.3 it returns nil instead, as if the outcome had been evicted.
 func (s *fakeServer) keptOutcome(query frame.AttemptQuery, state frame.AttemptState) *frame.Outcome {
 	if state != frame.AttemptRan || s.faults.happens(0.3) {
 		return nil
@@ -178,8 +181,9 @@
 	return s.outcomes[query.Key+"#"+strconv.Itoa(query.Attempt)]
 }
 
-// startAttempt records the attempt as running and returns its result. ok is false
-// when the attempt is forbidden or the incarnation has been killed.
+// startAttempt records the attempt as running and returns the result of the
+// execution. ok is false when the attempt is forbidden or the incarnation has been
+// killed.
 func (s *fakeServer) startAttempt(req frame.Request, incarnation string) (result string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,11 +203,11 @@
 	return result, true
 }
 
-// setRan records the state of an attempt of a keyed call. The caller must hold
-// s.mu.
+// setState records the state of an attempt of a keyed call, and does nothing for a
+// call without a key. The caller must hold s.mu.
 func (s *fakeServer) setState(req frame.Request, state frame.AttemptState) {
 	if req.Key != "" {
-		s.executions[req.Key+"#"+strconv.Itoa(req.Attempt)] = state
+		s.states[req.Key+"#"+strconv.Itoa(req.Attempt)] = state
 	}
 }
 
@@ -212,7 +216,7 @@
 func (s *fakeServer) runAttempt(x *fakeExchange, req frame.Request, incarnation string, killed chan struct{}) {
 	result, ok := s.startAttempt(req, incarnation)
 	if !ok {
-		x.sendToEntry(&frame.Refuse{ID: req.ID, Reason: frame.ReasonDuplicate, Load: frame.Load{Limit: 1000}})
+		x.sendToEntryInstance(&frame.Refuse{ID: req.ID, Reason: frame.ReasonDuplicate, Load: frame.Load{Limit: 1000}})
 		return
 	}
 	sleepUnlessKilled(killed, time.Millisecond)
@@ -225,7 +229,7 @@
 	if s.faults.happens(0.03) { // response lost
 		return
 	}
-	x.sendToEntry(&frame.Head{ID: req.ID, Status: 201}, &frame.Data{ID: req.ID, Body: []byte(result)}, endFrame(req.ID, []byte(result)))
+	x.sendToEntryInstance(&frame.Head{ID: req.ID, Status: 201}, &frame.Data{ID: req.ID, Body: []byte(result)}, endFrame(req.ID, []byte(result)))
 }
 
 // sleepUnlessKilled sleeps for d, or until killed is closed.
@@ -236,15 +240,15 @@
 	}
 }
 
-// entryConnections connects an entry instance to the table and the agents. Once
-// the entry instance is killed, every operation fails.
-type entryConnections struct {
+// entryInstanceConnections connects an entry instance to the table and the agents.
+// Once the entry instance is killed, every operation fails.
+type entryInstanceConnections struct {
 	*fakeTable
 	opener *fakeOpener
 	killed chan struct{}
 }
 
-func (c *entryConnections) isKilled() bool {
+func (c *entryInstanceConnections) isKilled() bool {
 	select {
 	case <-c.killed:
 		return true
@@ -253,21 +257,21 @@
 	}
 }
 
-func (c *entryConnections) Get(ctx context.Context, key string, known uint64) (platform.Row, error) {
+func (c *entryInstanceConnections) Get(ctx context.Context, key string, known uint64) (platform.Row, error) {
 	if c.isKilled() {
 		return platform.Row{}, platform.ErrUnavailable
 	}
 	return c.fakeTable.Get(ctx, key, known)
 }
 
-func (c *entryConnections) Commit(ctx context.Context, writes []platform.Write) error {
+func (c *entryInstanceConnections) Commit(ctx context.Context, writes []platform.Write) error {
 	if c.isKilled() {
 		return platform.ErrUnavailable
 	}
 	return c.fakeTable.Commit(ctx, writes)
 }
 
-func (c *entryConnections) Open(ctx context.Context, agent core.Instance, id string, kind frame.Kind, msg any) (work.Exchange, error) {
+func (c *entryInstanceConnections) Open(ctx context.Context, agent core.Instance, id string, kind frame.Kind, msg any) (work.Exchange, error) {
 	if c.isKilled() {
 		return nil, errors.New("killed")
 	}
@@ -275,29 +279,29 @@
 	if err != nil {
 		return nil, err
 	}
-	return &entryExchange{Exchange: x, entry: c}, nil
+	return &entryInstanceExchange{Exchange: x, connections: c}, nil
 }
 
-// entryExchange is an exchange that fails once its entry instance is killed.
-type entryExchange struct {
+// entryInstanceExchange is an exchange that fails once its entry instance is killed.
+type entryInstanceExchange struct {
 	work.Exchange
-	entry *entryConnections
+	connections *entryInstanceConnections
 }
 
-func (x *entryExchange) Send(kind frame.Kind, msg any) error {
-	if x.entry.isKilled() {
+func (x *entryInstanceExchange) Send(kind frame.Kind, msg any) error {
+	if x.connections.isKilled() {
 		x.Close(false)
 		return errors.New("killed")
 	}
 	return x.Exchange.Send(kind, msg)
 }
 
-func (x *entryExchange) Receive(ctx context.Context) (any, error) {
+func (x *entryInstanceExchange) Receive(ctx context.Context) (any, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-x.entry.killed:
+		case <-x.connections.killed:
 			cancel()
 		case <-ctx.Done():
 		}
--- a/request/relay/once_test.go
+++ b/request/relay/once_test.go
@@ -32,10 +32,10 @@
 )
 
 const (
-	onceCalls   = 10_000
-	onceWorkers = 64
-	onceEntries = 3
-	onceSeed    = 5
+	onceCallCount          = 10_000
+	onceWorkerCount        = 64
+	onceEntryInstanceCount = 3
+	onceSeed               = 5
 )
 
 // onceFixture consists of several entry instances that share a table and servers.
@@ -46,13 +46,13 @@
 	holder  *confstore.Holder
 	history *history.Writer
 
-	mu      sync.Mutex
-	entries []*onceEntry
+	mu             sync.Mutex
+	entryInstances []*onceEntryInstance
 }
 
-// onceEntry is an entry instance of an onceFixture.
-type onceEntry struct {
-	connections *entryConnections
+// onceEntryInstance is an entry instance of an onceFixture.
+type onceEntryInstance struct {
+	connections *entryInstanceConnections
 	http        *httptest.Server
 }
 
@@ -72,13 +72,13 @@
 		set.BackendServers[id] = &declare.BackendServer{Name: id, DataCentre: "palermo", Service: "booking", Limit: 1000}
 	}
 	fx.holder.Offer(&declare.Snapshot{Number: 1, Set: set})
-	for range onceEntries {
-		fx.entries = append(fx.entries, fx.newEntry())
+	for range onceEntryInstanceCount {
+		fx.entryInstances = append(fx.entryInstances, fx.newEntryInstance())
 	}
 	return fx
 }
 
-func (fx *onceFixture) newEntry() *onceEntry {
+func (fx *onceFixture) newEntryInstance() *onceEntryInstance {
 	clock := clockwork.NewRealClock()
 	log := eventlog.Discard()
 	reg := registry.New()
@@ -88,7 +88,7 @@
 			Report: frame.Report{State: frame.StateReady, Limit: 1000},
 		})
 	}
-	connections := &entryConnections{fakeTable: fx.table, opener: fx.opener, killed: make(chan struct{})}
+	connections := &entryInstanceConnections{fakeTable: fx.table, opener: fx.opener, killed: make(chan struct{})}
 	onceRecords := once.New(once.Config{
 		PollInterval: 5 * time.Millisecond, QueryAfter: 20 * time.Millisecond, RecordGrace: 60 * time.Millisecond,
 	}, connections, nil, log, clock)
@@ -98,15 +98,15 @@
 		fx.holder, router, connections, onceRecords, log, clock)
 	e := echo.New()
 	r.Register(e)
-	return &onceEntry{connections: connections, http: httptest.NewServer(e)}
+	return &onceEntryInstance{connections: connections, http: httptest.NewServer(e)}
 }
 
-// replaceEntry kills entry instance i and puts a new one in its place.
-func (fx *onceFixture) replaceEntry(i int) {
-	replacement := fx.newEntry()
+// replaceEntryInstance kills entry instance i and puts a new one in its place.
+func (fx *onceFixture) replaceEntryInstance(i int) {
+	replacement := fx.newEntryInstance()
 	fx.mu.Lock()
-	old := fx.entries[i]
-	fx.entries[i] = replacement
+	old := fx.entryInstances[i]
+	fx.entryInstances[i] = replacement
 	fx.mu.Unlock()
 	close(old.connections.killed)
 	old.http.CloseClientConnections()
@@ -114,7 +114,7 @@
 }
 
 func (fx *onceFixture) close() {
-	for _, e := range fx.entries {
+	for _, e := range fx.entryInstances {
 		e.http.Close()
 	}
 	fx.opener.running.Wait()
@@ -124,10 +124,10 @@
 // adds to the history.
 func (fx *onceFixture) submit(client *http.Client, i int, id, key string) history.Record {
 	fx.mu.Lock()
-	entry := fx.entries[i]
+	entryInstance := fx.entryInstances[i]
 	fx.mu.Unlock()
 	record := history.Record{Kind: history.KindResponse, CallID: id, Entry: strconv.Itoa(i), SentAt: fx.history.Elapsed()}
-	req, err := http.NewRequest(http.MethodPost, entry.http.URL+"/services/booking/deposits", strings.NewReader(id))
+	req, err := http.NewRequest(http.MethodPost, entryInstance.http.URL+"/services/booking/deposits", strings.NewReader(id))
 	if err != nil {
 		return record
 	}
@@ -143,7 +143,8 @@
 	return record
 }
 
-// recordResponse copies a response to record if the response is complete.
+// recordResponse copies a response to record if the response is complete, and
+// otherwise leaves record unchanged.
 func (fx *onceFixture) recordResponse(resp *http.Response, record *history.Record) {
 	got, err := readBody(resp)
 	if err != nil {
@@ -161,28 +162,28 @@
 	record.BodyDigest = core.DigestOf([]byte(got))
 }
 
-// runCall makes call n. Calls with an even number have no Idempotency-Key and are
+// runCall makes call number n. Calls with an even number have no Idempotency-Key and are
 // submitted once. The others are submitted up to four times, through one entry
 // instance after another, until one submission succeeds, and then once more.
 // Every tenth call is also submitted through two entry instances concurrently.
 func (fx *onceFixture) runCall(client *http.Client, n int) {
 	id := fmt.Sprintf("call-%d", n)
 	if n%2 == 0 {
-		fx.submit(client, n%onceEntries, id, "")
+		fx.submit(client, n%onceEntryInstanceCount, id, "")
 		return
 	}
 	if n%10 == 1 {
 		var concurrent sync.WaitGroup
-		concurrent.Go(func() { fx.submit(client, (n+2)%onceEntries, id, "key-"+id) })
+		concurrent.Go(func() { fx.submit(client, (n+2)%onceEntryInstanceCount, id, "key-"+id) })
 		defer concurrent.Wait()
 	}
 	for attempt := range 4 {
-		record := fx.submit(client, (n+attempt)%onceEntries, id, "key-"+id)
+		record := fx.submit(client, (n+attempt)%onceEntryInstanceCount, id, "key-"+id)
 		if record.Status == http.StatusCreated {
 			break
 		}
 	}
-	fx.submit(client, (n+1)%onceEntries, id, "key-"+id)
+	fx.submit(client, (n+1)%onceEntryInstanceCount, id, "key-"+id)
 }
 
 // injectFaults kills agents and entry instances and makes the table unavailable,
@@ -202,7 +203,7 @@
 			fx.servers[fmt.Sprintf("booking-%d", 1+n%3)].restart()
 		}
 		if f.happens(0.2) {
-			fx.replaceEntry(n % onceEntries)
+			fx.replaceEntryInstance(n % onceEntryInstanceCount)
 		}
 	}
 }
@@ -225,8 +226,8 @@
 		t.Logf("seed %d: %d calls, %d executions, %d submissions: %d whole, %d not-run, %d unknown, %d broken",
 			onceSeed, res.Calls, res.Executions, res.Submissions, res.Whole, res.NotRun, res.Unknown, res.Broken)
 		So(res.Violations, ShouldBeEmpty)
-		So(res.Calls, ShouldEqual, onceCalls)
-		So(res.Whole, ShouldBeGreaterThan, onceCalls/2)
+		So(res.Calls, ShouldEqual, onceCallCount)
+		So(res.Whole, ShouldBeGreaterThan, onceCallCount/2)
 	})
 }
 
@@ -236,7 +237,7 @@
 	var injector, workers sync.WaitGroup
 	injector.Go(func() { fx.injectFaults(f, stop) })
 	calls := make(chan int)
-	for range onceWorkers {
+	for range onceWorkerCount {
 		workers.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
 			defer client.CloseIdleConnections()
@@ -245,7 +246,7 @@
 			}
 		})
 	}
-	for n := range onceCalls {
+	for n := range onceCallCount {
 		calls <- n
 	}
 	close(calls)
--- a/request/relay/onceonly.go
+++ b/request/relay/onceonly.go
@@ -17,15 +17,16 @@
 	"github.com/rattanway/rattanway/request/routing"
 )
 
-// errHoldExpired is returned when the time for which the agent holds the slot
-// has passed, so that another call may have the slot.
+// errHoldExpired is returned when the agent no longer holds the slot for the
+// call, because the hold time has passed. Another call may have the slot.
 var errHoldExpired = errors.New("the held slot has expired")
 
 // errResponseTooLarge is returned when the response to a once-only call exceeds
 // MaxResponseBytes.
 var errResponseTooLarge = errors.New("response is too large")
 
-// serveOnce serves a once-only call.
+// serveOnce serves a once-only call: it sends the complete response, or refuses
+// the call.
 func (r *Relay) serveOnce(ctx context.Context, c echo.Context, call *call) error {
 	outcome, p := r.resolveOutcome(ctx, call)
 	if p != nil {
@@ -89,9 +90,10 @@
 // keyedCall is a once-only call with an Idempotency-Key.
 type keyedCall struct {
 	once.Call
-	// nextAttempt is the attempt that this submission may try to claim.
+	// nextAttempt is the attempt that this submission may claim next.
 	nextAttempt once.NextAttempt
-	// claim is nil until nextAttempt is claimed.
+	// claim is the claim of nextAttempt; nil until this submission has claimed the
+	// attempt.
 	claim *once.Claim
 }
 
@@ -111,9 +113,9 @@
 }
 
 // offerToServers offers the call to one server after another until an agent
-// admits it, and runs it there. keyed is nil for calls without an
+// admits the call, and runs the call there. keyed is nil for calls without an
 // Idempotency-Key. The error is once.ErrAlreadyClaimed when another submission
-// has claimed the call, and nil otherwise.
+// has claimed this attempt first, and nil otherwise.
 func (r *Relay) offerToServers(ctx context.Context, call *call, keyed *keyedCall) (*once.Outcome, *Problem, error) {
 	tried := map[string]bool{}
 	retryAfter := r.config.RetryAfter
@@ -129,11 +131,11 @@
 		if outcome != nil || p != nil || errors.Is(err, once.ErrAlreadyClaimed) {
 			return outcome, p, err
 		}
-		detail = attempt.refusalDetail(err)
+		detail = attempt.notRunDetail(err)
 		if attempt.retryAfter > 0 {
 			retryAfter = attempt.retryAfter
 		}
-		if attempt.refusalReason == frame.ReasonStaleConfig && r.pauseBeforeOffer(ctx, call, r.config.StaleConfigTimeout) {
+		if attempt.refusalReason == frame.ReasonStaleConfig && r.pauseBeforeOffer(ctx, call, r.config.StaleConfigMaxAge) {
 			clear(tried)
 		}
 		if ctx.Err() != nil || errors.Is(err, once.ErrTableUnavailable) {
@@ -143,9 +145,9 @@
 	return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter), nil
 }
 
-// queryAttempt sends an attempt query to an agent and returns the response. It is
-// passed to once.RecordStore.Resolve. The agent does not start the attempt after
-// the query.
+// queryAttempt sends an attempt query to an agent and returns the response. An
+// attempt that has not started when the agent receives the query never starts.
+// once.RecordStore.Resolve calls this function.
 func (r *Relay) queryAttempt(ctx context.Context, agent core.Instance, key string, attempt int) (frame.AttemptStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.AttemptQueryTimeout)
 	defer cancel()
@@ -166,9 +168,10 @@
 	return frame.AttemptStatus{}, core.WrapStep("ask", agent.ID, err)
 }
 
-// withForwardedHeader returns status with only the forwarded header fields in the
-// outcome that the agent kept. The others are not recorded either, so the caller
-// gets the same response from the agent's copy and from the record.
+// withForwardedHeader returns a copy of status whose outcome has only the header
+// fields that are forwarded to callers. The record does not have the other fields
+// either, so the caller gets the same response from the agent's copy of the
+// outcome and from the record.
 func withForwardedHeader(status frame.AttemptStatus) frame.AttemptStatus {
 	if status.Outcome == nil {
 		return status
@@ -179,7 +182,7 @@
 	return status
 }
 
-// onceAttempt is one attempt at a once-only call at one server.
+// onceAttempt is one attempt to run a once-only call on one server.
 type onceAttempt struct {
 	relay *Relay
 	call  *call
@@ -193,16 +196,16 @@
 	refusalReason frame.Reason
 }
 
-// run offers the call and runs it if the agent admits it. If only the error is
-// set, the call did not run; it may then be offered to another server, unless
-// the error is once.ErrAlreadyClaimed.
+// run offers the call to the agent, and runs the call if the agent admits it. If
+// only the error is set, the call did not run and may be offered to another
+// server, unless the error is once.ErrAlreadyClaimed.
 func (oa *onceAttempt) run(ctx context.Context) (*once.Outcome, *Problem, error) {
-	x, admission, res := oa.offer(ctx)
+	x, admitted, res := oa.offer(ctx)
 	if res.result != routing.ResultOK {
 		oa.relay.recordAttempt(oa.call, oa.server, res)
 		return nil, nil, res.err
 	}
-	if err := oa.claimAndCheckHold(ctx, admission); err != nil {
+	if err := oa.claimAndCheckHold(ctx, admitted); err != nil {
 		x.Close(false)
 		oa.relay.recordAttempt(oa.call, oa.server, attemptResult{result: routing.ResultCancelled, err: err})
 		return nil, nil, err
@@ -217,10 +220,10 @@
 	return oa.conclude(ctx, outcome, res)
 }
 
-// refusalDetail returns the reason, for the caller, why the call was not run. It
-// does not contain err itself, which names peers and rows that only the log may
-// show.
-func (oa *onceAttempt) refusalDetail(err error) string {
+// notRunDetail returns the text that gives the caller the reason why the call was
+// not run. The text does not contain err itself, which names peers and rows that
+// only the log may show.
+func (oa *onceAttempt) notRunDetail(err error) string {
 	switch {
 	case oa.refusalReason != "":
 		return "backend servers refused the call: " + string(oa.refusalReason)
@@ -230,15 +233,16 @@
 	return "the call was not run: no backend server could be reached in time"
 }
 
-// admission is an agent's Admit frame and the time at which the call was
+// admittedOffer is an agent's Admit frame and the time at which the call was
 // offered.
-type admission struct {
+type admittedOffer struct {
 	frame.Admit
 	offeredAt time.Time
 }
 
-// offer offers the call to the agent and waits until it admits or refuses it.
-func (oa *onceAttempt) offer(ctx context.Context) (work.Exchange, admission, attemptResult) {
+// offer offers the call to the agent and waits until the agent admits or refuses
+// the call.
+func (oa *onceAttempt) offer(ctx context.Context) (work.Exchange, admittedOffer, attemptResult) {
 	req := oa.call.attemptRequest(ctx, 0)
 	if oa.keyed != nil {
 		req.Key = oa.keyed.RowKey()
@@ -247,39 +251,40 @@
 	offeredAt := oa.relay.clock.Now()
 	x, err := oa.relay.opener.Open(ctx, oa.server.Instance, oa.call.id, frame.KindOffer, req)
 	if err != nil {
-		return nil, admission{}, failedAttempt(err)
+		return nil, admittedOffer{}, failedAttempt(err)
 	}
 	msg, err := receiveWithTimeout(ctx, x, oa.call.id, oa.relay.config.AdmitTimeout)
 	switch m := msg.(type) {
 	case *frame.Admit:
-		return x, admission{Admit: *m, offeredAt: offeredAt}, attemptResult{result: routing.ResultOK}
+		return x, admittedOffer{Admit: *m, offeredAt: offeredAt}, attemptResult{result: routing.ResultOK}
 	case *frame.Refuse:
 		x.Close(true)
 		oa.refusalReason = m.Reason
 		oa.retryAfter = time.Duration(m.RetryAfterMillis) * time.Millisecond
 		err = errors.Errorf("refused by %s: %s", oa.server.Instance.ID, m.Reason)
-		return nil, admission{}, attemptResult{result: routing.ResultRefused, load: &m.Load, refusal: m, err: err}
+		return nil, admittedOffer{}, attemptResult{result: routing.ResultRefused, load: &m.Load, refusal: m, err: err}
 	}
 	x.Close(false)
 	if err == nil {
 		err = errUnexpectedFrame
 	}
-	return nil, admission{}, failedAttempt(err)
+	return nil, admittedOffer{}, failedAttempt(err)
 }
 
-// claimAndCheckHold claims a keyed call for the agent incarnation that admitted
-// it, and returns an error if the agent no longer holds the slot or ctx has
-// ended.
-func (oa *onceAttempt) claimAndCheckHold(ctx context.Context, admission admission) error {
+// claimAndCheckHold claims the attempt of a keyed call for the agent incarnation
+// that admitted the call. It returns an error if that fails, if the agent no
+// longer holds the slot, or if ctx has ended; in the last two cases it records
+// that the attempt was not run.
+func (oa *onceAttempt) claimAndCheckHold(ctx context.Context, admitted admittedOffer) error {
 	if oa.keyed != nil {
-		claim, err := oa.relay.onceRecords.Claim(ctx, oa.keyed.Call, oa.keyed.nextAttempt, oa.server.Instance, admission.Incarnation)
+		claim, err := oa.relay.onceRecords.Claim(ctx, oa.keyed.Call, oa.keyed.nextAttempt, oa.server.Instance, admitted.Incarnation)
 		if err != nil {
 			return err
 		}
 		oa.keyed.claim = claim
 	}
-	holdDuration := time.Duration(admission.HoldMillis) * time.Millisecond
-	expired := oa.relay.clock.Since(admission.offeredAt) >= holdDuration
+	holdDuration := time.Duration(admitted.HoldMillis) * time.Millisecond
+	expired := oa.relay.clock.Since(admitted.offeredAt) >= holdDuration
 	if !expired && ctx.Err() == nil {
 		return nil
 	}
@@ -301,7 +306,8 @@
 	return context.WithDeadline(ctx, deadline)
 }
 
-// runAdmitted instructs the agent to run the call and reads the response.
+// runAdmitted instructs the agent, with a Go frame, to run the call and reads the
+// response.
 func (oa *onceAttempt) runAdmitted(ctx context.Context, x work.Exchange) (*once.Outcome, attemptResult) {
 	oa.relay.log.Event(eventOnceGo, eventlog.Fields{"request": oa.call.id, "server": oa.server.Instance.ID})
 	if err := x.Send(frame.KindGo, frame.Go{ID: oa.call.id}); err != nil {
@@ -329,8 +335,8 @@
 	return outcome, reader.read(attemptCtx, x)
 }
 
-// conclude records the result of the call, and returns the outcome or the
-// Problem to send to the caller.
+// conclude records the result of a keyed call, and returns the outcome or the
+// Problem to send to the caller. The error is always nil.
 func (oa *onceAttempt) conclude(ctx context.Context, outcome *once.Outcome, res attemptResult) (*once.Outcome, *Problem, error) {
 	retryAfter := oa.relay.config.RetryAfter
 	if res.result == routing.ResultOK {
@@ -350,8 +356,9 @@
 	return nil, newProblem(http.StatusBadGateway, core.RefusalUnknown, "the server was lost after it was told to run the call").withRetryAfter(retryAfter), nil
 }
 
-// recordInBackground records the result of a claimed call in the background,
-// because the table may be unreachable for long. Drain waits for it.
+// recordInBackground records the result of a claimed attempt in the background,
+// because the table may be unreachable for long. Drain waits until the recording
+// ends. Without a claim there is nothing to record.
 func (oa *onceAttempt) recordInBackground(ctx context.Context, write func(*once.Claim, context.Context) error) {
 	if oa.keyed == nil || oa.keyed.claim == nil {
 		return
--- a/request/relay/problem.go
+++ b/request/relay/problem.go
@@ -47,7 +47,7 @@
 }
 
 // withRetryAfter sets the time after which the caller may try again, and
-// returns p.
+// returns p, for use in an expression.
 func (p *Problem) withRetryAfter(d time.Duration) *Problem {
 	p.RetryAfter = d
 	return p
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -44,7 +44,7 @@
 	defaultResponseBufferBytes  = 1 << 20
 	defaultMaxResponseBytes     = 8 << 20
 	defaultRetryAfter           = time.Second
-	defaultStaleConfigTimeout   = time.Second
+	defaultStaleConfigMaxAge    = time.Second
 	defaultRecordTimeout        = 30 * time.Second
 )
 
@@ -73,8 +73,8 @@
 type Config struct {
 	// Self is the entry instance.
 	Self core.Instance
-	// CallTimeout bounds a call once its request has been read; default
-	// 2 min.
+	// CallTimeout bounds the handling of a call once its request has been read;
+	// default 2 min.
 	CallTimeout time.Duration
 	// FirstTokenTimeout bounds the wait for the first chunk of a streamed
 	// response, including the time in the agent's queue; default 10 s.
@@ -98,13 +98,16 @@
 	// MinConcurrentRetries is the number of retries that may wait for their
 	// first byte at the same time however few calls are in flight; default 10.
 	MinConcurrentRetries int
-	// MaxAttempts bounds the attempts of one call; default 4.
+	// MaxAttempts bounds the attempts of one call; default 4. For a repeatable
+	// call, the attempts that an agent has refused since the call was last switched
+	// to another version are not counted.
 	MaxAttempts int
 	// RetryBudgetTimeout bounds the time that a retry waits until the retry
 	// budget admits it; default 2 s.
 	RetryBudgetTimeout time.Duration
 	// MaxRefusals is the number of refusals by agents after which a call whose
-	// response has not begun is refused; default 4.
+	// response has not begun is refused or, during a rollout, offered to the
+	// servers of another version; default 4.
 	MaxRefusals int
 	// RefuseAfter is the age from which a call whose response has not begun is
 	// refused when no other server is known to have a free slot; default
@@ -117,9 +120,10 @@
 	// ResumeTimeout bounds the search for a server that resumes a response that
 	// has begun; default 10 s.
 	ResumeTimeout time.Duration
-	// RetryPause is the time between two rounds of that search. It is also the
-	// pause before a call is offered again to agents with an old configuration,
-	// or to the servers of another version; default 50 ms.
+	// RetryPause is the time between two rounds of the search that ResumeTimeout
+	// bounds. RetryPause is also the pause before a call is offered again to
+	// agents with an old configuration, or to the servers of another version;
+	// default 50 ms.
 	RetryPause time.Duration
 	// MaxBodyBytes is the largest request body; default 8 MiB.
 	MaxBodyBytes int64
@@ -133,9 +137,9 @@
 	// RetryAfter is the Retry-After time of refused calls for which the agent
 	// suggested none; default 1 s.
 	RetryAfter time.Duration
-	// StaleConfigTimeout is the age up to which a call waits for agents that
-	// have not received the newest configuration yet; default 1 s.
-	StaleConfigTimeout time.Duration
+	// StaleConfigMaxAge is how long after its arrival a call may still wait for
+	// agents that have not received the newest configuration; default 1 s.
+	StaleConfigMaxAge time.Duration
 	// RecordTimeout bounds the recording of the outcome of a once-only call;
 	// default 30 s.
 	RecordTimeout time.Duration
@@ -161,7 +165,7 @@
 	core.SetDefault(&c.ResponseBufferBytes, defaultResponseBufferBytes)
 	core.SetDefault(&c.MaxResponseBytes, defaultMaxResponseBytes)
 	core.SetDefault(&c.RetryAfter, defaultRetryAfter)
-	core.SetDefault(&c.StaleConfigTimeout, defaultStaleConfigTimeout)
+	core.SetDefault(&c.StaleConfigMaxAge, defaultStaleConfigMaxAge)
 	core.SetDefault(&c.RecordTimeout, defaultRecordTimeout)
 }
 
@@ -181,9 +185,9 @@
 
 	mu       sync.Mutex
 	draining bool
-	// inFlight counts calls in flight and outcomes being recorded.
-	inFlight int
-	// allDone is closed once Drain was called and inFlight is 0.
+	// inFlightCount counts calls in flight and outcomes being recorded.
+	inFlightCount int
+	// allDone is closed once Drain was called and inFlightCount is 0.
 	allDone chan struct{}
 	// requestIDs are the request ids of the calls in flight.
 	requestIDs map[string]bool
@@ -209,7 +213,7 @@
 	}
 }
 
-// Register adds the routes that callers use to e.
+// Register adds to e the routes for callers.
 func (r *Relay) Register(e *echo.Echo) {
 	e.POST("/v1/chat/completions", r.handleCompletion)
 	e.POST("/v1/completions", r.handleCompletion)
@@ -223,7 +227,7 @@
 // error when ctx ends first.
 func (r *Relay) Drain(ctx context.Context) error {
 	r.mu.Lock()
-	if !r.draining && r.inFlight == 0 {
+	if !r.draining && r.inFlightCount == 0 {
 		close(r.allDone)
 	}
 	r.draining = true
@@ -236,31 +240,32 @@
 	}
 }
 
-// beginCall counts one more call in flight. It returns false while draining.
+// beginCall counts one more call in flight. Once Drain has been called, it returns
+// false and counts nothing.
 func (r *Relay) beginCall() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.draining {
 		return false
 	}
-	r.inFlight++
+	r.inFlightCount++
 	return true
 }
 
-// beginBackgroundWork counts background work that Drain waits for. It must be
-// called while the call that it belongs to is in flight.
+// beginBackgroundWork counts background work for a call, so that Drain waits for
+// the end of the work. It must be called while the call is in flight.
 func (r *Relay) beginBackgroundWork() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.inFlight++
+	r.inFlightCount++
 }
 
-// endWork ends what one successful beginCall or one beginBackgroundWork began.
+// endWork ends what one successful beginCall or one beginBackgroundWork counted.
 func (r *Relay) endWork() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.inFlight--
-	if r.draining && r.inFlight == 0 {
+	r.inFlightCount--
+	if r.draining && r.inFlightCount == 0 {
 		close(r.allDone)
 	}
 }
@@ -270,5 +275,5 @@
 func (r *Relay) InFlight() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.inFlight
+	return r.inFlightCount
 }
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -68,7 +68,7 @@
 		Convey("a frame with the id of another request is never forwarded", func() {
 			wrongID := func(x *fakeExchange, _ frame.Kind, msg any) {
 				id := msg.(frame.Request).ID
-				x.sendToEntry(&frame.Head{ID: id, Status: 200, Digest: testDigest},
+				x.sendToEntryInstance(&frame.Head{ID: id, Status: 200, Digest: testDigest},
 					&frame.Data{ID: "other", Body: []byte("data: SECRET\n\n"), Tokens: 1})
 			}
 			fx := newFixture(t, Config{}, nil, map[string]fakeAgent{"a": wrongID, "b": streamingAgent(5, 0)})
@@ -83,7 +83,7 @@
 		Convey("a response from other weights is never forwarded", func() {
 			wrongDigest := func(x *fakeExchange, _ frame.Kind, msg any) {
 				id := msg.(frame.Request).ID
-				x.sendToEntry(&frame.Head{ID: id, Status: 200, Digest: "sha256:bb"}, &frame.Data{ID: id, Body: tokenEvent(0), Tokens: 1})
+				x.sendToEntryInstance(&frame.Head{ID: id, Status: 200, Digest: "sha256:bb"}, &frame.Data{ID: id, Body: tokenEvent(0), Tokens: 1})
 			}
 			fx := newFixture(t, Config{}, nil, map[string]fakeAgent{"a": wrongDigest})
 			resp, err := fx.post("/v1/completions", streamBody)
@@ -132,7 +132,7 @@
 		staleTwice := func(next fakeAgent) fakeAgent {
 			return func(x *fakeExchange, kind frame.Kind, msg any) {
 				if offers.Add(1) <= 2 {
-					x.sendToEntry(&frame.Refuse{ID: msg.(frame.Request).ID, Reason: frame.ReasonStaleConfig, Load: frame.Load{Limit: 100}})
+					x.sendToEntryInstance(&frame.Refuse{ID: msg.(frame.Request).ID, Reason: frame.ReasonStaleConfig, Load: frame.Load{Limit: 100}})
 					return
 				}
 				next(x, kind, msg)
@@ -140,9 +140,9 @@
 		}
 		onceAgent := func(x *fakeExchange, _ frame.Kind, msg any) {
 			id := msg.(frame.Request).ID
-			x.sendToEntry(&frame.Admit{ID: id, HoldMillis: 1000})
+			x.sendToEntryInstance(&frame.Admit{ID: id, HoldMillis: 1000})
 			<-x.toAgent
-			x.sendToEntry(&frame.Head{ID: id, Status: 201}, &frame.Data{ID: id, Body: []byte("done")}, endFrame(id, []byte("done")))
+			x.sendToEntryInstance(&frame.Head{ID: id, Status: 201}, &frame.Data{ID: id, Body: []byte("done")}, endFrame(id, []byte("done")))
 		}
 		Convey("a repeatable call is sent again until the agent admits it", func() {
 			fx := newFixture(t, Config{}, nil, map[string]fakeAgent{"a": staleTwice(streamingAgent(5, 0))})
@@ -165,7 +165,7 @@
 	Convey("Given an agent whose End frame has a wrong checksum", t, func() {
 		wrongChecksum := func(x *fakeExchange, _ frame.Kind, msg any) {
 			id := msg.(frame.Request).ID
-			x.sendToEntry(&frame.Head{ID: id, Status: 200, Digest: testDigest},
+			x.sendToEntryInstance(&frame.Head{ID: id, Status: 200, Digest: testDigest},
 				&frame.Data{ID: id, Body: []byte("data: [DONE]\n\n")},
 				&frame.End{ID: id, Bytes: 14, Sum: 1})
 		}
--- a/request/relay/repeatable.go
+++ b/request/relay/repeatable.go
@@ -22,19 +22,21 @@
 	relay    *Relay
 	call     *call
 	response *callerResponse
-	// tried holds the ids of the servers not to be tried again in this round,
-	// and failed those of the servers at which an attempt failed.
+	// tried holds the ids of the servers not to be tried again in this round of
+	// the search for a server (see startNextRound).
+	// failed holds the ids of the servers at which an attempt failed.
 	tried, failed map[string]bool
-	// attempts counts all attempts, and refusals those that an agent refused;
-	// switchVersion sets refusals back to 0.
-	attempts, refusals int
+	// attemptCount counts all attempts.
+	// refusalsSinceSwitch counts the attempts that an agent refused since
+	// switchVersion last switched the version.
+	attemptCount, refusalsSinceSwitch int
 	// mayHaveRun is true once an attempt has failed, unless the agent's Fail
 	// frame reported "not-run".
 	mayHaveRun bool
 	// failedAt is the time of the last failed attempt.
 	failedAt time.Time
-	// versionSwitches counts how often the call was switched to another version.
-	versionSwitches int
+	// versionSwitchCount counts how often the call was switched to another version.
+	versionSwitchCount int
 	// lastRefusal is the newest refusal by an agent; nil for none.
 	lastRefusal *frame.Refuse
 	// releaseRetry releases the retry that the current attempt holds in the
@@ -42,14 +44,15 @@
 	releaseRetry func()
 }
 
-// serveRepeatable serves a repeatable call.
+// serveRepeatable serves a repeatable call: it sends the complete response, or
+// refuses the call, or aborts a response that has begun.
 func (r *Relay) serveRepeatable(ctx context.Context, c echo.Context, call *call) error {
 	rc := &repeatableCall{relay: r, call: call, tried: map[string]bool{}, failed: map[string]bool{}, releaseRetry: func() {}}
 	rc.response = &callerResponse{
-		w:               c.Response(),
-		streamRequested: call.streamRequested,
-		bufferLimit:     r.config.ResponseBufferBytes,
-		beforeFirstByte: func() { observeFirstByte(r.clock.Since(call.arrivedAt)) },
+		w:                c.Response(),
+		streamRequested:  call.streamRequested,
+		maxBufferedBytes: r.config.ResponseBufferBytes,
+		beforeFirstByte:  func() { observeFirstByte(r.clock.Since(call.arrivedAt)) },
 	}
 	defer func() { rc.releaseRetry() }()
 	p, err := rc.run(ctx)
@@ -60,7 +63,7 @@
 	case p == nil:
 		incrementCounter(metricCallsCompleted)
 		r.log.Event(eventCallCompleted, eventlog.Fields{
-			"request": call.id, "attempts": rc.attempts, "tokens": rc.response.tokensSent,
+			"request": call.id, "attempts": rc.attemptCount, "tokens": rc.response.tokensSent,
 			"millis": r.clock.Since(call.arrivedAt).Milliseconds(),
 		})
 		return nil
@@ -86,7 +89,7 @@
 		if !ok {
 			return rc.finalProblem("no backend server can take the call"), nil
 		}
-		rc.attempts++
+		rc.attemptCount++
 		res := rc.runAttempt(ctx, server)
 		rc.releaseRetry()
 		rc.relay.recordAttempt(rc.call, server, res)
@@ -103,7 +106,8 @@
 }
 
 // prepareNextAttempt prepares the attempt after one that was refused or failed.
-// It returns a Problem when there is to be no further attempt.
+// It returns nil, or a Problem for the caller when there is to be no further
+// attempt.
 func (rc *repeatableCall) prepareNextAttempt(ctx context.Context, server registry.Server, res attemptResult) *Problem {
 	rc.tried[server.Instance.ID] = true
 	if ctx.Err() != nil {
@@ -116,32 +120,33 @@
 }
 
 // afterRefusal decides whether the call is offered to another server after a
-// refusal by an agent. A call whose response has not begun is refused early, so
-// that its caller can try elsewhere soon. The search is longer for a response
-// that has begun and for a call within the fair share of its client account.
+// refusal by an agent. It returns nil if so, and otherwise a Problem for the
+// caller. A call whose response has not begun is refused early, so that its caller
+// can try elsewhere soon. The search for a server is longer for a response that
+// has begun and for a call within the fair share of its client account.
 func (rc *repeatableCall) afterRefusal(ctx context.Context, refusal *frame.Refuse) *Problem {
 	config := rc.relay.config
 	rc.lastRefusal = refusal
-	rc.refusals++
+	rc.refusalsSinceSwitch++
 	if rc.response.headerSent {
 		if rc.relay.picker.NoFreeSlot(rc.call.routingQuery(rc.tried)) && !rc.startNextRound(ctx) {
 			return rc.finalProblem("no backend server goes on with the answer: " + string(refusal.Reason))
 		}
 		return nil
 	}
-	if refusal.Reason == frame.ReasonStaleConfig && rc.relay.pauseBeforeOffer(ctx, rc.call, config.StaleConfigTimeout) {
+	if refusal.Reason == frame.ReasonStaleConfig && rc.relay.pauseBeforeOffer(ctx, rc.call, config.StaleConfigMaxAge) {
 		clear(rc.tried)
 		return nil
 	}
 	age := rc.relay.clock.Since(rc.call.arrivedAt)
 	if rc.call.withinFairShare && age < config.FairShareMaxAge {
-		if rc.refusals%config.MaxRefusals == 0 {
+		if rc.refusalsSinceSwitch%config.MaxRefusals == 0 {
 			clear(rc.tried)
 		}
 		return nil
 	}
 	pastRefuseAge := age >= config.RefuseAfter
-	if rc.refusals >= config.MaxRefusals || pastRefuseAge && rc.relay.picker.NoFreeSlot(rc.call.routingQuery(rc.tried)) {
+	if rc.refusalsSinceSwitch >= config.MaxRefusals || pastRefuseAge && rc.relay.picker.NoFreeSlot(rc.call.routingQuery(rc.tried)) {
 		if rc.switchVersion(ctx) {
 			return nil
 		}
@@ -155,17 +160,17 @@
 // one follows a pause and is made only while the call is younger than
 // FairShareMaxAge. It reports whether it switched the version.
 func (rc *repeatableCall) switchVersion(ctx context.Context) bool {
-	if rc.mayHaveRun || rc.call.service != "" {
+	if rc.mayHaveRun || rc.call.service != "" { // plain services have no versions
 		return false
 	}
 	currentDigest := rc.call.request.Digest
 	otherDigest, ok := rc.relay.picker.AlternativeDigest(rc.call.request.Model, currentDigest)
-	if !ok || rc.versionSwitches > 0 && !rc.relay.pauseBeforeOffer(ctx, rc.call, rc.relay.config.FairShareMaxAge) {
+	if !ok || rc.versionSwitchCount > 0 && !rc.relay.pauseBeforeOffer(ctx, rc.call, rc.relay.config.FairShareMaxAge) {
 		return false
 	}
-	rc.versionSwitches++
+	rc.versionSwitchCount++
 	rc.call.request.Digest = otherDigest
-	rc.refusals = 0
+	rc.refusalsSinceSwitch = 0
 	clear(rc.tried)
 	rc.relay.log.Event(eventCallOtherVersion, eventlog.Fields{
 		"request": rc.call.id, "from": currentDigest.Short(), "to": otherDigest.Short(), "refused": rc.lastRefusal.Reason,
@@ -174,8 +179,9 @@
 }
 
 // pauseBeforeOffer waits for RetryPause before a call is offered again, for
-// example until agents have received the newest configuration. It returns false
-// without waiting when the call has reached maxAge, and false when ctx ends.
+// example so that agents can receive the newest configuration. It returns false
+// when ctx ends meanwhile, and returns false without waiting when the call has
+// reached maxAge.
 func (r *Relay) pauseBeforeOffer(ctx context.Context, c *call, maxAge time.Duration) bool {
 	if r.clock.Since(c.arrivedAt) >= maxAge {
 		return false
@@ -188,10 +194,12 @@
 	}
 }
 
-// startNextRound waits for RetryPause and makes the servers that refused the
-// call eligible again; in the second half of ResumeTimeout also those that
-// failed. It returns false when the response has not begun, when ResumeTimeout
-// has passed since the last failure, or when ctx ends.
+// startNextRound starts the next round of the search for a server that resumes the
+// response. It waits for RetryPause and makes the servers that refused the call
+// eligible again. Once half of ResumeTimeout has passed since the last failure, it
+// does the same for the servers at which an attempt failed. It returns false when
+// the response has not begun, when ResumeTimeout has passed since the last
+// failure, or when ctx ends.
 func (rc *repeatableCall) startNextRound(ctx context.Context) bool {
 	config := rc.relay.config
 	if !rc.response.headerSent || rc.relay.clock.Since(rc.failedAt) >= config.ResumeTimeout {
@@ -209,14 +217,14 @@
 	return true
 }
 
-// afterFailure decides whether the call is retried or resumed after a failed
-// attempt. It returns a Problem when the call is neither.
+// afterFailure decides whether the call is retried, or its response resumed, after
+// a failed attempt. It returns nil if so, and otherwise a Problem for the caller.
 func (rc *repeatableCall) afterFailure(ctx context.Context, server registry.Server, res attemptResult) *Problem {
 	config := rc.relay.config
 	rc.failedAt = rc.relay.clock.Now()
 	rc.failed[server.Instance.ID] = true
 	rc.mayHaveRun = rc.mayHaveRun || res.failOutcome != core.RefusalNotRun
-	if rc.attempts-rc.refusals >= config.MaxAttempts {
+	if rc.attemptCount-rc.refusalsSinceSwitch >= config.MaxAttempts {
 		return rc.finalProblem("every attempt failed")
 	}
 	if rc.response.headerSent && !rc.response.isEventStream() {
@@ -238,8 +246,8 @@
 	return nil
 }
 
-// finalProblem returns the Problem for the call as a whole. Its outcome is
-// "unknown" if any attempt may have run, and "not-run" otherwise.
+// finalProblem returns the Problem with which the call ends. The outcome of the
+// Problem is "unknown" if any attempt may have run, and "not-run" otherwise.
 func (rc *repeatableCall) finalProblem(detail string) *Problem {
 	retryAfter := rc.relay.config.RetryAfter
 	if rc.lastRefusal != nil && rc.lastRefusal.RetryAfterMillis > 0 {
@@ -254,11 +262,11 @@
 // runAttempt makes one attempt to run the call at server.
 func (rc *repeatableCall) runAttempt(ctx context.Context, server registry.Server) attemptResult {
 	config := rc.relay.config
-	firstTimeout, nextTimeout := config.ResponseIdleTimeout, config.ResponseIdleTimeout
+	firstIdleLimit, laterIdleLimit := config.ResponseIdleTimeout, config.ResponseIdleTimeout
 	if rc.call.streamRequested {
-		firstTimeout, nextTimeout = config.FirstTokenTimeout, config.StallTimeout
+		firstIdleLimit, laterIdleLimit = config.FirstTokenTimeout, config.StallTimeout
 	}
-	attemptCtx, monitored := rc.relay.stallMonitor.add(ctx, server.Instance.ID, firstTimeout, nextTimeout)
+	attemptCtx, monitored := rc.relay.stallMonitor.add(ctx, server.Instance.ID, firstIdleLimit, laterIdleLimit)
 	defer rc.relay.stallMonitor.remove(monitored)
 	reader := &responseReader{
 		id:         rc.call.id,
@@ -270,23 +278,24 @@
 	req := rc.call.attemptRequest(ctx, rc.response.tokensSent)
 	x, err := rc.relay.opener.Open(ctx, server.Instance, rc.call.id, frame.KindRequest, req)
 	if err != nil {
-		return rc.classifyFailure(ctx, failedAttempt(err))
+		return rc.cancelledIfCallerGone(ctx, failedAttempt(err))
 	}
 	res := reader.read(attemptCtx, x)
 	res.closeExchange(x)
 	if res.result == routing.ResultOK {
 		if err := rc.response.finish(); err != nil {
-			return rc.classifyFailure(ctx, failedAttempt(callerWriteError{err}))
+			return rc.cancelledIfCallerGone(ctx, failedAttempt(callerWriteError{err}))
 		}
 	}
-	return rc.classifyFailure(ctx, res)
+	return rc.cancelledIfCallerGone(ctx, res)
 }
 
 // handleHead processes the Head frame of an attempt. Statuses 502, 503 and 504
-// fail the attempt, so that the call is retried.
+// fail the attempt, so that the call may be retried. So does a status that differs
+// from the one sent to the caller before.
 func (rc *repeatableCall) handleHead(head frame.Head) error {
 	if head.Status == http.StatusServiceUnavailable || head.Status == http.StatusBadGateway || head.Status == http.StatusGatewayTimeout {
-		return fmt.Errorf("%w: status %d", errOverloaded, head.Status)
+		return fmt.Errorf("%w: status %d", errServerStatus, head.Status)
 	}
 	if rc.response.headerSent && head.Status != rc.response.head.Status {
 		return fmt.Errorf("%w: status %d of the resumed response", errResponseFailed, head.Status)
@@ -305,9 +314,10 @@
 	return nil
 }
 
-// classifyFailure changes a failed result to cancelled when the caller
-// disconnected, so that routing does not count it as a failure of the server.
-func (rc *repeatableCall) classifyFailure(ctx context.Context, res attemptResult) attemptResult {
+// cancelledIfCallerGone changes a failed result to cancelled when the caller has
+// disconnected, so that routing does not count a failure of the server. It returns
+// other results unchanged.
+func (rc *repeatableCall) cancelledIfCallerGone(ctx context.Context, res attemptResult) attemptResult {
 	if res.result != routing.ResultFailed {
 		return res
 	}
--- a/request/relay/response.go
+++ b/request/relay/response.go
@@ -20,15 +20,15 @@
 
 // callerResponse writes the response of a call to the caller. A response that is
 // not streamed is buffered until it is known to be complete or exceeds
-// bufferLimit. In a stream of events, each complete event is sent at once, but
+// maxBufferedBytes. In a stream of events, each complete event is sent at once, but
 // the closing [DONE] is buffered until the agent's End frame has been verified.
 type callerResponse struct {
 	w *echo.Response
 	// streamRequested is true when the caller requested server-sent events.
 	streamRequested bool
-	// bufferLimit is the number of bytes of a response that is not streamed
-	// that are buffered before the first are sent.
-	bufferLimit int
+	// maxBufferedBytes bounds the buffer for a response that is not streamed. A
+	// response that exceeds this size is sent as it arrives.
+	maxBufferedBytes int
 	// beforeFirstByte is called once, before the first byte is sent to the
 	// caller.
 	beforeFirstByte func()
@@ -48,8 +48,8 @@
 	return resp.streamRequested && resp.head.Status == http.StatusOK
 }
 
-// beginAttempt stores the head of a new attempt's response and discards what an
-// earlier attempt left in the buffer.
+// beginAttempt stores the Head frame of a new attempt, and discards the part of
+// the body that an earlier attempt left in the buffer.
 func (resp *callerResponse) beginAttempt(head frame.Head) {
 	resp.head = head
 	resp.buffered = resp.buffered[:0]
@@ -61,7 +61,7 @@
 	if resp.isEventStream() {
 		return resp.sendCompleteEvents(data.Tokens)
 	}
-	if !resp.headerSent && len(resp.buffered) <= resp.bufferLimit {
+	if !resp.headerSent && len(resp.buffered) <= resp.maxBufferedBytes {
 		return nil
 	}
 	return resp.send(len(resp.buffered))
@@ -108,14 +108,14 @@
 	return nil
 }
 
-// finish sends the rest of a response that is known to be complete.
+// finish sends the buffered rest of a response that is known to be complete.
 func (resp *callerResponse) finish() error {
 	resp.sendHeader(strconv.Itoa(len(resp.buffered)))
 	_, err := resp.w.Write(resp.buffered)
 	return err
 }
 
-// sendHeader sends the header unless that was done before. length is the value
+// sendHeader sends the header unless it has been sent before. length is the value
 // of Content-Length; "" means that the length is not known.
 func (resp *callerResponse) sendHeader(length string) {
 	if resp.headerSent {
@@ -136,9 +136,10 @@
 	resp.w.WriteHeader(resp.head.Status)
 }
 
-// abort ends an incomplete response so that the caller can detect it: a stream
-// gets an error event, and every connection ends without the final chunk. It
-// does not return but panics with http.ErrAbortHandler.
+// abort ends an incomplete response in a way that shows the caller that the
+// response is incomplete: a stream ends with an error event, and the connection
+// is closed without the final chunk of the HTTP body. abort does not return but
+// panics with http.ErrAbortHandler.
 func (resp *callerResponse) abort(p *Problem) {
 	if resp.isEventStream() {
 		body, err := json.Marshal(p)
--- a/request/relay/stall.go
+++ b/request/relay/stall.go
@@ -12,8 +12,8 @@
 const (
 	// checkInterval is the time between two checks of the attempts.
 	checkInterval = 200 * time.Millisecond
-	// suspendedIdleLimit is how long an attempt at a suspended server may go
-	// without data.
+	// suspendedIdleLimit is the idle limit of attempts at a suspended server, if
+	// their own is longer.
 	suspendedIdleLimit = time.Second
 )
 
@@ -28,9 +28,10 @@
 // a short part of the pause counts as idle time, so that data that arrived
 // meanwhile is read first. Its goroutine runs only while there are attempts.
 type stallMonitor struct {
-	// suspended reports whether routing has suspended the server.
-	suspended func(server string) bool
-	clock     clockwork.Clock
+	// isServerSuspended reports whether routing has suspended the server with the
+	// given id.
+	isServerSuspended func(serverID string) bool
+	clock             clockwork.Clock
 
 	mu       sync.Mutex
 	attempts map[*monitoredAttempt]bool
@@ -41,28 +42,29 @@
 
 // monitoredAttempt is an attempt that a stallMonitor checks.
 type monitoredAttempt struct {
-	server string
-	cancel context.CancelCauseFunc
-	// nextIdleLimit is the idle limit after the first chunk of the response.
-	nextIdleLimit time.Duration
+	serverID string
+	cancel   context.CancelCauseFunc
+	// laterIdleLimit is the idle limit after the first chunk of the response.
+	laterIdleLimit time.Duration
 
 	mu sync.Mutex
-	// idleLimit is the idle time at which the attempt is cancelled, and idleTime
-	// the time since the last chunk of the response.
+	// idleLimit is the idle time at which the attempt is cancelled.
+	// idleTime is the time counted since the attempt began or its last chunk
+	// arrived. Most of a pause of this process is not counted.
 	idleLimit, idleTime time.Duration
 }
 
-func newStallMonitor(suspended func(string) bool, clock clockwork.Clock) *stallMonitor {
-	return &stallMonitor{suspended: suspended, clock: clock, attempts: map[*monitoredAttempt]bool{}}
+func newStallMonitor(isServerSuspended func(string) bool, clock clockwork.Clock) *stallMonitor {
+	return &stallMonitor{isServerSuspended: isServerSuspended, clock: clock, attempts: map[*monitoredAttempt]bool{}}
 }
 
-// add monitors an attempt at server. firstIdleLimit bounds the wait for the first
-// chunk of the response, and nextIdleLimit the wait for each further chunk. The
-// returned context is cancelled when a limit is exceeded. The caller must call
+// add monitors an attempt at a server. firstIdleLimit bounds the wait for the first
+// chunk of the response, and laterIdleLimit the wait for each further chunk. The
+// returned context is cancelled when a limit is reached. The caller must call
 // remove once.
-func (m *stallMonitor) add(ctx context.Context, server string, firstIdleLimit, nextIdleLimit time.Duration) (context.Context, *monitoredAttempt) {
+func (m *stallMonitor) add(ctx context.Context, serverID string, firstIdleLimit, laterIdleLimit time.Duration) (context.Context, *monitoredAttempt) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	a := &monitoredAttempt{server: server, cancel: cancel, idleLimit: firstIdleLimit, nextIdleLimit: nextIdleLimit}
+	a := &monitoredAttempt{serverID: serverID, cancel: cancel, idleLimit: firstIdleLimit, laterIdleLimit: laterIdleLimit}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.attempts[a] = true
@@ -88,47 +90,47 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.idleTime = 0
-	a.idleLimit = a.nextIdleLimit
+	a.idleLimit = a.laterIdleLimit
 }
 
-// addIdleTime adds d to the idle time. It returns the cause with which the
-// attempt must be cancelled, or nil.
-func (a *monitoredAttempt) addIdleTime(d time.Duration, suspended bool) error {
+// addIdleTime adds d to the idle time. It returns the cause with which the caller
+// must cancel the attempt, or nil.
+func (a *monitoredAttempt) addIdleTime(d time.Duration, serverSuspended bool) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.idleTime += d
 	if a.idleTime >= a.idleLimit {
 		return errStalled
 	}
-	if suspended && a.idleTime >= suspendedIdleLimit {
+	if serverSuspended && a.idleTime >= suspendedIdleLimit {
 		return errSuspendedIdle
 	}
 	return nil
 }
 
-// run checks the attempts until there are none left.
+// run checks the attempts every checkInterval, until there are none.
 func (m *stallMonitor) run() {
 	for m.check() {
 		<-m.clock.After(checkInterval)
 	}
 }
 
-// check cancels the attempts that exceeded an idle limit, and reports whether
-// any attempts are left.
+// check cancels the attempts that have reached an idle limit, and reports whether
+// any attempts are monitored.
 func (m *stallMonitor) check() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
 	elapsed := min(now.Sub(m.lastCheck), 2*checkInterval)
 	m.lastCheck = now
-	suspendedByServer := map[string]bool{}
+	suspendedServers := map[string]bool{}
 	for a := range m.attempts {
-		isSuspended, known := suspendedByServer[a.server]
+		serverSuspended, known := suspendedServers[a.serverID]
 		if !known {
-			isSuspended = m.suspended(a.server)
-			suspendedByServer[a.server] = isSuspended
+			serverSuspended = m.isServerSuspended(a.serverID)
+			suspendedServers[a.serverID] = serverSuspended
 		}
-		if err := a.addIdleTime(elapsed, isSuspended); err != nil {
+		if err := a.addIdleTime(elapsed, serverSuspended); err != nil {
 			a.cancel(err)
 		}
 	}
