--- a/request/ops/client.go
+++ b/request/ops/client.go
@@ -15,11 +15,12 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// clientTimeout limits one request. It exceeds the server's limit, so that the
-// server's error reaches the client.
+// clientTimeout limits one request. It exceeds requestTimeout, the limit of the
+// server, so that the server's error reaches the client.
 const clientTimeout = requestTimeout + 5*time.Second
 
-// maxResponseBytes is the limit at which a response body is cut off.
+// maxResponseBytes is the largest part of a response body that is read; the rest
+// is ignored.
 const maxResponseBytes = 32 << 20
 
 // Client calls the operator API of one entry instance. When the server refuses
@@ -56,7 +57,8 @@
 	return response, err
 }
 
-// SetDataCentreOut takes a data centre out of service or back in.
+// SetDataCentreOut takes a data centre out of service if out is true, and puts it
+// back into service otherwise.
 func (c *Client) SetDataCentreOut(ctx context.Context, name string, out bool, metadata ChangeMetadata) (ChangeResponse, error) {
 	action := "in"
 	if out {
@@ -67,7 +69,8 @@
 	return response, err
 }
 
-// SetBackendServerLeaving takes a backend server out of service or back in.
+// SetBackendServerLeaving takes a backend server out of service if leaving is
+// true, and puts it back into service otherwise.
 func (c *Client) SetBackendServerLeaving(ctx context.Context, name string, leaving bool, metadata ChangeMetadata) (ChangeResponse, error) {
 	action := "staying"
 	if leaving {
@@ -78,7 +81,7 @@
 	return response, err
 }
 
-// History returns up to limit versions, the newest first.
+// History returns up to limit accepted versions, the newest first.
 func (c *Client) History(ctx context.Context, limit int) (HistoryResponse, error) {
 	var response HistoryResponse
 	err := c.callJSON(ctx, http.MethodGet, "/ops/history?limit="+strconv.Itoa(limit), nil, &response)
@@ -97,7 +100,8 @@
 	return response, err
 }
 
-// callJSON sends a JSON request and decodes the JSON response.
+// callJSON sends req as JSON, or an empty body if req is nil, and decodes the JSON
+// of the response into response.
 func (c *Client) callJSON(ctx context.Context, method, path string, req, response any) error {
 	var body []byte
 	if req != nil {
@@ -113,8 +117,8 @@
 	return core.WrapStep("read response", c.addr, json.Unmarshal(raw, response))
 }
 
-// send sends a request and returns the response body, or the *Problem of a
-// response whose status is not 200.
+// send sends a request and returns the response body. If the status is not 200, it
+// returns an error that wraps the result of parseProblem.
 func (c *Client) send(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	operation := method + " " + path
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.addr+path, bytes.NewReader(body))
--- a/request/ops/fuzz_test.go
+++ b/request/ops/fuzz_test.go
@@ -16,8 +16,9 @@
 	"github.com/rattanway/rattanway/version/confstore"
 )
 
-// emptyTable is a table without rows. It counts the commits and fails them.
-type emptyTable struct{ commits int }
+// emptyTable is a table without rows. It counts the commits, and returns an error
+// for each.
+type emptyTable struct{ commitCount int }
 
 // Get implements platform.Table.
 func (*emptyTable) Get(context.Context, string, uint64) (platform.Row, error) {
@@ -31,7 +32,7 @@
 
 // Commit implements platform.Table.
 func (t *emptyTable) Commit(context.Context, []platform.Write) error {
-	t.commits++
+	t.commitCount++
 	return platform.ErrUnavailable
 }
 
@@ -68,7 +69,7 @@
 		if !strings.HasPrefix(path, "/ops/") || strings.ContainsAny(path, " \r\n\x00") {
 			return
 		}
-		commitsBefore := table.commits
+		commitCountBefore := table.commitCount
 		r, err := http.NewRequest(http.MethodPost, "http://entry"+path, strings.NewReader(body))
 		if err != nil {
 			return
@@ -87,7 +88,7 @@
 			t.Fatalf("internal error: %s", p.Detail)
 		}
 		refused := p.Type == TypeBadRequest || p.Type == TypeInvalidDeclarations
-		if refused && table.commits != commitsBefore {
+		if refused && table.commitCount != commitCountBefore {
 			t.Fatal("a refused request committed a write to the platform")
 		}
 	})
--- a/request/ops/messages.go
+++ b/request/ops/messages.go
@@ -15,8 +15,8 @@
 
 // ChangeMetadata describes who makes a change and why.
 type ChangeMetadata struct {
-	// Author is the person who makes the change. If the operator's token is
-	// configured with a name, that name is recorded instead.
+	// Author is the person who makes the change. If a name is configured for the
+	// operator's token, that name is recorded instead.
 	Author string `json:"author,omitempty"`
 	// Reason is the author's reason for the change.
 	Reason string `json:"reason"`
@@ -24,18 +24,18 @@
 	ChangeID string `json:"changeId"`
 }
 
-// ApplyRequest requests that a complete set of declarations replaces the
-// configuration in force.
+// ApplyRequest is the request to replace the configuration in force with a
+// complete set of declarations.
 type ApplyRequest struct {
 	ChangeMetadata
-	// Base is the number of the version that the change is based on. It is
-	// required.
+	// Base is the number of the version that the change is based on; required.
 	Base *uint64 `json:"base"`
 	// Files hold the declarations.
 	Files []declare.File `json:"files"`
 }
 
-// RevertRequest requests a new version with the content of an old one.
+// RevertRequest is the request to create a new version with the content of an old
+// version.
 type RevertRequest struct {
 	ChangeMetadata
 	// Base is the number of the version that the change is based on; nil
@@ -45,8 +45,8 @@
 	Number uint64 `json:"number"`
 }
 
-// PlanRequest requests a preview of the changes that a set of declarations
-// would make.
+// PlanRequest is the request for a preview of the changes that a set of
+// declarations would make.
 type PlanRequest struct {
 	// Files hold the declarations.
 	Files []declare.File `json:"files"`
@@ -69,8 +69,8 @@
 	Number uint64 `json:"number"`
 	// Digest is the digest of the version's content.
 	Digest core.Digest `json:"digest"`
-	// Unchanged is true if the change made no difference, so that no new
-	// version was created.
+	// Unchanged is true if the change made no difference; no new version was
+	// created then.
 	Unchanged bool `json:"unchanged,omitempty"`
 }
 
@@ -80,7 +80,8 @@
 	Entries []confstore.HistoryEntry `json:"entries"`
 }
 
-// Status describes an entry instance and the backend servers registered at it.
+// Status is the status of an entry instance and of the backend servers that are
+// registered at this entry instance.
 type Status struct {
 	// Instance is the entry instance.
 	Instance core.Instance `json:"instance"`
@@ -127,7 +128,7 @@
 	Title string `json:"title"`
 	// Status is the HTTP status.
 	Status int `json:"status"`
-	// Detail explains this occurrence of the problem.
+	// Detail is the cause of the problem in this case.
 	Detail string `json:"detail"`
 	// Problems are the faults found in the declarations.
 	Problems []declare.Problem `json:"problems,omitempty"`
@@ -155,8 +156,8 @@
 	problemMediaType        = "application/problem+json"
 )
 
-// Error implements error. Each declaration problem and each change is on a
-// line of its own.
+// Error implements error. The text has one line for the problem itself, and one
+// for each fault in the declarations and for each change.
 func (p *Problem) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%d): %s", p.Title, p.Status, p.Detail)
--- a/request/ops/ops.go
+++ b/request/ops/ops.go
@@ -39,7 +39,7 @@
 
 var (
 	eventChangeAccepted = eventlog.Define(210, "configuration-accepted", logrus.InfoLevel,
-		"This instance accepted an operator's change as the next version.")
+		"This entry instance accepted an operator's change as the next version.")
 	eventChangeRefused = eventlog.Define(211, "configuration-refused", logrus.WarnLevel,
 		"An operator's change was refused. The configuration did not change, unless the error reports an unknown outcome.")
 	eventTokenRefused = eventlog.Define(212, "operator-token-refused", logrus.WarnLevel,
@@ -74,11 +74,12 @@
 	// Operators are the permitted users; if there are none, every request is
 	// refused.
 	Operators []Operator
-	// LiveInstances returns the agents' instances that take part in placement,
-	// from which plans are computed; nil means the registered backend servers.
+	// LiveInstances returns the instances of the agents that take part in
+	// placement. Plans are computed for them; nil means for the registered backend
+	// servers.
 	LiveInstances func() []core.Instance
-	// WeightStore stores the weight manifests, from which plans compute amounts
-	// of data; nil leaves the amounts out.
+	// WeightStore stores the weight manifests. Plans compute the amounts of data
+	// to load from them; if WeightStore is nil, plans do not contain the amounts.
 	WeightStore platform.ObjectStore
 }
 
@@ -119,7 +120,7 @@
 const operatorKey = "operator"
 
 // authorize is a middleware that refuses requests without an operator's token,
-// limits the handling to requestTimeout and turns errors into problem
+// limits the handling time to requestTimeout and turns errors into problem
 // documents.
 func (s *Server) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
@@ -142,9 +143,9 @@
 	}
 }
 
-// authenticate returns the operator whose token the request carries. It compares
-// all configured tokens, each in constant time, so that the duration reveals
-// nothing about them.
+// authenticate returns the operator whose token the request carries, or false if
+// there is none. It compares the token with all configured tokens, each in constant
+// time, so that the duration reveals nothing about the configured tokens.
 func (s *Server) authenticate(r *http.Request) (Operator, bool) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -163,7 +164,9 @@
 	return found, matches > 0
 }
 
-// decodeBody decodes the request's JSON body into v.
+// decodeBody decodes the request's JSON body into v. It returns a bad-request
+// problem if the body is too large, has unknown fields or is not exactly one JSON
+// value.
 func decodeBody(c echo.Context, v any) error {
 	d := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxBodyBytes))
 	d.DisallowUnknownFields()
@@ -177,8 +180,8 @@
 }
 
 // newChange returns a change with the author, reason and id in metadata, but
-// without a base and declarations. The name of the authenticated operator, if it
-// has one, replaces the author.
+// without a base and declarations. If the authenticated operator has a name, the
+// name replaces the author.
 func newChange(c echo.Context, metadata ChangeMetadata) confstore.Change {
 	author := metadata.Author
 	if operator, ok := c.Get(operatorKey).(Operator); ok && operator.Name != "" {
@@ -244,8 +247,8 @@
 	return s.editHandler(func(set *declare.Set, name string) error { return set.SetBackendServerLeaving(name, leaving) })
 }
 
-// editHandler returns a handler that applies edit to the object that the path
-// names.
+// editHandler returns a handler that makes a change with edit. The name passed to
+// edit is the one in the request path.
 func (s *Server) editHandler(edit func(set *declare.Set, name string) error) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		var metadata ChangeMetadata
@@ -260,8 +263,9 @@
 	}
 }
 
-// respond sends the result of a change. An accepted version comes into force at
-// this instance at once, without waiting for the next poll of the platform.
+// respond sends the result of a change, or returns the problem document of err. An
+// accepted version comes into force at this entry instance at once, without
+// waiting for the next poll of the platform.
 func (s *Server) respond(c echo.Context, change confstore.Change, snapshot *declare.Snapshot, err error) error {
 	if errors.Is(err, confstore.ErrUnchanged) {
 		return s.respondUnchanged(c)
@@ -290,7 +294,8 @@
 	return c.JSON(http.StatusOK, ChangeResponse{Number: head.Number, Digest: head.Digest, Unchanged: true})
 }
 
-// refuseChange logs a refused change and returns its problem document.
+// refuseChange logs the refusal of a change and returns the problem document of
+// err.
 func (s *Server) refuseChange(metadata ChangeMetadata, err error) error {
 	s.log.EventWithError(eventChangeRefused, err, eventlog.Fields{"author": metadata.Author, "change": metadata.ChangeID})
 	problem := problemOf(err)
--- a/request/ops/ops_test.go
+++ b/request/ops/ops_test.go
@@ -33,7 +33,7 @@
 	unnamedToken = "token-of-anyone"
 )
 
-// fixture is a stand-in for the platform and the operator APIs of several entry
+// fixture holds a stand-in for the platform, and the operator APIs of several entry
 // instances.
 type fixture struct {
 	platform       *httptest.Server
@@ -48,7 +48,8 @@
 	client *Client
 }
 
-// newFixture starts a platform and n entry instances that use it.
+// newFixture starts a stand-in for the platform and n entry instances that use the
+// stand-in.
 func newFixture(t *testing.T, n int) *fixture {
 	t.Helper()
 	f := &fixture{platform: httptest.NewServer(standin.New(standin.Config{}, clockwork.NewRealClock()))}
@@ -80,7 +81,7 @@
 	return e
 }
 
-// setFaults sets the faults that the platform injects.
+// setFaults sets the faults that the stand-in for the platform injects.
 func (f *fixture) setFaults(faults standin.FaultRequest) {
 	body, err := json.Marshal(faults)
 	So(err, ShouldBeNil)
@@ -124,8 +125,8 @@
 	}
 }
 
-// requireProblem returns the problem document that err wraps, and fails the test
-// if there is none.
+// requireProblem returns the problem document that err wraps, or fails the test if
+// err wraps none.
 func requireProblem(err error) *Problem {
 	var p *Problem
 	So(errors.As(err, &p), ShouldBeTrue)
@@ -320,7 +321,7 @@
 	})
 }
 
-// postRaw sends body unchanged and returns the client's error.
+// postRaw sends body without encoding it as JSON, and returns the client's error.
 func postRaw(e *entryInstance, path, body string) error {
 	_, err := e.client.send(context.Background(), http.MethodPost, path, []byte(body))
 	return err
@@ -329,8 +330,8 @@
 func TestLostResponseThroughAnotherEntryInstance(t *testing.T) {
 	Convey("Given a platform that loses the response to the next commit", t, func() {
 		f := newFixture(t, 2)
-		lostResponses := 1
-		f.setFaults(standin.FaultRequest{LoseCommitResponses: &lostResponses})
+		lostResponseCount := 1
+		f.setFaults(standin.FaultRequest{LoseCommitResponses: &lostResponseCount})
 		ctx := context.Background()
 
 		Convey("a change retried through another entry instance is recorded once", func() {
@@ -347,16 +348,16 @@
 }
 
 func TestRacesThroughEntryInstances(t *testing.T) {
-	for _, operators := range []int{2, 10} {
-		Convey(fmt.Sprintf("Given %d operators who apply changes concurrently through four entry instances", operators), t, func() {
+	for _, operatorCount := range []int{2, 10} {
+		Convey(fmt.Sprintf("Given %d operators who apply changes concurrently through four entry instances", operatorCount), t, func() {
 			f := newFixture(t, 4)
-			const rounds = 5
-			for round := range uint64(rounds) {
-				errs := f.applyConcurrently(operators, round)
-				accepted := 0
+			const roundCount = 5
+			for round := range uint64(roundCount) {
+				errs := f.applyConcurrently(operatorCount, round)
+				acceptedCount := 0
 				for _, err := range errs {
 					if err == nil {
-						accepted++
+						acceptedCount++
 						continue
 					}
 					p := requireProblem(err)
@@ -364,21 +365,21 @@
 					So(p.Winner.Number, ShouldEqual, round+1)
 					So(p.Changes, ShouldNotBeEmpty)
 				}
-				So(accepted, ShouldEqual, 1)
+				So(acceptedCount, ShouldEqual, 1)
 			}
 			history, err := f.entryInstances[0].client.History(context.Background(), 100)
 			So(err, ShouldBeNil)
-			So(len(history.Entries), ShouldEqual, rounds)
+			So(len(history.Entries), ShouldEqual, roundCount)
 		})
 	}
 }
 
-// applyConcurrently applies one change per operator concurrently, all on the same
-// base and spread over the entry instances. It returns the operators' errors.
-func (f *fixture) applyConcurrently(operators int, base uint64) []error {
-	errs := make([]error, operators)
+// applyConcurrently applies one change for each operator concurrently, all on the
+// same base and spread over the entry instances. It returns the operators' errors.
+func (f *fixture) applyConcurrently(operatorCount int, base uint64) []error {
+	errs := make([]error, operatorCount)
 	var wg sync.WaitGroup
-	for n := range operators {
+	for n := range operatorCount {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/request/ops/plan.go
+++ b/request/ops/plan.go
@@ -41,7 +41,8 @@
 	})
 }
 
-// liveInstances returns the agents' instances that take part in placement.
+// liveInstances returns the instances of the agents that take part in placement:
+// those of Config.LiveInstances, or else the registered backend servers.
 func (s *Server) liveInstances() []core.Instance {
 	if s.config.LiveInstances != nil {
 		return s.config.LiveInstances()
--- a/request/ops/problems.go
+++ b/request/ops/problems.go
@@ -13,7 +13,8 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// problemOf returns the problem document for an error.
+// problemOf returns the problem document for an error: the one that err wraps, or
+// a new one according to the type of the error.
 func problemOf(err error) *Problem {
 	var problem *Problem
 	var httpErr *echo.HTTPError
@@ -37,8 +38,8 @@
 	}
 }
 
-// conflictProblem returns the problem document of a conflict: the version that
-// was accepted first, and what has changed since the base.
+// conflictProblem returns the problem document of a conflict, with the version
+// that was accepted first and the changes since the base.
 func conflictProblem(e *confstore.ConflictError) *Problem {
 	return &Problem{
 		Type: TypeConflict, Title: "another change came first", Status: http.StatusConflict,
@@ -50,8 +51,8 @@
 	}
 }
 
-// sentinelProblem returns the problem document of an error that is recognized
-// by a sentinel value, or of an internal error if it matches none.
+// sentinelProblem returns the problem document of an error that wraps a known
+// sentinel value; any other error is an internal error.
 func sentinelProblem(err error) *Problem {
 	p := &Problem{Detail: err.Error()}
 	switch {
