--- a/request/admission/adapt.go
+++ b/request/admission/adapt.go
@@ -25,8 +25,8 @@
 	// lower the token rate.
 	minGrowthPause = 2 * time.Second
 	maxGrowthPause = 30 * time.Second
-	// minGrowthTrial is the shortest time after its start for which a growth step
-	// counts as the likely cause of a lower token rate: the step is on trial.
+	// minGrowthTrial is the shortest time for which a growth step is on trial, which
+	// means that the step counts as the likely cause of a lower token rate.
 	minGrowthTrial = time.Second
 	// failedStepPauseFactor is the shortest growth pause after a failed growth
 	// step, which is one that led to a decrease; in mean slot times. The calls
@@ -37,11 +37,11 @@
 	// pauseResetRatio times the limit after the last decrease is the limit above
 	// which the growth pause returns to minGrowthPause.
 	pauseResetRatio = 1.25
-	// perTokenJumpRatio is the ratio of the recent time per token to its baseline
-	// above which the server counts as having turned cold.
+	// perTokenJumpRatio times the baseline of the time per token is the recent time
+	// per token above which the server counts as having turned cold.
 	perTokenJumpRatio = 3.0
-	// keepDecreaseRatio is the smallest ratio of the token rate after a
-	// decrease to the rate before it at which the decrease is kept.
+	// keepDecreaseRatio times the token rate before a decrease is the lowest rate
+	// after the decrease at which the decrease is kept.
 	keepDecreaseRatio = 1.0
 	// trialDecreaseWindows is the number of consecutive windows with too many
 	// calls (see countOverloadedWindow) after which the limit is decreased while a
@@ -54,10 +54,10 @@
 	// collapseWindows is the number of consecutive windows with a collapsed token
 	// rate after which the server counts as having turned cold.
 	collapseWindows = 2
-	// firstTokenJumpRatio is the ratio of the recent time to the first token to
-	// its baseline above which the server counts as having turned cold. It is
-	// larger than perTokenJumpRatio because this time depends on the length of
-	// the prompt and on prefix cache hits.
+	// firstTokenJumpRatio times the baseline of the time to the first token is the
+	// recent time above which the server counts as having turned cold. The ratio is
+	// larger than perTokenJumpRatio because the time to the first token depends on
+	// the length of the prompt and on prefix cache hits.
 	firstTokenJumpRatio = 10.0
 )
 
@@ -94,12 +94,12 @@
 	}
 	l.finishedCallCount++
 	l.startStepIfDue(l.clock.Now())
-	previous := l.limit
+	previousLimit := l.limit
 	l.setLimit(max(l.limit, min(l.limit+l.cfg.GrowthPerCall, l.stepLimit)))
 	if l.limit > l.decreasedTo*pauseResetRatio {
 		l.growthPause = minGrowthPause
 	}
-	if previous < float64(l.cfg.Limit) && l.limit >= float64(l.cfg.Limit) {
+	if previousLimit < float64(l.cfg.Limit) && l.limit >= float64(l.cfg.Limit) {
 		l.cfg.Log.Event(eventLimitFull, eventlog.Fields{"limit": int(l.limit)})
 	}
 }
@@ -214,9 +214,9 @@
 	if l.overloadedWindowCount < trialDecreaseWindows || !l.growthOnTrial() && l.overloadedWindowCount < stableDecreaseWindows {
 		return
 	}
-	previous := l.limit
+	previousLimit := l.limit
 	l.decrease(float64(max(suitableCount, l.cfg.ColdLimit)), reason)
-	l.pendingDecrease = pendingDecrease{limitBefore: previous, rateBefore: rate}
+	l.pendingDecrease = pendingDecrease{limitBefore: previousLimit, rateBefore: rate}
 	l.overloadCallCount = inFlight
 	if reason == reasonLessCapacity {
 		l.curve.clear()
@@ -254,13 +254,13 @@
 // the rate curve, which was measured under other conditions. The caller holds
 // l.mu.
 func (l *AdaptiveLimiter) undoDecrease() {
-	previous := int(l.limit)
+	previousLimit := int(l.limit)
 	l.setLimit(l.pendingDecrease.limitBefore)
 	l.pendingDecrease = pendingDecrease{}
 	l.growthPausedUntil = time.Time{}
 	l.forgetCapacity()
 	l.startSettling(l.clock.Now())
-	l.cfg.Log.Event(eventLimitFallUndone, eventlog.Fields{"was": previous, "limit": int(l.limit)})
+	l.cfg.Log.Event(eventLimitFallUndone, eventlog.Fields{"was": previousLimit, "limit": int(l.limit)})
 }
 
 // decrease lowers the limit to the given one, but to at least 1, and pauses its
@@ -272,7 +272,7 @@
 	if l.cfg.Fixed || now.Before(l.settledAt) || now.Before(l.cooldownEnd) || limit >= l.limit {
 		return
 	}
-	previous := int(l.limit)
+	previousLimit := int(l.limit)
 	l.setLimit(max(limit, 1))
 	l.stepLimit = l.limit
 	l.decreasedTo = l.limit
@@ -284,7 +284,7 @@
 	l.overloadedWindowCount = 0
 	l.startSettling(now)
 	l.cfg.Log.Event(eventLimitFell, eventlog.Fields{
-		"why": reason, "was": previous, "limit": int(l.limit), "in_flight": l.inFlight(), "held_ms": pause.Milliseconds(),
+		"why": reason, "was": previousLimit, "limit": int(l.limit), "in_flight": l.inFlight(), "held_ms": pause.Milliseconds(),
 	})
 }
 
@@ -316,7 +316,7 @@
 	if l.cfg.Fixed {
 		return
 	}
-	previous := int(l.limit)
+	previousLimit := int(l.limit)
 	l.setLimit(min(l.limit, float64(l.cfg.ColdLimit)))
 	l.stepLimit = l.limit
 	l.forgetCapacity()
@@ -328,7 +328,7 @@
 	l.startSettling(l.cooldownEnd)
 	l.firstToken.resetRecent()
 	l.perToken.resetRecent()
-	l.cfg.Log.Event(eventTurnedCold, eventlog.Fields{"why": reason, "was": previous, "limit": int(l.limit), "in_flight": l.inFlight()})
+	l.cfg.Log.Event(eventTurnedCold, eventlog.Fields{"why": reason, "was": previousLimit, "limit": int(l.limit), "in_flight": l.inFlight()})
 	l.shedCalls(l.inFlight() - int(l.limit))
 }
 
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -10,7 +10,7 @@
 type waiter struct {
 	request SlotRequest
 	// result receives the empty reason when the waiter gets a slot, or else the
-	// reason for the refusal. Its buffer holds one value.
+	// reason for the refusal. The channel buffers one value.
 	result chan frame.Reason
 }
 
@@ -39,17 +39,17 @@
 // pop removes and returns the waiter that gets the next slot, or returns nil if
 // the queue is empty.
 func (q *queue) pop(runningByAccount map[string]int) *waiter {
-	best := -1
+	firstIndex := -1
 	for i, w := range q.waiting {
-		if best < 0 || goesBefore(w.request, q.waiting[best].request, runningByAccount) {
-			best = i
+		if firstIndex < 0 || goesBefore(w.request, q.waiting[firstIndex].request, runningByAccount) {
+			firstIndex = i
 		}
 	}
-	if best < 0 {
+	if firstIndex < 0 {
 		return nil
 	}
-	w := q.waiting[best]
-	q.waiting = slices.Delete(q.waiting, best, best+1)
+	w := q.waiting[firstIndex]
+	q.waiting = slices.Delete(q.waiting, firstIndex, firstIndex+1)
 	return w
 }
 
@@ -74,23 +74,23 @@
 // would have. Waiting calls count like running ones.
 func (q *queue) displace(req SlotRequest, runningByAccount map[string]int) *waiter {
 	calls := q.callsByAccount(runningByAccount)
-	worst := -1
+	lastIndex := -1
 	for i, w := range q.waiting {
-		if worst < 0 || !goesBefore(w.request, q.waiting[worst].request, calls) {
-			worst = i
+		if lastIndex < 0 || !goesBefore(w.request, q.waiting[lastIndex].request, calls) {
+			lastIndex = i
 		}
 	}
-	if worst < 0 {
+	if lastIndex < 0 {
 		return nil
 	}
-	w := q.waiting[worst]
+	w := q.waiting[lastIndex]
 	if w.request.Priority > req.Priority {
 		return nil
 	}
 	if w.request.Priority == req.Priority && callsPerShare(calls[w.request.Account], w.request) <= callsPerShare(calls[req.Account]+1, req) {
 		return nil
 	}
-	q.waiting = slices.Delete(q.waiting, worst, worst+1)
+	q.waiting = slices.Delete(q.waiting, lastIndex, lastIndex+1)
 	return w
 }
 
--- a/request/admission/ratecurve.go
+++ b/request/admission/ratecurve.go
@@ -23,12 +23,12 @@
 	// the rate below which the server's capacity has dropped. For comparison, a
 	// growth step that is a tenth too large still gives 0.83 of the best rate.
 	droppedRatio = 0.85
-	// minNearRatio is the smallest ratio of an earlier number of calls to the
-	// present one at which their token rates are compared. If the server only has
-	// capacity for the earlier number, its rate at the present number is
-	// minNearRatio squared of the earlier rate, because the time per token grows
-	// with the third power of the overload. That is well above collapsedRatio, so
-	// an overload alone does not count as a collapse.
+	// minNearRatio times the present number of calls is the lowest earlier number
+	// of calls whose token rate is compared with the present rate. If the server
+	// only has capacity for the earlier number, the present rate is minNearRatio
+	// squared times the earlier rate, because the time per token grows with the
+	// third power of the overload. That is well above collapsedRatio, so an
+	// overload alone does not count as a collapse.
 	minNearRatio = 0.8
 )
 
