--- a/request/serve/bench_test.go
+++ b/request/serve/bench_test.go
@@ -57,11 +57,11 @@
 	}, nil
 }
 
-// discardExchange is an exchange whose frames are dropped, as if an entry
-// instance took them without delay.
+// discardExchange is an exchange that discards all frames, as if an entry instance
+// received them without delay.
 type discardExchange struct{}
 
-// Send encodes the frame, which a connection would do too, and drops it.
+// Send encodes the frame, as a connection would, and discards the result.
 func (discardExchange) Send(kind frame.Kind, msg any) error {
 	_, err := frame.Encode(kind, msg)
 	return err
--- a/request/serve/load_test.go
+++ b/request/serve/load_test.go
@@ -152,8 +152,8 @@
 	return admission.Config{Limit: warmCapacity, ColdLimit: coldCapacity, Fixed: fixed}
 }
 
-// coldGoodput offers a cold engine three times its capacity, which is in calls per
-// second, and returns the goodput as a share of the capacity.
+// coldGoodput sends calls to a cold engine at three times its capacity, and returns
+// the goodput as a share of the capacity. capacity is in calls per second.
 func coldGoodput(t *testing.T, capacity float64, fixed bool, duration time.Duration) float64 {
 	h := newVirtualHarness(t, options{engine: loadTestEngineConfig(negligibleWarmPerCall), limiter: loadTestLimiterConfig(fixed)})
 	c := newTally()
--- a/request/serve/once_test.go
+++ b/request/serve/once_test.go
@@ -29,8 +29,8 @@
 	return r
 }
 
-// openOffer opens an exchange with an offer and returns it with the agent's
-// first message, an Admit or a Refuse.
+// openOffer opens an exchange with an offer. It returns the exchange and the
+// agent's first message, an Admit or a Refuse.
 func (h *harness) openOffer(req frame.Request) (work.Exchange, any) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
--- a/request/serve/run.go
+++ b/request/serve/run.go
@@ -25,8 +25,8 @@
 var (
 	errWrongRequest = errors.New("answer to another request")
 	errWrongDigest  = errors.New("answer from other weights")
-	errOverloaded   = errors.New("engine refused under load")
-	errNotLoaded    = errors.New("engine does not hold the weights it reports")
+	errOverloaded   = errors.New("engine refused the call because of overload")
+	errNotLoaded    = errors.New("engine reported the weights as loaded but does not hold them")
 	errEngineFailed = errors.New("engine failed")
 )
 
@@ -157,12 +157,12 @@
 	}
 }
 
-// checkResponse returns an error if resp must not be forwarded. A response of an
-// engine must not be forwarded if its status is 404, 409, 429 or 5xx; other 4xx
-// responses are forwarded unchecked. Any other response must belong to this
-// request and come from the pinned model version. A response of a plain service
-// must not be forwarded if it carries the id of another request.
-// checkResponse is called before any part of the response is forwarded.
+// checkResponse returns an error if resp must not be forwarded. It is called
+// before any part of the response is forwarded. For a response of an engine, the
+// statuses 404, 409, 429 and 5xx are errors, and other 4xx responses are accepted
+// without further checks. Any other response must belong to this request and come
+// from the pinned model version. A response of a plain service is an error only if
+// it carries the id of another request.
 func (f *responseForwarder) checkResponse(resp engine.Response) error {
 	if f.req.Digest == "" {
 		if resp.ID != "" && resp.ID != f.req.ID {
@@ -261,7 +261,7 @@
 // and reports the time to the first token to the limiter.
 func (f *responseForwarder) recordArrival(tokens int) {
 	if tokens > 0 && f.call.tokenCount.Load() == 0 {
-		f.handler.limiter.Observe(admission.Sample{FirstToken: f.handler.clock.Since(f.call.started)})
+		f.handler.limiter.Observe(admission.Sample{FirstToken: f.handler.clock.Since(f.call.startedAt)})
 	}
 	f.call.recordArrival(f.handler.clock, tokens)
 }
--- a/request/serve/serve.go
+++ b/request/serve/serve.go
@@ -76,8 +76,9 @@
 	// engine reports as loaded but did not use for a call that pins this version.
 	// OnWrongVersion may be nil.
 	OnWrongVersion func(core.Digest)
-	// LastConfirmed returns when an entry instance last confirmed that the
-	// agent's configuration is the newest. Nil disables the check.
+	// LastConfirmed returns the time at which the agent's configuration was last
+	// known to be the newest; the zero time makes the handler refuse new calls. Nil
+	// disables the check.
 	LastConfirmed func() time.Time
 	// MaxConfirmAge is the longest time since LastConfirmed during which new
 	// calls are accepted.
--- a/request/serve/serve_test.go
+++ b/request/serve/serve_test.go
@@ -75,7 +75,8 @@
 	return h
 }
 
-// newVirtualHarness returns a harness without sockets, for tests in virtual time.
+// newVirtualHarness returns a harness whose connections use no sockets, for tests
+// in virtual time.
 func newVirtualHarness(t testing.TB, o options) *harness {
 	h := newUnconnectedHarness(t, o, func(_ *harness, handler http.Handler) engine.Engine { return inprocess.NewEngineClient(handler) })
 	h.agent = core.Instance{ID: "s1"}
--- a/request/serve/watch.go
+++ b/request/serve/watch.go
@@ -26,15 +26,15 @@
 // watchedCall is the progress of one running call. The goroutine of the call
 // writes the atomic fields and the callWatcher reads them.
 type watchedCall struct {
-	cancel  context.CancelCauseFunc
-	started time.Time
+	cancel    context.CancelCauseFunc
+	startedAt time.Time
 	// firstByteTimeout is the longest wait for the first byte.
 	firstByteTimeout time.Duration
 	// lastArrival is when the last chunk of the response arrived, in nanoseconds
-	// after started; 0 before the first chunk.
+	// after startedAt; 0 before the first chunk.
 	lastArrival atomic.Int64
 	// firstTokenAt is when the first chunk with tokens arrived, in nanoseconds
-	// after started; 0 before that.
+	// after startedAt; 0 before that.
 	firstTokenAt atomic.Int64
 	// firstTokenCount is the number of tokens in that chunk.
 	firstTokenCount atomic.Int64
@@ -47,7 +47,7 @@
 
 	// The mutex of the callWatcher guards the following fields.
 
-	// sampledAt is a time in nanoseconds after started. Tokens that arrived up to
+	// sampledAt is a time in nanoseconds after startedAt. Tokens that arrived up to
 	// then have been reported to the limiter or skipped.
 	sampledAt int64
 	// sampledTokenCount is the number of these tokens.
@@ -58,7 +58,7 @@
 
 // recordArrival records that a chunk with the given number of tokens arrived.
 func (c *watchedCall) recordArrival(clock clockwork.Clock, tokens int) {
-	now := max(int64(clock.Since(c.started)), 1)
+	now := max(int64(clock.Since(c.startedAt)), 1)
 	if tokens > 0 && c.firstTokenAt.Load() == 0 {
 		c.firstTokenCount.Store(int64(tokens))
 		c.firstTokenAt.Store(now)
@@ -88,7 +88,7 @@
 // add starts watching a call. cancel cancels the call; firstByteTimeout is the
 // longest wait for its first byte.
 func (w *callWatcher) add(cancel context.CancelCauseFunc, firstByteTimeout time.Duration) *watchedCall {
-	c := &watchedCall{cancel: cancel, started: w.clock.Now(), firstByteTimeout: firstByteTimeout}
+	c := &watchedCall{cancel: cancel, startedAt: w.clock.Now(), firstByteTimeout: firstByteTimeout}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls[c] = true
@@ -99,8 +99,8 @@
 	return c
 }
 
-// remove stops watching a call, after reporting the time per token since the last
-// check.
+// remove stops watching a call. It first reports the time per token since the last
+// report, unless a frame is being sent.
 func (w *callWatcher) remove(c *watchedCall) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -136,28 +136,27 @@
 // and otherwise reports the time per token of c. Tokens that arrived while a frame
 // was being sent are skipped. The caller holds w.mu.
 func (w *callWatcher) checkCall(c *watchedCall) {
-	now := int64(w.clock.Since(c.started))
-	last := c.lastArrival.Load()
+	now := int64(w.clock.Since(c.startedAt))
+	lastArrival := c.lastArrival.Load()
 	switch {
-	case last == 0 && time.Duration(now) > c.firstByteTimeout:
+	case lastArrival == 0 && time.Duration(now) > c.firstByteTimeout:
 		c.cancel(errFirstByteTimeout)
-	case last == 0:
+	case lastArrival == 0:
 		// The first byte is not overdue yet, and there are no tokens to report.
 	case c.sending.Load():
-		c.sampledAt, c.sampledTokenCount = last, c.tokenCount.Load()
-	case time.Duration(now-last) > w.cfg.StallTimeout:
+		c.sampledAt, c.sampledTokenCount = lastArrival, c.tokenCount.Load()
+	case time.Duration(now-lastArrival) > w.cfg.StallTimeout:
 		c.cancel(errStalled)
 	default:
-		w.reportTimePerToken(c, now, last)
+		w.reportTimePerToken(c, now, lastArrival)
 	}
 }
 
 // reportTimePerToken reports to the limiter the mean time between the tokens that
-// arrived since the last report. When none arrived, it reports the time since
-// the last arrival if that is longer than the time per token reported last. now
-// is the current time and last that of the last arrival, both in nanoseconds
-// after c.started. The caller holds w.mu.
-func (w *callWatcher) reportTimePerToken(c *watchedCall, now, last int64) {
+// arrived since the last report. If no tokens arrived, it reports the time since
+// lastArrival, provided that this is longer than the time per token reported last.
+// now and lastArrival are in nanoseconds after c.startedAt. The caller holds w.mu.
+func (w *callWatcher) reportTimePerToken(c *watchedCall, now, lastArrival int64) {
 	if c.firstTokenAt.Load() == 0 {
 		return
 	}
@@ -165,12 +164,12 @@
 		c.sampledAt, c.sampledTokenCount = c.firstTokenAt.Load(), c.firstTokenCount.Load()
 	}
 	if count := c.tokenCount.Load() - c.sampledTokenCount; count > 0 {
-		c.reportedTimePerToken = time.Duration(last-c.sampledAt) / time.Duration(count)
-		c.sampledAt, c.sampledTokenCount = last, c.sampledTokenCount+count
+		c.reportedTimePerToken = time.Duration(lastArrival-c.sampledAt) / time.Duration(count)
+		c.sampledAt, c.sampledTokenCount = lastArrival, c.sampledTokenCount+count
 		w.limiter.Observe(admission.Sample{PerToken: c.reportedTimePerToken})
 		return
 	}
-	if gap := time.Duration(now - last); gap > c.reportedTimePerToken {
+	if gap := time.Duration(now - lastArrival); gap > c.reportedTimePerToken {
 		c.reportedTimePerToken = gap
 		w.limiter.Observe(admission.Sample{PerToken: gap})
 	}
