--- a/request/relay/attempt.go
+++ b/request/relay/attempt.go
@@ -32,7 +32,7 @@
 // Error implements error.
 func (e callerWriteError) Error() string { return "write to caller: " + e.err.Error() }
 
-// attemptResult is the result of one attempt at a backend server.
+// attemptResult is the result of one attempt to run a call on a backend server.
 type attemptResult struct {
 	result routing.Result
 	// load is the load in the agent's last frame; nil if there was none.
--- a/request/relay/budget.go
+++ b/request/relay/budget.go
@@ -6,8 +6,8 @@
 )
 
 // retryBudget limits concurrent retries to a share of the calls in flight, so
-// that retries cannot amplify an overload. A retry counts until its first byte
-// arrives.
+// that retries cannot amplify an overload. A retry is counted until the first byte
+// of its response arrives.
 type retryBudget struct {
 	// ratio is the share of the calls in flight; negative for no limit.
 	ratio float64
@@ -59,8 +59,8 @@
 	return max(b.minConcurrentRetries, int(b.ratio*float64(b.callsInFlight)))
 }
 
-// adjust changes the counts of calls in flight and of retries, and wakes waiting
-// retries when one is released.
+// adjust changes the counts of calls in flight and of retries. If the count of
+// retries falls, it wakes the waiting calls of acquire.
 func (b *retryBudget) adjust(callsDelta, retriesDelta int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/request/relay/budget_test.go
+++ b/request/relay/budget_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestRetryBudget(t *testing.T) {
-	Convey("Given servers that time out on every call", t, func() {
+	Convey("Given servers that send no response in time, the retry budget bounds the number of attempts", t, func() {
 		attemptsWithoutBudget := attemptsUnderOverload(t, -1)
 		attemptsWithBudget := attemptsUnderOverload(t, defaultRetryBudgetRatio)
 		t.Logf("attempts for %d calls: %d without a budget, %d with a budget of %.1f", overloadCallCount, attemptsWithoutBudget, attemptsWithBudget, defaultRetryBudgetRatio)
--- a/request/relay/call.go
+++ b/request/relay/call.go
@@ -33,8 +33,8 @@
 	id        string
 	account   *declare.ClientAccount
 	arrivedAt time.Time
-	// request is sent to agents; attemptRequest sets its timeout for each
-	// attempt.
+	// request is the request for agents. attemptRequest sets the fields that differ
+	// between attempts.
 	request frame.Request
 	// service is the name of the plain service; empty for model calls.
 	service string
--- a/request/relay/handlers.go
+++ b/request/relay/handlers.go
@@ -117,8 +117,8 @@
 }
 
 // serveCall serves a call from its arrival to the end of its response. prepare
-// sets the remaining fields of the call and reports whether the call is
-// repeatable, or returns the Problem with which to refuse the call.
+// sets the fields of the call that newCall does not set, and returns whether the
+// call is repeatable, or the Problem with which serveCall refuses the call.
 func (r *Relay) serveCall(c echo.Context, prepare func(*call) (repeatable bool, p *Problem)) error {
 	id, release := r.reserveRequestID(c)
 	defer release()
--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -87,8 +87,9 @@
 	incarnation int
 	// killed is closed when the current incarnation is killed.
 	killed chan struct{}
+	// The following three maps concern the current incarnation only.
+
 	// forbidden maps the key of a call to the highest attempt that must not run.
-	// Like states and outcomes, it concerns the current incarnation.
 	forbidden map[string]int
 	// states maps the key and attempt of a call ("key#attempt") to the state of
 	// the attempt.
--- a/request/relay/once_test.go
+++ b/request/relay/once_test.go
@@ -209,7 +209,8 @@
 }
 
 // TestOnceOnlyCallsRunAtMostOnce also writes its history to the file named by
-// RATTANWAY_TEST_HISTORY if that is set, so that it can be checked again later.
+// RATTANWAY_TEST_HISTORY if that is set, so that the history can be checked again
+// later.
 func TestOnceOnlyCallsRunAtMostOnce(t *testing.T) {
 	Convey("Given 10,000 once-only calls with killed and paused processes, lost responses and table outages", t, func() {
 		var out bytes.Buffer
--- a/request/relay/onceonly.go
+++ b/request/relay/onceonly.go
@@ -210,7 +210,7 @@
 		oa.relay.recordAttempt(oa.call, oa.server, attemptResult{result: routing.ResultCancelled, err: err})
 		return nil, nil, err
 	}
-	// From here on the call may run, so it continues even if the caller
+	// From here on the call may run, so the attempt continues even if the caller
 	// disconnects.
 	ctx, cancel := oa.detachFromCaller(ctx)
 	defer cancel()
--- a/request/relay/problem.go
+++ b/request/relay/problem.go
@@ -31,7 +31,8 @@
 	Outcome core.Refusal `json:"outcome"`
 	// RequestID is the id of the call, for inquiries to the operators.
 	RequestID string `json:"requestId"`
-	// RetryAfter is the value of the Retry-After header; 0 omits the header.
+	// RetryAfter is the value of the Retry-After header, which is sent in whole
+	// seconds, rounded up; 0 omits the header.
 	RetryAfter time.Duration `json:"-"`
 }
 
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -71,7 +71,7 @@
 
 // Config holds the settings of a Relay.
 type Config struct {
-	// Self is the entry instance.
+	// Self is the entry instance that the Relay belongs to.
 	Self core.Instance
 	// CallTimeout bounds the handling of a call once its request has been read;
 	// default 2 min.
--- a/request/relay/repeatable.go
+++ b/request/relay/repeatable.go
@@ -39,8 +39,8 @@
 	versionSwitchCount int
 	// lastRefusal is the newest refusal by an agent; nil for none.
 	lastRefusal *frame.Refuse
-	// releaseRetry releases the retry that the current attempt holds in the
-	// retry budget; it does nothing when there is none.
+	// releaseRetry ends the counting of the current attempt in the retry budget. It
+	// does nothing if the attempt is not a retry.
 	releaseRetry func()
 }
 
@@ -157,8 +157,8 @@
 
 // switchVersion switches a refused call, if no part of it may have run, to
 // another version of its model. The first switch happens at once; each further
-// one follows a pause and is made only while the call is younger than
-// FairShareMaxAge. It reports whether it switched the version.
+// switch follows a pause and is made only while the call is younger than
+// FairShareMaxAge. switchVersion returns false if it did not switch the version.
 func (rc *repeatableCall) switchVersion(ctx context.Context) bool {
 	if rc.mayHaveRun || rc.call.service != "" { // plain services have no versions
 		return false
@@ -259,7 +259,7 @@
 	return newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter)
 }
 
-// runAttempt makes one attempt to run the call at server.
+// runAttempt makes one attempt to run the call on server.
 func (rc *repeatableCall) runAttempt(ctx context.Context, server registry.Server) attemptResult {
 	config := rc.relay.config
 	firstIdleLimit, laterIdleLimit := config.ResponseIdleTimeout, config.ResponseIdleTimeout
@@ -291,8 +291,8 @@
 }
 
 // handleHead processes the Head frame of an attempt. Statuses 502, 503 and 504
-// fail the attempt, so that the call may be retried. So does a status that differs
-// from the one sent to the caller before.
+// fail the attempt, so that the call may be retried. A status that differs from the
+// status already sent to the caller fails the attempt too.
 func (rc *repeatableCall) handleHead(head frame.Head) error {
 	if head.Status == http.StatusServiceUnavailable || head.Status == http.StatusBadGateway || head.Status == http.StatusGatewayTimeout {
 		return fmt.Errorf("%w: status %d", errServerStatus, head.Status)
@@ -304,8 +304,9 @@
 	return nil
 }
 
-// handleData processes a chunk of the body and releases the retry, because the
-// budget counts a retry only until its first byte.
+// handleData writes a chunk of the body to the response. It also ends the counting
+// of a retry in the retry budget, because the budget counts a retry only until its
+// first byte.
 func (rc *repeatableCall) handleData(data frame.Data) error {
 	rc.releaseRetry()
 	if err := rc.response.write(data); err != nil {
--- a/request/relay/stall.go
+++ b/request/relay/stall.go
@@ -25,8 +25,9 @@
 
 // stallMonitor cancels attempts whose server has sent no data for too long, and
 // earlier if routing has suspended the server. After a pause of this process only
-// a short part of the pause counts as idle time, so that data that arrived
-// meanwhile is read first. Its goroutine runs only while there are attempts.
+// a short part of the pause counts as idle time, so that data that arrived during
+// the pause is read first. The monitor's goroutine runs only while there are
+// attempts.
 type stallMonitor struct {
 	// isServerSuspended reports whether routing has suspended the server with the
 	// given id.
