--- a/version/loading/digests.go
+++ b/version/loading/digests.go
@@ -20,20 +20,20 @@
 const DigestsPath = "/internal/digests/"
 
 const (
-	// digestRequestTimeout bounds a request to another agent, which may first
-	// have to read the digests from the origin.
+	// digestRequestTimeout limits the duration of a request to another agent.
+	// That agent may first have to read the digests from the origin.
 	digestRequestTimeout = 1500 * time.Millisecond
-	// maxDigestResponseBytes bounds the response to such a request.
+	// maxDigestResponseBytes limits the size of the response.
 	maxDigestResponseBytes = 1 << 20
-	// maxDigestRequests is the maximum number of agents that are tried before
-	// the origin.
+	// maxDigestRequests is the maximum number of agents from which the digests
+	// are requested before they are read from the origin.
 	maxDigestRequests = 2
 )
 
-// digestFinder obtains the digests of versions. The first agent in the order for
-// a version reads them from the origin. Each other agent requests them from the
-// agents before it in that order, and reads the origin only if these requests
-// fail.
+// digestFinder obtains the digests of the chunks of a version. The first agent in
+// the order of sortedByHash reads the digests from the origin. Every other agent
+// requests them from up to maxDigestRequests agents before it in that order, and
+// reads the origin only if these requests fail.
 type digestFinder struct {
 	self   string
 	token  string
@@ -47,7 +47,8 @@
 	version int
 }
 
-// find returns the digests of a version, read from another agent or the origin.
+// find returns the digests of a version, as read from an agent of t or, if that
+// fails, from the origin.
 func (f *digestFinder) find(ctx context.Context, w WantedVersion, t Target) ([]core.Digest, error) {
 	requests := 0
 	for _, peer := range sortedByHash(w, t.Agents) {
@@ -55,7 +56,7 @@
 			break
 		}
 		requests++
-		if digests, err := f.requestFrom(ctx, peer.Addr, w); err == nil {
+		if digests, err := f.requestDigests(ctx, peer.Addr, w); err == nil {
 			return digests, nil
 		}
 	}
@@ -69,8 +70,8 @@
 	return digests, err
 }
 
-// sortedByHash returns the agents in the order of orderHash for a version, which
-// is the same on every agent.
+// sortedByHash returns the agents sorted by orderHash. Every agent computes the
+// same order for a version.
 func sortedByHash(w WantedVersion, agents []spread.Peer) []spread.Peer {
 	sorted := append([]spread.Peer(nil), agents...)
 	for i := range sorted {
@@ -81,8 +82,8 @@
 	return sorted
 }
 
-// requestFrom requests the digests of a version from the agent at addr.
-func (f *digestFinder) requestFrom(ctx context.Context, addr string, w WantedVersion) ([]core.Digest, error) {
+// requestDigests returns the digests of a version, read from the agent at addr.
+func (f *digestFinder) requestDigests(ctx context.Context, addr string, w WantedVersion) ([]core.Digest, error) {
 	ctx, cancel := context.WithTimeout(ctx, digestRequestTimeout)
 	defer cancel()
 	address := "http://" + addr + DigestsPath + url.PathEscape(w.Model) + "/" + strconv.Itoa(w.Version)
@@ -115,7 +116,7 @@
 
 // DigestsHandler returns the handler that serves the digests of a version to
 // other agents. A request for a declared version waits until this agent has the
-// digests.
+// digests; a request for any other version gets status 404.
 func (l *Loader) DigestsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		k := versionKey{model: r.PathValue("model")}
--- a/version/loading/events.go
+++ b/version/loading/events.go
@@ -20,7 +20,7 @@
 	eventCorrupt = eventlog.Define(345, "load-piece-rotten", logrus.WarnLevel,
 		"A staged chunk is missing or does not match its digest; the agent stages the chunk again.")
 	eventFetched = eventlog.Define(347, "load-fetched", logrus.InfoLevel,
-		"The agent has the chunks of a version in its store; held is true if it copied the intact chunks from the server, which already holds the version.")
+		"The agent has the chunks of a version in its store; held is true if the agent copied the intact chunks from the server, which already holds the version.")
 	eventFetching = eventlog.Define(348, "load-fetching", logrus.InfoLevel,
 		"The agent starts to fetch a version; agents is the number of agents in its list, sources the number of those among which the chunks are divided.")
 	eventServerChanged = eventlog.Define(346, "load-server-changed", logrus.InfoLevel,
--- a/version/loading/loader.go
+++ b/version/loading/loader.go
@@ -17,33 +17,32 @@
 )
 
 const (
-	// idlePollInterval and loadingPollInterval are the pauses between reads of
-	// the server's report; reads are cheap, as both run on the same machine.
+	// idlePollInterval is the pause between reads of the server's report while
+	// no load is in progress, and loadingPollInterval the pause during a load.
+	// Reads are cheap, since the agent and the server run on one machine.
 	idlePollInterval    = 400 * time.Millisecond
 	loadingPollInterval = 40 * time.Millisecond
-	// loadNoticeTime is the time between publishing a load and ordering it, in
-	// which entry instances receive the notice.
+	// loadNoticeTime is the time between publishing that the server is about to
+	// load and sending the load order. Entry instances receive the notice in it.
 	loadNoticeTime = 30 * time.Millisecond
-	// settleTime is how long the number of agents must have stayed the same
-	// before an agent that has just started fetches chunks, and maxSettleTime
-	// the longest time that such an agent waits. Agents that start together
-	// appear within 0.3 s.
+	// An agent that has just started fetches chunks only when the number of
+	// agents has stayed the same for settleTime, but waits at most
+	// maxSettleTime. Agents that start together appear within 0.3 s.
 	settleTime    = 200 * time.Millisecond
 	maxSettleTime = 900 * time.Millisecond
 	// retryPause is the pause before a failed step is retried.
 	retryPause = 200 * time.Millisecond
-	// loadTimeout bounds the execution of an accepted load order, which
-	// consists of the longest running request and the load itself.
+	// loadTimeout limits the time from the acceptance of a load order until the
+	// version is loaded. The server first completes its running requests.
 	loadTimeout = 10 * time.Second
 )
 
 // Config holds the settings and dependencies of a Loader.
 type Config struct {
-	// Self is this agent's name.
+	// Self is this agent's ID.
 	Self string
 	// Token authenticates the agents to each other.
-	Token string
-	// Server is the backend server beside the agent.
+	Token  string
 	Server Server
 	// Origin is the remote store of the weights.
 	Origin Origin
@@ -57,9 +56,8 @@
 	Publish func(ServerState)
 	// Client sends the requests for digests to other agents.
 	Client *http.Client
-	// Log receives an event for each decision.
-	Log *eventlog.Logger
-	// Clock provides the time and timers.
+	// Log receives an event for each step of a load and each failure.
+	Log   *eventlog.Logger
 	Clock clockwork.Clock
 }
 
@@ -79,20 +77,20 @@
 	// lookups holds a channel for each running lookup of digests; the channel
 	// is closed when the lookup ends.
 	lookups map[versionKey]chan struct{}
-	// fetched holds the versions whose chunks are in the store, fetching
-	// the versions that are being fetched, and staged, for each model, the
-	// version whose chunks are all staged at the server.
-	fetched  map[versionKey]bool
+	// fetched holds the versions whose chunks are in the store.
+	fetched map[versionKey]bool
+	// fetching holds the versions whose fetch is in progress.
 	fetching map[versionKey]bool
-	staged   map[string]int
-	state    ServerState
-	// serverStart is the start time in the last report of the server, and
-	// hasReport is true once there was a report.
-	serverStart int64
-	hasReport   bool
+	// stagedVersions maps each model to the version whose chunks are all staged.
+	stagedVersions map[string]int
+	state          ServerState
+	// serverStartUnixMs is the server's start time in the last report.
+	serverStartUnixMs int64
+	// hasReport is true once the server has sent a report.
+	hasReport bool
 	// firstTargetAt is the time at which this agent first had a target with a
-	// wanted version, and agentsChangedAt the time at which the number of
-	// agents last changed.
+	// wanted version. agentsChangedAt is the time at which the number of agents
+	// last changed.
 	firstTargetAt, agentsChangedAt time.Time
 }
 
@@ -103,7 +101,7 @@
 		finder:   digestFinder{self: cfg.Self, token: cfg.Token, origin: cfg.Origin, client: cfg.Client},
 		declared: map[string]*declaredVersions{}, wake: make(chan struct{}, 1),
 		digests: map[versionKey][]core.Digest{}, lookups: map[versionKey]chan struct{}{},
-		fetched: map[versionKey]bool{}, fetching: map[versionKey]bool{}, staged: map[string]int{},
+		fetched: map[versionKey]bool{}, fetching: map[versionKey]bool{}, stagedVersions: map[string]int{},
 	}
 }
 
@@ -162,8 +160,8 @@
 // recordReport logs changes since the previous report and publishes the state.
 func (l *Loader) recordReport(r Report) {
 	l.mu.Lock()
-	restarted := l.hasReport && r.StartUnixMs != l.serverStart
-	l.hasReport, l.serverStart = true, r.StartUnixMs
+	restarted := l.hasReport && r.StartUnixMs != l.serverStartUnixMs
+	l.hasReport, l.serverStartUnixMs = true, r.StartUnixMs
 	loading := l.state.Loading
 	same := maps.Equal(l.state.Weights, r.Weights)
 	l.mu.Unlock()
@@ -173,7 +171,7 @@
 	l.publish(ServerState{Weights: r.Weights, Loading: loading && r.Busy})
 }
 
-// publish stores the state and calls Config.Publish if the state has changed.
+// publish stores the state s and, if it has changed, calls Config.Publish.
 func (l *Loader) publish(s ServerState) {
 	l.mu.Lock()
 	same := maps.Equal(l.state.Weights, s.Weights) && l.state.Loading == s.Loading
@@ -184,7 +182,8 @@
 	}
 }
 
-// reconcile carries out the due steps for all models and returns the pause after them.
+// reconcile carries out the due steps for all models. It returns the pause until
+// the next read of the server's report.
 func (l *Loader) reconcile(ctx context.Context, r Report) time.Duration {
 	pause := idlePollInterval
 	for model := range l.currentTarget().Wanted {
@@ -211,14 +210,14 @@
 	return l.target
 }
 
-// reconcileModel carries out the due steps for a model and returns the pause after them.
+// reconcileModel carries out the due steps for a model. Its result is like that of reconcile.
 func (l *Loader) reconcileModel(ctx context.Context, model string, r Report) time.Duration {
-	held := r.Weights[model]
+	heldVersion := r.Weights[model]
 	if wait := l.settleWait(); wait > 0 {
 		return wait
 	}
 	l.mu.Lock()
-	target, pending := l.target, l.declared[model].newerThan(held)
+	target, pending := l.target, l.declared[model].newerThan(heldVersion)
 	l.mu.Unlock()
 	if len(pending) == 0 {
 		l.startFetch(ctx, target.Wanted[model], true)
@@ -238,9 +237,9 @@
 	if r.Busy {
 		return loadingPollInterval
 	}
-	if held > 0 {
-		loadTime := l.cfg.RollingUpdate.LoadTime(pending, target.Agents, l.cfg.Self)
-		if wait := loadTime.Sub(l.cfg.Clock.Now()); wait > 0 {
+	if heldVersion > 0 {
+		loadAt := l.cfg.RollingUpdate.LoadAt(pending, target.Agents, l.cfg.Self)
+		if wait := loadAt.Sub(l.cfg.Clock.Now()); wait > 0 {
 			return min(idlePollInterval, wait)
 		}
 	}
@@ -252,9 +251,9 @@
 }
 
 // settleWait returns how long this agent should still wait before it fetches
-// chunks. When all agents start at once, for example after a power failure, an
-// agent waits until no more agents appear, because chunks are divided among the
-// agents.
+// chunks; 0 or less means no wait. When all agents start at once, for example
+// after a power failure, an agent waits until no more agents appear, because
+// chunks are divided among the agents.
 func (l *Loader) settleWait() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -281,10 +280,10 @@
 	return WantedVersion{}, false
 }
 
-// startFetch starts to fetch a version into the store, unless that is done or in
-// progress. If held is true, the server holds the version, and its chunks are
-// copied from the server so that other agents can fetch them here.
-func (l *Loader) startFetch(ctx context.Context, w WantedVersion, held bool) {
+// startFetch starts to fetch a version into the store, unless the version is in
+// the store or its fetch is in progress. If heldByServer is true, the chunks are
+// copied from the server, so that other agents can fetch them from this agent.
+func (l *Loader) startFetch(ctx context.Context, w WantedVersion, heldByServer bool) {
 	k := versionKey{w.Model, w.Version}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -294,7 +293,7 @@
 	l.fetching[k] = true
 	go func() {
 		start := l.cfg.Clock.Now()
-		err := l.fetch(ctx, w, held)
+		err := l.fetch(ctx, w, heldByServer)
 		l.mu.Lock()
 		delete(l.fetching, k)
 		l.fetched[k] = err == nil
@@ -306,7 +305,7 @@
 			return
 		}
 		l.cfg.Log.Event(eventFetched, eventlog.Fields{
-			"model": w.Model, "version": w.Version, "held": held, "ms": l.cfg.Clock.Since(start).Milliseconds(),
+			"model": w.Model, "version": w.Version, "held": heldByServer, "ms": l.cfg.Clock.Since(start).Milliseconds(),
 		})
 		select {
 		case l.wake <- struct{}{}:
@@ -325,8 +324,8 @@
 			return d, nil
 		}
 		target := l.target
-		w, wanted := l.declaredVersion(k)
-		if !wanted {
+		w, declared := l.declaredVersion(k)
+		if !declared {
 			l.mu.Unlock()
 			return nil, errors.New("version is not wanted here")
 		}
@@ -358,7 +357,8 @@
 	}
 }
 
-// declaredVersion returns a declared version. The caller must hold l.mu.
+// declaredVersion returns the version with key k, and whether it has been
+// declared. The caller must hold l.mu.
 func (l *Loader) declaredVersion(k versionKey) (WantedVersion, bool) {
 	d, ok := l.declared[k.model]
 	if !ok {
@@ -372,9 +372,9 @@
 	return WantedVersion{}, false
 }
 
-// fetch puts the manifest and the chunks of a version into the store. If held is
-// true, it copies the chunks from the server.
-func (l *Loader) fetch(ctx context.Context, w WantedVersion, held bool) error {
+// fetch puts the manifest and the chunks of a version into the store. If
+// heldByServer is true, it copies the chunks from the server.
+func (l *Loader) fetch(ctx context.Context, w WantedVersion, heldByServer bool) error {
 	digests, err := l.digestsFor(ctx, versionKey{w.Model, w.Version})
 	if err != nil {
 		return err
@@ -385,11 +385,11 @@
 		return err
 	}
 	store := l.cfg.Swarm.Store()
-	store.Retain(l.retainedManifests())
+	store.Retain(l.forgetOldVersions())
 	if err := store.Put(digest, body); err != nil {
 		return err
 	}
-	if held {
+	if heldByServer {
 		return l.copyStagedToStore(ctx, w, digests)
 	}
 	l.cfg.Log.Event(eventFetching, eventlog.Fields{
@@ -400,20 +400,20 @@
 }
 
 // ChunkSources returns the agents among which the chunks are divided. Every agent
-// needs the same list even before it starts to fetch: an agent without the list
-// that receives a request for a chunk would assume that it owns the chunk, and
-// read it from the origin.
+// needs the same list even before it starts to fetch. Without the list, an agent
+// would treat itself as the owner of each chunk that another agent requests, and
+// read the chunk from the origin.
 func (l *Loader) ChunkSources() []spread.Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.target.sources()
 }
 
-// retainedManifests returns the manifests of the versions that the store keeps:
-// for each model the newest version, and the older ones that are newer than the
-// version that the server holds. No agent needs the other versions any more, and
-// retainedManifests marks them as not fetched.
-func (l *Loader) retainedManifests() []*manifest.Manifest {
+// forgetOldVersions marks the versions that no agent needs any more as not
+// fetched, and returns the manifests of the others, which the store keeps: for
+// each model the newest version, and every version that is newer than the version
+// that the server holds.
+func (l *Loader) forgetOldVersions() []*manifest.Manifest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var keep []*manifest.Manifest
@@ -433,11 +433,11 @@
 	return keep
 }
 
-// stage stages the chunks of a version at the server, unless all are staged already.
+// stage puts the chunks of a version where the server loads them from, unless all are there.
 func (l *Loader) stage(ctx context.Context, w WantedVersion) error {
 	l.mu.Lock()
-	digests, alreadyStaged := l.digests[versionKey{w.Model, w.Version}], l.staged[w.Model] == w.Version
-	delete(l.staged, w.Model)
+	digests, alreadyStaged := l.digests[versionKey{w.Model, w.Version}], l.stagedVersions[w.Model] == w.Version
+	delete(l.stagedVersions, w.Model)
 	l.mu.Unlock()
 	start := l.cfg.Clock.Now()
 	for i, d := range digests {
@@ -453,7 +453,7 @@
 		}
 	}
 	l.mu.Lock()
-	l.staged[w.Model] = w.Version
+	l.stagedVersions[w.Model] = w.Version
 	l.mu.Unlock()
 	if !alreadyStaged {
 		l.cfg.Log.Event(eventStaged, eventlog.Fields{
@@ -465,16 +465,16 @@
 
 // markNotFetched causes a version to be fetched again because a chunk is missing
 // from the store. It returns the error to report.
-func (l *Loader) markNotFetched(w WantedVersion, number int) error {
+func (l *Loader) markNotFetched(w WantedVersion, chunkNumber int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.fetched, versionKey{w.Model, w.Version})
-	return errors.Errorf("chunk %d is missing from the store", number)
+	return errors.Errorf("chunk %d is missing from the store", chunkNumber)
 }
 
 // manifestOf returns a manifest that describes the chunks of a version as one
-// file. Every agent builds the same manifest, so that its digest identifies the
-// version in the swarm.
+// file. Every agent builds the same manifest, so that the manifest's digest
+// identifies the version in the swarm.
 func manifestOf(w WantedVersion, digests []core.Digest) *manifest.Manifest {
 	f := manifest.File{Path: w.Model}
 	for _, d := range digests {
--- a/version/loading/loader_test.go
+++ b/version/loading/loader_test.go
@@ -20,51 +20,54 @@
 
 const (
 	model      = "herbs"
-	chunks     = 6
+	chunkCount = 6
 	chunkBytes = 512
 )
 
-// fakeServer is a backend server that keeps one staged chunk for each number,
-// whatever its version. It records the chunks that the last load used.
+// fakeServer is a backend server that keeps one staged chunk for each chunk
+// number, whatever the version of the chunk. It records the chunks that the last
+// load used.
 type fakeServer struct {
-	mu      sync.Mutex
-	staged  map[int][]byte
-	held    int
-	orders  int64
-	started int64
-	loaded  [][]byte
-	// onStage is called before a chunk is staged, and onRead before a staged
-	// chunk is returned.
-	onStage func(number int, chunk []byte)
-	onRead  func(number int)
+	mu     sync.Mutex
+	staged map[int][]byte
+	// heldVersion is the version that the last load order named; 0 means none.
+	heldVersion    int
+	acceptedOrders int64
+	startUnixMs    int64
+	// loadedChunks holds the chunks that the last load used, by chunk number.
+	loadedChunks [][]byte
+	// onStage is called before a chunk is staged.
+	onStage func(chunkNumber int, chunk []byte)
+	// onRead is called before a staged chunk is returned.
+	onRead func(chunkNumber int)
 }
 
 func (f *fakeServer) Report(context.Context) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := Report{Weights: map[string]int{}, AcceptedOrders: f.orders, StartUnixMs: f.started}
-	if f.held > 0 {
-		r.Weights[model] = f.held
+	r := Report{Weights: map[string]int{}, AcceptedOrders: f.acceptedOrders, StartUnixMs: f.startUnixMs}
+	if f.heldVersion > 0 {
+		r.Weights[model] = f.heldVersion
 	}
 	return r, nil
 }
 
-func (f *fakeServer) Stage(_ context.Context, _ string, number int, chunk []byte) error {
+func (f *fakeServer) Stage(_ context.Context, _ string, chunkNumber int, chunk []byte) error {
 	if f.onStage != nil {
-		f.onStage(number, chunk)
+		f.onStage(chunkNumber, chunk)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.staged[number] = chunk
+	f.staged[chunkNumber] = chunk
 	return nil
 }
 
-func (f *fakeServer) ReadStaged(_ context.Context, _ string, number int) ([]byte, error) {
+func (f *fakeServer) ReadStaged(_ context.Context, _ string, chunkNumber int) ([]byte, error) {
 	f.mu.Lock()
-	chunk, ok := f.staged[number]
+	chunk, ok := f.staged[chunkNumber]
 	f.mu.Unlock()
 	if f.onRead != nil {
-		f.onRead(number)
+		f.onRead(chunkNumber)
 	}
 	if !ok {
 		return nil, errors.New("the chunk is not staged")
@@ -75,14 +78,14 @@
 func (f *fakeServer) Load(_ context.Context, _ string, version int, orders int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if orders != f.orders {
+	if orders != f.acceptedOrders {
 		return errors.New("the number of accepted orders differs")
 	}
-	f.orders++
-	f.held = version
-	f.loaded = nil
-	for i := range chunks {
-		f.loaded = append(f.loaded, f.staged[i])
+	f.acceptedOrders++
+	f.heldVersion = version
+	f.loadedChunks = nil
+	for i := range chunkCount {
+		f.loadedChunks = append(f.loadedChunks, f.staged[i])
 	}
 	return nil
 }
@@ -91,7 +94,7 @@
 func (f *fakeServer) holds(version int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held == version
+	return f.heldVersion == version
 }
 
 // holdsExactly reports whether the server holds a version and loaded exactly the
@@ -99,10 +102,10 @@
 func (f *fakeServer) holdsExactly(version int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.held != version || len(f.loaded) != chunks {
+	if f.heldVersion != version || len(f.loadedChunks) != chunkCount {
 		return false
 	}
-	for i, chunk := range f.loaded {
+	for i, chunk := range f.loadedChunks {
 		if string(chunk) != string(chunkOf(version, i)) {
 			return false
 		}
@@ -115,24 +118,24 @@
 
 // chunkOf returns the content of a chunk, which differs between versions and
 // numbers.
-func chunkOf(version, number int) []byte {
+func chunkOf(version, chunkNumber int) []byte {
 	chunk := make([]byte, chunkBytes)
 	for i := range chunk {
-		chunk[i] = byte(version*31 + number*7 + i)
+		chunk[i] = byte(version*31 + chunkNumber*7 + i)
 	}
 	return chunk
 }
 
 func (fakeOrigin) Digests(_ context.Context, _, _ string, version int) ([]core.Digest, error) {
-	all := make([]core.Digest, chunks)
+	all := make([]core.Digest, chunkCount)
 	for i := range all {
 		all[i] = core.DigestOf(chunkOf(version, i))
 	}
 	return all, nil
 }
 
-func (fakeOrigin) Chunk(_ context.Context, _, _ string, version, number int) ([]byte, error) {
-	return chunkOf(version, number), nil
+func (fakeOrigin) Chunk(_ context.Context, _, _ string, version, chunkNumber int) ([]byte, error) {
+	return chunkOf(version, chunkNumber), nil
 }
 
 // fixture is a running Loader with a fake server.
@@ -145,7 +148,7 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{
-		server: &fakeServer{staged: map[int][]byte{}, started: 1},
+		server: &fakeServer{staged: map[int][]byte{}, startUnixMs: 1},
 		self:   spread.Peer{ID: "agent-1", Addr: "127.0.0.1:1", DataCentre: "palermo", Region: "palermo"},
 	}
 	clock := clockwork.NewRealClock()
@@ -171,11 +174,11 @@
 	return f
 }
 
-// declare declares a version to the Loader.
+// declare makes a version the wanted version of the Loader's target.
 func (f *fixture) declare(version int) {
 	f.loader.SetTarget(Target{
 		Wanted: map[string]WantedVersion{model: {
-			Model: model, Version: version, DeclaredAt: time.Now(), ChunkCount: chunks, ChunkBytes: chunkBytes,
+			Model: model, Version: version, DeclaredAt: time.Now(), ChunkCount: chunkCount, ChunkBytes: chunkBytes,
 		}},
 		Origin: "origin", Agents: []spread.Peer{f.self},
 	})
@@ -193,24 +196,24 @@
 		released, lastStaged := make(chan struct{}), make(chan struct{})
 		release := sync.OnceFunc(func() { close(released) })
 		var once sync.Once
-		f.server.onStage = func(number int, chunk []byte) {
+		f.server.onStage = func(chunkNumber int, chunk []byte) {
 			switch {
-			case number == 2 && string(chunk) == string(chunkOf(2, 2)):
-				// Version 3 is declared while version 2 is being staged, and
-				// the remaining chunks of version 2 are delayed.
+			case chunkNumber == 2 && string(chunk) == string(chunkOf(2, 2)):
+				// Declare version 3 while version 2 is being staged, and
+				// delay the remaining chunks of version 2.
 				once.Do(func() { f.declare(3) })
 				<-released
-			case number == chunks-1 && string(chunk) == string(chunkOf(2, number)):
+			case chunkNumber == chunkCount-1 && string(chunk) == string(chunkOf(2, chunkNumber)):
 				defer close(lastStaged)
 			}
 		}
-		f.server.onRead = func(number int) {
-			if number != chunks-1 {
+		f.server.onRead = func(chunkNumber int) {
+			if chunkNumber != chunkCount-1 {
 				return
 			}
-			// All staged chunks have been read back. The delayed chunks of
-			// version 2 are released: if they are still being staged, they
-			// now overwrite the chunks of version 3.
+			// The loader has read back all chunks of version 3. Release the
+			// delayed chunks of version 2: a loader that did not wait for
+			// their staging would now overwrite chunks of version 3.
 			release()
 			select {
 			case <-lastStaged:
@@ -227,8 +230,8 @@
 	Convey("A staged chunk that has become corrupt is staged again before the load", t, func() {
 		f := newFixture(t)
 		var once sync.Once
-		f.server.onStage = func(number int, _ []byte) {
-			if number == chunks-1 {
+		f.server.onStage = func(chunkNumber int, _ []byte) {
+			if chunkNumber == chunkCount-1 {
 				once.Do(func() {
 					f.server.mu.Lock()
 					defer f.server.mu.Unlock()
--- a/version/loading/loading.go
+++ b/version/loading/loading.go
@@ -10,16 +10,16 @@
 
 // Report is the state that a backend server reports.
 type Report struct {
-	// Weights maps each model to the version of which the server holds every
-	// layer.
+	// Weights maps each model to the version whose layers the server holds
+	// completely.
 	Weights map[string]int
 	// Busy reports whether the server is carrying out a load order.
 	Busy bool
 	// AcceptedOrders counts the load orders that the server has accepted since
 	// its start.
 	AcceptedOrders int64
-	// Running and Queued count the requests that the server is executing and
-	// those that wait in its queue.
+	// Running counts the requests that the server is executing. Queued counts
+	// the requests that wait in the server's queue.
 	Running, Queued int
 	// StartUnixMs is the Unix time in milliseconds at which the server started.
 	StartUnixMs int64
@@ -29,22 +29,24 @@
 type Server interface {
 	// Report reads the server's state.
 	Report(ctx context.Context) (Report, error)
-	// Stage stores a chunk where the server loads it from. The server does
+	// Stage stores a chunk where the server loads weights from. The server does
 	// not verify the chunk.
-	Stage(ctx context.Context, model string, number int, chunk []byte) error
-	// ReadStaged reads a staged chunk back.
-	ReadStaged(ctx context.Context, model string, number int) ([]byte, error)
-	// Load orders the server to load the staged chunks. The server refuses
-	// the order unless it has accepted exactly the given number of orders.
-	Load(ctx context.Context, model string, version int, orders int64) error
+	Stage(ctx context.Context, model string, chunkNumber int, chunk []byte) error
+	// ReadStaged returns the bytes of a staged chunk.
+	ReadStaged(ctx context.Context, model string, chunkNumber int) ([]byte, error)
+	// Load orders the server to load the staged chunks. The server refuses the
+	// order unless acceptedOrders is the number of orders that it has accepted
+	// so far.
+	Load(ctx context.Context, model string, version int, acceptedOrders int64) error
 }
 
 // Origin is the remote store that holds the weights of every version.
 type Origin interface {
-	// Digests returns the digests of the chunks of a version, in order.
+	// Digests returns the digests of the chunks of a version, in the order of
+	// the chunk numbers. addr is the address of the origin.
 	Digests(ctx context.Context, addr, model string, version int) ([]core.Digest, error)
-	// Chunk returns one chunk of a version.
-	Chunk(ctx context.Context, addr, model string, version, number int) ([]byte, error)
+	// Chunk returns the bytes of one chunk of a version.
+	Chunk(ctx context.Context, addr, model string, version, chunkNumber int) ([]byte, error)
 }
 
 // WantedVersion is a version of a model that the server should hold.
@@ -55,12 +57,13 @@
 	// DeclaredAt is the earliest declaration time of the version that this agent
 	// has received.
 	DeclaredAt time.Time
-	// ChunkCount is the number of chunks, and ChunkBytes the size of each.
+	// ChunkCount is the number of chunks. ChunkBytes is the size of each chunk,
+	// in bytes.
 	ChunkCount, ChunkBytes int
 }
 
-// Target holds the versions that the agent's server should hold and the sources of
-// their chunks.
+// Target describes the versions that the agent's server should hold, and where
+// their chunks can be fetched.
 type Target struct {
 	// Wanted maps each model to its wanted version.
 	Wanted map[string]WantedVersion
@@ -88,7 +91,7 @@
 	return t.Agents
 }
 
-// ServerState is the state of its server that an agent publishes to entry
+// ServerState is the state of the server that the agent publishes to entry
 // instances.
 type ServerState struct {
 	// Weights maps each model to the version that the server serves.
--- a/version/loading/loadorder.go
+++ b/version/loading/loadorder.go
@@ -21,8 +21,9 @@
 	return l.awaitLoaded(ctx, versionKey{w.Model, w.Version})
 }
 
-// orderLoad verifies the staged chunks and orders the load. It publishes the
-// load first, so that entry instances send no more requests to the server.
+// orderLoad verifies the staged chunks and orders the load. If the server holds
+// any weights, it first publishes that the server is about to load, so that entry
+// instances send no more requests to the server.
 func (l *Loader) orderLoad(ctx context.Context, w WantedVersion, r Report) error {
 	if err := l.verifyStaged(ctx, w); err != nil {
 		return err
@@ -38,7 +39,7 @@
 	return err
 }
 
-// verifyStaged reads every staged chunk back and stages each chunk again that
+// verifyStaged reads every staged chunk back. It stages a chunk again if the chunk
 // is missing or does not match its digest.
 func (l *Loader) verifyStaged(ctx context.Context, w WantedVersion) error {
 	l.mu.Lock()
@@ -61,7 +62,8 @@
 	return nil
 }
 
-// awaitLoaded waits until the server reports that it holds the version.
+// awaitLoaded waits up to loadTimeout until the server reports that it holds the
+// version. It returns an error if the server ends the load order without it.
 func (l *Loader) awaitLoaded(ctx context.Context, k versionKey) error {
 	start := l.cfg.Clock.Now()
 	for l.cfg.Clock.Since(start) < loadTimeout {
--- a/version/loading/originchunks.go
+++ b/version/loading/originchunks.go
@@ -11,32 +11,32 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// unknownChunkWait is how long a read waits until this agent has the digests of
-// the version that the chunk belongs to. Agents receive the declaration of a
-// version within about 100 ms of each other.
-const unknownChunkWait = 800 * time.Millisecond
+// unknownChunkTimeout is the longest time that a read of an unknown chunk waits
+// until this agent has the digests of the chunk's version. Agents receive the
+// declaration of a version within about 100 ms of each other.
+const unknownChunkTimeout = 800 * time.Millisecond
 
 // OriginChunks gives a swarm read access to the chunks at the origin, as objects
-// whose names contain their digests. It implements platform.ObjectStore, but Put
-// always fails.
+// named by digest. It implements platform.ObjectStore, but Put always fails.
 type OriginChunks struct {
 	origin Origin
 
 	mu         sync.Mutex
 	originAddr string
-	// locations maps the name of an object to its location at the origin.
+	// locations maps the name of an object to the location of the chunk at the
+	// origin.
 	locations map[string]chunkLocation
-	// readSlot holds an element while a chunk is being read.
+	// readSlot is a semaphore of one element, held while a chunk is being read.
 	readSlot chan struct{}
 	// added is closed and replaced when chunks are added.
 	added chan struct{}
 }
 
-// chunkLocation identifies a chunk at the origin by its version and its number
-// within the version.
+// chunkLocation identifies a chunk at the origin by version and by the chunk's
+// number within the version.
 type chunkLocation struct {
 	versionKey
-	number int
+	chunkNumber int
 }
 
 // NewOriginChunks returns an OriginChunks without chunks.
@@ -44,11 +44,12 @@
 	return &OriginChunks{origin: origin, locations: map[string]chunkLocation{}, readSlot: make(chan struct{}, 1), added: make(chan struct{})}
 }
 
-// AddVersion adds the chunks of a version and sets the address of the origin.
-func (o *OriginChunks) AddVersion(addr string, k versionKey, digests []core.Digest) {
+// AddVersion adds the chunks of a version and sets the address of the origin to
+// originAddr.
+func (o *OriginChunks) AddVersion(originAddr string, k versionKey, digests []core.Digest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.originAddr = addr
+	o.originAddr = originAddr
 	for i, d := range digests {
 		o.locations[manifest.ChunkName(d)] = chunkLocation{k, i}
 	}
@@ -58,9 +59,10 @@
 
 // locate returns the address of the origin and the location of an object there.
 // Another agent may request a chunk of a version before this agent has received
-// the declaration of the version, so locate waits up to unknownChunkWait.
+// the declaration of the version, so locate waits up to unknownChunkTimeout. ok is
+// false if the object is still unknown after that time.
 func (o *OriginChunks) locate(ctx context.Context, name string) (addr string, location chunkLocation, ok bool) {
-	timer := time.NewTimer(unknownChunkWait)
+	timer := time.NewTimer(unknownChunkTimeout)
 	defer timer.Stop()
 	for {
 		o.mu.Lock()
@@ -80,8 +82,8 @@
 	}
 }
 
-// Get implements platform.ObjectStore. It ignores offset and length and returns the
-// whole chunk.
+// Get implements platform.ObjectStore. It ignores the requested range and returns
+// the complete chunk.
 func (o *OriginChunks) Get(ctx context.Context, name string, _, _ int64) ([]byte, error) {
 	addr, location, ok := o.locate(ctx, name)
 	if !ok || addr == "" {
@@ -90,9 +92,9 @@
 	return o.read(ctx, addr, location)
 }
 
-// originAttempts is the number of attempts to read a chunk before Get fails and
-// other agents may try: the origin drops connections beyond its limit.
-const originAttempts = 3
+// maxOriginAttempts is the number of attempts to read a chunk before Get fails. An
+// attempt can fail because the origin drops connections beyond its limit.
+const maxOriginAttempts = 3
 
 // read reads one chunk from the origin. Each agent reads one chunk at a time,
 // so that all agents together stay below the connection limit of the origin.
@@ -106,8 +108,8 @@
 		return nil, ctx.Err()
 	}
 	var lastErr error
-	for range originAttempts {
-		body, err := o.origin.Chunk(ctx, addr, location.model, location.version, location.number)
+	for range maxOriginAttempts {
+		body, err := o.origin.Chunk(ctx, addr, location.model, location.version, location.chunkNumber)
 		if err == nil || ctx.Err() != nil {
 			return body, err
 		}
--- a/version/loading/rollingupdate.go
+++ b/version/loading/rollingupdate.go
@@ -10,30 +10,31 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// RollingUpdate schedules the rolling update of the servers to a new version. From
-// its load order until its running requests have ended and the weights are loaded,
-// a server accepts no new requests. The loads are therefore spread over the time
-// in which the previous version may still be served, so that the other servers can
-// handle the requests even under full load.
+// RollingUpdate schedules the rolling update of the servers to a new version. A
+// server accepts no new requests from its load order until the running requests
+// have ended and the weights are loaded. The loads are therefore spread over the
+// time in which the previous version may still be served, so that the other
+// servers can handle the requests even under full load.
 type RollingUpdate struct {
-	// FirstAge is the age of a version at which the first server loads it, and
-	// LastAge the age at which the last server does.
+	// FirstAge is the age that a version has when the first server loads it.
+	// LastAge is the version's age when the last server loads it.
 	FirstAge, LastAge time.Duration
 }
 
 // minUpdateWindow is the shortest time over which the loads may be spread when
-// the update waits for a newer version; in less time too many servers would load
-// at once.
+// their start is delayed for a newer version. In less time too many servers would
+// load at once.
 const minUpdateWindow = 1500 * time.Millisecond
 
-// LoadTime returns the time at which the server of agent self should load. declared
-// are the versions newer than the one that the server holds, oldest first. The
-// servers load while the age of the oldest of these versions is between FirstAge
-// and LastAge. If the newest version reaches FirstAge at least minUpdateWindow
-// before the last load, the loads start only then, so that the servers can load
-// the newest version instead. The order of the agents is the same on every agent
-// and differs between versions.
-func (u RollingUpdate) LoadTime(declared []WantedVersion, agents []spread.Peer, self string) time.Time {
+// LoadAt returns the time at which the server of the agent with ID self should
+// load. declared holds the versions newer than the version that the server holds,
+// oldest first. The servers load one after another while the age of the oldest of
+// these versions is between FirstAge and LastAge. If the newest version reaches
+// FirstAge at least minUpdateWindow before the last load, the first load is
+// delayed until the newest version has that age, so that the servers can load the
+// newest version instead. Every agent computes the same order of agents, and the
+// order differs between versions.
+func (u RollingUpdate) LoadAt(declared []WantedVersion, agents []spread.Peer, self string) time.Time {
 	oldest, newest := declared[0], declared[len(declared)-1]
 	first, last := oldest.DeclaredAt.Add(u.FirstAge), oldest.DeclaredAt.Add(u.LastAge)
 	if newestFirst := newest.DeclaredAt.Add(u.FirstAge); newestFirst.After(first) && last.Sub(newestFirst) >= minUpdateWindow {
@@ -50,7 +51,7 @@
 	return first.Add(time.Duration(position) * interval)
 }
 
-// orderHash returns the sort key of an agent in the order of agents for a version.
+// orderHash returns the key by which agents are sorted for a version.
 func orderHash(w WantedVersion, agent string) uint64 {
 	return xxhash.Sum64String(w.Model + "/" + strconv.Itoa(w.Version) + "/" + agent)
 }
@@ -58,8 +59,8 @@
 // declaredVersions holds the declared versions of one model, oldest first.
 type declaredVersions []WantedVersion
 
-// add adds a version, or moves the declaration time of a version already present
-// to the earlier time. It reports whether the version is new.
+// add adds w, or, if the version is already present, keeps the earlier of the two
+// declaration times. It reports whether the version is new.
 func (d *declaredVersions) add(w WantedVersion) bool {
 	i, found := slices.BinarySearchFunc(*d, w.Version, func(o WantedVersion, v int) int { return o.Version - v })
 	if !found {
@@ -72,12 +73,12 @@
 	return false
 }
 
-// newerThan returns the versions that are newer than held. If held is 0, which
-// means that the server holds no version, it returns only the newest version.
-func (d declaredVersions) newerThan(held int) []WantedVersion {
-	if held == 0 && len(d) > 0 {
+// newerThan returns the versions that are newer than version. If version is 0,
+// which means that the server holds none, it returns only the newest version.
+func (d declaredVersions) newerThan(version int) []WantedVersion {
+	if version == 0 && len(d) > 0 {
 		return slices.Clone(d[len(d)-1:])
 	}
-	i, _ := slices.BinarySearchFunc(d, held+1, func(o WantedVersion, v int) int { return o.Version - v })
+	i, _ := slices.BinarySearchFunc(d, version+1, func(o WantedVersion, v int) int { return o.Version - v })
 	return slices.Clone(d[i:])
 }
--- a/version/loading/rollingupdate_test.go
+++ b/version/loading/rollingupdate_test.go
@@ -10,16 +10,16 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// loadTimes returns the load times of n agents as durations since start, in the
-// order of the agents.
-func loadTimes(update RollingUpdate, declared []WantedVersion, n int, start time.Time) []time.Duration {
+// loadDelays returns the times at which agentCount agents load, as durations since
+// start, in the order of the agents.
+func loadDelays(update RollingUpdate, declared []WantedVersion, agentCount int, start time.Time) []time.Duration {
 	var agents []spread.Peer
-	for i := range n {
+	for i := range agentCount {
 		agents = append(agents, spread.Peer{ID: "agent-" + strconv.Itoa(i)})
 	}
 	var times []time.Duration
 	for _, a := range agents {
-		times = append(times, update.LoadTime(declared, agents, a.ID).Sub(start))
+		times = append(times, update.LoadAt(declared, agents, a.ID).Sub(start))
 	}
 	return times
 }
@@ -37,7 +37,7 @@
 	}
 
 	Convey("Servers load one after another between the first and the last age", t, func() {
-		times := loadTimes(update, []WantedVersion{declared(2, 0)}, 11, start)
+		times := loadDelays(update, []WantedVersion{declared(2, 0)}, 11, start)
 		within(times, 2*time.Second, 7*time.Second)
 		different := map[time.Duration]bool{}
 		for _, at := range times {
@@ -46,14 +46,14 @@
 		So(different, ShouldHaveLength, 11)
 	})
 
-	Convey("The update waits for a version declared 2 s later, but not beyond the last age of the first", t, func() {
-		times := loadTimes(update, []WantedVersion{declared(2, 0), declared(3, 2*time.Second)}, 11, start)
+	Convey("The first load waits for a version declared 2 s later, and the last load is still at the last age of the older version", t, func() {
+		times := loadDelays(update, []WantedVersion{declared(2, 0), declared(3, 2*time.Second)}, 11, start)
 		within(times, 4*time.Second, 7*time.Second)
 	})
 
-	Convey("A version declared too late for that does not change the load times", t, func() {
-		before := loadTimes(update, []WantedVersion{declared(2, 0)}, 11, start)
-		after := loadTimes(update, []WantedVersion{declared(2, 0), declared(3, 4*time.Second)}, 11, start)
+	Convey("A version declared 4 s later does not change the load times, because too little time would be left for the loads", t, func() {
+		before := loadDelays(update, []WantedVersion{declared(2, 0)}, 11, start)
+		after := loadDelays(update, []WantedVersion{declared(2, 0), declared(3, 4*time.Second)}, 11, start)
 		So(after, ShouldResemble, before)
 	})
 }
