--- a/version/spread/bandwidth.go
+++ b/version/spread/bandwidth.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxBytesPerWait is the largest number of bytes transferred between two
+	// maxBytesPerWait is the maximum number of bytes transferred between two
 	// waits for a bandwidth limit.
 	maxBytesPerWait = 16 << 10
 	// burstTime sets the burst size of a limit: the bytes that the limited rate
@@ -50,8 +50,9 @@
 }
 
 // send writes body to w within limiter and returns the number of bytes written.
-// It returns an error when a write of up to maxBytesPerWait takes longer than stall.
-func send(ctx context.Context, w http.ResponseWriter, body []byte, limiter *BandwidthLimiter, stall time.Duration) (int, error) {
+// It returns an error when one write, of at most maxBytesPerWait bytes, takes longer
+// than stallTimeout.
+func send(ctx context.Context, w http.ResponseWriter, body []byte, limiter *BandwidthLimiter, stallTimeout time.Duration) (int, error) {
 	control := http.NewResponseController(w)
 	sent := 0
 	for sent < len(body) {
@@ -59,7 +60,7 @@
 		if err := limiter.Wait(ctx, int64(len(part))); err != nil {
 			return sent, err
 		}
-		if err := control.SetWriteDeadline(time.Now().Add(stall)); err != nil {
+		if err := control.SetWriteDeadline(time.Now().Add(stallTimeout)); err != nil {
 			return sent, err
 		}
 		n, err := w.Write(part)
--- a/version/spread/client.go
+++ b/version/spread/client.go
@@ -38,19 +38,20 @@
 
 // Limits of the HTTP connections from an agent to its peers.
 const (
-	idleTimeout      = 10 * time.Second
-	maxIdlePerPeer   = 4
-	readBufferBytes  = 8 << 10
-	writeBufferBytes = 4 << 10
+	idleTimeout               = 10 * time.Second
+	maxIdleConnectionsPerPeer = 4
+	readBufferBytes           = 8 << 10
+	writeBufferBytes          = 4 << 10
 )
 
 // tier selects what an agent does when a peer requests an object that the
 // agent does not hold.
 type tier int
 
-// The tiers in ascending order. An agent that serves a request at one tier
-// sends its own requests only at a higher tier, so that two agents never wait
-// for each other.
+// The tiers. The first four are in ascending order: an agent that serves a request
+// at one of them sends its own requests only at a higher tier, so that two agents
+// never wait for each other. An agent that serves a request at one of the last two
+// sends no requests.
 const (
 	// tierReader means that an agent fetches an object for its own use.
 	tierReader tier = iota
@@ -97,8 +98,8 @@
 	digest   core.Digest
 	manifest bool
 	// owners lists the addresses of the object's owners in the region, as
-	// "ip:port" separated by commas. It is used by an agent that has no list
-	// of peers for the version.
+	// "ip:port" separated by commas. An agent that has no list of peers for the
+	// version sends its requests to these owners.
 	owners string
 }
 
@@ -129,21 +130,21 @@
 	object
 	// tier selects what the peer does if it does not hold the object.
 	tier tier
-	// wait is how long the peer may hold the request open.
-	wait time.Duration
+	// maxWait is the longest time that the peer may keep the request open.
+	maxWait time.Duration
 	// waitForSlot makes the peer wait for a free upload slot and then send the
 	// object, instead of listing other holders.
 	waitForSlot bool
 }
 
-// newHTTPClient returns the HTTP client for requests to peers. It keeps at most
-// maxIdle unused connections.
-func newHTTPClient(maxIdle int) *http.Client {
+// newHTTPClient returns the HTTP client for requests to peers. The client keeps at
+// most maxIdleConnections unused connections.
+func newHTTPClient(maxIdleConnections int) *http.Client {
 	transport := &http.Transport{
 		DialContext:         dial.DialContext,
 		DisableCompression:  true,
-		MaxIdleConns:        maxIdle,
-		MaxIdleConnsPerHost: maxIdlePerPeer,
+		MaxIdleConns:        maxIdleConnections,
+		MaxIdleConnsPerHost: maxIdleConnectionsPerPeer,
 		IdleConnTimeout:     idleTimeout,
 		ReadBufferSize:      readBufferBytes,
 		WriteBufferSize:     writeBufferBytes,
@@ -161,7 +162,7 @@
 	defer cancel()
 	// The watchdog cancels the request when no response or no further byte
 	// arrives in time.
-	watchdog := time.AfterFunc(req.wait+s.cfg.ResponseMargin, cancel)
+	watchdog := time.AfterFunc(req.maxWait+s.cfg.ResponseMargin, cancel)
 	defer watchdog.Stop()
 	resp, err := s.client.Do(s.newRequest(ctx, addr, req))
 	if err != nil {
@@ -192,7 +193,7 @@
 	query := url.Values{}
 	query.Set(queryVersion, string(req.version))
 	query.Set(queryTier, tierNames[req.tier])
-	query.Set(queryWait, req.wait.String())
+	query.Set(queryWait, req.maxWait.String())
 	if req.tier == tierDataCentre {
 		query.Set(queryOwners, req.owners)
 	}
@@ -208,7 +209,8 @@
 	return httpReq
 }
 
-// readBody reads a response body within the bandwidth limits.
+// readBody reads a response body within the bandwidth limits. watchdog cancels the
+// request if no byte arrives for Config.StallTimeout.
 func (s *Swarm) readBody(ctx context.Context, resp *http.Response, addr string, watchdog *time.Timer) ([]byte, error) {
 	size := resp.ContentLength
 	if size < 0 || size > maxObjectBytes {
--- a/version/spread/events.go
+++ b/version/spread/events.go
@@ -15,7 +15,7 @@
 	eventPeerSuspect = eventlog.Define(303, "peer-suspect", logrus.WarnLevel,
 		"A peer did not respond or stalled; requests go to other peers for a while.")
 	eventOriginUnavailable = eventlog.Define(304, "origin-unavailable", logrus.WarnLevel,
-		"The weight store could not be read; the chunk is requested from other peers that hold it, then from the store again.")
+		"The origin could not be read; the chunk is requested from other peers that hold it, then from the origin again.")
 	eventVersionFetched = eventlog.Define(305, "version-fetched", logrus.InfoLevel,
 		"Every chunk of a version is held and verified; fields give the size in bytes and the time taken.")
 	eventVersionFetchStarted = eventlog.Define(306, "version-fetch-started", logrus.InfoLevel,
--- a/version/spread/faults_test.go
+++ b/version/spread/faults_test.go
@@ -19,8 +19,8 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// maxFaultCopies is the highest accepted number of copies read from the origin
-// when something fails.
+// maxFaultCopies is the largest accepted result of copiesRead in tests with a fault:
+// the bytes read from the origin, as a multiple of the version's size.
 const maxFaultCopies = 1.3
 
 // shortTimeouts makes an agent detect stalls within about a second.
@@ -35,6 +35,7 @@
 // corruptingWriter is a ResponseWriter that changes one byte of the body.
 type corruptingWriter struct {
 	http.ResponseWriter
+	// corrupted reports whether the byte has been changed.
 	corrupted bool
 }
 
@@ -50,8 +51,8 @@
 	return w.ResponseWriter.Write(corrupt)
 }
 
-// stallAfterFirstByte sends one byte of a body and then blocks until the request
-// ends.
+// stallAfterFirstByte responds with one byte of a body and then blocks until the
+// request ends.
 func stallAfterFirstByte(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Length", "1024")
 	_, _ = w.Write([]byte{0})
@@ -90,7 +91,7 @@
 		agents := startAgents(t, 12, origin, []string{"r1/a"}, shortTimeouts)
 		agents[0].wrapHandler(func(_ http.Handler, w http.ResponseWriter, r *http.Request) { stallAfterFirstByte(w, r) })
 
-		Convey("all agents fetch the whole version, within the limit on origin reads", func() {
+		Convey("all agents fetch the complete version, within the limit on origin reads", func() {
 			So(fetchAll(agents, d), ShouldBeNil)
 			So(allHold(agents, m), ShouldBeTrue)
 			So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
@@ -188,7 +189,7 @@
 	})
 }
 
-// unreachableOrigin is an origin that cannot be reached.
+// unreachableOrigin is an origin whose calls all return platform.ErrUnavailable.
 type unreachableOrigin struct{}
 
 func (unreachableOrigin) Get(context.Context, string, int64, int64) ([]byte, error) {
@@ -225,7 +226,7 @@
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
 		origin.fault = func(name string, body []byte) ([]byte, error) {
-			if origin.reads[name] > 0 {
+			if origin.readCounts[name] > 0 {
 				return nil, platform.ErrUnavailable
 			}
 			return body, nil
@@ -324,7 +325,7 @@
 		Convey("another peer is served once the stalled transfers are aborted", func() {
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			req := peerRequest{object: object{version: d, digest: d}, tier: tierHeld, wait: agents[1].cfg.LongPollTimeout, waitForSlot: true}
+			req := peerRequest{object: object{version: d, digest: d}, tier: tierHeld, maxWait: agents[1].cfg.LongPollTimeout, waitForSlot: true}
 			err := errBusy
 			for err != nil && ctx.Err() == nil {
 				_, _, err = agents[1].fetchFromPeer(ctx, addr, req)
--- a/version/spread/fetcher.go
+++ b/version/spread/fetcher.go
@@ -40,62 +40,64 @@
 	Self core.Instance
 	// Token authenticates the agents to each other.
 	Token string
-	// OriginRegion is the region of the weight store. If it is empty, the
-	// region is unknown, and reads of the store never count against the limit
-	// for traffic between regions.
+	// OriginRegion is the region of the origin, the store of the weights. If it
+	// is empty, the region is unknown, and reads of the origin never count
+	// against the limit for traffic between regions.
 	OriginRegion string
 	// UploadBytesPerSecond limits the outbound bandwidth that transfers of
 	// weights may use on this machine; 0 means no limit.
 	UploadBytesPerSecond int64
-	// DownloadBytesPerSecond limits the inbound bandwidth in the same way.
+	// DownloadBytesPerSecond limits the inbound bandwidth that transfers of
+	// weights may use on this machine; 0 means no limit.
 	DownloadBytesPerSecond int64
 	// RegionBytesPerSecond limits the bandwidth that transfers of weights to
 	// all agents of this region together may use on the link to other regions.
 	// 0 means that SetRegionBudget and SetRegionShare set the limit.
 	RegionBytesPerSecond int64
-	// OriginBytesPerSecond is the bandwidth of the weight store that all agents
+	// OriginBytesPerSecond is the bandwidth of the origin that all agents
 	// together may use. Each agent stays below this rate, and the due times of
-	// the chunks spread the reads of all agents over time. 0 means no limit
-	// and no spreading.
+	// the chunks spread the reads of all agents over time. 0 means no limit,
+	// and the reads are not spread.
 	OriginBytesPerSecond int64
 	// ReadOriginOnce makes the agents read each chunk from the origin once for
-	// all regions; the owners of the regions then fetch it from each other.
-	// Otherwise each region reads the origin. Reading once suits an origin that
-	// is slower than the links between regions.
+	// all regions; the owners of the regions then fetch the chunk from each
+	// other. Otherwise each region reads the origin. Reading once is faster if
+	// the origin is slower than the links between regions.
 	ReadOriginOnce bool
-	// MaxPeerFetches is the number of chunks owned by other agents that are
-	// fetched at once.
+	// MaxPeerFetches is the maximum number of chunks owned by other agents that
+	// are fetched at once.
 	MaxPeerFetches int
-	// MaxOwnedFetches is the number of chunks owned by this agent that are
-	// fetched at once.
+	// MaxOwnedFetches is the maximum number of chunks owned by this agent that
+	// are fetched at once.
 	MaxOwnedFetches int
-	// IdleConnections is the number of unused connections that are kept open
-	// to all peers together.
+	// IdleConnections is the maximum number of unused connections that are
+	// kept open to all peers together.
 	IdleConnections int
-	// UploadSlots is the number of chunks sent to peers at once.
+	// UploadSlots is the maximum number of chunks sent to peers at once.
 	UploadSlots int
-	// Fanout is the number of peers to which an agent sends one chunk before
-	// it redirects further peers to them.
+	// Fanout is the number of peers to which an agent sends one chunk. An agent
+	// that is sending anything else redirects further peers to these peers.
 	Fanout int
-	// MaxOwners is the number of agents that may act as the owner of a chunk:
-	// the owner, and the agents after the owner in the ranking if the owner
-	// fails.
+	// MaxOwners is the maximum number of agents that may act as the owner of a
+	// chunk: the owner, and, if the owner fails, the next agents in the ranking.
 	MaxOwners int
-	// LongPollTimeout is how long a peer should keep a request of this agent
-	// open for an object that the peer is still fetching.
+	// LongPollTimeout is the longest time that a peer should keep a request of
+	// this agent open for an object that the peer is still fetching.
 	LongPollTimeout time.Duration
-	// ResponseMargin is how much longer a response may take than the request may
-	// be kept open, before the peer is suspected.
+	// ResponseMargin is the time by which a response may come later than the
+	// longest time for which the peer may keep the request open. A peer that
+	// takes longer is suspected.
 	ResponseMargin time.Duration
 	// StallTimeout is how long a transfer may make no progress before it is
 	// aborted.
 	StallTimeout time.Duration
 	// SuspectPeriod is how long a suspected peer is skipped.
 	SuspectPeriod time.Duration
-	// FetchTimeout bounds the time for all attempts to fetch one chunk.
+	// FetchTimeout is the maximum time for all attempts to fetch one chunk.
 	FetchTimeout time.Duration
-	// RetryPause is the initial delay after a round in which no source
-	// delivered a chunk.
+	// RetryPause is the delay after the first round in which no source
+	// delivered a chunk. It doubles after each further round,
+	// up to twice LongPollTimeout.
 	RetryPause time.Duration
 	// Peers returns the agents that need or hold a version that this agent is
 	// not fetching itself; nil means that there are none.
@@ -148,17 +150,20 @@
 	counters counters
 
 	mu sync.Mutex
-	// fetching counts the fetches in progress for each object.
-	fetching map[core.Digest]int
-	// originReads counts the reads of the origin in progress for each object,
-	// and lastOriginFailure is the time of the last read that failed.
-	originReads       map[core.Digest]int
+	// fetchCounts holds the number of fetches in progress for each object.
+	fetchCounts map[core.Digest]int
+	// originReadCounts holds the number of reads of the origin in progress for
+	// each object.
+	originReadCounts map[core.Digest]int
+	// lastOriginFailure is the time of the last failed read of the origin.
 	lastOriginFailure time.Time
 	// suspects maps the address of each suspected peer to the time at which
 	// the suspicion ends.
 	suspects map[string]time.Time
-	holders  map[core.Digest]*holderList
-	fetches  map[core.Digest]*versionFetch
+	// holders records the peers to which this agent sent each object.
+	holders map[core.Digest]*holderList
+	// fetches holds the versions that are being fetched, by manifest digest.
+	fetches map[core.Digest]*versionFetch
 }
 
 // counters are the metrics of a Swarm.
@@ -169,9 +174,10 @@
 // versionFetch is the state of one version that is being fetched.
 type versionFetch struct {
 	peers func() []Peer
-	// missing maps each chunk that was not held at the start to its size in
-	// bytes. Swarm.mu guards it.
-	missing map[core.Digest]int64
+	// missingAtStart maps each chunk that was not held at the start of the fetch
+	// to the chunk's size in bytes. Chunks that arrive stay in it. Swarm.mu
+	// guards it.
+	missingAtStart map[core.Digest]int64
 
 	mu sync.Mutex
 	// rankedAt is the time at which ranking was computed.
@@ -208,11 +214,11 @@
 			sentBytes:     newCounter("sent-bytes"),
 			corruptChunks: newCounter("corrupt-chunks"),
 		},
-		fetching:    map[core.Digest]int{},
-		originReads: map[core.Digest]int{},
-		suspects:    map[string]time.Time{},
-		holders:     map[core.Digest]*holderList{},
-		fetches:     map[core.Digest]*versionFetch{},
+		fetchCounts:      map[core.Digest]int{},
+		originReadCounts: map[core.Digest]int{},
+		suspects:         map[string]time.Time{},
+		holders:          map[core.Digest]*holderList{},
+		fetches:          map[core.Digest]*versionFetch{},
 	}
 	s.regionLimiter.update(func() { s.regionLimiter.budget = cfg.RegionBytesPerSecond })
 	return s
@@ -229,13 +235,14 @@
 
 // Progress is the progress of the fetch of one version.
 type Progress struct {
-	// Chunks and Bytes are the number and total size of the version's chunks.
-	Chunks int
-	Bytes  int64
-	// HeldChunks and HeldBytes are the number and total size of the chunks
-	// that are held and verified.
-	HeldChunks int
-	HeldBytes  int64
+	// ChunkCount is the number of the version's chunks.
+	ChunkCount int
+	// Bytes is the total size of the version's chunks.
+	Bytes int64
+	// HeldChunkCount is the number of chunks that are held and verified.
+	HeldChunkCount int
+	// HeldBytes is the total size of the chunks that are held and verified.
+	HeldBytes int64
 }
 
 // Progress returns the progress of the fetch of the version with manifest digest
@@ -252,9 +259,9 @@
 	return v.progress, true
 }
 
-// Fetch implements Fetcher. It retries until ctx ends. It returns ErrFull before
-// it fetches any chunk if the store has no room for the version beside the
-// objects that it holds and the missing chunks of other fetches.
+// Fetch implements Fetcher. It retries until ctx ends. If the store has no room for
+// the version beside the held objects and the missing chunks of other fetches, Fetch
+// returns ErrFull before it fetches any chunk.
 func (s *Swarm) Fetch(ctx context.Context, d core.Digest, peers func() []Peer) (*manifest.Manifest, error) {
 	start := s.clock.Now()
 	v := s.beginFetch(d, peers)
@@ -295,16 +302,16 @@
 	delete(s.fetches, d)
 }
 
-// reserveSpace records the missing chunks of m, so that later fetches count
-// them. It returns ErrFull, and records nothing, if they do not fit into the
-// store.
+// reserveSpace records the missing chunks of m, so that the space for them is not
+// available to later fetches. If the chunks do not fit into the store, it records
+// nothing and returns ErrFull.
 func (s *Swarm) reserveSpace(v *versionFetch, m *manifest.Manifest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v.missing = map[core.Digest]int64{}
+	v.missingAtStart = map[core.Digest]int64{}
 	for _, c := range m.Chunks() {
 		if _, held := s.store.Get(c.Digest); !held {
-			v.missing[c.Digest] = c.Size
+			v.missingAtStart[c.Digest] = c.Size
 		}
 	}
 	needed := s.store.Bytes()
@@ -312,17 +319,17 @@
 		needed += other.missingBytes(s.store)
 	}
 	if needed > s.store.MaxBytes() {
-		v.missing = nil
+		v.missingAtStart = nil
 		return errors.Wrapf(ErrFull, "%d bytes are needed, the limit is %d", needed, s.store.MaxBytes())
 	}
 	return nil
 }
 
-// missingBytes returns the total size of the chunks that are still missing. The
-// caller must hold Swarm.mu.
+// missingBytes returns the total size of the version's chunks that are not in store
+// yet. The caller must hold Swarm.mu.
 func (v *versionFetch) missingBytes(store *MemStore) int64 {
 	var n int64
-	for d, size := range v.missing {
+	for d, size := range v.missingAtStart {
 		if _, held := store.Get(d); !held {
 			n += size
 		}
@@ -330,15 +337,15 @@
 	return n
 }
 
-// fetchChunks fetches all chunks. Separate groups of workers fetch the chunks
-// that this agent owns and the other chunks, so that waiting for peers never
-// delays the owned chunks, for which other agents wait.
+// fetchChunks fetches all chunks of a version. The chunks that this agent owns have
+// their own workers, so that waiting for peers never delays the owned chunks, for
+// which other agents wait.
 func (s *Swarm) fetchChunks(ctx context.Context, v *versionFetch, d core.Digest, chunks []manifest.Chunk) error {
 	own, others := s.splitByOwner(s.ranking(d), chunks, s.clock.Now())
 	s.regionLimiter.setOwnedChunks(d, own, len(chunks))
 	defer s.regionLimiter.setOwnedChunks(d, nil, 0)
 	v.mu.Lock()
-	v.progress.Chunks = len(chunks)
+	v.progress.ChunkCount = len(chunks)
 	for _, c := range chunks {
 		v.progress.Bytes += c.Size
 	}
@@ -353,9 +360,10 @@
 	return group.Wait()
 }
 
-// startWorkers starts workers that fetch the chunks of queue.
-func (s *Swarm) startWorkers(ctx context.Context, group *errgroup.Group, workers int, v *versionFetch, d core.Digest, queue *schedule) {
-	for range workers {
+// startWorkers starts workers in group that fetch the chunks of queue. d is the
+// digest of the version's manifest.
+func (s *Swarm) startWorkers(ctx context.Context, group *errgroup.Group, workerCount int, v *versionFetch, d core.Digest, queue *schedule) {
+	for range workerCount {
 		group.Go(func() error {
 			for {
 				c, ok, err := queue.next(ctx)
@@ -365,16 +373,16 @@
 				if _, err := s.getObject(ctx, object{version: d, digest: c.Digest}, tierReader); err != nil {
 					return core.WrapStep("fetch chunk", c.Digest.Short(), err)
 				}
-				v.addHeld(c)
+				v.recordHeld(c)
 			}
 		})
 	}
 }
 
-// addHeld adds a held chunk to the progress.
-func (v *versionFetch) addHeld(c manifest.Chunk) {
+// recordHeld adds chunk c, which is now held, to the progress.
+func (v *versionFetch) recordHeld(c manifest.Chunk) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.progress.HeldChunks++
+	v.progress.HeldChunkCount++
 	v.progress.HeldBytes += c.Size
 }
--- a/version/spread/fetchobject.go
+++ b/version/spread/fetchobject.go
@@ -14,31 +14,32 @@
 )
 
 const (
-	// maxCorruptRetries is how often a request to one source is retried after a
-	// response that did not match the digest.
+	// maxCorruptRetries is the maximum number of retries at one source after
+	// responses that did not match the digest.
 	maxCorruptRetries = 2
-	// maxHoldersTried bounds the number of holders tried in one search.
+	// maxHoldersTried is the maximum number of holders tried in one search.
 	maxHoldersTried = 12
-	// fastFailureTime is a delay that is too short to matter. If a request to
-	// an owner fails within this time, or the owner reports that its own fetch
-	// failed, the agent tries the next owner, which is the same for all
-	// regions. If the owner does not respond for longer, the agent reads the
-	// origin.
+	// If a request to an owner among all agents fails within fastFailureTime,
+	// or the owner reports that its own fetch failed, the agent tries the next
+	// owner. Agents of all regions try the same one, so that the origin is still
+	// read about once. After a slower failure the agent reads the origin itself.
 	fastFailureTime = 200 * time.Millisecond
-	// maxNeighbours is the number of other peers that are tried in one round
-	// while the origin cannot be read.
-	maxNeighbours = 4
+	// maxPeersTried is the maximum number of peers that are tried, regardless of
+	// whether they are known holders, in one round when the origin cannot be
+	// read.
+	maxPeersTried = 4
 )
 
-// getObject returns a verified object from the store, or fetches it. Concurrent
-// calls at one tier share one fetch, which continues after ctx ends.
+// getObject returns a verified object from the store, or fetches the object if the
+// store does not hold it. Concurrent calls at the same tier share one fetch, which
+// continues after ctx ends.
 func (s *Swarm) getObject(ctx context.Context, o object, t tier) ([]byte, error) {
 	if body, ok := s.store.Get(o.digest); ok {
 		return body, nil
 	}
 	arrived := s.store.ArrivalChannel(o.digest)
 	result := s.fetchGroup.DoChan(tierNames[t]+" "+string(o.digest), func() (any, error) {
-		return s.fetchWithRetries(o, t)
+		return s.fetchAtTier(o, t)
 	})
 	select {
 	case r := <-result:
@@ -56,13 +57,13 @@
 	}
 }
 
-// fetchWithRetries fetches an object at a tier. Only at tierReader does it try
-// more than one round.
-func (s *Swarm) fetchWithRetries(o object, t tier) ([]byte, error) {
+// fetchAtTier fetches an object at a tier. At tierReader it makes further rounds
+// until Config.FetchTimeout; at the other tiers it makes one round.
+func (s *Swarm) fetchAtTier(o object, t tier) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.FetchTimeout)
 	defer cancel()
-	s.adjustFetching(o.digest, 1)
-	defer s.adjustFetching(o.digest, -1)
+	s.adjustFetchCount(o.digest, 1)
+	defer s.adjustFetchCount(o.digest, -1)
 	pause := s.cfg.RetryPause
 	for {
 		if body, ok := s.store.Get(o.digest); ok {
@@ -72,8 +73,8 @@
 		if err == nil || errors.Is(err, ErrFull) {
 			return body, err
 		}
-		// An owner reports its failure at once, so that the requesting agent
-		// can try other owners.
+		// An owner reports a failed fetch at once, so that the requesting
+		// agent can try other owners.
 		if t != tierReader {
 			return nil, err
 		}
@@ -87,13 +88,13 @@
 	}
 }
 
-// adjustFetching adds delta to the number of fetches of an object in progress.
-func (s *Swarm) adjustFetching(d core.Digest, delta int) {
+// adjustFetchCount adds delta to the number of fetches in progress for an object.
+func (s *Swarm) adjustFetchCount(d core.Digest, delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fetching[d] += delta
-	if s.fetching[d] == 0 {
-		delete(s.fetching, d)
+	s.fetchCounts[d] += delta
+	if s.fetchCounts[d] == 0 {
+		delete(s.fetchCounts, d)
 	}
 }
 
@@ -101,13 +102,14 @@
 func (s *Swarm) isFetching(d core.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fetching[d] > 0
+	return s.fetchCounts[d] > 0
 }
 
-// fetchRound tries each source of an object at a tier once. It tries the owners
-// in the tier's scope in the order of the ranking. When this agent itself is next
-// in that order, it fetches the object at the next tier instead. At the last tier
-// it reads the origin.
+// fetchRound tries each source of an object at a tier once. At tierFleet, and at
+// tierRegion without Config.ReadOriginOnce, the source is the origin. Otherwise the
+// sources are the owners in the data centre (at tierReader), in the region (at
+// tierDataCentre) or among all agents (at tierRegion), in the order of the ranking.
+// If this agent itself is next in that order, it fetches the object at the next tier.
 func (s *Swarm) fetchRound(ctx context.Context, o object, t tier) ([]byte, error) {
 	if t == tierFleet || t == tierRegion && !s.cfg.ReadOriginOnce {
 		return s.fetchFromOrigin(ctx, o)
@@ -122,6 +124,8 @@
 	owners := s.ownerCandidates(o, scope)
 	switch {
 	case t == tierReader:
+		// The request carries these addresses, so that an owner without a list
+		// of peers finds the owners in the region.
 		o.owners = joinAddrs(s.ownerCandidates(o, s.inRegion))
 	case len(owners) == 0:
 		owners = parseAddrs(o.owners)
@@ -145,8 +149,8 @@
 		}
 		s.log.EventWithError(eventFleetOwnerFailed, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "peer": p.Addr})
 		if s.clock.Since(start) > fastFailureTime && !errors.Is(err, errPeerFailed) {
-			// The origin may become unavailable soon, so do not wait for
-			// further owners that may not respond.
+			// Do not wait for further owners, which may not respond either: the
+			// origin may become unavailable soon.
 			return s.fetchFromOrigin(ctx, o)
 		}
 	}
@@ -162,24 +166,24 @@
 	return strings.Join(all, ",")
 }
 
-// parseAddrs returns a Peer for each address in line, which has the format of
-// joinAddrs.
-func parseAddrs(line string) []Peer {
+// parseAddrs returns a Peer with only an address for each address in list, which
+// has the format of joinAddrs.
+func parseAddrs(list string) []Peer {
 	var peers []Peer
-	for _, addr := range strings.FieldsFunc(line, func(r rune) bool { return r == ',' }) {
+	for _, addr := range strings.FieldsFunc(list, func(r rune) bool { return r == ',' }) {
 		peers = append(peers, Peer{Addr: addr})
 	}
 	return peers
 }
 
-// fetchFromOwner fetches an object from the agent at addr, or from the holders
-// that its response lists. It retries while the agent at addr is still fetching
+// fetchFromOwner fetches an object from the agent at addr, or from the holders that
+// this agent's response lists. It retries while the agent at addr is still fetching
 // the object. If no listed holder can send the object, the next request waits for
 // an upload slot of the agent at addr.
 func (s *Swarm) fetchFromOwner(ctx context.Context, addr string, o object, t tier) ([]byte, error) {
 	corruptResponses, waitForSlot := 0, false
 	for {
-		req := peerRequest{object: o, tier: t, wait: s.cfg.LongPollTimeout, waitForSlot: waitForSlot}
+		req := peerRequest{object: o, tier: t, maxWait: s.cfg.LongPollTimeout, waitForSlot: waitForSlot}
 		body, holders, err := s.fetchFromPeer(ctx, addr, req)
 		switch {
 		case err == nil:
@@ -231,16 +235,16 @@
 		return nil, errMissing
 	}
 	addr := busy[rand.IntN(len(busy))]
-	body, _, err := s.fetchFromPeer(ctx, addr, peerRequest{object: o, tier: tierHeld, wait: s.cfg.LongPollTimeout, waitForSlot: true})
+	body, _, err := s.fetchFromPeer(ctx, addr, peerRequest{object: o, tier: tierHeld, maxWait: s.cfg.LongPollTimeout, waitForSlot: true})
 	if errors.Is(err, errPending) {
 		err = errBusy
 	}
 	return body, err
 }
 
-// fetchFromPeer requests an object from one peer, and verifies and stores it. A
-// peer that does not respond is suspected; a delivered object ends the
-// suspicion.
+// fetchFromPeer requests an object from one peer, and verifies and stores it. If the
+// peer is busy, it returns errBusy and the addresses of other holders. A peer that
+// does not respond is suspected; a delivered object ends the suspicion.
 func (s *Swarm) fetchFromPeer(ctx context.Context, addr string, req peerRequest) ([]byte, []string, error) {
 	start := s.clock.Now()
 	body, holders, err := s.requestObject(ctx, addr, req)
@@ -258,7 +262,8 @@
 	return nil, holders, err
 }
 
-// peerResponded reports whether err shows that the peer responded.
+// peerResponded reports whether a request failed with err although the peer
+// responded.
 func peerResponded(err error) bool {
 	for _, known := range []error{errPending, errMissing, errBusy, errPeerFailed, ErrCorrupt, ErrFull} {
 		if errors.Is(err, known) {
@@ -287,8 +292,8 @@
 	return nil
 }
 
-// fetchFromOrigin reads an object from the weight store. If the store cannot be
-// read, it fetches the object from any peer that holds it.
+// fetchFromOrigin reads an object from the origin. If the origin cannot be read, it
+// fetches the object from any peer that holds it.
 func (s *Swarm) fetchFromOrigin(ctx context.Context, o object) ([]byte, error) {
 	if s.originFailedRecently() {
 		if body, err := s.fetchFromOtherOwners(ctx, o); err == nil {
@@ -311,13 +316,14 @@
 	}
 	s.recordOriginFailure()
 	s.log.EventWithError(eventOriginUnavailable, lastErr, eventlog.Fields{"version": o.version, "chunk": o.digest})
-	if body, err := s.fetchFromNeighbours(ctx, o); err == nil {
+	if body, err := s.fetchFromAnyPeer(ctx, o); err == nil {
 		return body, nil
 	}
 	return nil, lastErr
 }
 
-// readOrigin reads an object from the weight store once.
+// readOrigin makes one attempt to read an object from the origin, and verifies and
+// stores the object.
 func (s *Swarm) readOrigin(ctx context.Context, o object) ([]byte, error) {
 	s.beginOriginRead(o.digest)
 	defer s.endOriginRead(o.digest)
@@ -343,17 +349,17 @@
 	return body, s.verifyAndStore(o, body, "origin", start)
 }
 
-// fetchFromNeighbours fetches an object from a holder among at most
-// maxNeighbours other agents: the highest-ranked one, and others chosen at
+// fetchFromAnyPeer fetches an object from any other agent that holds it. It starts
+// with at most maxPeersTried agents: the highest-ranked agent, and others chosen at
 // random.
-func (s *Swarm) fetchFromNeighbours(ctx context.Context, o object) ([]byte, error) {
-	others := s.ranking(o.version).top(o.digest, 0, func(p Peer) bool {
+func (s *Swarm) fetchFromAnyPeer(ctx context.Context, o object) ([]byte, error) {
+	others := s.ranking(o.version).topPeers(o.digest, 0, func(p Peer) bool {
 		return p.ID != s.cfg.Self.ID && !s.isSuspected(p.Addr)
 	})
-	if len(others) > maxNeighbours {
+	if len(others) > maxPeersTried {
 		rest := others[1:]
 		rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-		others = others[:maxNeighbours]
+		others = others[:maxPeersTried]
 	}
 	var addrs []string
 	for _, p := range others {
--- a/version/spread/handler.go
+++ b/version/spread/handler.go
@@ -12,8 +12,8 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxWait bounds how long a peer's request may be kept open.
-const maxWait = 30 * time.Second
+// maxRequestWait is the longest time for which a request of a peer is kept open.
+const maxRequestWait = 30 * time.Second
 
 // Handler serves the verified chunks and manifests of s, below ChunkPath and
 // ManifestPath, to callers that send the peer token. The status codes are:
@@ -84,8 +84,8 @@
 func (s *Swarm) servePeer(w http.ResponseWriter, r *http.Request, o object) {
 	query := r.URL.Query()
 	wait, err := time.ParseDuration(query.Get(queryWait))
-	if err != nil || wait > maxWait {
-		wait = maxWait
+	if err != nil || wait > maxRequestWait {
+		wait = maxRequestWait
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
@@ -116,8 +116,9 @@
 	}
 }
 
-// awaitObject returns the object and 200 once the object is held, and fetches it
-// if t requires that. Otherwise it returns the HTTP status for the peer.
+// awaitObject returns the object and status 200 once the object is held. Unless t is
+// tierHeld or tierOriginRead, it fetches an object that is not held. If it cannot
+// return the object, it returns the HTTP status for the peer.
 func (s *Swarm) awaitObject(ctx context.Context, o object, t tier) ([]byte, int) {
 	switch t {
 	case tierHeld:
@@ -135,8 +136,9 @@
 	return nil, http.StatusServiceUnavailable
 }
 
-// awaitArrival returns a held object, or waits for the object if inProgress
-// reports true for its digest.
+// awaitArrival returns a held object and status 200. If the object is not held, it
+// waits for the object if inProgress reports true for the object's digest, and
+// otherwise returns status 404. It returns status 202 if ctx ends first.
 func (s *Swarm) awaitArrival(ctx context.Context, o object, inProgress func(core.Digest) bool) ([]byte, int) {
 	if body, ok := s.store.Get(o.digest); ok {
 		return body, http.StatusOK
@@ -155,9 +157,10 @@
 	return nil, http.StatusNotFound
 }
 
-// takeUploadSlot takes an upload slot for a peer and returns 200. If none is
-// available, it returns 307 and other holders of the object, or 202 if ctx ends
-// first.
+// takeUploadSlot takes an upload slot for a peer and returns status 200. If the peer
+// is not admitted, it returns status 307 and other holders of the object; if there
+// are no other holders yet, it waits for one. If waitForSlot is true, it waits for a
+// free slot instead. It returns status 202 if ctx ends first.
 func (s *Swarm) takeUploadSlot(ctx context.Context, d core.Digest, p holder, requestedTier tier, waitForSlot bool) ([]string, int) {
 	if waitForSlot {
 		select {
--- a/version/spread/holders.go
+++ b/version/spread/holders.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	// maxHolders bounds the number of holders recorded for one object.
+	// maxHolders is the maximum number of holders recorded for one object.
 	maxHolders = 64
-	// maxListedHolders bounds the number of holders that a redirect lists.
+	// maxListedHolders is the maximum number of holders that a redirect lists.
 	maxListedHolders = 3
-	// maxStaleLists is how many holder lists may exist beyond the number of
-	// held objects before the lists of dropped objects are removed.
+	// maxStaleLists is the maximum number of holder lists beyond the number of
+	// held objects. Above it, the lists of dropped objects are removed.
 	maxStaleLists = 1024
 )
 
-// holder is a peer to which an object was sent.
+// holder is a peer that requests an object, or to which an object was sent.
 type holder struct {
 	addr, dataCentre, region string
 }
 
 // holderList records the peers to which an agent sent one object.
 type holderList struct {
-	// admitted counts the peers that got an upload slot for the object.
-	admitted int
-	holders  []holder
+	// admittedCount is the number of peers that got an upload slot for the
+	// object.
+	admittedCount int
+	holders       []holder
 	// changed is closed when a holder is added.
 	changed chan struct{}
 }
 
-// admitPeer takes an upload slot for an object if one is free and reports
-// whether it did. An owner that is sending anything else admits only
-// Config.Fanout peers for one object. If the peer is not admitted, admitPeer
-// returns holders near the peer, and a channel that is closed when a holder is
-// added.
+// admitPeer takes an upload slot for sending an object to p if a slot is free, and
+// reports whether it took one. While this agent is sending anything else, it admits
+// at most Config.Fanout peers for one object, except for requests at tierHeld and
+// tierOriginRead. If p is not admitted, admitPeer returns holders near p, and a
+// channel that is closed when a holder is added.
 func (s *Swarm) admitPeer(d core.Digest, p holder, requestedTier tier) (bool, []string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.holderListFor(d)
-	if requestedTier == tierHeld || requestedTier == tierOriginRead || list.admitted < s.cfg.Fanout || len(s.uploadSlots) == 0 {
+	if requestedTier == tierHeld || requestedTier == tierOriginRead || list.admittedCount < s.cfg.Fanout || len(s.uploadSlots) == 0 {
 		select {
 		case s.uploadSlots <- struct{}{}:
-			list.admitted++
+			list.admittedCount++
 			return true, nil, nil
 		default:
 		}
@@ -68,8 +69,8 @@
 	list.changed = make(chan struct{})
 }
 
-// holderListFor returns the list for d, and creates it if necessary. It drops
-// the lists of objects that are no longer held when there are too many lists.
+// holderListFor returns the list for d, and creates the list if necessary. If there
+// are too many lists, it drops those of objects that are no longer held.
 // The caller must hold s.mu.
 func (s *Swarm) holderListFor(d core.Digest) *holderList {
 	list, ok := s.holders[d]
@@ -95,8 +96,8 @@
 }
 
 // nearbyHolders returns the addresses of at most maxListedHolders holders in p's
-// data centre or, if there are none, in p's region, in random order. It leaves
-// out p itself.
+// data centre or, if there are none, in p's region, in random order. p itself is
+// left out.
 func (l *holderList) nearbyHolders(p holder) []string {
 	var nearest, inRegion []string
 	for _, h := range l.holders {
--- a/version/spread/peers.go
+++ b/version/spread/peers.go
@@ -37,16 +37,16 @@
 	return v.ranking
 }
 
-// ownerCandidates returns the agents that may own an object: the first
-// Config.MaxOwners agents in the order of the ranking that satisfy include and are
-// not suspected.
+// ownerCandidates returns the agents that may own an object: of the agents that
+// satisfy include and are not suspected, the first Config.MaxOwners in the order of
+// the ranking.
 func (s *Swarm) ownerCandidates(o object, include func(Peer) bool) []Peer {
 	eligible := func(p Peer) bool { return include(p) && !s.isSuspected(p.Addr) }
-	return s.ranking(o.version).top(o.digest, s.cfg.MaxOwners, eligible)
+	return s.ranking(o.version).topPeers(o.digest, s.cfg.MaxOwners, eligible)
 }
 
-// isSuspected reports whether the peer at addr is currently suspected, and
-// therefore skipped.
+// isSuspected reports whether the peer at addr is currently suspected. Suspected
+// peers are skipped.
 func (s *Swarm) isSuspected(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/version/spread/rank.go
+++ b/version/spread/rank.go
@@ -30,8 +30,8 @@
 	return r
 }
 
-// score returns the rendezvous weight of a peer for an object. seed and object
-// are the hashes of the peer's identifier and the object's digest.
+// score returns the rendezvous weight of a peer for an object. seed is the hash of
+// the peer's identifier, and object the hash of the object's digest.
 func score(seed, object uint64) uint64 {
 	x := seed ^ object
 	x ^= x >> 33
@@ -42,9 +42,9 @@
 	return x
 }
 
-// top returns up to limit peers that satisfy include, the highest score first.
-// limit 0 means all of them.
-func (r *ranking) top(d core.Digest, limit int, include func(Peer) bool) []Peer {
+// topPeers returns the peers that satisfy include, the highest score first, but at
+// most limit peers; 0 means no limit.
+func (r *ranking) topPeers(d core.Digest, limit int, include func(Peer) bool) []Peer {
 	type scored struct {
 		peer  Peer
 		score uint64
--- a/version/spread/readoriginonce_test.go
+++ b/version/spread/readoriginonce_test.go
@@ -37,7 +37,7 @@
 		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
 	})
 
-	Convey("Given an owner that has stopped, the others still fetch the whole version", t, func() {
+	Convey("Given an owner that has stopped, the others still fetch the complete version", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
 		agents := startAgents(t, 12, origin, dataCentres, readOnce)
--- a/version/spread/region.go
+++ b/version/spread/region.go
@@ -17,21 +17,23 @@
 	*BandwidthLimiter
 
 	mu sync.Mutex
-	// budget is the limit of all agents of the region together, and evenShare
-	// the limit of this agent while it fetches no version, in bytes per
+	// budget is the limit of all agents of the region together, in bytes per
 	// second; 0 means no limit.
-	budget    int64
+	budget int64
+	// evenShare is the limit of this agent while it fetches no version, in
+	// bytes per second; 0 means no limit.
 	evenShare int64
-	// owned has an entry for each version that is being fetched.
+	// owned has an element for each version that is being fetched.
 	owned map[core.Digest]ownedChunks
 }
 
-// ownedChunks counts the chunks of a version: those that this agent owns, and
-// all.
+// ownedChunks describes the chunks of a version that this agent owns.
 type ownedChunks struct {
-	own, all int
-	// largest is the size of the largest owned chunk, in bytes.
-	largest int64
+	// ownCount is the number of owned chunks, and totalCount the number of all
+	// chunks of the version.
+	ownCount, totalCount int
+	// maxBytes is the size of the largest owned chunk, in bytes.
+	maxBytes int64
 }
 
 // newRegionLimiter returns a regionLimiter without a limit.
@@ -42,20 +44,20 @@
 	}
 }
 
-// update calls change with r.mu held and applies the new limit.
+// update calls change with r.mu held, and then sets the limit that results.
 func (r *regionLimiter) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
 	var sum ownedChunks
 	for _, o := range r.owned {
-		sum.own += o.own
-		sum.all += o.all
-		sum.largest = max(sum.largest, o.largest)
+		sum.ownCount += o.ownCount
+		sum.totalCount += o.totalCount
+		sum.maxBytes = max(sum.maxBytes, o.maxBytes)
 	}
-	// A whole owned chunk may be read at once, since the due times spread the
-	// reads of the chunks over time.
-	r.limiter.SetBurst(int(max(maxBytesPerWait, sum.largest)))
+	// A complete owned chunk may be read at once, since the due times spread
+	// the reads of the chunks over time.
+	r.limiter.SetBurst(int(max(maxBytesPerWait, sum.maxBytes)))
 	r.limiter.SetLimit(r.currentLimit(sum))
 }
 
@@ -63,8 +65,8 @@
 // versions that are being fetched. The caller must hold r.mu.
 func (r *regionLimiter) currentLimit(sum ownedChunks) rate.Limit {
 	switch {
-	case r.budget > 0 && sum.all > 0:
-		return rate.Limit(float64(r.budget) * float64(max(1, sum.own)) / float64(sum.all))
+	case r.budget > 0 && sum.totalCount > 0:
+		return rate.Limit(float64(r.budget) * float64(max(1, sum.ownCount)) / float64(sum.totalCount))
 	case r.evenShare > 0:
 		return rate.Limit(r.evenShare)
 	}
@@ -95,15 +97,15 @@
 }
 
 // setOwnedChunks records the chunks of a version that this agent owns, and the
-// version's total number of chunks. If chunks is 0, it removes the version.
-func (r *regionLimiter) setOwnedChunks(version core.Digest, own []dueChunk, chunks int) {
-	o := ownedChunks{own: len(own), all: chunks}
+// number of all chunks of the version. If totalCount is 0, it removes the version.
+func (r *regionLimiter) setOwnedChunks(version core.Digest, own []dueChunk, totalCount int) {
+	o := ownedChunks{ownCount: len(own), totalCount: totalCount}
 	for _, c := range own {
-		o.largest = max(o.largest, c.Size)
+		o.maxBytes = max(o.maxBytes, c.Size)
 	}
 	r.update(func() {
 		delete(r.owned, version)
-		if chunks > 0 {
+		if totalCount > 0 {
 			r.owned[version] = o
 		}
 	})
--- a/version/spread/schedule.go
+++ b/version/spread/schedule.go
@@ -12,13 +12,13 @@
 )
 
 // schedule hands out the chunks of a version to the workers of one agent. Each
-// chunk has a due time, before which it is not requested. This is the time at
-// which the origin's link can have sent all chunks before it, if the chunks are
-// sent in order. The due times spread the owners' reads of the origin, and make
-// other agents request a chunk only once its owner is likely to hold it.
+// chunk has a due time, before which the chunk is not requested: the time at which
+// the origin's link can have sent all preceding chunks, if the chunks are sent in
+// order. The due times spread the owners' reads of the origin over time, and make
+// other agents request a chunk only when the chunk's owner is likely to hold it.
 type schedule struct {
 	clock clockwork.Clock
-	// shuffle hands out the due chunks in random order.
+	// shuffle selects a random order for the chunks that are due.
 	shuffle bool
 
 	mu     sync.Mutex
@@ -32,12 +32,13 @@
 }
 
 // newSchedule returns a schedule of chunks, which must be in the order of their
-// due times. With shuffle the due chunks are handed out in random order.
+// due times. If shuffle is true, chunks that are due are handed out in random order.
 func newSchedule(chunks []dueChunk, shuffle bool, clock clockwork.Clock) *schedule {
 	return &schedule{chunks: chunks, shuffle: shuffle, clock: clock}
 }
 
-// next waits until a chunk is due and returns it, or false if none is left.
+// next waits until a chunk is due and returns the chunk, or false if no chunk is
+// left.
 func (s *schedule) next(ctx context.Context) (manifest.Chunk, bool, error) {
 	for {
 		c, wait, ok := s.take()
@@ -52,8 +53,8 @@
 	}
 }
 
-// take removes and returns a due chunk. If no chunk is due, it returns the time
-// until the next one is due, and false if none is left.
+// take removes and returns a due chunk. If no chunk is due yet, it returns the time
+// until the next chunk is due. If no chunk is left, it returns false.
 func (s *schedule) take() (manifest.Chunk, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,11 +67,11 @@
 	}
 	i := 0
 	if s.shuffle {
-		due := 1
-		for due < len(s.chunks) && !s.chunks[due].due.After(now) {
-			due++
+		dueCount := 1
+		for dueCount < len(s.chunks) && !s.chunks[dueCount].due.After(now) {
+			dueCount++
 		}
-		i = rand.IntN(due)
+		i = rand.IntN(dueCount)
 	}
 	c := s.chunks[i].Chunk
 	s.chunks = append(s.chunks[:i], s.chunks[i+1:]...)
@@ -99,8 +100,8 @@
 }
 
 // regionRate returns the rate at which this region can receive a version, in
-// bytes per second: its share of the origin's bandwidth, or the budget of the
-// link between regions if the origin is in another region and the budget is
+// bytes per second: the region's share of the origin's bandwidth, or the budget of
+// the link between regions if the origin is in another region and the budget is
 // lower. 0 means that neither is limited.
 func (s *Swarm) regionRate(r *ranking) float64 {
 	regions := map[string]bool{s.cfg.Self.Region: true}
--- a/version/spread/spread.go
+++ b/version/spread/spread.go
@@ -1,7 +1,7 @@
-// Package spread distributes the chunks of a version to the agents that need
-// it, peer to peer. For each chunk, one owner per region, or one owner for all
-// regions with Config.ReadOriginOnce, reads the origin. The other agents fetch the
-// chunk from any agent that holds it.
+// Package spread distributes the chunks of a version, peer to peer, to the agents
+// that need the version. Each chunk has one owner in each region, which reads the
+// chunk from the origin; with Config.ReadOriginOnce only one owner for all regions
+// does. The other agents fetch the chunk from any agent that holds it.
 package spread
 
 import (
@@ -22,8 +22,8 @@
 
 // Store holds verified chunks in memory, up to a configured size.
 type Store interface {
-	// Get returns the chunk with digest d and whether it is held. The caller
-	// must not modify the bytes.
+	// Get returns the chunk with digest d, and whether the store holds it. The
+	// caller must not modify the bytes.
 	Get(d core.Digest) ([]byte, bool)
 	// Put stores body under its digest d. It returns an error if body does not
 	// match d or exceeds the memory limit.
@@ -34,7 +34,7 @@
 	Bytes() int64
 }
 
-// Fetcher fetches whole versions into a Store.
+// Fetcher fetches complete versions into a Store.
 type Fetcher interface {
 	// Fetch returns once every chunk of the version with manifest digest d
 	// is held and verified. peers returns the agents that need or hold the
--- a/version/spread/store.go
+++ b/version/spread/store.go
@@ -90,7 +90,7 @@
 	return arrived
 }
 
-// Retain implements Store. It also keeps the manifests themselves.
+// Retain implements Store. It keeps the manifests in keep as well as their chunks.
 func (s *MemStore) Retain(keep []*manifest.Manifest) {
 	retained := map[core.Digest]bool{}
 	for _, m := range keep {
--- a/version/spread/swarm_test.go
+++ b/version/spread/swarm_test.go
@@ -32,13 +32,14 @@
 	mu        sync.Mutex
 	objects   map[string][]byte
 	bytesRead int64
-	reads     map[string]int
+	// readCounts holds the number of successful reads of each object.
+	readCounts map[string]int
 	// fault, if set, may replace the result of a read.
 	fault func(name string, body []byte) ([]byte, error)
 }
 
 func newFakeOrigin() *fakeOrigin {
-	return &fakeOrigin{objects: map[string][]byte{}, reads: map[string]int{}}
+	return &fakeOrigin{objects: map[string][]byte{}, readCounts: map[string]int{}}
 }
 
 func (o *fakeOrigin) Get(_ context.Context, name string, _, _ int64) ([]byte, error) {
@@ -54,7 +55,7 @@
 			return nil, err
 		}
 	}
-	o.reads[name]++
+	o.readCounts[name]++
 	o.bytesRead += int64(len(body))
 	return body, nil
 }
@@ -66,12 +67,12 @@
 	return nil
 }
 
-// publish stores a version of n chunks, whose content depends on seed, and
+// publish stores a version of chunkCount chunks, whose content depends on seed, and
 // returns its manifest digest and manifest.
-func (o *fakeOrigin) publish(t *testing.T, seed string, n int) (core.Digest, *manifest.Manifest) {
+func (o *fakeOrigin) publish(t *testing.T, seed string, chunkCount int) (core.Digest, *manifest.Manifest) {
 	t.Helper()
 	var content strings.Builder
-	for i := range n {
+	for i := range chunkCount {
 		content.WriteString(fmt.Sprintf("%-*s", testChunkBytes, fmt.Sprintf("%s %d", seed, i)))
 	}
 	fsys := fstest.MapFS{"weights": {Data: []byte(content.String())}}
@@ -89,10 +90,10 @@
 	store  *MemStore
 }
 
-// startAgents starts n agents and distributes them round-robin over the data
+// startAgents starts agentCount agents and distributes them round-robin over the data
 // centres, each given as "region/data centre". configure, if not nil, may change
 // the settings of each agent.
-func startAgents(t *testing.T, n int, origin platform.ObjectStore, dataCentres []string, configure func(i int, c *Config)) []*fakeAgent {
+func startAgents(t *testing.T, agentCount int, origin platform.ObjectStore, dataCentres []string, configure func(i int, c *Config)) []*fakeAgent {
 	t.Helper()
 	var all []*fakeAgent
 	peers := func() []Peer {
@@ -102,7 +103,7 @@
 		}
 		return list
 	}
-	for i := range n {
+	for i := range agentCount {
 		region, dc, _ := strings.Cut(dataCentres[i%len(dataCentres)], "/")
 		a := &fakeAgent{store: NewMemStore(1 << 30), server: httptest.NewUnstartedServer(nil)}
 		cfg := Config{
