--- a/version/confstore/confstore_test.go
+++ b/version/confstore/confstore_test.go
@@ -64,25 +64,26 @@
 type faultyTable struct {
 	platform.Table
 	mu sync.Mutex
-	// loseResponses is the number of commits that take effect although they
-	// fail.
-	loseResponses int
-	// dropCommits is the number of commits that have no effect. They come
-	// before those counted by loseResponses.
-	dropCommits int
+	// responsesToLose is the number of the next commits that take effect but
+	// return platform.ErrUnknownOutcome.
+	responsesToLose int
+	// commitsToDrop is the number of the next commits that have no effect and
+	// return platform.ErrUnknownOutcome. They come before those that
+	// responsesToLose counts.
+	commitsToDrop int
 }
 
 // Commit implements platform.Table.
 func (f *faultyTable) Commit(ctx context.Context, writes []platform.Write) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.dropCommits > 0 {
-		f.dropCommits--
+	if f.commitsToDrop > 0 {
+		f.commitsToDrop--
 		return core.WrapStep("commit", "fake", platform.ErrUnknownOutcome)
 	}
 	err := f.Table.Commit(ctx, writes)
-	if f.loseResponses > 0 {
-		f.loseResponses--
+	if f.responsesToLose > 0 {
+		f.responsesToLose--
 		return core.WrapStep("commit", "fake", platform.ErrUnknownOutcome)
 	}
 	return err
@@ -192,24 +193,24 @@
 		ctx := context.Background()
 
 		Convey("a change whose response was lost after the commit is found again", func() {
-			table.loseResponses = 1
+			table.responsesToLose = 1
 			s, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
 			So(s.Number, ShouldEqual, 1)
 			So(countHistoryRows(p), ShouldEqual, 1)
 		})
 		Convey("a change whose commit was lost is committed again", func() {
-			table.dropCommits = 2
+			table.commitsToDrop = 2
 			s, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
 			So(s.Number, ShouldEqual, 1)
 			So(countHistoryRows(p), ShouldEqual, 1)
 		})
 		Convey("a change fails if its outcome stays unknown, and creates one row when it is retried", func() {
-			table.dropCommits = maxAttempts
+			table.commitsToDrop = maxAttempts
 			_, err := pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldWrap, platform.ErrUnknownOutcome)
-			table.loseResponses = 1
+			table.responsesToLose = 1
 			_, err = pub.Apply(ctx, changeToRegions(0, "c1", "a"))
 			So(err, ShouldBeNil)
 			_, err = newPublisher(p).Apply(ctx, changeToRegions(0, "c1", "a"))
--- a/version/confstore/encoded.go
+++ b/version/confstore/encoded.go
@@ -9,11 +9,11 @@
 
 // Errors of the exchange of configurations between peers.
 var (
-	// ErrPeerUpToDate is returned when the peer already has the current
-	// version.
+	// ErrPeerUpToDate is returned when the peer already has the sender's current
+	// version or a newer one.
 	ErrPeerUpToDate = errors.New("peer already has the current version")
-	// ErrBaseMismatch is returned when the base of a delta is not the current
-	// version of the receiver, which must then request the full configuration.
+	// ErrBaseMismatch is returned when the base of a delta is not the receiver's
+	// current version. The receiver must then request the full configuration.
 	ErrBaseMismatch = errors.New("base of the delta is not the current version")
 )
 
@@ -22,7 +22,7 @@
 type EncodedVersion struct {
 	// Number is the version number of the configuration.
 	Number uint64
-	// Digest is the digest of the full encoded configuration, also for a
+	// Digest is the digest of the full encoded configuration, even if Body is a
 	// delta.
 	Digest core.Digest
 	// Base is the number of the version to which Body is a delta; 0 when Body
@@ -87,7 +87,7 @@
 }
 
 // cachedEncoding returns the cached encoding of version number as a delta from
-// version base, or in full when base is 0. It reports whether there is one.
+// version base, or in full when base is 0, and whether this encoding is cached.
 func (h *Holder) cachedEncoding(number, base uint64) (EncodedVersion, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -95,7 +95,7 @@
 	return e, ok && e.Number == number
 }
 
-// cacheEncoding caches e if its version is still the current one.
+// cacheEncoding caches e if e.Number is still the number of the current version.
 func (h *Holder) cacheEncoding(e EncodedVersion) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,9 +104,9 @@
 	}
 }
 
-// OfferEncoded checks a configuration from a peer and makes it the current version
-// of h when it is newer. It returns ErrBaseMismatch when the caller must request
-// the full configuration.
+// OfferEncoded decodes and checks a configuration from a peer, and makes it the
+// current version of h. It does nothing if the configuration is not newer. It
+// returns ErrBaseMismatch when the caller must request the full configuration.
 func OfferEncoded(h *Holder, e EncodedVersion) error {
 	current := h.Current()
 	if e.Number <= current.Number {
@@ -120,7 +120,8 @@
 	return nil
 }
 
-// decodeAgainst decodes e. If e is a delta, its base must be current.
+// decodeAgainst decodes e. If e is a delta whose base is not current, it returns
+// ErrBaseMismatch.
 func decodeAgainst(current *declare.Snapshot, e EncodedVersion) (*declare.Set, error) {
 	if e.Base == 0 {
 		return declare.Decode(e.Body, e.Digest)
--- a/version/confstore/errors.go
+++ b/version/confstore/errors.go
@@ -17,23 +17,23 @@
 	// ErrVersionNotFound is returned when a version does not exist, or when the
 	// history no longer keeps it.
 	ErrVersionNotFound = errors.New("no such version in the history")
-	// ErrUnchanged is returned when the set equals the newest version, so that
-	// no new version is created.
+	// ErrUnchanged is returned when the set of a change is equal to that of the
+	// newest version. No new version is created then.
 	ErrUnchanged = errors.New("nothing differs from the version in force")
 	// ErrInvalidChange is returned when the author, reason or change id of a
 	// change is missing, too long or not UTF-8.
 	ErrInvalidChange = errors.New("bad change")
 )
 
-// ConflictError is returned when another change was accepted first on the same
-// base.
+// ConflictError is returned when the base of a change is no longer the newest
+// version, because another change was accepted first.
 type ConflictError struct {
 	// Base is the version to which the refused change was to be applied.
 	Base uint64
-	// Winner is the version that another change created on Base. If its record
-	// cannot be read, Winner is the newest version.
+	// Winner is the version that another change created on Base. If the record
+	// of that version cannot be read, Winner is the newest version.
 	Winner HistoryEntry
-	// InForce is the newest version.
+	// InForce is the number of the newest version.
 	InForce uint64
 	// Changes are the differences between Base and the newest version; nil
 	// when one of the two cannot be read.
--- a/version/confstore/follower.go
+++ b/version/confstore/follower.go
@@ -19,11 +19,12 @@
 const (
 	// defaultPollInterval is the time between two reads of the head row.
 	defaultPollInterval = time.Second
-	// pollJitter is the maximum random change of the poll interval, as a share
-	// of the interval. It spreads the reads of many instances over time.
-	pollJitter = 0.1
-	// maxDeltas is the maximum number of deltas read at once; a process that is
-	// more versions behind reads the full snapshot.
+	// maxPollJitter is the maximum random change of the poll interval, as a
+	// share of the interval. The jitter spreads the reads of many instances over
+	// time.
+	maxPollJitter = 0.1
+	// maxDeltas is the maximum number of deltas read at once. A process that is
+	// more than maxDeltas versions behind reads the full snapshot.
 	maxDeltas = 16
 )
 
@@ -46,7 +47,7 @@
 	PollInterval time.Duration
 }
 
-// applyDefaults sets the fields that are zero to their defaults.
+// applyDefaults sets every field that has its zero value to its default.
 func (c *FollowerConfig) applyDefaults() {
 	core.SetDefault(&c.PollInterval, defaultPollInterval)
 }
@@ -62,8 +63,8 @@
 
 	// revision is the revision of the head row that was last processed.
 	revision uint64
-	// platformLost reports whether the last poll failed because the platform
-	// was unavailable or refused the call.
+	// platformLost is true if the last poll failed because the platform was
+	// unavailable or refused the call.
 	platformLost bool
 }
 
@@ -89,13 +90,13 @@
 }
 
 // pollDelay returns the time until the next poll, given the duration of the last
-// one. A poll that took more than four intervals indicates that this process was
+// poll. A poll that took more than four intervals indicates that this process was
 // paused; the next poll then follows immediately.
-func (f *Follower) pollDelay(lastPoll time.Duration) time.Duration {
-	if lastPoll > 4*f.config.PollInterval {
+func (f *Follower) pollDelay(lastPollDuration time.Duration) time.Duration {
+	if lastPollDuration > 4*f.config.PollInterval {
 		return 0
 	}
-	factor := 1 + pollJitter*(2*rand.Float64()-1)
+	factor := 1 + maxPollJitter*(2*rand.Float64()-1)
 	return time.Duration(float64(f.config.PollInterval) * factor)
 }
 
@@ -122,9 +123,9 @@
 	return nil
 }
 
-// updateTo offers the version of head to the Holder if it is newer than the current
-// one. It logs an event if head is older, or differs from the current version with
-// the same number.
+// updateTo offers the version that head describes to the Holder if that version is
+// newer than the current version. It logs an event if head is older, or if head has
+// the number of the current version and another digest.
 func (f *Follower) updateTo(ctx context.Context, head HistoryEntry) error {
 	current := f.holder.Current()
 	if head.Number < current.Number || head.Number == current.Number && head.Digest != current.Digest {
@@ -152,9 +153,10 @@
 	return nil
 }
 
-// fetch reads the version of head: by deltas if current is at most maxDeltas
-// versions older, otherwise, or if that fails, as a full snapshot. how is
-// "difference" or "whole" accordingly, for the log.
+// fetch reads the version that head describes. If current is at most maxDeltas
+// versions older, it reads deltas; if current is older or the deltas cannot be used,
+// it reads the full snapshot. how is the method for the log: "difference" for
+// deltas, "whole" for a snapshot.
 func (f *Follower) fetch(ctx context.Context, current *declare.Snapshot, head HistoryEntry) (s *declare.Snapshot, how string, err error) {
 	if current.Number > 0 && head.Number-current.Number <= maxDeltas {
 		if s, err := f.fetchDeltas(ctx, current, head); err == nil {
@@ -165,8 +167,9 @@
 	return s, "whole", err
 }
 
-// fetchDeltas applies the deltas of the history rows after current, up to the
-// version of head.
+// fetchDeltas applies the deltas of the history rows after current, and returns the
+// version that head describes. It returns ErrIntegrity if the rows do not lead to
+// that version.
 func (f *Follower) fetchDeltas(ctx context.Context, current *declare.Snapshot, head HistoryEntry) (*declare.Snapshot, error) {
 	count := int(head.Number - current.Number)
 	rows, err := f.table.List(ctx, historyPrefix, historyKey(current.Number), count)
@@ -188,8 +191,8 @@
 	return current, nil
 }
 
-// applyRecord applies the delta of rec to previous, which must be the version
-// before it.
+// applyRecord applies the delta of rec to previous. It returns ErrIntegrity if
+// previous is not the version before rec.
 func applyRecord(previous *declare.Snapshot, rec record) (*declare.Snapshot, error) {
 	if rec.Number != previous.Number+1 || rec.Parent != previous.Digest {
 		return nil, fmt.Errorf("%w: version %d does not follow version %d", ErrIntegrity, rec.Number, previous.Number)
@@ -201,8 +204,8 @@
 	return &declare.Snapshot{Number: rec.Number, Digest: rec.Digest, Set: set}, nil
 }
 
-// logAvailability logs when the platform becomes unavailable and when it is
-// available again. err is the result of a poll.
+// logAvailability logs when the platform becomes unavailable, and when the platform
+// is available again. err is the result of a poll.
 func (f *Follower) logAvailability(err error) {
 	lost := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrRefused)
 	if lost && !f.platformLost {
--- a/version/confstore/history.go
+++ b/version/confstore/history.go
@@ -13,7 +13,7 @@
 // historyPageRows is the maximum number of history rows read in one call.
 const historyPageRows = 100
 
-// maxPrunedPerChange is the maximum number of old versions removed after one
+// maxPrunedPerChange is the maximum number of old versions removed after each
 // change.
 const maxPrunedPerChange = 4
 
@@ -23,7 +23,8 @@
 	Delete(ctx context.Context, name string) error
 }
 
-// Head returns the newest accepted version; its Number is 0 when there is none.
+// Head returns the newest accepted version, or an entry with Number 0 when there is
+// no version yet.
 func (p *Publisher) Head(ctx context.Context) (HistoryEntry, error) {
 	head, _, err := p.readHead(ctx)
 	return head, err
@@ -44,7 +45,7 @@
 }
 
 // findChange returns the version that was created with a change id, or
-// platform.ErrNotFound when there is none.
+// platform.ErrNotFound when there is no such version.
 func (p *Publisher) findChange(ctx context.Context, changeID string) (HistoryEntry, error) {
 	key := changeKey(changeID)
 	row, err := p.table.Get(ctx, key, 0)
@@ -56,7 +57,7 @@
 }
 
 // readRecord reads the history row of one version. It returns ErrVersionNotFound
-// when there is none.
+// when the row does not exist.
 func (p *Publisher) readRecord(ctx context.Context, number uint64) (record, error) {
 	key := historyKey(number)
 	row, err := p.table.Get(ctx, key, 0)
@@ -201,9 +202,9 @@
 const maxEditAttempts = 5
 
 // Edit creates the next version by calling edit on a copy of the newest version.
-// After a conflict it starts again with the version that is then the newest, so
-// edit must not depend on the rest of the set. c.Base and c.Set are ignored. Edit
-// returns ErrUnchanged when edit changes nothing.
+// After a conflict it calls edit again on the version that is then the newest, so
+// edit must not depend on objects that it does not change. c.Base and c.Set are
+// ignored. Edit returns ErrUnchanged when edit changes nothing.
 func (p *Publisher) Edit(ctx context.Context, c Change, edit func(*declare.Set) error) (*declare.Snapshot, error) {
 	for attempts := 1; ; attempts++ {
 		snapshot, err := p.editOnce(ctx, c, edit)
@@ -214,9 +215,9 @@
 	}
 }
 
-// editOnce makes one attempt at an edit. If the change id already has a version,
-// editOnce returns that version, provided that edit changes nothing in it;
-// otherwise it returns ErrChangeIDReused.
+// editOnce makes one attempt at an edit. If a version was already created with the
+// change id, editOnce creates none: it returns that version if edit changes nothing
+// in that version, and ErrChangeIDReused if edit does.
 func (p *Publisher) editOnce(ctx context.Context, c Change, edit func(*declare.Set) error) (*declare.Snapshot, error) {
 	base, err := p.findChange(ctx, c.ChangeID)
 	alreadyApplied := err == nil
@@ -244,9 +245,9 @@
 	return snapshot, nil
 }
 
-// prune removes the oldest versions while there are more than HistoryLimit, at most
-// maxPrunedPerChange of them. It stops at the first error; the rest is removed
-// after a later change.
+// prune removes the oldest versions beyond HistoryLimit, but at most
+// maxPrunedPerChange. It stops at the first error. The versions that are left are
+// removed after later changes.
 func (p *Publisher) prune(ctx context.Context, newest uint64) {
 	if newest <= p.HistoryLimit {
 		return
--- a/version/confstore/history_test.go
+++ b/version/confstore/history_test.go
@@ -71,7 +71,7 @@
 	})
 }
 
-// trackedObjects keeps the names of the objects that have been put and not deleted.
+// trackedObjects records the names of the objects that were put and not deleted.
 type trackedObjects struct {
 	platform.ObjectStore
 	mu    sync.Mutex
--- a/version/confstore/holder.go
+++ b/version/confstore/holder.go
@@ -17,9 +17,9 @@
 var eventInForce = eventlog.Define(206, "configuration-in-force", logrus.InfoLevel,
 	"A newer configuration took effect in this process; the fields give its number and the number of the version before it.")
 
-// recentSnapshots is the number of older snapshots that a Holder keeps, so that
-// peers a few versions behind get a delta instead of the full configuration.
-const recentSnapshots = 8
+// maxRecentSnapshots is the maximum number of older snapshots that a Holder keeps,
+// so that peers a few versions behind get a delta instead of the full configuration.
+const maxRecentSnapshots = 8
 
 // Holder holds the current configuration of this process. Its version number never
 // decreases. It is safe for concurrent use.
@@ -29,15 +29,16 @@
 
 	mu      sync.RWMutex
 	current *declare.Snapshot
-	// recent are the snapshots before current, oldest first.
+	// recent holds the snapshots before current, oldest first.
 	recent []*declare.Snapshot
-	// encodings are the cached encodings of current by the number of their
-	// base; 0 for the full configuration.
+	// encodings holds the cached encodings of current, by the number of the base
+	// of the delta; 0 for the full configuration.
 	encodings map[uint64]EncodedVersion
 	// confirmedAt is the time as of which current was last known to be the
 	// newest version.
 	confirmedAt time.Time
-	changed     chan struct{}
+	// changed is closed and replaced when current changes.
+	changed chan struct{}
 }
 
 // NewHolder returns a Holder with the empty configuration, which is version 0.
@@ -65,8 +66,8 @@
 	return h.current
 }
 
-// Offer makes s the current snapshot if it is newer than the present one, and
-// reports whether it did.
+// Offer makes s the current snapshot if s is newer than the current snapshot. It
+// reports whether s was newer.
 func (h *Holder) Offer(s *declare.Snapshot) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,7 +80,7 @@
 		"from":   h.current.Number,
 	})
 	h.recent = append(h.recent, h.current)
-	if len(h.recent) > recentSnapshots {
+	if len(h.recent) > maxRecentSnapshots {
 		h.recent = h.recent[1:]
 	}
 	h.current = s
@@ -107,9 +108,9 @@
 	}
 }
 
-// RecordPeerVersion records that the newest version of a peer was number, in response to a
-// request sent at requestedAt. It confirms the current version unless number is
-// newer.
+// RecordPeerVersion records that a peer, in response to a request sent at
+// requestedAt, named number as its newest version. It confirms the current version
+// unless number is newer.
 func (h *Holder) RecordPeerVersion(number uint64, requestedAt time.Time) {
 	if number <= h.Current().Number {
 		h.Confirm(requestedAt)
--- a/version/confstore/publisher.go
+++ b/version/confstore/publisher.go
@@ -22,7 +22,7 @@
 const (
 	firstRetryDelay = 50 * time.Millisecond
 	maxRetryDelay   = time.Second
-	// maxAttempts is the maximum number of attempts, the first included.
+	// maxAttempts is the maximum number of attempts, including the first.
 	maxAttempts = 6
 )
 
@@ -42,7 +42,7 @@
 }
 
 // validate returns ErrInvalidChange when the author, reason or change id is
-// missing, too long or not UTF-8: the history must show who made each change and
+// missing, too long or not UTF-8. The history must show who made each change, and
 // why.
 func (c Change) validate() error {
 	for _, f := range []struct {
@@ -155,12 +155,13 @@
 	change    Change
 	body      []byte
 	digest    core.Digest
-	// storedName is the object name of the stored snapshot; empty until it is
-	// stored.
+	// storedName is the object name of the stored snapshot; empty until the
+	// snapshot is stored.
 	storedName string
 }
 
-// encodeChange encodes a change.
+// encodeChange encodes the set of c, and replaces the set by a decoded copy. It
+// returns a *declare.InvalidError if the set has problems and cannot be decoded.
 func (p *Publisher) encodeChange(c Change) (*encodedChange, error) {
 	body, digest, err := declare.Encode(c.Set)
 	if err != nil {
@@ -212,8 +213,8 @@
 }
 
 // findApplied returns the version that was created with this change's id, or nil
-// when there is none. It returns ErrChangeIDReused when that version has another
-// set.
+// when there is no such version. It returns ErrChangeIDReused when that version has
+// another set.
 func (e *encodedChange) findApplied(ctx context.Context) (*declare.Snapshot, error) {
 	entry, err := e.publisher.findChange(ctx, e.change.ChangeID)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -225,12 +226,13 @@
 	if entry.Digest != e.digest {
 		return nil, errors.Wrapf(ErrChangeIDReused, "change id %q became version %d", e.change.ChangeID, entry.Number)
 	}
-	return e.asVersion(entry.Number), nil
+	return e.newSnapshot(entry.Number), nil
 }
 
-// conflictError returns the error for a change whose base is not head. If this same
-// change was accepted since it was last looked up, or if that cannot be determined,
-// the error is platform.ErrConflict, so that the next attempt looks it up again.
+// conflictError returns the error for a change whose base is not head: usually a
+// *ConflictError. If this change itself was accepted since the attempt looked for it,
+// or if that cannot be determined, the error is platform.ErrConflict, so that the
+// next attempt looks for the change again.
 func (e *encodedChange) conflictError(ctx context.Context, head HistoryEntry) error {
 	if applied, err := e.findApplied(ctx); err != nil || applied != nil {
 		return errors.Wrap(platform.ErrConflict, "the change was accepted meanwhile")
@@ -270,13 +272,13 @@
 	if err := e.publisher.table.Commit(ctx, writes); err != nil {
 		return nil, err
 	}
-	return e.asVersion(number), nil
+	return e.newSnapshot(number), nil
 }
 
 // discardSnapshot deletes the stored snapshot of a change that failed with a
 // *ConflictError. Another change has the snapshot's version number, so that no
-// later attempt can use it. If that other change has an equal set, both use the
-// same object, which must stay.
+// later attempt can use the snapshot. If the other change has an equal set, both
+// changes use the same object, which must stay.
 func (e *encodedChange) discardSnapshot(ctx context.Context, err error) {
 	var conflict *ConflictError
 	if e.storedName == "" || !errors.As(err, &conflict) {
@@ -292,8 +294,8 @@
 }
 
 // objectError returns the error for a snapshot that could not be stored. A snapshot
-// has no effect until the commit after it, so that an unknown outcome is reported as
-// an unavailable platform.
+// has no effect until the commit that follows. An unknown outcome is therefore
+// reported as an unavailable platform.
 func objectError(err error) error {
 	if errors.Is(err, platform.ErrUnknownOutcome) {
 		return fmt.Errorf("%w: %v", platform.ErrUnavailable, err)
@@ -345,7 +347,7 @@
 	}, nil
 }
 
-// asVersion returns the content of the change as version number.
-func (e *encodedChange) asVersion(number uint64) *declare.Snapshot {
+// newSnapshot returns a snapshot of the change's set with the given version number.
+func (e *encodedChange) newSnapshot(number uint64) *declare.Snapshot {
 	return &declare.Snapshot{Number: number, Digest: e.digest, Set: e.change.Set}
 }
--- a/version/confstore/records.go
+++ b/version/confstore/records.go
@@ -17,7 +17,8 @@
 const (
 	// headKey is the key of the head row, which describes the newest version.
 	headKey = "config/head"
-	// historyPrefix begins the key of a history row; each version has one.
+	// historyPrefix begins the key of a history row; each version has one such
+	// row.
 	historyPrefix = "config/history/"
 	// changesPrefix begins the key of a row that maps a change id to a version.
 	changesPrefix = "config/changes/"
@@ -30,8 +31,8 @@
 	maxAuthorBytes   = 128
 	maxReasonBytes   = 1024
 	maxChangeIDBytes = 128
-	// maxDeltaBytes is the maximum size of a delta stored in a history row;
-	// without a delta, readers load the full snapshot.
+	// maxDeltaBytes is the maximum size of a delta stored in a history row. A
+	// larger delta is not stored, and readers load the full snapshot.
 	maxDeltaBytes = 32 << 10
 )
 
@@ -66,11 +67,11 @@
 	// Delta is the encoded delta from the previous version; empty when it is
 	// larger than maxDeltaBytes, and in the rows that only refer to a version.
 	Delta []byte `json:"delta,omitempty"`
-	// Sum is the digest of the record's encoding without Sum.
+	// Sum is the digest of the record's encoding with Sum empty.
 	Sum core.Digest `json:"sum"`
 }
 
-// computeSum returns the digest of r without its Sum.
+// computeSum returns the digest of r's encoding with Sum empty.
 func (r record) computeSum() (core.Digest, error) {
 	r.Sum = ""
 	body, err := json.Marshal(r)
@@ -124,9 +125,9 @@
 // the last part of the key from being "." or "..".
 func changeKey(id string) string { return changesPrefix + "id-" + url.QueryEscape(id) }
 
-// snapshotName returns the object name of a version's encoded set. With the version
-// number in it, versions with equal sets have separate objects, and an old version
-// can be deleted without the others.
+// snapshotName returns the object name of a version's encoded set. The name contains
+// the version number, so that versions with equal sets have separate objects and an
+// old version can be deleted without the others.
 func snapshotName(number uint64, d core.Digest) string {
 	return fmt.Sprintf("%s%016d-%s", snapshotsPrefix, number, d)
 }
