--- a/version/placement/placement.go
+++ b/version/placement/placement.go
@@ -1,8 +1,9 @@
 // Package placement assigns model versions to backend servers. There is no
 // central scheduler: every agent computes the same plan from the same
-// declarations and the same list of live instances, and carries out its own
-// part. While these inputs differ between agents, there may be a few replicas
-// too many or too few, but never a wrong one.
+// declarations and the same list of live instances, and carries out the part that
+// concerns its own server. While these inputs differ between agents, a version may
+// have a few replicas too many or too few, but every agent still loads only versions
+// that its own declarations contain.
 package placement
 
 import (
@@ -16,22 +17,27 @@
 
 // Assignment is one version that is assigned to a backend server.
 type Assignment struct {
-	// Model and Version name the version.
-	Model   string
+	// Model is the name of the model.
+	Model string
+	// Version is the name of the version.
 	Version string
 	// Digest is the digest of the version's manifest.
 	Digest core.Digest
-	// Base is the manifest digest of the base version that an adapter needs,
-	// which is assigned to the server as well; empty for a full model.
+	// Base is the manifest digest of the base version that an adapter needs;
+	// empty for a full model. The base version is assigned to the server as
+	// well.
 	Base core.Digest
-	// Rank is the position of the server among the servers of the version,
-	// from 0.
+	// Rank is the position of the server, counted from 0, in the order in which
+	// the version was assigned to servers.
 	Rank int
 }
 
 // Plan is the assignment of versions to servers.
 type Plan struct {
-	assignments    map[string][]Assignment
+	// assignments maps the name of each server to its assignments.
+	assignments map[string][]Assignment
+	// assignedAgents maps each version's manifest digest to the agents of the
+	// version's servers, ordered by rank.
 	assignedAgents map[core.Digest][]core.Instance
 }
 
@@ -40,7 +46,7 @@
 func (p *Plan) Assignments(server string) []Assignment { return p.assignments[server] }
 
 // AssignedAgents returns the agents of the servers to which the version with
-// manifest digest d is assigned, in the order of their rank.
+// manifest digest d is assigned, ordered by rank.
 func (p *Plan) AssignedAgents(d core.Digest) []core.Instance { return p.assignedAgents[d] }
 
 // Compute returns the plan for the declarations in set and the list of live
@@ -50,9 +56,9 @@
 // name, so that the next version of a model is placed on the servers that hold
 // the previous one. A server is eligible if it is declared, runs an engine, is in
 // one of the model's data centres, is live, is not leaving and has a free slot. A
-// server in a data centre out of service keeps its versions, so that they are
-// already loaded when the data centre returns, but it does not count as a
-// replica.
+// server in a data centre out of service keeps its versions, so that the versions
+// are already loaded when the data centre returns, but such a server does not count
+// as a replica.
 func Compute(set *declare.Set, live []core.Instance) *Plan {
 	b := newBuilder(set, live)
 	for _, m := range b.selectModels(false) {
@@ -72,11 +78,12 @@
 	// agents holds the live agents that are not leaving, by the name of their
 	// server.
 	agents map[string]core.Instance
-	// freeSlots holds the number of free slots of each server.
-	freeSlots  map[string]int
-	candidates []candidate
-	// replicas counts the servers that count as replicas of each model.
-	replicas map[string]int
+	// freeSlotCounts maps each server to the number of its free slots.
+	freeSlotCounts map[string]int
+	candidates     []candidate
+	// replicaCounts maps each model to the number of its servers so far that
+	// are in a data centre in service.
+	replicaCounts map[string]int
 	// assigned holds the assignments of each server.
 	assigned map[string][]Assignment
 	// serversOf holds the names of the servers of each version, by manifest
@@ -91,15 +98,15 @@
 	score  uint64
 }
 
-// newBuilder returns a builder without candidates and assignments.
+// newBuilder returns a builder that has no candidates and no assignments.
 func newBuilder(set *declare.Set, live []core.Instance) *builder {
 	b := &builder{
-		set:       set,
-		agents:    map[string]core.Instance{},
-		freeSlots: map[string]int{},
-		replicas:  map[string]int{},
-		assigned:  map[string][]Assignment{},
-		serversOf: map[core.Digest][]string{},
+		set:            set,
+		agents:         map[string]core.Instance{},
+		freeSlotCounts: map[string]int{},
+		replicaCounts:  map[string]int{},
+		assigned:       map[string][]Assignment{},
+		serversOf:      map[core.Digest][]string{},
 	}
 	for _, i := range live {
 		if i.Role == core.RoleAgent && !i.Leaving {
@@ -107,33 +114,33 @@
 		}
 	}
 	for name, s := range set.BackendServers {
-		b.freeSlots[name] = max(1, s.Slots)
+		b.freeSlotCounts[name] = max(1, s.Slots)
 	}
 	return b
 }
 
-// selectModels returns the models whose version is an adapter if adapters is
-// true, and all other models otherwise.
-func (b *builder) selectModels(adapters bool) []*declare.Model {
+// selectModels returns the models whose version is an adapter if wantAdapters is
+// true, and otherwise the models whose version is not an adapter.
+func (b *builder) selectModels(wantAdapters bool) []*declare.Model {
 	var selected []*declare.Model
 	for _, m := range b.set.Models {
 		v, ok := b.set.Versions[m.Version]
-		if ok && (v.Base != "") == adapters {
+		if ok && (v.Base != "") == wantAdapters {
 			selected = append(selected, m)
 		}
 	}
 	return selected
 }
 
-// addCandidates adds a candidate for each server on which a model may be placed.
+// addCandidates adds a candidate for each server that is eligible for model m.
 func (b *builder) addCandidates(m *declare.Model) {
 	base := b.set.Versions[m.Version].Base
 	for _, s := range b.set.BackendServers {
 		if !b.eligible(m, s) {
 			continue
 		}
-		// The upper half of the range is reserved for servers that hold the
-		// base of an adapter.
+		// The upper half of the range of scores is reserved for the servers to
+		// which the base of an adapter is assigned.
 		score := xxhash.Sum64String(m.Name+"\x00"+s.Name) >> 1
 		if base != "" && b.isAssigned(s.Name, base) {
 			score |= 1 << 63
@@ -168,10 +175,10 @@
 	return false
 }
 
-// placeByScore places the candidates in descending order of their score, and
-// removes them. Sorting the candidates of all models together, rather than model
-// by model, makes a new model displace another model only where the new model
-// has a higher score.
+// placeByScore places the candidates, highest score first, and then empties the
+// candidate list. The candidates of all models are sorted together, so that a new
+// model takes a slot from another model only on servers where the new model has the
+// higher score.
 func (b *builder) placeByScore() {
 	sort.Slice(b.candidates, func(i, j int) bool {
 		x, y := b.candidates[i], b.candidates[j]
@@ -181,25 +188,26 @@
 		return x.model.Name+x.server.Name < y.model.Name+y.server.Name
 	})
 	for _, c := range b.candidates {
-		if b.replicas[c.model.Name] < c.model.Replicas {
+		if b.replicaCounts[c.model.Name] < c.model.Replicas {
 			b.place(c)
 		}
 	}
 	b.candidates = nil
 }
 
-// place assigns a model's version, and the base that it needs, to a server. It
-// does nothing if the server has too few free slots.
+// place assigns a model's version to a server, and also the base of an adapter
+// unless the base is already assigned there. It does nothing if the server has too
+// few free slots.
 func (b *builder) place(c candidate) {
 	v := b.set.Versions[c.model.Version]
 	assignments := []Assignment{b.newAssignment(v)}
 	if base, ok := b.set.Versions[v.Base]; ok && !b.isAssigned(c.server.Name, v.Base) {
 		assignments = []Assignment{b.newAssignment(base), b.newAssignment(v)}
 	}
-	if b.freeSlots[c.server.Name] < len(assignments) {
+	if b.freeSlotCounts[c.server.Name] < len(assignments) {
 		return
 	}
-	b.freeSlots[c.server.Name] -= len(assignments)
+	b.freeSlotCounts[c.server.Name] -= len(assignments)
 	for _, assignment := range assignments {
 		assignment.Rank = len(b.serversOf[assignment.Digest])
 		b.assigned[c.server.Name] = append(b.assigned[c.server.Name], assignment)
@@ -208,7 +216,7 @@
 	if dc, ok := b.set.DataCentres[c.server.DataCentre]; ok && dc.Out {
 		return
 	}
-	b.replicas[c.model.Name]++
+	b.replicaCounts[c.model.Name]++
 }
 
 // newAssignment returns the Assignment of a version, without its rank.
--- a/version/placement/placement_test.go
+++ b/version/placement/placement_test.go
@@ -10,11 +10,12 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// newFixture declares n servers in three data centres, all live.
-func newFixture(n, slots int) (*declare.Set, []core.Instance) {
+// newFixture returns a set that declares serverCount servers in three data centres,
+// and their agents, all live.
+func newFixture(serverCount, slots int) (*declare.Set, []core.Instance) {
 	set := declare.NewSet()
 	var live []core.Instance
-	for i := range n {
+	for i := range serverCount {
 		dc := fmt.Sprintf("dc%d", i%3)
 		name := fmt.Sprintf("server%02d", i)
 		set.DataCentres[dc] = &declare.DataCentre{Name: dc, Region: "r1"}
