--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -1,6 +1,6 @@
 // Package plan predicts the effects of a change to the declarations: which
-// backend servers load and unload which versions, how many chunks they fetch,
-// and which capacity is lost or gained.
+// backend servers load and unload which versions, how many chunks they fetch, which
+// calls will be refused, and how much capacity is lost or gained.
 package plan
 
 import (
@@ -21,23 +21,26 @@
 
 // Input holds the change and the data from which its effects are computed.
 type Input struct {
-	// Old and New are the sets of declarations before and after the change.
+	// Old is the set of declarations before the change, and New the set after
+	// the change.
 	Old, New *declare.Set
 	// LiveInstances are the instances that take part in placement.
 	LiveInstances []core.Instance
-	// WeightStore is the object store that holds the manifests. If it is nil,
-	// the amounts to fetch are reported as unknown.
+	// WeightStore is the object store that holds the manifests. If WeightStore
+	// is nil, the amounts to fetch are reported as unknown.
 	WeightStore platform.ObjectStore
 }
 
-// planner computes the effects of one change. before and after are the
-// placements of the old and the new set, manifests caches the manifests by
-// digest, and lines collects the effects.
+// planner computes the effects of one change.
 type planner struct {
 	Input
+	// before is the placement of the old set, and after that of the new set.
 	before, after *placement.Plan
-	manifests     map[core.Digest]*manifest.Manifest
-	lines         []string
+	// manifests caches the manifests by digest; nil for a manifest that cannot
+	// be read.
+	manifests map[core.Digest]*manifest.Manifest
+	// lines holds the effects found so far.
+	lines []string
 }
 
 // Effects returns the effects of the change, one line for each. If a manifest
@@ -49,12 +52,12 @@
 		after:     placement.Compute(in.New, in.LiveInstances),
 		manifests: map[core.Digest]*manifest.Manifest{},
 	}
-	p.addLoads(ctx)
-	p.addUnloads()
-	p.addDataCentres()
-	p.addServers()
-	p.addRefusals()
-	p.addCapacity()
+	p.addLoadLines(ctx)
+	p.addUnloadLines()
+	p.addDataCentreLines()
+	p.addServerLines()
+	p.addRefusalLines()
+	p.addCapacityLine()
 	return p.lines
 }
 
@@ -75,9 +78,9 @@
 	return sortedKeys(seen)
 }
 
-// difference returns, for each version, the servers to which the plan in assigns
-// the version and the plan notIn does not. The keys have no rank.
-func (p *planner) difference(in, notIn *placement.Plan) map[placement.Assignment][]string {
+// serversOnlyIn returns, for each version, the servers to which the plan in assigns
+// the version and the plan notIn does not. The Rank of every key is 0.
+func (p *planner) serversOnlyIn(in, notIn *placement.Plan) map[placement.Assignment][]string {
 	servers := map[placement.Assignment][]string{}
 	for _, name := range p.serverNames() {
 		excluded := map[core.Digest]bool{}
@@ -95,55 +98,56 @@
 	return servers
 }
 
-// addLoads adds a line for each version that servers load.
-func (p *planner) addLoads(ctx context.Context) {
-	servers := p.difference(p.after, p.before)
+// addLoadLines adds a line for each version that servers load, followed by the line
+// of addSwitchLine.
+func (p *planner) addLoadLines(ctx context.Context) {
+	servers := p.serversOnlyIn(p.after, p.before)
 	for _, assignment := range sortedVersions(servers) {
 		names := servers[assignment]
-		p.addLine("load %s of Model %s on %d servers (%s): %s", assignment.Version, assignment.Model, len(names), strings.Join(names, ", "), p.fetchAmount(ctx, assignment, names))
-		p.addSwitch(assignment, names)
+		p.addLine("load %s of Model %s on %d servers (%s): %s", assignment.Version, assignment.Model, len(names), strings.Join(names, ", "), p.describeFetch(ctx, assignment, names))
+		p.addSwitchLine(assignment, names)
 	}
 }
 
-// addSwitch adds a line if the change replaces the version of the assignment's
-// model. names are the servers that load the new version; the line counts those
-// that already hold another version of the model.
-func (p *planner) addSwitch(assignment placement.Assignment, names []string) {
+// addSwitchLine adds a line if the change replaces the version of the assignment's
+// model. names lists the servers that load the new version. The line gives the number
+// of these servers that hold another version of the model before the change.
+func (p *planner) addSwitchLine(assignment placement.Assignment, names []string) {
 	old := p.Old.Models[assignment.Model]
 	if old == nil || old.Version == assignment.Version {
 		return
 	}
-	held := 0
+	switchingCount := 0
 	for _, name := range names {
 		for _, oldVersion := range p.before.Assignments(name) {
 			if oldVersion.Model == assignment.Model {
-				held++
+				switchingCount++
 			}
 		}
 	}
-	p.addLine("switch Model %s from %s to %s: %d of these servers answer from the old version until the new one stands", assignment.Model, old.Version, assignment.Version, held)
+	p.addLine("switch Model %s from %s to %s: %d of these servers answer from the old version until the new one stands", assignment.Model, old.Version, assignment.Version, switchingCount)
 }
 
-// fetchAmount describes how many chunks and bytes the named servers have to fetch
-// for an assigned version. It does not count the chunks that a server already holds
-// for other versions.
-func (p *planner) fetchAmount(ctx context.Context, assignment placement.Assignment, names []string) string {
+// describeFetch returns a text with the number and size of the chunks that the named
+// servers have to fetch for an assigned version. Chunks that a server already holds
+// for other versions do not count.
+func (p *planner) describeFetch(ctx context.Context, assignment placement.Assignment, names []string) string {
 	m := p.manifest(ctx, assignment.Digest)
 	if m == nil {
 		return "amount unknown, the manifest cannot be read"
 	}
-	chunks, size := 0, int64(0)
+	chunkCount, size := 0, int64(0)
 	for _, name := range names {
 		held := p.heldChunks(ctx, name)
 		for _, c := range m.Chunks() {
 			if !held[c.Digest] {
-				chunks++
+				chunkCount++
 				size += c.Size
 			}
 		}
 	}
 	return fmt.Sprintf("%d chunks, %.1f MiB in all; one copy is %d chunks, %.1f MiB",
-		chunks, float64(size)/mebibyte, len(m.Chunks()), float64(m.Size())/mebibyte)
+		chunkCount, float64(size)/mebibyte, len(m.Chunks()), float64(m.Size())/mebibyte)
 }
 
 // heldChunks returns the chunks of the versions that a server holds before the
@@ -162,8 +166,8 @@
 	return held
 }
 
-// manifest returns the manifest with the digest d, or nil if it cannot be read.
-// It reads each manifest only once.
+// manifest returns the manifest with the digest d, or nil if the manifest cannot be
+// read. It tries to read each manifest only once.
 func (p *planner) manifest(ctx context.Context, d core.Digest) *manifest.Manifest {
 	if m, ok := p.manifests[d]; ok {
 		return m
@@ -184,48 +188,48 @@
 	return m
 }
 
-// addUnloads adds a line for each version that servers no longer need.
-func (p *planner) addUnloads() {
-	servers := p.difference(p.before, p.after)
+// addUnloadLines adds a line for each version that servers no longer need.
+func (p *planner) addUnloadLines() {
+	servers := p.serversOnlyIn(p.before, p.after)
 	for _, assignment := range sortedVersions(servers) {
 		names := servers[assignment]
 		p.addLine("unload %s of Model %s from %d servers (%s)", assignment.Version, assignment.Model, len(names), strings.Join(names, ", "))
 	}
 }
 
-// addDataCentres adds a line for each data centre that is taken out of service or
-// put back.
-func (p *planner) addDataCentres() {
+// addDataCentreLines adds a line for each data centre that is taken out of service or
+// put back into service.
+func (p *planner) addDataCentreLines() {
 	for _, name := range sortedKeys(p.New.DataCentres) {
 		old := p.Old.DataCentres[name]
 		out := p.New.DataCentres[name].Out
 		if old == nil || old.Out == out {
 			continue
 		}
-		servers, limit := p.dataCentreCapacity(name)
+		serverCount, limit := p.dataCentreCapacity(name)
 		if out {
-			p.addLine("DataCentre %s goes out: its %d servers get no new work, their share of %d calls at once moves to the others; calls in flight end", name, servers, limit)
+			p.addLine("DataCentre %s goes out: its %d servers get no new work, their share of %d calls at once moves to the others; calls in flight end", name, serverCount, limit)
 			continue
 		}
-		p.addLine("DataCentre %s returns: its %d servers take work again, up to %d calls at once", name, servers, limit)
+		p.addLine("DataCentre %s returns: its %d servers take work again, up to %d calls at once", name, serverCount, limit)
 	}
 }
 
 // dataCentreCapacity returns the number of servers in a data centre and the sum
-// of their limits.
-func (p *planner) dataCentreCapacity(name string) (servers, limit int) {
+// of their limits after the change.
+func (p *planner) dataCentreCapacity(name string) (serverCount, limit int) {
 	for _, b := range p.New.BackendServers {
 		if b.DataCentre == name {
-			servers++
+			serverCount++
 			limit += b.Limit
 		}
 	}
-	return servers, limit
+	return serverCount, limit
 }
 
-// addServers adds a line for each server that is added, removed, starts to leave
-// or no longer leaves.
-func (p *planner) addServers() {
+// addServerLines adds a line for each server that is added, is removed, starts to
+// leave or no longer leaves.
+func (p *planner) addServerLines() {
 	for _, name := range p.serverNames() {
 		old, updated := p.Old.BackendServers[name], p.New.BackendServers[name]
 		switch {
@@ -241,9 +245,9 @@
 	}
 }
 
-// addRefusals adds a line for each model, service and client account whose calls
+// addRefusalLines adds a line for each model, service and client account whose calls
 // will be refused.
-func (p *planner) addRefusals() {
+func (p *planner) addRefusalLines() {
 	for _, name := range sortedKeys(p.Old.Models) {
 		if p.New.Models[name] == nil {
 			p.addLine("calls for Model %s will be refused", name)
@@ -265,15 +269,17 @@
 	}
 }
 
-// addCapacity adds a line if the total capacity of the servers in service changes.
-func (p *planner) addCapacity() {
+// addCapacityLine adds a line if the total capacity of the servers in service
+// changes.
+func (p *planner) addCapacityLine() {
 	before, after := totalLimit(p.Old), totalLimit(p.New)
 	if before != after {
 		p.addLine("calls that the servers in service bear at once: %d -> %d", before, after)
 	}
 }
 
-// totalLimit returns the sum of the limits of the servers that accept calls.
+// totalLimit returns the sum of the limits of the servers that accept calls: those
+// that are not leaving and whose data centre is in service.
 func totalLimit(s *declare.Set) int {
 	total := 0
 	for _, b := range s.BackendServers {
--- a/version/plan/plan_test.go
+++ b/version/plan/plan_test.go
@@ -45,8 +45,8 @@
 	return digest
 }
 
-// modelOnTwoServers returns a set in which two servers hold a model, and the
-// instances of their agents.
+// modelOnTwoServers returns a set that declares a model and two servers, on which the
+// model is placed, and the instances of the servers' agents.
 func modelOnTwoServers(digest core.Digest) (*declare.Set, []core.Instance) {
 	set := declare.NewSet()
 	set.Regions["west"] = &declare.Region{Name: "west"}
