--- a/version/catalog/events.go
+++ b/version/catalog/events.go
@@ -24,7 +24,7 @@
 	eventStoreBack = eventlog.Define(227, "store-back", logrus.InfoLevel,
 		"The platform's store responds to this process again.")
 	eventHistoryLost = eventlog.Define(228, "store-history-lost", logrus.InfoLevel,
-		"The store no longer keeps all changes since the last revision that was read; the whole table is read again.")
+		"The store no longer keeps all changes since the last revision that was read; the complete table is read again.")
 	eventTableFromPeer = eventlog.Define(229, "catalog-relayed", logrus.InfoLevel,
 		"A newer copy of a table was adopted from another entry instance.")
 )
--- a/version/catalog/follower.go
+++ b/version/catalog/follower.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// longPollTimeout is how long one ChangesSince call waits for a change. A
-	// dead connection is noticed only after this time; a shorter time would
-	// put more load on the store.
+	// longPollTimeout is the longest time that one ChangesSince call waits for
+	// a change. A dead connection is noticed only after this time; a shorter
+	// time would put more load on the store.
 	longPollTimeout = 2500 * time.Millisecond
-	// declaredBatchDelay and serversBatchDelay are the pauses after a response
-	// that let changes made close together arrive in one response. Declared
-	// changes get the shorter one because they must take effect within 2 s; a
-	// server that is gone is noticed by failed connections before its row is
-	// deleted.
+	// The Follower pauses after each response, so that changes made close
+	// together arrive in one response. The pause for declarations is shorter
+	// because these must take effect within 2 s. The pause for servers may be
+	// longer because failed connections show that a server is gone before the
+	// server's row is deleted.
 	declaredBatchDelay = 120 * time.Millisecond
 	serversBatchDelay  = 300 * time.Millisecond
-	// minRetryDelay and maxRetryDelay bound the pause after a failed call,
-	// before jitter.
+	// minRetryDelay and maxRetryDelay are the shortest and the longest pause
+	// after a failed call, before jitter.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 600 * time.Millisecond
-	// missingGrace is how long servers whose rows are missing stay listed
-	// after an outage of the store: the platform lists live servers again
-	// within about 2 s.
-	missingGrace = 2 * time.Second
+	// missingGracePeriod is the time after an outage of the store for which
+	// servers whose rows are missing stay listed. The platform lists live
+	// servers again within about 2 s.
+	missingGracePeriod = 2 * time.Second
 )
 
 // TableContent is the content of one table, as entry instances send it to each
 // other.
 type TableContent struct {
-	// Rows are the rows of the table without the deleted ones.
+	// Rows are the rows of the table, without the deleted rows.
 	Rows []Row `cbor:"1,keyasint"`
 	// ChangeRevision is the store's revision of the newest change to the table.
 	ChangeRevision uint64 `cbor:"2,keyasint"`
 	// ReadRevision is the store's revision up to which the table has been read.
 	ReadRevision uint64 `cbor:"3,keyasint"`
-	// WeightsAgeMs is the time in milliseconds since the newest version of each
-	// model's weights was declared, by model.
+	// WeightsAgeMs maps each model to the time, in milliseconds, since the newest
+	// version of the model's weights was declared.
 	WeightsAgeMs map[string]int64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -56,19 +56,22 @@
 	log    *eventlog.Logger
 	clock  clockwork.Clock
 
-	mu             sync.Mutex
-	rows           map[string]Row
+	mu   sync.Mutex
+	rows map[string]Row
+	// changeRevision is the revision of the newest change that was applied.
 	changeRevision uint64
-	readRevision   uint64
-	// lastResponse is when the store last responded, unavailable reports
-	// whether a call has failed since, and restoredAt is the end of the last
-	// outage.
-	lastResponse time.Time
-	unavailable  bool
-	restoredAt   time.Time
-	// missing are the rows that were deleted during an outage or shortly after
-	// it; their servers stay listed until missingGrace has passed.
-	missing map[string]Row
+	// readRevision is the revision up to which the table has been read; 0 makes
+	// the next poll read the complete table.
+	readRevision uint64
+	// lastResponseAt is the time of the last response of the store.
+	lastResponseAt time.Time
+	// unavailable is true if a call has failed since lastResponseAt.
+	unavailable bool
+	// restoredAt is the end of the last outage.
+	restoredAt time.Time
+	// missingRows holds the rows that were deleted during an outage or shortly
+	// after it. Their servers stay listed until missingGracePeriod has passed.
+	missingRows map[string]Row
 }
 
 // NewFollower returns a Follower of table t that reads from source and writes
@@ -76,7 +79,7 @@
 func NewFollower(t Table, source Source, holder *Holder, log *eventlog.Logger, clock clockwork.Clock) *Follower {
 	return &Follower{
 		table: t, source: source, holder: holder, log: log, clock: clock,
-		rows: map[string]Row{}, missing: map[string]Row{}, lastResponse: clock.Now(),
+		rows: map[string]Row{}, missingRows: map[string]Row{}, lastResponseAt: clock.Now(),
 	}
 }
 
@@ -90,8 +93,8 @@
 			delay = minRetryDelay
 			f.sleep(ctx, f.batchDelay())
 		case errors.Is(err, ErrHistoryLost):
-			f.log.Event(eventHistoryLost, eventlog.Fields{"table": f.table.Name(), "since": f.revision()})
-			f.resetRevision()
+			f.log.Event(eventHistoryLost, eventlog.Fields{"table": f.table.Name(), "since": f.lastReadRevision()})
+			f.resetReadRevision()
 		default:
 			f.markUnavailable(err)
 			f.sleep(ctx, delay/2+rand.N(delay))
@@ -101,18 +104,18 @@
 	return nil
 }
 
-// batchDelay returns the pause after a response, in which further changes
-// collect for the next one.
+// batchDelay returns the pause after a response, in which further changes collect
+// for the next response.
 func (f *Follower) batchDelay() time.Duration {
 	if f.table != TableServers {
 		return declaredBatchDelay
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.missing) > 0 && !f.unavailable {
+	if len(f.missingRows) > 0 && !f.unavailable {
 		// A server still missing at the end of the grace period must be removed
 		// at that time.
-		return min(serversBatchDelay, f.graceLeft(f.clock.Now()))
+		return min(serversBatchDelay, f.remainingGrace(f.clock.Now()))
 	}
 	return serversBatchDelay
 }
@@ -126,9 +129,9 @@
 }
 
 // pollOnce makes one call to the store and applies its result: the changes since
-// readRevision, or the whole table when readRevision is 0.
+// readRevision, or the complete table when readRevision is 0.
 func (f *Follower) pollOnce(ctx context.Context) error {
-	since := f.revision()
+	since := f.lastReadRevision()
 	if since == 0 {
 		rows, rev, err := f.source.List(ctx, f.table)
 		if err != nil {
@@ -147,8 +150,9 @@
 	return nil
 }
 
-// newestRevision returns the newest revision among the rows of one table, at
-// least 1. The store's own revision also counts the changes to other tables.
+// newestRevision returns the newest revision among the rows of one table, and at
+// least 1. The revision of the store cannot be used, because changes to other tables
+// increase it too.
 func newestRevision(rows []Row) uint64 {
 	newest := uint64(1)
 	for _, r := range rows {
@@ -157,37 +161,38 @@
 	return newest
 }
 
-// pollTimeout returns how long the next ChangesSince call may wait for a change. It is
-// short during an outage, and ends with the grace period of missing servers.
+// pollTimeout returns the longest time that the next ChangesSince call may wait for a
+// change. The time is short during an outage, and does not exceed the rest of the
+// grace period of missing servers.
 func (f *Follower) pollTimeout() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.unavailable {
 		return minRetryDelay
 	}
-	if len(f.missing) > 0 {
-		return min(longPollTimeout, f.graceLeft(f.clock.Now()))
+	if len(f.missingRows) > 0 {
+		return min(longPollTimeout, f.remainingGrace(f.clock.Now()))
 	}
 	return longPollTimeout
 }
 
-// graceLeft returns the time until missing servers are removed. It is rounded up
-// to a whole millisecond, the unit in which the store takes a wait. The caller
-// must hold f.mu.
-func (f *Follower) graceLeft(now time.Time) time.Duration {
-	left := f.restoredAt.Add(missingGrace).Sub(now)
+// remainingGrace returns the time until missing servers are removed, rounded up to
+// milliseconds, the unit of the timeout in calls to the store. The caller must hold
+// f.mu.
+func (f *Follower) remainingGrace(now time.Time) time.Duration {
+	left := f.restoredAt.Add(missingGracePeriod).Sub(now)
 	return max(0, left.Truncate(time.Millisecond)+time.Millisecond)
 }
 
-// revision returns the revision up to which the table has been read.
-func (f *Follower) revision() uint64 {
+// lastReadRevision returns the revision up to which the table has been read.
+func (f *Follower) lastReadRevision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.readRevision
 }
 
-// resetRevision makes the next poll read the whole table.
-func (f *Follower) resetRevision() {
+// resetReadRevision makes the next poll read the complete table.
+func (f *Follower) resetReadRevision() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.readRevision = 0
@@ -202,10 +207,10 @@
 		f.unavailable = false
 		f.restoredAt = now
 		f.log.Event(eventStoreBack, eventlog.Fields{
-			"table": f.table.Name(), "outMs": now.Sub(f.lastResponse).Milliseconds(),
+			"table": f.table.Name(), "outMs": now.Sub(f.lastResponseAt).Milliseconds(),
 		})
 	}
-	f.lastResponse = now
+	f.lastResponseAt = now
 }
 
 // markUnavailable records that a call failed, and logs the start of an outage.
@@ -219,8 +224,8 @@
 	f.log.EventWithError(eventStoreLost, err, eventlog.Fields{"table": f.table.Name(), "revision": f.readRevision})
 }
 
-// StoreUnavailable reports whether the last call to the store failed, or nothing
-// has been read yet.
+// StoreUnavailable reports whether the last call to the store failed, or the table
+// has not been read yet.
 func (f *Follower) StoreUnavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +233,7 @@
 }
 
 // ChangeRevision returns the store's revision of the newest change that has been
-// applied; 0 when nothing has been read yet.
+// applied; 0 when the table has not been read yet.
 func (f *Follower) ChangeRevision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,8 +258,8 @@
 	return content
 }
 
-// AdoptIfNewer replaces the table's content with content if that is newer. from
-// names the entry instance that sent content, for the log.
+// AdoptIfNewer replaces the table's content with content, which another entry
+// instance sent, if content is newer. from names that entry instance, for the log.
 func (f *Follower) AdoptIfNewer(content TableContent, from string) {
 	if content.ChangeRevision <= f.ChangeRevision() {
 		return
@@ -265,8 +270,8 @@
 	f.replace(content, true)
 }
 
-// replace sets the whole content of the table. With fromPeer set, it does so only
-// if content is newer than the present content.
+// replace replaces the complete content of the table. If fromPeer is true and
+// content is not newer than the present content, it does nothing.
 func (f *Follower) replace(content TableContent, fromPeer bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -280,10 +285,10 @@
 	var changes []Change
 	for _, r := range content.Rows {
 		f.rows[r.Key] = r
-		delete(f.missing, r.Key)
+		delete(f.missingRows, r.Key)
 		if before, ok := old[r.Key]; ok && before.Revision == r.Revision && f.table == TableServers {
-			// The row was read before: the server's cold period must not start
-			// again.
+			// The same row was read before. Decoding it again would start the
+			// server's cold period again.
 			if server := f.holder.Current().Servers[r.Key]; server != nil {
 				changes = append(changes, Change{Server: server})
 				continue
@@ -301,7 +306,7 @@
 			}
 		}
 	}
-	for key := range f.missing {
+	for key := range f.missingRows {
 		if server := f.holder.Current().Servers[key]; server != nil {
 			changes = append(changes, Change{Server: server})
 		}
@@ -311,12 +316,13 @@
 }
 
 // estimatedAge is the age assumed for weights that were declared before this
-// process started. It is well above 0 because such weights may be old and must
+// process started. It is well above 0 because such weights may be old, and must then
 // take effect soon.
 const estimatedAge = 4 * time.Second
 
-// setDeclaredAt sets DeclaredAt of a change to declared weights: from the age in
-// content if there is one, or by estimate on the first read from the store.
+// setDeclaredAt sets DeclaredAt of the weights in c, if c has weights. It uses the
+// age in content if there is one. Otherwise, on the first read from the store, it
+// sets an estimate.
 func (f *Follower) setDeclaredAt(c *Change, content TableContent, firstRead bool, now time.Time) {
 	if c.Weights == nil {
 		return
@@ -325,12 +331,12 @@
 	case ok:
 		c.Weights.DeclaredAt = now.Add(-time.Duration(ms) * time.Millisecond)
 	case firstRead:
-		c.Weights.DeclaredAt, c.Weights.Estimated = now.Add(-estimatedAge), true
+		c.Weights.DeclaredAt, c.Weights.DeclaredAtEstimated = now.Add(-estimatedAge), true
 	}
 }
 
-// applyRows applies the rows that ChangesSince returned; rev is the revision up to
-// which they cover the table.
+// applyRows applies the rows that ChangesSince returned. rev is the revision up to
+// which the rows cover the table.
 func (f *Follower) applyRows(rows []Row, rev uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -351,15 +357,15 @@
 		} else {
 			f.rows[r.Key] = r
 		}
-		delete(f.missing, r.Key)
+		delete(f.missingRows, r.Key)
 		if c, ok := f.decode(r, now); ok {
 			changes = append(changes, c)
 		}
 	}
 	if !f.inGrace(now) {
-		for key := range f.missing {
+		for key := range f.missingRows {
 			changes = append(changes, Change{Server: &Server{ID: key}, Removed: true})
-			delete(f.missing, key)
+			delete(f.missingRows, key)
 		}
 	}
 	f.readRevision = max(f.readRevision, rev)
@@ -368,23 +374,23 @@
 	}
 }
 
-// inGrace reports whether a server's row may be missing only because of an
-// outage of the store, now or less than missingGrace ago. The caller must hold
-// f.mu.
+// inGrace reports whether a server's row may be missing only because of an outage of
+// the store: one that lasts, or that ended less than missingGracePeriod ago. The
+// caller must hold f.mu.
 func (f *Follower) inGrace(now time.Time) bool {
-	return f.table == TableServers && (f.unavailable || !f.restoredAt.IsZero() && now.Sub(f.restoredAt) < missingGrace)
+	return f.table == TableServers && (f.unavailable || !f.restoredAt.IsZero() && now.Sub(f.restoredAt) < missingGracePeriod)
 }
 
-// keepMissing records a deleted row whose server stays listed for now. The
-// caller must hold f.mu.
+// keepMissing records a deleted row whose server stays listed until the end of the
+// grace period. The caller must hold f.mu.
 func (f *Follower) keepMissing(r Row) {
 	if r.Key != "" {
-		f.missing[r.Key] = r
+		f.missingRows[r.Key] = r
 	}
 }
 
-// decode returns the change that a row describes, and whether to apply the change.
-// It logs a row that cannot be decoded.
+// decode returns the change that a row describes, and whether to apply the change. It
+// logs an event if the row cannot be decoded.
 func (f *Follower) decode(r Row, now time.Time) (Change, bool) {
 	c, err := f.source.Decode(f.table, r, now)
 	if err == nil {
--- a/version/catalog/follower_test.go
+++ b/version/catalog/follower_test.go
@@ -22,15 +22,15 @@
 	err  error
 }
 
-// scriptedSource returns prepared responses in order; further calls block until
-// their context ends. The value of a server's row is "ready", "leaving" or, for a
-// row that cannot be decoded, "spoilt".
+// scriptedSource is a Source that returns prepared responses in order. Further calls
+// block until their context ends. The value of a server's row is "ready", "leaving"
+// or, for a row that cannot be decoded, "spoilt".
 type scriptedSource struct {
 	mu        sync.Mutex
 	responses []response
-	// listCalls is the number of List calls; sinceArgs are the revisions passed
-	// to ChangesSince.
-	listCalls int
+	// listCallCount is the number of List calls.
+	listCallCount int
+	// sinceArgs holds the revisions passed to ChangesSince.
 	sinceArgs []uint64
 }
 
@@ -49,7 +49,7 @@
 
 func (s *scriptedSource) List(ctx context.Context, _ Table) ([]Row, uint64, error) {
 	s.mu.Lock()
-	s.listCalls++
+	s.listCallCount++
 	s.mu.Unlock()
 	return s.next(ctx)
 }
@@ -88,8 +88,8 @@
 // deletedRow returns a deleted row.
 func deletedRow(key string, rev uint64) Row { return Row{Key: key, Revision: rev, Deleted: true} }
 
-// pollAll polls once for each response and returns the listed servers as
-// listServers does.
+// pollAll sets the responses of source, polls once for each of them, and returns
+// the result of listServers.
 func pollAll(f *Follower, source *scriptedSource, responses ...response) string {
 	source.mu.Lock()
 	source.responses = responses
@@ -98,7 +98,7 @@
 		err := f.pollOnce(context.Background())
 		switch {
 		case errors.Is(err, ErrHistoryLost):
-			f.resetRevision()
+			f.resetReadRevision()
 		case err != nil:
 			f.markUnavailable(err)
 		}
@@ -106,8 +106,8 @@
 	return listServers(f.holder)
 }
 
-// listServers returns the IDs of the listed servers, each with a "!" if the server
-// is leaving.
+// listServers returns the IDs of the listed servers, separated by spaces. A "!"
+// follows the ID of a server that is leaving.
 func listServers(h *Holder) string {
 	var all []string
 	s := h.Current()
@@ -139,7 +139,7 @@
 		So(source.sinceArgs, ShouldResemble, []uint64{9, 10})
 	})
 
-	Convey("After lost history the whole table is read again", t, func() {
+	Convey("After lost history the complete table is read again", t, func() {
 		f, source, _ := newFollower(TableServers)
 		got := pollAll(f, source,
 			response{rows: []Row{newRow("a", "ready", 3), newRow("b", "ready", 4)}, rev: 9},
@@ -147,7 +147,7 @@
 			response{rows: []Row{newRow("b", "ready", 4), newRow("c", "ready", 20)}, rev: 21},
 		)
 		So(got, ShouldEqual, "b c")
-		So(source.listCalls, ShouldEqual, 2)
+		So(source.listCallCount, ShouldEqual, 2)
 	})
 
 	Convey("A row that cannot be decoded removes its server and no other", t, func() {
@@ -156,7 +156,7 @@
 		So(pollAll(f, source, response{rows: []Row{newRow("a", "spoilt", 10)}, rev: 10}), ShouldEqual, "")
 	})
 
-	Convey("Servers whose rows disappeared in an outage of the store stay listed until 2 s after it", t, func() {
+	Convey("Servers whose rows disappeared in an outage of the store stay listed until 2 s after the outage", t, func() {
 		f, source, clock := newFollower(TableServers)
 		pollAll(f, source, response{rows: []Row{newRow("a", "ready", 3), newRow("b", "ready", 4)}, rev: 9}, response{err: errDown})
 		clock.Advance(5 * time.Second)
@@ -179,7 +179,7 @@
 			clock.Advance(f.pollTimeout())
 			pollAll(f, source, response{rev: 12})
 		}
-		So(clock.Since(restoredAt), ShouldBeLessThanOrEqualTo, missingGrace+10*time.Millisecond)
+		So(clock.Since(restoredAt), ShouldBeLessThanOrEqualTo, missingGracePeriod+10*time.Millisecond)
 	})
 
 	Convey("A newer table from another entry instance is adopted, an older table is not", t, func() {
@@ -210,7 +210,7 @@
 		So(f.holder.Current().Config.Version, ShouldEqual, 7)
 	})
 
-	Convey("A data centre stays out of service until its row is missing from a read of the whole table", t, func() {
+	Convey("A data centre stays out of service until its row is missing from a read of the complete table", t, func() {
 		f, source, _ := newFollower(TableDeclared)
 		pollAll(f, source, response{rows: []Row{newRow("out/palermo", "", 3)}, rev: 9})
 		So(f.holder.Current().DataCentresOut["palermo"], ShouldBeTrue)
--- a/version/catalog/holder.go
+++ b/version/catalog/holder.go
@@ -15,8 +15,8 @@
 type Change struct {
 	// Config is a new configuration.
 	Config *Config
-	// Server is a listed backend server. When Removed is set, only its ID is
-	// used.
+	// Server is a listed backend server. When Removed is set, only the server's
+	// ID is used.
 	Server *Server
 	// DataCentreOut is the name of a data centre that is taken out of service,
 	// or put back into service when Removed is set.
@@ -52,10 +52,10 @@
 	return h.changed
 }
 
-// Apply applies changes and publishes the resulting snapshot. With replaceAll
-// set, changes are the complete content of one table: the table of servers when
-// serverTable is set, or else the declarations of operators. Servers, or data
-// centres out of service, that are not among them are then removed.
+// Apply applies changes and publishes the resulting snapshot. If replaceAll is
+// true, changes are the complete content of one table, and Apply removes the servers
+// or data centres out of service that are not in changes: the servers if serverTable
+// is true, and otherwise the data centres.
 func (h *Holder) Apply(changes []Change, replaceAll, serverTable bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +78,7 @@
 	h.changed = make(chan struct{})
 }
 
-// copyCurrent returns a copy of the current snapshot that may be changed.
+// copyCurrent returns a copy of the current snapshot, which the caller may change.
 func (h *Holder) copyCurrent() *Snapshot {
 	next := *h.current.Load()
 	next.Servers = cloneMap(next.Servers)
@@ -160,11 +160,12 @@
 	})
 }
 
-// MergeWeights merges a declared version that another process reported; DeclaredAt
-// is the time at which that process received the version. If the version is the
-// newest one here, MergeWeights corrects a DeclaredAt here that is only an
-// estimate or is later than reported. It adds an earlier version that is missing
-// here, and applies a newer version even if the store has not delivered it yet.
+// MergeWeights merges w, a declared version that another process reported;
+// w.DeclaredAt is the time at which that process received the declaration. If w is
+// the newest version here, MergeWeights corrects the DeclaredAt here if that is only
+// an estimate or is later than w.DeclaredAt. If w is an earlier version that is
+// missing here, MergeWeights adds w. If w is newer, MergeWeights applies w even if the
+// store has not delivered w yet.
 func (h *Holder) MergeWeights(w Weights, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -173,8 +174,8 @@
 	switch {
 	case !ok || w.Version > current.Version:
 		h.applyWeights(next, w, now)
-	case w.Version == current.Version && (current.Estimated || declaredEarlier(w, current)):
-		current.DeclaredAt, current.Estimated = w.DeclaredAt, false
+	case w.Version == current.Version && (current.DeclaredAtEstimated || declaredEarlier(w, current)):
+		current.DeclaredAt, current.DeclaredAtEstimated = w.DeclaredAt, false
 		next.Weights[w.Model] = current
 		h.log.Event(eventWeights, eventlog.Fields{
 			"model": w.Model, "version": w.Version, "ageMs": now.Sub(w.DeclaredAt).Milliseconds(), "told": true,
@@ -194,14 +195,15 @@
 // that is attributed to the delivery time of messages.
 const ageTolerance = 100 * time.Millisecond
 
-// declaredEarlier reports whether DeclaredAt of reported is earlier than that of
-// current by more than ageTolerance.
+// declaredEarlier reports whether reported.DeclaredAt is more than ageTolerance
+// before current.DeclaredAt.
 func declaredEarlier(reported, current Weights) bool {
 	return current.DeclaredAt.Sub(reported.DeclaredAt) > ageTolerance
 }
 
-// addEarlierVersion adds w to the earlier versions of current, or corrects
-// DeclaredAt of the same version there. It reports whether anything changed.
+// addEarlierVersion adds w to current.EarlierVersions. If the same version is there
+// already, it corrects the DeclaredAt of that version. It reports whether it changed
+// anything.
 func addEarlierVersion(current *Weights, w Weights) bool {
 	i, found := slices.BinarySearchFunc(current.EarlierVersions, w.Version, func(earlier Weights, version int) int { return version - earlier.Version })
 	if found && !declaredEarlier(w, current.EarlierVersions[i]) || !found && len(current.EarlierVersions) >= maxEarlierVersions {
--- a/version/catalog/snapshot.go
+++ b/version/catalog/snapshot.go
@@ -10,7 +10,8 @@
 // Snapshot is the content of the catalog at one moment. It must not be changed
 // after it is published.
 type Snapshot struct {
-	// Config is the current configuration; nil until the first one arrives.
+	// Config is the current configuration; nil until the first configuration
+	// arrives.
 	Config *Config
 	// ServersKnown reports whether the list of servers has been read at least
 	// once.
@@ -20,8 +21,7 @@
 	// DataCentresOut contains the names of the data centres that operators have
 	// taken out of service.
 	DataCentresOut map[string]bool
-	// Weights is the newest declared version of each model's weights, by
-	// model.
+	// Weights maps each model to the newest declared version of its weights.
 	Weights map[string]Weights
 
 	routesByHost     map[string][]*Route
@@ -29,8 +29,8 @@
 	serversByService map[string][]*Server
 }
 
-// Complete reports whether the snapshot has all that is needed to handle
-// requests: a configuration and the list of servers.
+// Complete reports whether the snapshot has what is needed to handle requests: a
+// configuration and the list of servers.
 func (s *Snapshot) Complete() bool { return s.Config != nil && s.ServersKnown }
 
 // Route returns the route of a host with the longest prefix that matches path,
@@ -54,8 +54,8 @@
 // ServersOf returns the servers of a service, ordered by ID.
 func (s *Snapshot) ServersOf(service string) []*Server { return s.serversByService[service] }
 
-// buildIndexes builds the lookup maps. It rebuilds those of the configuration
-// only when routesByHost is nil.
+// buildIndexes builds the lookup maps. It builds routesByHost and accountsByKey only
+// when routesByHost is nil, which means that the configuration has changed.
 func (s *Snapshot) buildIndexes() {
 	s.serversByService = map[string][]*Server{}
 	for _, server := range s.Servers {
@@ -100,13 +100,13 @@
 }
 
 // RecentVersions returns the versions of all models that were declared less than
-// maxAge before now, whether or not a newer version exists. Versions whose
-// DeclaredAt is only an estimate are left out.
+// maxAge before now, even if a newer version exists. Versions whose DeclaredAt is
+// only an estimate are left out.
 func (s *Snapshot) RecentVersions(now time.Time, maxAge time.Duration) []Weights {
 	var recent []Weights
 	for _, newest := range s.Weights {
 		for _, w := range append([]Weights{newest}, newest.EarlierVersions...) {
-			if !w.Estimated && now.Sub(w.DeclaredAt) < maxAge {
+			if !w.DeclaredAtEstimated && now.Sub(w.DeclaredAt) < maxAge {
 				recent = append(recent, Weights{Model: w.Model, Version: w.Version, DeclaredAt: w.DeclaredAt})
 			}
 		}
--- a/version/catalog/source.go
+++ b/version/catalog/source.go
@@ -39,7 +39,7 @@
 // Errors of a Source.
 var (
 	// ErrHistoryLost is returned when the store no longer keeps all changes
-	// since the requested revision; the whole table must be read instead.
+	// since the requested revision; the complete table must be read instead.
 	ErrHistoryLost = errors.New("history no longer available")
 	// ErrUnusedRow is returned when this module does not use the row.
 	ErrUnusedRow = errors.New("row not used")
@@ -51,11 +51,11 @@
 	List(ctx context.Context, t Table) ([]Row, uint64, error)
 	// ChangesSince returns the rows of a table that changed after the revision
 	// since, oldest change first, and the store's revision. It returns as soon
-	// as there is a change, or without rows after wait. It returns
+	// as there is a change, or without rows after maxWait. It returns
 	// ErrHistoryLost when the changes are no longer available.
-	ChangesSince(ctx context.Context, t Table, since uint64, wait time.Duration) ([]Row, uint64, error)
-	// Decode returns the change that a row describes, or ErrUnusedRow. For a
-	// server's row that cannot be decoded it returns both the error and a Change that
-	// removes the server.
+	ChangesSince(ctx context.Context, t Table, since uint64, maxWait time.Duration) ([]Row, uint64, error)
+	// Decode returns the change that a row describes, or ErrUnusedRow. If a
+	// server's row cannot be decoded, it returns both the error and a Change
+	// that removes the server.
 	Decode(t Table, r Row, now time.Time) (Change, error)
 }
--- a/version/catalog/types.go
+++ b/version/catalog/types.go
@@ -73,7 +73,7 @@
 	// HealthPath is the path of the servers' health check.
 	HealthPath string
 	// MaxConnections is the maximum number of connections that one server
-	// accepts from all its clients together.
+	// accepts from all clients together.
 	MaxConnections int
 	// ColdDuration is the length of the cold period after a server's start.
 	ColdDuration time.Duration
@@ -103,8 +103,8 @@
 	PromptTokensPerSecond float64
 	// StepsPerPass is the number of token steps in one pass of the engine.
 	StepsPerPass int
-	// MeanPromptTokens and MeanAnswerTokens are the mean numbers of tokens in a
-	// prompt and in a response.
+	// MeanPromptTokens is the mean number of tokens in a prompt, and
+	// MeanAnswerTokens the mean number in a response.
 	MeanPromptTokens, MeanAnswerTokens int
 	// LayerCount is the number of layers of the model.
 	LayerCount int
@@ -118,11 +118,11 @@
 
 // Origin is the server from which weights are downloaded.
 type Origin struct {
-	// Addr is its address, "ip:port".
+	// Addr is the server's address, "ip:port".
 	Addr string
-	// DataCentre is the name of its data centre.
+	// DataCentre is the name of the server's data centre.
 	DataCentre string
-	// BytesPerSecond is the capacity of its network link.
+	// BytesPerSecond is the capacity of the server's network link.
 	BytesPerSecond int64
 }
 
@@ -141,8 +141,8 @@
 
 // Limits are the limits on what clients may send.
 type Limits struct {
-	// HeaderBytes and BodyBytes are the maximum sizes of a request's header
-	// and body.
+	// HeaderBytes is the maximum size of a request's header, and BodyBytes the
+	// maximum size of its body.
 	HeaderBytes, BodyBytes int64
 	// HeaderTimeout is the maximum time for reading a request's header.
 	HeaderTimeout time.Duration
@@ -173,9 +173,9 @@
 	ID string
 	// Service is the name of the service to which the server belongs.
 	Service string
-	// Addr is its address, "ip:port".
+	// Addr is the server's address, "ip:port".
 	Addr string
-	// DataCentre is the name of its data centre.
+	// DataCentre is the name of the server's data centre.
 	DataCentre string
 	// Slots is the maximum number of requests that the server runs at once.
 	Slots int
@@ -185,8 +185,8 @@
 	ColdUntil time.Time
 	// StartUnixMs is the server's start time, in Unix milliseconds.
 	StartUnixMs int64
-	// LoadedVersions maps each model to the version of which the server holds
-	// every layer.
+	// LoadedVersions maps each model to the version whose layers the server holds
+	// completely.
 	LoadedVersions map[string]int
 }
 
@@ -196,19 +196,19 @@
 	Model string
 	// Version is the version number, from 1.
 	Version int
-	// DeclaredAt is the time at which this process received the declaration, or
-	// the earlier time at which another process did.
+	// DeclaredAt is the time at which this process or, if earlier, another
+	// process received the declaration.
 	DeclaredAt time.Time
-	// Estimated reports whether DeclaredAt is only an estimate, because the version
-	// was declared before this process started.
-	Estimated bool
+	// DeclaredAtEstimated reports whether DeclaredAt is only an estimate, because
+	// the version was declared before this process started.
+	DeclaredAtEstimated bool
 	// EarlierVersions are the versions that were declared earlier, newest first.
 	EarlierVersions []Weights
 }
 
-// MinVersion returns the oldest version that may still be used at now. A version
-// becomes required once dueAfter has passed since its declaration. MinVersion
-// returns 0 when no version is required yet.
+// MinVersion returns the oldest version that may still be used at now. Once dueAfter
+// has passed since the declaration of a version, older versions may no longer be
+// used. MinVersion returns 0 when that has not happened for any version yet.
 func (w Weights) MinVersion(now time.Time, dueAfter time.Duration) int {
 	if now.Sub(w.DeclaredAt) >= dueAfter {
 		return w.Version
--- a/version/catalog/weights_test.go
+++ b/version/catalog/weights_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestEachDeclaredVersionCountsFromItsOwnTime(t *testing.T) {
-	Convey("A version declared 2 s after another does not delay when the first becomes required", t, func() {
+	Convey("A version declared 2 s after another does not change the time at which the first becomes required", t, func() {
 		h := NewHolder(eventlog.Discard())
 		start := time.Now()
 		declare := func(version int, after time.Duration) {
@@ -26,13 +26,13 @@
 	})
 }
 
-// A process can only estimate when the versions before its start were declared,
-// until other processes report when they received the declarations.
+// A process can only estimate when versions were declared before it started, until
+// other processes report when they received the declarations.
 func TestRestartedProcessLearnsVersionAges(t *testing.T) {
 	Convey("A process that starts after two declarations takes their times from other processes", t, func() {
 		h := NewHolder(eventlog.Discard())
 		now := time.Now()
-		estimated := &Weights{Model: "herbs", Version: 3, DeclaredAt: now.Add(-4 * time.Second), Estimated: true}
+		estimated := &Weights{Model: "herbs", Version: 3, DeclaredAt: now.Add(-4 * time.Second), DeclaredAtEstimated: true}
 		h.Apply([]Change{{Weights: estimated}}, true, false, now)
 		h.MergeWeights(Weights{Model: "herbs", Version: 2, DeclaredAt: now.Add(-7 * time.Second)}, now)
 		h.MergeWeights(Weights{Model: "herbs", Version: 3, DeclaredAt: now.Add(-5 * time.Second)}, now)
@@ -43,8 +43,8 @@
 }
 
 // A process that was paused while versions were declared reads them late and all
-// at once, so that their declaration times are too late until other processes report
-// earlier ones.
+// at once, so that it records too late declaration times until other processes report
+// earlier times.
 func TestPausedProcessLearnsVersionAges(t *testing.T) {
 	Convey("A process that reads two versions late takes their times from other processes", t, func() {
 		h := NewHolder(eventlog.Discard())
