--- a/version/declare/collection.go
+++ b/version/declare/collection.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// Kind is a kind of object, as written in the kind field of a document.
+// Kind is a kind of object, as written in the field "kind" of a document.
 type Kind string
 
 // The kinds of objects.
@@ -24,7 +24,7 @@
 	Name string `json:"name"`
 }
 
-// String returns the kind and the name.
+// String returns the kind and the name, separated by a space.
 func (r Ref) String() string { return string(r.Kind) + " " + r.Name }
 
 // collection gives access to the objects of one kind in a set, so that parsing,
@@ -82,7 +82,7 @@
 	collectionOf(KindService, func(s *Set) *map[string]*Service { return &s.Services }),
 }
 
-// collectionFor returns the collection of a kind.
+// collectionFor returns the collection of a kind, and whether the kind exists.
 func collectionFor(kind Kind) (collection, bool) {
 	for _, c := range collections {
 		if c.kind == kind {
@@ -92,7 +92,7 @@
 	return collection{}, false
 }
 
-// sortedNames returns the keys of m in order.
+// sortedNames returns the keys of m in ascending order.
 func sortedNames[T any](m map[string]T) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
--- a/version/declare/delta.go
+++ b/version/declare/delta.go
@@ -25,7 +25,7 @@
 	Services       map[string]*Service       `cbor:"7,keyasint,omitempty"`
 }
 
-// EncodeDelta returns the encoded delta with which ApplyDelta turns old into new.
+// EncodeDelta returns the encoded delta from old to new.
 func EncodeDelta(old, new *Set) ([]byte, error) {
 	put := NewSet()
 	remove := map[Kind][]string{}
@@ -44,10 +44,10 @@
 	return body, nil
 }
 
-// ApplyDelta applies an encoded delta to old and returns the resulting set,
-// without changing old. It returns ErrDigestMismatch if the result does not have
-// the digest want.
-func ApplyDelta(old *Set, body []byte, want core.Digest) (*Set, error) {
+// ApplyDelta applies an encoded delta to old and returns the resulting set, without
+// changing old. It returns ErrDigestMismatch if the digest of the result differs
+// from expected.
+func ApplyDelta(old *Set, body []byte, expected core.Digest) (*Set, error) {
 	if len(body) > MaxEncodedBytes {
 		return nil, errors.Errorf("apply difference: %d bytes, more than %d", len(body), MaxEncodedBytes)
 	}
@@ -72,8 +72,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if got != want {
-		return nil, errors.Wrapf(ErrDigestMismatch, "apply difference: got %s, want %s", got.Short(), want.Short())
+	if got != expected {
+		return nil, errors.Wrapf(ErrDigestMismatch, "apply difference: got %s, want %s", got.Short(), expected.Short())
 	}
 	return set, nil
 }
--- a/version/declare/diff.go
+++ b/version/declare/diff.go
@@ -26,9 +26,9 @@
 	New string `json:"new"`
 }
 
-// Change is the difference of one object between two sets.
+// Change describes how one object differs between two sets.
 type Change struct {
-	// Action reports whether the object is added, removed or changed.
+	// Action is the effect on the object.
 	Action Action `json:"action"`
 	// Ref identifies the object.
 	Ref
@@ -69,7 +69,7 @@
 	return changes
 }
 
-// diffKind returns the changes of one kind.
+// diffKind returns the changes to the objects of one kind.
 func diffKind(c collection, old, new *Set) []Change {
 	var changes []Change
 	for _, name := range c.names(old) {
--- a/version/declare/encode.go
+++ b/version/declare/encode.go
@@ -11,11 +11,12 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// MaxEncodedBytes is the size of the largest encoding that Decode and ApplyDelta
-// accept, in bytes.
+// MaxEncodedBytes is the maximum size, in bytes, of the encodings that Decode and
+// ApplyDelta accept.
 const MaxEncodedBytes = 8 << 20
 
-// ErrDigestMismatch is returned when content does not have the expected digest.
+// ErrDigestMismatch is returned when an encoding or a set does not have the expected
+// digest.
 var ErrDigestMismatch = errors.New("digest does not match")
 
 var (
@@ -23,8 +24,8 @@
 	decMode = newDecMode()
 )
 
-// newEncMode returns the options of the canonical encoding, in which equal sets
-// give equal bytes.
+// newEncMode returns the mode of the canonical encoding, in which equal sets give
+// equal bytes.
 func newEncMode() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -33,8 +34,8 @@
 	return mode
 }
 
-// newDecMode returns decoding options that bound the time and memory that a
-// malicious encoding can take.
+// newDecMode returns a decoding mode that limits the time and the memory that
+// decoding a malicious encoding can take.
 func newDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -50,7 +51,7 @@
 	return mode
 }
 
-// Encode returns the canonical encoding of s and its digest.
+// Encode returns the canonical encoding of s, and the digest of the encoding.
 func Encode(s *Set) ([]byte, core.Digest, error) {
 	body, err := encMode.Marshal(s.Clone())
 	if err != nil {
@@ -59,14 +60,14 @@
 	return body, core.DigestOf(body), nil
 }
 
-// Decode verifies that body has the digest want and decodes body. It returns
-// ErrDigestMismatch if the digest differs.
-func Decode(body []byte, want core.Digest) (*Set, error) {
+// Decode decodes an encoded set. It returns ErrDigestMismatch if the digest of body
+// differs from expected.
+func Decode(body []byte, expected core.Digest) (*Set, error) {
 	if len(body) > MaxEncodedBytes {
 		return nil, errors.Errorf("decode declarations: %d bytes, more than %d", len(body), MaxEncodedBytes)
 	}
-	if !want.Matches(body) {
-		return nil, errors.Wrapf(ErrDigestMismatch, "decode declarations %s", want.Short())
+	if !expected.Matches(body) {
+		return nil, errors.Wrapf(ErrDigestMismatch, "decode declarations %s", expected.Short())
 	}
 	s := NewSet()
 	if err := decMode.Unmarshal(body, s); err != nil {
@@ -92,7 +93,7 @@
 }
 
 // EncodeYAML encodes the set as YAML, with one document for each object, ordered
-// by kind and name. Equal sets give equal bytes, and Parse returns the same set.
+// by kind and name. Equal sets give equal bytes, and Parse restores the same set.
 func EncodeYAML(s *Set) ([]byte, error) {
 	var out bytes.Buffer
 	for _, c := range collections {
--- a/version/declare/fields.go
+++ b/version/declare/fields.go
@@ -9,12 +9,12 @@
 	"gopkg.in/yaml.v3"
 )
 
-// objectDecoder decodes the fields of one object and collects every problem.
-// Unknown and repeated fields are problems.
+// objectDecoder decodes the fields of one object and collects every problem. A field
+// that is unknown or given twice is a problem.
 type objectDecoder struct {
 	file string
 	ref  Ref
-	// lines maps each field to its line.
+	// lines maps the name of each field to the number of its line.
 	lines    map[string]int
 	problems []Problem
 }
@@ -31,10 +31,10 @@
 	})
 }
 
-// decodeMapping decodes a mapping into the struct that target points to. prefix
-// is put before the names of fields in problems. top is true for the document
-// itself, the only mapping that may have the field kind.
-func (d *objectDecoder) decodeMapping(node *yaml.Node, target any, prefix string, top bool) {
+// decodeMapping decodes a mapping into the struct that target points to. In problems,
+// prefix is put before the names of the fields. isDocument is true for the mapping of
+// the document itself, the only mapping that may have a field named "kind".
+func (d *objectDecoder) decodeMapping(node *yaml.Node, target any, prefix string, isDocument bool) {
 	if node.Kind != yaml.MappingNode {
 		d.addProblem(node.Line, strings.TrimSuffix(prefix, "."), "want fields, got "+describeNode(node))
 		return
@@ -49,7 +49,7 @@
 			continue
 		}
 		seen[key.Value] = true
-		if top && key.Value == "kind" {
+		if isDocument && key.Value == "kind" {
 			continue
 		}
 		d.lines[name] = key.Line
@@ -62,7 +62,8 @@
 	}
 }
 
-// decodeValue decodes one value into field.
+// decodeValue decodes one value into field. name is the name of the field in
+// problems.
 func (d *objectDecoder) decodeValue(node *yaml.Node, field reflect.Value, name string) {
 	switch field.Kind() {
 	case reflect.Slice:
@@ -112,8 +113,8 @@
 	}
 }
 
-// expectedType returns the description of a kind of value for problems, and its YAML
-// tag.
+// expectedType returns the description of a kind of value, as used in problems, and
+// the YAML tag of such a value.
 func expectedType(kind reflect.Kind) (description, tag string) {
 	switch kind {
 	case reflect.Bool:
@@ -125,7 +126,7 @@
 	}
 }
 
-// describeNode returns a description of the value of a node for problems.
+// describeNode returns a description of the value of a node, as used in problems.
 func describeNode(node *yaml.Node) string {
 	switch node.Kind {
 	case yaml.MappingNode:
@@ -137,7 +138,8 @@
 	}
 }
 
-// fieldByTag returns the field of a struct whose YAML tag has the given name.
+// fieldByTag returns the field of a struct whose YAML tag has the given name, and
+// whether there is such a field.
 func fieldByTag(value reflect.Value, name string) (reflect.Value, bool) {
 	for i := range value.NumField() {
 		tag, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("yaml"), ",")
--- a/version/declare/fuzz_test.go
+++ b/version/declare/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// hostileInputs are inputs of kinds that have broken YAML parsers before.
+// hostileInputs are inputs of the kinds on which YAML parsers have failed before.
 var hostileInputs = []string{
 	"",
 	"kind: Region\nname: r\n",
@@ -28,8 +28,8 @@
 	"\xff\xfe\x00k",
 }
 
-// FuzzCheck checks that no text crashes Check, that the number and length of the
-// problems are bounded, and that a set without problems is the same set after
+// FuzzCheck checks that no text makes Check panic, that the number of problems and
+// the length of each are limited, and that a set without problems is unchanged after
 // encoding and decoding.
 func FuzzCheck(f *testing.F) {
 	f.Add(validYAML)
@@ -81,10 +81,10 @@
 	}
 }
 
-// unusedDigest is a digest that no set has.
+// unusedDigest is the digest of bytes that are not the encoding of a set.
 var unusedDigest = core.DigestOf([]byte("no set"))
 
-// FuzzDecode checks that no input crashes Decode or ApplyDelta, and that
+// FuzzDecode checks that no input makes Decode or ApplyDelta panic, and that
 // ApplyDelta refuses a result with another digest than expected.
 func FuzzDecode(f *testing.F) {
 	parsed, _ := Parse(oneFile(validYAML))
--- a/version/declare/objects.go
+++ b/version/declare/objects.go
@@ -1,5 +1,5 @@
-// Package declare defines the objects that operators declare, parses them from
-// YAML, and validates, compares and encodes whole sets of objects.
+// Package declare defines the objects that operators declare, parses them from YAML,
+// and validates, compares and encodes complete sets of objects.
 package declare
 
 import "github.com/rattanway/rattanway/core"
@@ -14,7 +14,7 @@
 	LinkBytesPerSecond int64 `yaml:"linkBytesPerSecond,omitempty" json:"linkBytesPerSecond,omitempty"`
 }
 
-// DataCentre is one data centre.
+// DataCentre is a data centre in which backend servers run.
 type DataCentre struct {
 	// Name identifies the data centre.
 	Name string `yaml:"name" json:"name"`
@@ -53,7 +53,7 @@
 // BackendServer is a server that runs a model engine or a plain service, with an
 // agent beside it.
 type BackendServer struct {
-	// Name identifies the server; the instance of its agent has the same ID.
+	// Name identifies the server; the server's agent has the same instance ID.
 	Name string `yaml:"name" json:"name"`
 	// DataCentre is the name of the DataCentre in which the server runs.
 	DataCentre string `yaml:"dataCentre" json:"dataCentre"`
--- a/version/declare/parse.go
+++ b/version/declare/parse.go
@@ -90,18 +90,18 @@
 
 // ParseResult is the result of parsing files.
 type ParseResult struct {
-	// Set holds the objects.
+	// Set holds the objects that were parsed without a problem.
 	Set *Set
 	// Positions holds the positions of the objects in the files.
 	Positions Positions
 }
 
-// parser collects the objects and problems of all files. file is the path of the
-// file that is being parsed.
+// parser collects the objects and problems of all files.
 type parser struct {
 	parsed   ParseResult
 	problems []Problem
-	file     string
+	// file is the path of the file that is being parsed.
+	file string
 }
 
 // Parse parses the documents of files. It returns all problems of syntax, type
@@ -109,10 +109,10 @@
 // objects.
 func Parse(files []File) (ParseResult, []Problem) {
 	p := &parser{parsed: ParseResult{Set: NewSet(), Positions: Positions{}}}
-	total := 0
+	totalBytes := 0
 	for _, f := range files {
-		total += len(f.Body)
-		if total > MaxTotalBytes {
+		totalBytes += len(f.Body)
+		if totalBytes > MaxTotalBytes {
 			p.file = f.Name
 			p.addProblem(1, fmt.Sprintf("the files together are larger than %d bytes", MaxTotalBytes))
 			break
@@ -135,7 +135,7 @@
 	return parsed, parsed.Positions.Locate(Validate(parsed.Set))
 }
 
-// addProblem adds a problem of the current file that belongs to no object.
+// addProblem adds a problem in the current file that does not belong to an object.
 func (p *parser) addProblem(line int, message string) {
 	p.problems = append(p.problems, Problem{File: p.file, Line: line, Message: message})
 }
@@ -150,7 +150,7 @@
 	decoder := yaml.NewDecoder(bytes.NewReader(f.Body))
 	for {
 		var doc yaml.Node
-		err := decode(decoder, &doc)
+		err := decodeDocument(decoder, &doc)
 		if errors.Is(err, io.EOF) {
 			return
 		}
@@ -162,9 +162,9 @@
 	}
 }
 
-// decode decodes the next document. It turns panics into errors, because the YAML
-// library panics on some malformed input.
-func decode(d *yaml.Decoder, doc *yaml.Node) (err error) {
+// decodeDocument decodes the next document. It turns panics into errors, because the
+// YAML library panics on some malformed input.
+func decodeDocument(d *yaml.Decoder, doc *yaml.Node) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = errors.Errorf("yaml: malformed: %v", r)
@@ -215,8 +215,8 @@
 	p.parseObject(node, c, name)
 }
 
-// parseObject parses the fields of one object and adds the object to the set if it
-// has no problem.
+// parseObject parses the fields of one object, and adds the object to the set if the
+// object has no problem.
 func (p *parser) parseObject(node *yaml.Node, c collection, name string) {
 	d := &objectDecoder{file: p.file, ref: Ref{Kind: c.kind, Name: name}, lines: map[string]int{}}
 	object := c.newObject()
@@ -285,7 +285,8 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// nameProblem returns a message if a name is not valid, or "" if it is valid.
+// nameProblem returns a message for a problem if a name is not valid, or "" if the
+// name is valid.
 func nameProblem(name string) string {
 	if name == "" {
 		return "missing"
--- a/version/declare/problem.go
+++ b/version/declare/problem.go
@@ -16,7 +16,8 @@
 	Kind Kind `json:"kind,omitempty"`
 	// Name is the object's name; empty if the name could not be read.
 	Name string `json:"name,omitempty"`
-	// Field is the field's name in the document.
+	// Field is the field's name in the document; empty if the problem does not
+	// belong to a field.
 	Field string `json:"field,omitempty"`
 	// Message describes the fault and the expected value.
 	Message string `json:"why"`
@@ -38,8 +39,8 @@
 	return b.String()
 }
 
-// InvalidError is returned when a set of declarations is refused because it has
-// problems.
+// InvalidError is returned when a set of declarations is refused because of problems
+// in the set.
 type InvalidError struct {
 	// Problems lists the problems found.
 	Problems []Problem
@@ -61,15 +62,15 @@
 	File string
 	// Line is the line of the document's first field.
 	Line int
-	// Fields maps each field to its line.
+	// Fields maps the name of each field to the number of its line.
 	Fields map[string]int
 }
 
 // Positions maps the objects of a set to their positions in the files.
 type Positions map[Ref]Position
 
-// Locate returns a copy of problems, with their files and lines filled in and
-// sorted by file and line.
+// Locate returns a copy of problems with the files and lines filled in, sorted by file
+// and line.
 func (p Positions) Locate(problems []Problem) []Problem {
 	located := make([]Problem, len(problems))
 	for i, problem := range problems {
@@ -79,7 +80,7 @@
 	return located
 }
 
-// locate returns problem with its file and line filled in, if they are known.
+// locate returns problem with the file and line filled in, if these are known.
 func (p Positions) locate(problem Problem) Problem {
 	position, ok := p[Ref{Kind: problem.Kind, Name: problem.Name}]
 	if !ok || problem.File != "" {
@@ -113,8 +114,8 @@
 	})
 }
 
-// shorten truncates a text from untrusted input, so that it fits into one line of
-// a message.
+// shorten truncates a text from untrusted input, so that the text fits into one line
+// of a message.
 func shorten(s string) string {
 	const maxBytes = 80
 	if len(s) <= maxBytes {
--- a/version/declare/validate.go
+++ b/version/declare/validate.go
@@ -10,14 +10,14 @@
 // maxPriority is the highest priority of a call.
 const maxPriority = 9
 
-// validator checks one set and collects its problems.
+// validator checks one set and collects the problems of the set.
 type validator struct {
 	set      *Set
 	problems []Problem
 }
 
-// Validate checks a complete set, including the references between objects, and
-// returns its problems, up to MaxProblems.
+// Validate checks a complete set, including the references between objects. It
+// returns at most MaxProblems problems.
 func Validate(s *Set) []Problem {
 	v := &validator{set: s}
 	v.checkNames()
@@ -35,9 +35,9 @@
 	return v.problems
 }
 
-// ValidateChange returns the problems of Validate(new), and a problem for each
-// version of a model in old that new removes while it keeps the model: servers
-// use the previous version until they have loaded the next.
+// ValidateChange returns the problems of Validate(new), and a problem for each model
+// that is in both sets if new lacks the version that the model has in old. Servers use
+// the previous version of a model until they have loaded the next.
 func ValidateChange(old, new *Set) []Problem {
 	problems := Validate(new)
 	for _, name := range sortedNames(old.Models) {
@@ -60,18 +60,18 @@
 	v.problems = append(v.problems, Problem{Kind: kind, Name: name, Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-// checkReference adds a problem if the value of a field is not the name of an
-// object of the kind target. It reports whether the reference is valid.
-func (v *validator) checkReference(kind Kind, name, field string, target Kind, targetName string) bool {
+// checkReference adds a problem if targetName, the value of a field, is not the name
+// of an object of targetKind. It reports whether the reference is valid.
+func (v *validator) checkReference(kind Kind, name, field string, targetKind Kind, targetName string) bool {
 	if targetName == "" {
-		v.addProblem(kind, name, field, "missing; want the name of a %s", target)
+		v.addProblem(kind, name, field, "missing; want the name of a %s", targetKind)
 		return false
 	}
-	c, _ := collectionFor(target)
+	c, _ := collectionFor(targetKind)
 	if c.get(v.set, targetName) != nil {
 		return true
 	}
-	v.addProblem(kind, name, field, "there is no %s %q", target, shorten(targetName))
+	v.addProblem(kind, name, field, "there is no %s %q", targetKind, shorten(targetName))
 	return false
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// checkNames checks the name of each object.
+// checkNames checks that the name of each object is well-formed.
 func (v *validator) checkNames() {
 	for _, c := range collections {
 		for _, name := range c.names(v.set) {
@@ -100,21 +100,22 @@
 	}
 }
 
-// checkRegions checks the regions.
+// checkRegions checks the link bandwidth of each region.
 func (v *validator) checkRegions() {
 	for _, name := range sortedNames(v.set.Regions) {
 		v.checkMinimum(KindRegion, name, "linkBytesPerSecond", v.set.Regions[name].LinkBytesPerSecond, 0)
 	}
 }
 
-// checkDataCentres checks the data centres.
+// checkDataCentres checks that the region of each data centre is declared.
 func (v *validator) checkDataCentres() {
 	for _, name := range sortedNames(v.set.DataCentres) {
 		v.checkReference(KindDataCentre, name, "region", KindRegion, v.set.DataCentres[name].Region)
 	}
 }
 
-// checkModels checks the models.
+// checkModels checks the version, the number of replicas and the data centres of each
+// model.
 func (v *validator) checkModels() {
 	for _, name := range sortedNames(v.set.Models) {
 		m := v.set.Models[name]
@@ -126,7 +127,7 @@
 	}
 }
 
-// checkOwnVersion adds a problem if the version of a model belongs to another
+// checkOwnVersion adds a problem if the declared version of model m belongs to another
 // model.
 func (v *validator) checkOwnVersion(m *Model) {
 	version := v.set.Versions[m.Version]
@@ -182,7 +183,7 @@
 	return false
 }
 
-// checkVersions checks the versions.
+// checkVersions checks the model, the manifest digest and the base of each version.
 func (v *validator) checkVersions() {
 	for _, name := range sortedNames(v.set.Versions) {
 		version := v.set.Versions[name]
@@ -194,8 +195,8 @@
 	}
 }
 
-// checkBaseCycle adds a problem if following the bases of a version leads back to
-// the version.
+// checkBaseCycle adds a problem if the chain of bases that begins with start leads
+// back to start.
 func (v *validator) checkBaseCycle(start *Version) {
 	path := []string{start.Name}
 	seen := map[string]bool{start.Name: true}
@@ -215,7 +216,8 @@
 	}
 }
 
-// checkBackendServers checks the backend servers.
+// checkBackendServers checks the data centre, the service, the limits and the number
+// of slots of each backend server.
 func (v *validator) checkBackendServers() {
 	for _, name := range sortedNames(v.set.BackendServers) {
 		b := v.set.BackendServers[name]
@@ -232,7 +234,8 @@
 	}
 }
 
-// checkClientAccounts checks the client accounts.
+// checkClientAccounts checks the key, the share and the limits of each client account.
+// Two accounts must not have the same key.
 func (v *validator) checkClientAccounts() {
 	accountByKey := map[core.Digest]string{}
 	for _, name := range sortedNames(v.set.ClientAccounts) {
@@ -251,7 +254,8 @@
 	}
 }
 
-// checkServices checks the plain services.
+// checkServices checks that each plain service has routes, and that the routes are
+// well-formed and distinct.
 func (v *validator) checkServices() {
 	for _, name := range sortedNames(v.set.Services) {
 		s := v.set.Services[name]
@@ -271,12 +275,12 @@
 	}
 }
 
-// methods are the HTTP methods that a route may have.
-var methods = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true, "OPTIONS": true}
+// allowedMethods are the HTTP methods that a route may have.
+var allowedMethods = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true, "OPTIONS": true}
 
-// checkRoute checks one route of a service.
+// checkRoute checks the method and the path of one route of a service.
 func (v *validator) checkRoute(service, field string, r Route) {
-	if !methods[r.Method] {
+	if !allowedMethods[r.Method] {
 		v.addProblem(KindService, service, field+".method", "want an HTTP method in capitals, got %q", shorten(r.Method))
 	}
 	if !strings.HasPrefix(r.Path, "/") {
@@ -287,25 +291,25 @@
 // checkCapacity checks that the servers can hold all replicas of the models, and
 // that no account may have more concurrent calls than the servers can run.
 // Servers that are leaving or whose data centre is out of service count as
-// available, so that a drain is never refused because of the capacity that it
-// takes away temporarily.
+// available, so that a drain is never refused because it takes capacity away
+// temporarily.
 func (v *validator) checkCapacity() {
-	replicas, slots, totalLimit := 0, 0, 0
+	replicaCount, slotCount, totalLimit := 0, 0, 0
 	for _, b := range v.set.BackendServers {
 		totalLimit += b.Limit
 		if b.Service == "" {
-			slots += max(b.Slots, 1)
+			slotCount += max(b.Slots, 1)
 		}
 	}
 	for _, name := range sortedNames(v.set.Models) {
 		m := v.set.Models[name]
-		replicas += m.Replicas
-		if engines := v.countEngines(m); m.Replicas > engines {
-			v.addProblem(KindModel, name, "replicas", "%d replicas, but %d model engines in its data centres", m.Replicas, engines)
+		replicaCount += m.Replicas
+		if engineCount := v.countEngines(m); m.Replicas > engineCount {
+			v.addProblem(KindModel, name, "replicas", "%d replicas, but %d model engines in its data centres", m.Replicas, engineCount)
 			continue
 		}
-		if replicas > slots {
-			v.addProblem(KindModel, name, "replicas", "%d replicas with those of the models before it, but %d slots in all", replicas, slots)
+		if replicaCount > slotCount {
+			v.addProblem(KindModel, name, "replicas", "%d replicas with those of the models before it, but %d slots in all", replicaCount, slotCount)
 		}
 	}
 	for _, name := range sortedNames(v.set.ClientAccounts) {
--- a/version/declare/validate_test.go
+++ b/version/declare/validate_test.go
@@ -7,10 +7,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// edit is a text replacement in the valid declarations.
+// edit is a text replacement in validYAML.
 type edit struct{ from, to string }
 
-// validWith returns the valid declarations after applying edits.
+// validWith returns validYAML after applying edits.
 func validWith(edits ...edit) string {
 	text := validYAML
 	for _, e := range edits {
@@ -20,7 +20,8 @@
 	return text
 }
 
-// adapterDocument returns the document of a version whose base is the given version.
+// adapterDocument returns the YAML document of a version of model herbs with the given
+// base.
 func adapterDocument(name, base string) string {
 	return "---\nkind: Version\nname: " + name + "\nmodel: herbs\nmanifest: " + string(digestA) + "\nbase: " + base + "\n"
 }
@@ -29,8 +30,10 @@
 	for _, c := range []struct {
 		name  string
 		edits []edit
-		extra string
-		want  []string
+		// appendedYAML is added to validYAML after the edits.
+		appendedYAML string
+		// want holds a part of each expected problem.
+		want []string
 	}{
 		{
 			name:  "dangling references",
@@ -50,14 +53,14 @@
 			},
 		},
 		{
-			name:  "a version of another model",
-			edits: []edit{{"model: herbs", "model: spices"}},
-			extra: "---\nkind: Model\nname: spices\nversion: herbs-1\nreplicas: 1\n",
-			want:  []string{`all.yaml:15: Model "herbs": version: Version "herbs-1" belongs to Model "spices"`, `Model "spices": replicas: 3 replicas with those`},
+			name:         "a version of another model",
+			edits:        []edit{{"model: herbs", "model: spices"}},
+			appendedYAML: "---\nkind: Model\nname: spices\nversion: herbs-1\nreplicas: 1\n",
+			want:         []string{`all.yaml:15: Model "herbs": version: Version "herbs-1" belongs to Model "spices"`, `Model "spices": replicas: 3 replicas with those`},
 		},
 		{
-			name:  "circular bases",
-			extra: adapterDocument("a", "b") + adapterDocument("b", "c") + adapterDocument("c", "a") + adapterDocument("d", "c"),
+			name:         "circular bases",
+			appendedYAML: adapterDocument("a", "b") + adapterDocument("b", "c") + adapterDocument("c", "a") + adapterDocument("d", "c"),
 			want: []string{
 				`Version "a": base: circular: a -> b -> c -> a`,
 				`Version "b": base: circular: b -> c -> a -> b`,
@@ -75,9 +78,9 @@
 			want:  []string{`all.yaml:16: Model "herbs": replicas: 2 replicas, but 1 model engines in its data centres`},
 		},
 		{
-			name:  "replicas of all models together over capacity",
-			extra: "---\nkind: Model\nname: spices\nversion: spices-1\nreplicas: 1\n---\nkind: Version\nname: spices-1\nmodel: spices\nmanifest: " + string(digestB) + "\n",
-			want:  []string{`all.yaml:59: Model "spices": replicas: 3 replicas with those of the models before it, but 2 slots in all`},
+			name:         "replicas of all models together over capacity",
+			appendedYAML: "---\nkind: Model\nname: spices\nversion: spices-1\nreplicas: 1\n---\nkind: Version\nname: spices-1\nmodel: spices\nmanifest: " + string(digestB) + "\n",
+			want:         []string{`all.yaml:59: Model "spices": replicas: 3 replicas with those of the models before it, but 2 slots in all`},
 		},
 		{
 			name:  "the only data centre of a model taken out",
@@ -125,14 +128,14 @@
 			want:  []string{`all.yaml:21: Version "herbs-1": manifest: digest`, `all.yaml:44: ClientAccount "grower": keyHash: digest`},
 		},
 		{
-			name:  "two accounts with one key",
-			extra: "---\nkind: ClientAccount\nname: hire\nkeyHash: " + string(digestB) + "\n",
-			want:  []string{`ClientAccount "hire": keyHash: the same key as ClientAccount "grower"`},
+			name:         "two accounts with one key",
+			appendedYAML: "---\nkind: ClientAccount\nname: hire\nkeyHash: " + string(digestB) + "\n",
+			want:         []string{`ClientAccount "hire": keyHash: the same key as ClientAccount "grower"`},
 		},
 		{
-			name:  "malformed, missing and duplicate routes",
-			edits: []edit{{"method: POST\n    path: /register", "method: post\n    path: register"}},
-			extra: "---\nkind: Service\nname: idle\nroutes: []\n---\nkind: Service\nname: twice\nroutes: [{method: GET, path: /x}, {method: GET, path: /x}]\n",
+			name:         "malformed, missing and duplicate routes",
+			edits:        []edit{{"method: POST\n    path: /register", "method: post\n    path: register"}},
+			appendedYAML: "---\nkind: Service\nname: idle\nroutes: []\n---\nkind: Service\nname: twice\nroutes: [{method: GET, path: /x}, {method: GET, path: /x}]\n",
 			want: []string{
 				`Service "lots": routes[0].method: want an HTTP method in capitals, got "post"`,
 				`Service "lots": routes[0].path: want a path that starts with a slash, got "register"`,
@@ -142,7 +145,7 @@
 		},
 	} {
 		Convey("Given "+c.name, t, func() {
-			_, problems := Check(oneFile(validWith(c.edits...) + c.extra))
+			_, problems := Check(oneFile(validWith(c.edits...) + c.appendedYAML))
 			got := problemText(problems)
 			for _, want := range c.want {
 				So(got, ShouldContainSubstring, want)
