--- a/version/manifest/manifest.go
+++ b/version/manifest/manifest.go
@@ -23,7 +23,8 @@
 
 // File describes one file of a model and the chunks that make up its content.
 type File struct {
-	// Path is the slash-separated path relative to the model's folder.
+	// Path is the slash-separated path of the file, relative to the model's
+	// folder.
 	Path string `cbor:"1,keyasint" json:"path"`
 	// Size is the file's length in bytes.
 	Size int64 `cbor:"2,keyasint" json:"size"`
@@ -40,8 +41,8 @@
 	Files []File `cbor:"2,keyasint" json:"files"`
 }
 
-// Chunks returns each distinct chunk once, in the order in which the chunks first
-// appear.
+// Chunks returns each distinct chunk of the files once, in the order in which the
+// chunks first appear.
 func (m *Manifest) Chunks() []Chunk {
 	var all []Chunk
 	seen := map[core.Digest]bool{}
@@ -66,7 +67,7 @@
 	return size
 }
 
-// Encode returns the canonical CBOR encoding of m and the digest of the encoding.
+// Encode returns the canonical CBOR encoding of m, and the digest of the encoding.
 func (m *Manifest) Encode() ([]byte, core.Digest, error) {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
--- a/version/manifest/split.go
+++ b/version/manifest/split.go
@@ -13,7 +13,7 @@
 // chunk, in the order in which the chunks first appear. It may retain body.
 type EmitFunc func(c Chunk, body []byte) error
 
-// Split cuts every regular file of fsys into chunks, calls emit for each distinct
+// Split cuts every regular file of fsys into chunks, calls emit once for each distinct
 // chunk, and returns the manifest. chunkBytes is the size of a chunk in bytes; 0
 // means DefaultChunkBytes. base is the manifest digest of the base version of an
 // adapter, and empty for a full model. Split itself holds one chunk in memory at a
@@ -49,14 +49,16 @@
 	return m, nil
 }
 
-// splitter is the state that one call of Split uses for all files.
+// splitter is the state of one call of Split.
 type splitter struct {
 	chunkBytes int64
 	emit       EmitFunc
-	emitted    map[core.Digest]bool
+	// emitted holds the digests of the chunks emitted so far, from all files.
+	emitted map[core.Digest]bool
 }
 
-// splitFile splits one file into chunks and emits those not emitted before.
+// splitFile splits one file into chunks, and emits the chunks that were not emitted
+// before.
 func (s *splitter) splitFile(fsys fs.FS, path string) (File, error) {
 	source, err := fsys.Open(path)
 	if err != nil {
@@ -85,8 +87,9 @@
 	}
 }
 
-// Assemble writes the content of one file to w. get returns the bytes of a chunk,
-// which are verified by digest before they are written.
+// Assemble writes the content of one file to w. get returns the bytes of a chunk.
+// Assemble returns an error, and does not write the bytes, if they do not match the
+// chunk's digest.
 func Assemble(w io.Writer, file File, get func(Chunk) ([]byte, error)) error {
 	for _, c := range file.Chunks {
 		body, err := get(c)
--- a/version/manifest/split_test.go
+++ b/version/manifest/split_test.go
@@ -18,16 +18,16 @@
 			"a.txt":         {Data: []byte("aaaa")},
 		}
 		chunks := map[core.Digest][]byte{}
-		emitted := 0
+		emitCount := 0
 		m, err := Split(fsys, 4, "", func(c Chunk, body []byte) error {
-			emitted++
+			emitCount++
 			chunks[c.Digest] = body
 			return nil
 		})
 		So(err, ShouldBeNil)
 
 		Convey("each distinct chunk is emitted once", func() {
-			So(emitted, ShouldEqual, 3)
+			So(emitCount, ShouldEqual, 3)
 			So(m.Size(), ShouldEqual, 10)
 			So(len(m.Chunks()), ShouldEqual, 3)
 		})
