--- a/version/freshness/freshness.go
+++ b/version/freshness/freshness.go
@@ -10,15 +10,16 @@
 	"github.com/rattanway/rattanway/process/pause"
 )
 
-// confirmTimeout is how long a process waits for a peer or the platform to confirm
-// its configuration. After that time the process assumes that it is cut off
-// from them, and continues with the configuration that it has.
+// confirmTimeout is the longest time that a process waits until a peer or the
+// platform confirms its configuration. After that time the process assumes that the
+// peers and the platform are unreachable, and continues with the configuration that
+// it has.
 const confirmTimeout = 3 * time.Second
 
-// requestInterval is the shortest time between two requests to the peers. Requests
-// are repeated because a peer that was paused as well cannot confirm a
-// configuration at first.
-const requestInterval = 200 * time.Millisecond
+// minRequestInterval is the shortest time between two requests to the peers. Requests
+// are repeated because a peer that was paused as well cannot confirm a configuration
+// at first.
+const minRequestInterval = 200 * time.Millisecond
 
 // Gate decides whether the process may act on its configuration. After the start
 // of the process, and after each pause, the configuration must first be
@@ -26,39 +27,43 @@
 // from a peer that is behind. It is safe for concurrent use.
 type Gate struct {
 	detector *pause.Detector
-	// confirmationAge returns how long ago the configuration was confirmed, or
-	// false if it never was.
+	// confirmationAge returns the time since the configuration was confirmed, or
+	// false if the configuration was never confirmed.
 	confirmationAge func() (time.Duration, bool)
-	// requestConfirmation requests the peers' configuration, which confirms or
-	// replaces the configuration of this process.
+	// requestConfirmation requests the configuration of the peers. A response
+	// confirms or replaces the configuration of this process.
 	requestConfirmation func()
 
 	mu sync.Mutex
-	// acceptedPauses is the number of pauses when the configuration was last
-	// accepted, after a confirmation or confirmTimeout; -1 before the first
-	// time.
-	acceptedPauses int64
-	// observedPauses is the number of pauses at the last call of Fresh, and
-	// waitingSince the time at which the start of the process or the last
-	// pause was observed.
-	observedPauses int64
-	waitingSince   time.Time
-	lastRequest    time.Time
+	// acceptedPauseCount is the number of pauses up to the last time at which
+	// the configuration was accepted, after a confirmation or confirmTimeout;
+	// -1 before the first time.
+	acceptedPauseCount int64
+	// observedPauseCount is the number of pauses up to the last call of Fresh
+	// that observed a new pause.
+	observedPauseCount int64
+	// waitingSince is the time at which the last pause was observed; before the
+	// first pause, the time of New.
+	waitingSince time.Time
+	// lastRequestAt is the time of the last request to the peers; zero if there
+	// was none since waitingSince.
+	lastRequestAt time.Time
 }
 
-// New returns a Gate whose configuration is not confirmed yet. confirmationAge
-// returns how long ago the configuration was confirmed, or false if it never was;
-// requestConfirmation requests a confirmation from the peers.
+// New returns a Gate for a configuration that is not confirmed yet. confirmationAge
+// returns the time since the configuration was confirmed, or false if the
+// configuration was never confirmed. requestConfirmation requests the configuration
+// of the peers.
 func New(detector *pause.Detector, confirmationAge func() (time.Duration, bool), requestConfirmation func()) *Gate {
 	return &Gate{
 		detector: detector, confirmationAge: confirmationAge, requestConfirmation: requestConfirmation,
-		acceptedPauses: -1, waitingSince: time.Now(),
+		acceptedPauseCount: -1, waitingSince: time.Now(),
 	}
 }
 
 // MayConfirmPeers reports whether this process may confirm the configuration of a
-// peer: only if its own configuration has been confirmed since its start and its
-// last pause.
+// peer. It may do so only if its own configuration has been confirmed since the start
+// of the process and since the last pause.
 func (g *Gate) MayConfirmPeers() bool {
 	age, ok := g.confirmationAge()
 	if !ok || !g.Fresh() {
@@ -69,34 +74,36 @@
 	return age < time.Since(g.waitingSince)
 }
 
-// Fresh reports whether the process may act on the configuration now. Until it
-// may, Fresh requests confirmations from the peers in the background.
+// Fresh reports whether the process may act on the configuration now. If not, Fresh
+// requests a confirmation from the peers in the background, unless the last request
+// was less than minRequestInterval ago.
 func (g *Gate) Fresh() bool {
-	pauses := g.detector.PauseCount()
+	pauseCount := g.detector.PauseCount()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if pauses == g.acceptedPauses {
+	if pauseCount == g.acceptedPauseCount {
 		return true
 	}
-	if pauses != g.observedPauses {
-		g.observedPauses = pauses
+	if pauseCount != g.observedPauseCount {
+		g.observedPauseCount = pauseCount
 		g.waitingSince = time.Now()
-		g.lastRequest = time.Time{}
+		g.lastRequestAt = time.Time{}
 	}
-	if time.Since(g.lastRequest) > requestInterval {
-		g.lastRequest = time.Now()
+	if time.Since(g.lastRequestAt) > minRequestInterval {
+		g.lastRequestAt = time.Now()
 		go g.requestConfirmation()
 	}
 	waited := time.Since(g.waitingSince)
 	age, ok := g.confirmationAge()
 	if waited > confirmTimeout || ok && age < waited {
-		g.acceptedPauses = pauses
+		g.acceptedPauseCount = pauseCount
 		return true
 	}
 	return false
 }
 
-// Wait blocks until the process may act on the configuration, or done is closed.
+// Wait blocks until the process may act on the configuration, or until done is
+// closed.
 func (g *Gate) Wait(done <-chan struct{}) {
 	const pollInterval = 10 * time.Millisecond
 	for !g.Fresh() {
--- a/version/freshness/freshness_test.go
+++ b/version/freshness/freshness_test.go
@@ -33,7 +33,7 @@
 			So(gate.Fresh(), ShouldBeTrue)
 			So(gate.MayConfirmPeers(), ShouldBeTrue)
 		})
-		Convey("without a confirmation, it may act on its configuration after a timeout, but may not confirm that of a peer", func() {
+		Convey("without a confirmation, it may act on its configuration after confirmTimeout, but may not confirm that of a peer", func() {
 			gate.waitingSince = gate.waitingSince.Add(-2 * confirmTimeout)
 			So(gate.Fresh(), ShouldBeTrue)
 			So(gate.MayConfirmPeers(), ShouldBeFalse)
