--- a/version/spread/client.go
+++ b/version/spread/client.go
@@ -26,11 +26,11 @@
 
 // Query parameters of requests between agents.
 const (
-	queryVersion = "version"
-	queryTier    = "tier"
-	queryWait    = "wait"
-	queryQueue   = "queue"
-	queryOwners  = "owners"
+	queryVersion     = "version"
+	queryTier        = "tier"
+	queryWait        = "wait"
+	queryWaitForSlot = "queue"
+	queryOwners      = "owners"
 )
 
 // maxObjectBytes is the largest response body that is accepted, in bytes.
@@ -198,7 +198,7 @@
 		query.Set(queryOwners, req.owners)
 	}
 	if req.waitForSlot {
-		query.Set(queryQueue, "1")
+		query.Set(queryWaitForSlot, "1")
 	}
 	u := url.URL{Scheme: "http", Host: addr, Path: req.path(), RawQuery: query.Encode()}
 	httpReq := (&http.Request{Method: http.MethodGet, URL: &u, Host: addr, Header: http.Header{}}).WithContext(ctx)
--- a/version/spread/faults_test.go
+++ b/version/spread/faults_test.go
@@ -77,7 +77,7 @@
 		origin.mu.Unlock()
 
 		Convey("the next owners read its chunks again, within the limit on origin reads", func() {
-			So(fetchWithView(others, agents, d), ShouldBeNil)
+			So(fetchWithPeerList(others, agents, d), ShouldBeNil)
 			So(allHold(others, m), ShouldBeTrue)
 			So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
 		})
@@ -165,7 +165,7 @@
 		d, m := origin.publish(t, "v1", 64)
 		agents := startAgents(t, 10, origin, []string{"r1/a"}, nil)
 		So(fetchAll(agents[:9], d), ShouldBeNil)
-		So(fetchWithView(agents[9:], agents, d), ShouldBeNil)
+		So(fetchWithPeerList(agents[9:], agents, d), ShouldBeNil)
 		So(allHold(agents, m), ShouldBeTrue)
 		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, maxFaultCopies)
 	})
@@ -205,13 +205,13 @@
 		agents := startAgents(t, 12, origin, []string{"r1/a"}, nil)
 		errs := make(chan error, len(agents))
 		for i, a := range agents {
-			var view []*fakeAgent
+			var listed []*fakeAgent
 			for j, other := range agents {
 				if j != (i+1)%len(agents) && j != (i+5)%len(agents) {
-					view = append(view, other)
+					listed = append(listed, other)
 				}
 			}
-			go func() { errs <- fetchWithView([]*fakeAgent{a}, view, d) }()
+			go func() { errs <- fetchWithPeerList([]*fakeAgent{a}, listed, d) }()
 		}
 		for range agents {
 			So(<-errs, ShouldBeNil)
@@ -297,8 +297,8 @@
 			}
 		}
 		agents := startAgents(t, 12, origin, []string{"r1/a", "r1/b"}, withoutPeers)
-		So(fetchWithView(agents[:8], agents, d), ShouldBeNil)
-		So(fetchWithView(agents[8:], agents, d), ShouldBeNil)
+		So(fetchWithPeerList(agents[:8], agents, d), ShouldBeNil)
+		So(fetchWithPeerList(agents[8:], agents, d), ShouldBeNil)
 		So(allHold(agents, m), ShouldBeTrue)
 		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
 	})
--- a/version/spread/fetcher.go
+++ b/version/spread/fetcher.go
@@ -133,16 +133,18 @@
 // objects that the agent holds to its peers. It implements Fetcher; Handler
 // returns its HTTP handler. It is safe for concurrent use.
 type Swarm struct {
-	cfg         Config
-	store       *MemStore
-	origin      platform.ObjectStore
-	log         *eventlog.Logger
-	clock       clockwork.Clock
-	client      *http.Client
-	fetchGroup  singleflight.Group
+	cfg        Config
+	store      *MemStore
+	origin     platform.ObjectStore
+	log        *eventlog.Logger
+	clock      clockwork.Clock
+	client     *http.Client
+	fetchGroup singleflight.Group
+	// uploadSlots holds an element for each chunk that is being sent.
 	uploadSlots chan struct{}
-	ctx         context.Context
-	cancel      context.CancelFunc
+	// ctx ends when the Swarm is closed; fetches run under it.
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	uploadLimiter, downloadLimiter, originLimiter *BandwidthLimiter
 	regionLimiter                                 *regionLimiter
--- a/version/spread/handler.go
+++ b/version/spread/handler.go
@@ -100,7 +100,7 @@
 		dataCentre: r.Header.Get(headerPeerDataCentre),
 		region:     r.Header.Get(headerPeerRegion),
 	}
-	waitForSlot := query.Get(queryQueue) != ""
+	waitForSlot := query.Get(queryWaitForSlot) != ""
 	holders, status := s.takeUploadSlot(ctx, o.digest, peer, requestedTier, waitForSlot)
 	if status != http.StatusOK {
 		w.Header().Set(headerHolders, strings.Join(holders, ","))
--- a/version/spread/holders.go
+++ b/version/spread/holders.go
@@ -12,7 +12,7 @@
 	// maxListedHolders is the maximum number of holders that a redirect lists.
 	maxListedHolders = 3
 	// maxStaleLists is the maximum number of holder lists beyond the number of
-	// held objects. Above it, the lists of dropped objects are removed.
+	// held objects. If there are more, the lists of dropped objects are removed.
 	maxStaleLists = 1024
 )
 
--- a/version/spread/rank.go
+++ b/version/spread/rank.go
@@ -13,8 +13,8 @@
 // only the objects that this peer owns get another owner.
 type ranking struct {
 	peers []Peer
-	// seeds holds the hash of each peer's identifier, in the order of peers.
-	seeds []uint64
+	// peerHashes holds the hash of each peer's identifier, in the order of peers.
+	peerHashes []uint64
 }
 
 // newRanking returns a ranking of the peers that are not leaving.
@@ -25,15 +25,15 @@
 			continue
 		}
 		r.peers = append(r.peers, p)
-		r.seeds = append(r.seeds, xxhash.Sum64String(p.ID))
+		r.peerHashes = append(r.peerHashes, xxhash.Sum64String(p.ID))
 	}
 	return r
 }
 
-// score returns the rendezvous weight of a peer for an object. seed is the hash of
-// the peer's identifier, and object the hash of the object's digest.
-func score(seed, object uint64) uint64 {
-	x := seed ^ object
+// score returns the rendezvous weight of a peer for an object. peerHash is the hash
+// of the peer's identifier, and objectHash the hash of the object's digest.
+func score(peerHash, objectHash uint64) uint64 {
+	x := peerHash ^ objectHash
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -49,11 +49,11 @@
 		peer  Peer
 		score uint64
 	}
-	object := xxhash.Sum64String(string(d))
+	objectHash := xxhash.Sum64String(string(d))
 	var all []scored
 	for i, p := range r.peers {
 		if include(p) {
-			all = append(all, scored{p, score(r.seeds[i], object)})
+			all = append(all, scored{p, score(r.peerHashes[i], objectHash)})
 		}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].score > all[j].score })
@@ -70,13 +70,13 @@
 // ownerIndex returns the index in r.peers of the peer with the highest score
 // that satisfies include, or -1 if there is none.
 func (r *ranking) ownerIndex(d core.Digest, include func(Peer) bool) int {
-	object := xxhash.Sum64String(string(d))
+	objectHash := xxhash.Sum64String(string(d))
 	best, found := uint64(0), -1
 	for i, p := range r.peers {
 		if !include(p) {
 			continue
 		}
-		if s := score(r.seeds[i], object); found < 0 || s > best {
+		if s := score(r.peerHashes[i], objectHash); found < 0 || s > best {
 			best, found = s, i
 		}
 	}
--- a/version/spread/spread.go
+++ b/version/spread/spread.go
@@ -1,7 +1,8 @@
 // Package spread distributes the chunks of a version, peer to peer, to the agents
 // that need the version. Each chunk has one owner in each region, which reads the
-// chunk from the origin; with Config.ReadOriginOnce only one owner for all regions
-// does. The other agents fetch the chunk from any agent that holds it.
+// chunk from the origin. With Config.ReadOriginOnce each chunk has a single owner
+// among all agents that reads the origin. The other agents fetch the chunk from any
+// agent that holds the chunk.
 package spread
 
 import (
--- a/version/spread/swarm_test.go
+++ b/version/spread/swarm_test.go
@@ -141,15 +141,15 @@
 }
 
 // fetchAll fetches a version on every agent and returns the first error.
-func fetchAll(agents []*fakeAgent, d core.Digest) error { return fetchWithView(agents, agents, d) }
+func fetchAll(agents []*fakeAgent, d core.Digest) error { return fetchWithPeerList(agents, agents, d) }
 
-// fetchWithView fetches a version on agents, with the agents in view as their
-// list of peers, and returns the first error.
-func fetchWithView(agents, view []*fakeAgent, d core.Digest) error {
+// fetchWithPeerList fetches a version on agents, whose list of peers contains the
+// listed agents, and returns the first error.
+func fetchWithPeerList(agents, listed []*fakeAgent, d core.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var peers []Peer
-	for _, a := range view {
+	for _, a := range listed {
 		peers = append(peers, a.cfg.Self)
 	}
 	errs := make(chan error, len(agents))
