--- a/version/loading/loader.go
+++ b/version/loading/loader.go
@@ -22,8 +22,8 @@
 	// Reads are cheap, since the agent and the server run on one machine.
 	idlePollInterval    = 400 * time.Millisecond
 	loadingPollInterval = 40 * time.Millisecond
-	// loadNoticeTime is the time between publishing that the server is about to
-	// load and sending the load order. Entry instances receive the notice in it.
+	// loadNoticeTime is the time between the notice to entry instances that the
+	// server is about to load and the load order.
 	loadNoticeTime = 30 * time.Millisecond
 	// An agent that has just started fetches chunks only when the number of
 	// agents has stayed the same for settleTime, but waits at most
@@ -132,7 +132,7 @@
 	}
 }
 
-// Run repeatedly reads the server's report and acts on it until ctx ends.
+// Run repeatedly reads the server's report and carries out the due steps until ctx ends.
 func (l *Loader) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		report, err := l.cfg.Server.Report(ctx)
--- a/version/loading/loader_test.go
+++ b/version/loading/loader_test.go
@@ -75,10 +75,10 @@
 	return chunk, nil
 }
 
-func (f *fakeServer) Load(_ context.Context, _ string, version int, orders int64) error {
+func (f *fakeServer) Load(_ context.Context, _ string, version int, acceptedOrders int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if orders != f.acceptedOrders {
+	if acceptedOrders != f.acceptedOrders {
 		return errors.New("the number of accepted orders differs")
 	}
 	f.acceptedOrders++
@@ -191,7 +191,7 @@
 		So(wait.Until(func() bool { return f.server.holdsExactly(1) }), ShouldBeTrue)
 	})
 
-	Convey("A version declared while another is being staged is not mixed with it", t, func() {
+	Convey("A version declared while another is being staged is loaded without chunks of the other", t, func() {
 		f := newFixture(t)
 		released, lastStaged := make(chan struct{}), make(chan struct{})
 		release := sync.OnceFunc(func() { close(released) })
--- a/version/loading/loadorder.go
+++ b/version/loading/loadorder.go
@@ -63,7 +63,8 @@
 }
 
 // awaitLoaded waits up to loadTimeout until the server reports that it holds the
-// version. It returns an error if the server ends the load order without it.
+// version. It returns an error if the server ends the load order and does not hold
+// the version.
 func (l *Loader) awaitLoaded(ctx context.Context, k versionKey) error {
 	start := l.cfg.Clock.Now()
 	for l.cfg.Clock.Since(start) < loadTimeout {
