--- a/version/catalog/follower.go
+++ b/version/catalog/follower.go
@@ -56,7 +56,8 @@
 	log    *eventlog.Logger
 	clock  clockwork.Clock
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// rows holds the rows of the table by key.
 	rows map[string]Row
 	// changeRevision is the revision of the newest change that was applied.
 	changeRevision uint64
