--- a/version/placement/placement.go
+++ b/version/placement/placement.go
@@ -95,7 +95,8 @@
 type candidate struct {
 	model  *declare.Model
 	server *declare.BackendServer
-	score  uint64
+	// score determines the order in which candidates are placed.
+	score uint64
 }
 
 // newBuilder returns a builder that has no candidates and no assignments.
