--- a/version/spread/readoriginonce_test.go
+++ b/version/spread/readoriginonce_test.go
@@ -29,20 +29,20 @@
 		d, m := origin.publish(t, "v1", 64)
 		agents := startAgents(t, 12, origin, dataCentres, readOnce)
 		first := make(chan error, 1)
-		go func() { first <- fetchWithView(agents[:6], agents, d) }()
+		go func() { first <- fetchWithPeerList(agents[:6], agents, d) }()
 		<-time.After(50 * time.Millisecond)
-		So(fetchWithView(agents[6:], agents, d), ShouldBeNil)
+		So(fetchWithPeerList(agents[6:], agents, d), ShouldBeNil)
 		So(<-first, ShouldBeNil)
 		So(allHold(agents, m), ShouldBeTrue)
 		So(copiesRead(origin, m), ShouldBeLessThanOrEqualTo, 1.05)
 	})
 
-	Convey("Given an owner that has stopped, the others still fetch the whole version", t, func() {
+	Convey("Given an owner that has stopped, the others still fetch the complete version", t, func() {
 		origin := newFakeOrigin()
 		d, m := origin.publish(t, "v1", 64)
 		agents := startAgents(t, 12, origin, dataCentres, readOnce)
 		agents[0].stop()
-		So(fetchWithView(agents[1:], agents, d), ShouldBeNil)
+		So(fetchWithPeerList(agents[1:], agents, d), ShouldBeNil)
 		So(allHold(agents[1:], m), ShouldBeTrue)
 	})
 
