--- a/version/spread/fetcher.go
+++ b/version/spread/fetcher.go
@@ -237,12 +237,12 @@
 
 // Progress is the progress of the fetch of one version.
 type Progress struct {
-	// ChunkCount is the number of the version's chunks.
-	ChunkCount int
+	// Chunks is the number of the version's chunks.
+	Chunks int
 	// Bytes is the total size of the version's chunks.
 	Bytes int64
-	// HeldChunkCount is the number of chunks that are held and verified.
-	HeldChunkCount int
+	// HeldChunks is the number of chunks that are held and verified.
+	HeldChunks int
 	// HeldBytes is the total size of the chunks that are held and verified.
 	HeldBytes int64
 }
@@ -347,7 +347,7 @@
 	s.regionLimiter.setOwnedChunks(d, own, len(chunks))
 	defer s.regionLimiter.setOwnedChunks(d, nil, 0)
 	v.mu.Lock()
-	v.progress.ChunkCount = len(chunks)
+	v.progress.Chunks = len(chunks)
 	for _, c := range chunks {
 		v.progress.Bytes += c.Size
 	}
@@ -385,6 +385,6 @@
 func (v *versionFetch) recordHeld(c manifest.Chunk) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.progress.HeldChunkCount++
+	v.progress.HeldChunks++
 	v.progress.HeldBytes += c.Size
 }
