--- a/connection/homes/budget_test.go
+++ b/connection/homes/budget_test.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// nodeBudget is the bandwidth that a node may use for control messages, in
-	// bytes per second.
-	nodeBudget = 3 << 10
-	// heartbeatShare is the share of nodeBudget that heartbeats may use.
-	heartbeatShare = 0.6
-	// frameOverhead is the size of the headers that one report costs, in bytes:
-	// those of a masked WebSocket frame, of a TCP segment and of the
-	// acknowledgement of that segment.
-	frameOverhead = 6 + 2*52
+	// controlBytesPerSecond is the bandwidth that a process may use for control
+	// messages.
+	controlBytesPerSecond = 3 << 10
+	// maxHeartbeatShare is the share of controlBytesPerSecond that heartbeats may
+	// use.
+	maxHeartbeatShare = 0.6
+	// frameOverheadBytes is the size of the headers sent with one report: those of
+	// a masked WebSocket frame, of a TCP segment and of the acknowledgement of
+	// that segment.
+	frameOverheadBytes = 6 + 2*52
 )
 
 // instancesAtTargetSize returns a list with the target number of entry instances,
 // 330, and the given number of agents.
-func instancesAtTargetSize(agents int) []core.Instance {
+func instancesAtTargetSize(agentCount int) []core.Instance {
 	list := entryInstances(55, "w1", "w2", "w3", "e1", "e2", "e3")
-	for i := range agents {
+	for i := range agentCount {
 		list = append(list, core.Instance{ID: fmt.Sprintf("server-%d", i), Role: core.RoleAgent, DataCentre: "w1", Region: "w"})
 	}
 	return list
@@ -38,22 +39,22 @@
 	last := frame.Report{State: frame.StateReady, Limit: 1000, Config: 1 << 20, HeartbeatMillis: 10_000}
 	current := last
 	current.InFlight, current.Queued = 1000, 1000
-	raw, err := frame.Encode(frame.KindReport, withoutUnchanged(current, last))
+	raw, err := frame.Encode(frame.KindReport, withoutUnchangedFields(current, last))
 	if err != nil {
 		t.Fatal(err)
 	}
-	reportBytes := float64(len(raw) + frameOverhead)
+	reportBytes := float64(len(raw) + frameOverheadBytes)
 	self := core.Instance{ID: "gpu-1", DataCentre: "w1", Region: "w"}
 
-	for _, agents := range []int{600, 1300} {
-		Convey(fmt.Sprintf("With %d agents, heartbeats stay within their share of a node's bandwidth", agents), t, func() {
-			list := instancesAtTargetSize(agents)
-			homes := len(Select(self, list, DefaultMaxLocal, DefaultPerRemote, defaultMinHomes))
-			reportsPerSecond := 1 / HeartbeatInterval(registry.DefaultHeartbeat, list, homes).Seconds()
-			agentBytesPerSecond := float64(homes) * reportsPerSecond * reportBytes
-			entryBytesPerSecond := float64(agents*homes) / 330 * reportsPerSecond * reportBytes
-			So(agentBytesPerSecond, ShouldBeLessThan, heartbeatShare*nodeBudget)
-			So(entryBytesPerSecond, ShouldBeLessThan, heartbeatShare*nodeBudget)
+	for _, agentCount := range []int{600, 1300} {
+		Convey(fmt.Sprintf("With %d agents, heartbeats stay within their share of a process's bandwidth for control messages", agentCount), t, func() {
+			list := instancesAtTargetSize(agentCount)
+			homeCount := len(Select(self, list, DefaultMaxLocal, DefaultPerRemote, defaultMinHomes))
+			reportsPerSecond := 1 / HeartbeatInterval(registry.DefaultHeartbeat, list, homeCount).Seconds()
+			agentBytesPerSecond := float64(homeCount) * reportsPerSecond * reportBytes
+			entryBytesPerSecond := float64(agentCount*homeCount) / 330 * reportsPerSecond * reportBytes
+			So(agentBytesPerSecond, ShouldBeLessThan, maxHeartbeatShare*controlBytesPerSecond)
+			So(entryBytesPerSecond, ShouldBeLessThan, maxHeartbeatShare*controlBytesPerSecond)
 		})
 	}
 	Convey("With few agents the heartbeat interval is the configured one", t, func() {
--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -18,27 +18,27 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// Defaults of Config.
 const (
-	// DefaultMaxLocal is the largest number of homes in the agent's own data
-	// centre, and DefaultPerRemote the number in each other data
-	// centre.
-	DefaultMaxLocal  = 64
+	// DefaultMaxLocal is the default of Config.MaxLocal.
+	DefaultMaxLocal = 64
+	// DefaultPerRemote is the default of Config.PerRemote.
 	DefaultPerRemote = 2
-	defaultMinHomes  = 4
+	// defaultMinHomes is the default of Config.MinHomes.
+	defaultMinHomes = 4
 	// MaxFullRateAgents is the largest number of agents per entry instance at
 	// which agents send reports at the configured interval. With more, they
 	// lengthen the interval in proportion.
 	MaxFullRateAgents = 60
-	// dialTimeout limits the time to connect to a home, and then the wait for its
-	// Welcome frame.
+	// dialTimeout limits the time to connect to a home. The same limit applies
+	// again to the wait for the home's Welcome frame.
 	dialTimeout = 2 * time.Second
-	// announceDelay is the wait before an agent announces a newer configuration
-	// to an entry instance, which usually gets it from elsewhere in this time.
+	// announceDelay is the wait before an agent announces a newer configuration to
+	// an entry instance, which usually receives the configuration from elsewhere
+	// in this time.
 	announceDelay = 2 * time.Second
-	// checkInterval is the time between two checks of the agent's report for
+	// reportCheckInterval is the time between two checks of the agent's report for
 	// changes.
-	checkInterval = 100 * time.Millisecond
+	reportCheckInterval = 100 * time.Millisecond
 )
 
 var (
@@ -59,15 +59,18 @@
 	Service string
 	// PeerToken authenticates this process to entry instances.
 	PeerToken string
-	// Heartbeat is the longest time between two reports while there are few
-	// agents; HeartbeatInterval lengthens it for many. Default 5 s.
+	// Heartbeat is the longest time between two reports if each entry instance has
+	// at most MaxFullRateAgents registered agents. With more agents, the function
+	// HeartbeatInterval computes a longer time. Default 5 s.
 	Heartbeat time.Duration
-	// MaxLocal is the largest number of homes in the agent's own data centre.
-	// Default 64.
+	// MaxLocal is the largest number of homes in the agent's own data centre,
+	// unless more are needed to reach MinHomes. Default 64.
 	MaxLocal int
-	// PerRemote is the number of homes in each other data centre. Default 2.
+	// PerRemote is the largest number of homes in each other data centre, unless
+	// more are needed to reach MinHomes. Default 2.
 	PerRemote int
-	// MinHomes is the smallest total number of homes. Default 4.
+	// MinHomes is the smallest total number of homes, if there are that many entry
+	// instances. Default 4.
 	MinHomes int
 }
 
@@ -90,16 +93,17 @@
 
 // Homes maintains the registrations of one agent with its homes.
 type Homes struct {
-	cfg     Config
-	members Members
-	hub     *confsync.Hub
-	log     *eventlog.Logger
+	cfg       Config
+	members   Members
+	configHub *confsync.Hub
+	log       *eventlog.Logger
 
 	// reportWatcher detects changes of the agent's report for all
 	// registrations.
 	reportWatcher *reportWatcher
-	// heartbeatInterval is the current longest time between two reports, in
-	// nanoseconds.
+	// heartbeatInterval is the time, in nanoseconds, after which a report is sent
+	// even if nothing has changed. It is recomputed when the list of instances
+	// changes.
 	heartbeatInterval atomic.Int64
 
 	mu sync.Mutex
@@ -111,14 +115,14 @@
 }
 
 // New returns Homes without registrations; Run opens them. report returns the
-// agent's current report and always fills in Loaded, which is removed before
-// sending when it has not changed.
-func New(cfg Config, members Members, hub *confsync.Hub, report func() frame.Report, log *eventlog.Logger) *Homes {
+// agent's current report. It must always set Loaded; Homes leaves an unchanged
+// list out when it sends the report.
+func New(cfg Config, members Members, configHub *confsync.Hub, report func() frame.Report, log *eventlog.Logger) *Homes {
 	cfg = cfg.applyDefaults()
 	h := &Homes{
 		cfg:           cfg,
 		members:       members,
-		hub:           hub,
+		configHub:     configHub,
 		log:           log,
 		reportWatcher: newReportWatcher(report),
 		registered:    map[string]bool{},
@@ -154,8 +158,8 @@
 	}
 }
 
-// runRegistration dials a home, registers with it and serves the registration
-// until it ends.
+// runRegistration dials a home and registers with it. It then sends reports and
+// handles the home's frames until the connection ends.
 func (h *Homes) runRegistration(ctx context.Context, home core.Instance) error {
 	conn, err := frame.Dial(home.Addr, registry.Path, h.cfg.PeerToken, dialTimeout)
 	if err != nil {
@@ -185,7 +189,7 @@
 	h.markRegistered(home)
 	defer h.markUnregistered(home)
 
-	session := confsync.NewSession(h.hub, conn, welcome.Config)
+	session := confsync.NewSession(h.configHub, conn, welcome.Config)
 	defer session.Close()
 	if err := session.PullIfNewer(welcome.Config); err != nil {
 		return err
@@ -234,11 +238,11 @@
 }
 
 // sendReports sends a report at each heartbeat, and at once when a value that
-// routing depends on has changed, until ctx ends or sending fails. last is the
-// report in the Hello frame, and changed the channel that refresh returned with
-// it.
-func (h *Homes) sendReports(ctx context.Context, conn *frame.Conn, last frame.Report, changed <-chan struct{}) {
-	heartbeatTimer := time.NewTimer(time.Duration(last.HeartbeatMillis) * time.Millisecond)
+// routing depends on has changed, until ctx ends or sending fails. lastSent is the
+// report in the Hello frame. changed is the channel that reportWatcher.refresh
+// returned with that report.
+func (h *Homes) sendReports(ctx context.Context, conn *frame.Conn, lastSent frame.Report, changed <-chan struct{}) {
+	heartbeatTimer := time.NewTimer(time.Duration(lastSent.HeartbeatMillis) * time.Millisecond)
 	defer heartbeatTimer.Stop()
 	for {
 		heartbeatDue := false
@@ -251,22 +255,22 @@
 		}
 		var current frame.Report
 		current, changed = h.reportWatcher.refresh()
-		if !heartbeatDue && !mustSendEarly(current, last) {
+		if !heartbeatDue && !mustSendEarly(current, lastSent) {
 			continue
 		}
 		interval := time.Duration(h.heartbeatInterval.Load())
 		current.HeartbeatMillis = interval.Milliseconds()
-		if err := conn.Send(frame.KindReport, withoutUnchanged(current, last)); err != nil {
+		if err := conn.Send(frame.KindReport, withoutUnchangedFields(current, lastSent)); err != nil {
 			return
 		}
-		last = current
+		lastSent = current
 		heartbeatTimer.Reset(interval)
 	}
 }
 
-// withoutUnchanged removes the loaded versions and the heartbeat from a report if
-// they are the same as in the last report.
-func withoutUnchanged(current, last frame.Report) frame.Report {
+// withoutUnchangedFields returns current without the loaded versions and without
+// the heartbeat interval, each only if it is the same as in last.
+func withoutUnchangedFields(current, last frame.Report) frame.Report {
 	if current.HeartbeatMillis == last.HeartbeatMillis {
 		current.HeartbeatMillis = 0
 	}
@@ -277,18 +281,20 @@
 	return current
 }
 
-// mustSendEarly reports whether a report must be sent before the next heartbeat.
+// mustSendEarly reports whether current must be sent before the next heartbeat,
+// because the loaded versions or a value that routing depends on differ from those
+// in last.
 func mustSendEarly(current, last frame.Report) bool {
 	return routingInputsChanged(current, last) || !sameLoaded(current.Loaded, last.Loaded)
 }
 
-// limitChangeDivisor sets the threshold for immediate reports: a change of the
-// limit by more than 1/limitChangeDivisor of the last reported limit.
+// limitChangeDivisor sets the change of the limit that is reported before the next
+// heartbeat: more than 1/limitChangeDivisor of the last reported limit.
 const limitChangeDivisor = 4
 
-// routingInputsChanged reports whether a value that routing depends on has
-// changed. The numbers of calls are left out, because responses and heartbeats
-// carry them.
+// routingInputsChanged reports whether the state, the configuration or, by more
+// than the threshold, the limit has changed. Routing depends on these values. It
+// also depends on the numbers of calls, but responses and heartbeats carry those.
 func routingInputsChanged(current, last frame.Report) bool {
 	limitChange := current.Limit - last.Limit
 	if limitChange < 0 {
@@ -299,7 +305,8 @@
 		limitChange*limitChangeDivisor > last.Limit
 }
 
-// sameLoaded reports whether two lists of loaded versions are equal.
+// sameLoaded reports whether two lists contain the same loaded versions in the
+// same order.
 func sameLoaded(a, b []frame.Loaded) bool {
 	if len(a) != len(b) {
 		return false
--- a/connection/homes/reconcile.go
+++ b/connection/homes/reconcile.go
@@ -13,8 +13,8 @@
 const (
 	// firstBackoff is the first wait before a home is dialled again.
 	firstBackoff = 100 * time.Millisecond
-	// maxBackoff is the longest wait before a home is dialled again. A
-	// registration that lasted longer resets the wait to firstBackoff.
+	// maxBackoff is the longest wait before a home is dialled again. After an
+	// attempt that lasted longer than maxBackoff, the wait is firstBackoff again.
 	maxBackoff = 3 * time.Second
 )
 
@@ -25,15 +25,17 @@
 // endpointOf returns the endpoint of an instance.
 func endpointOf(in core.Instance) endpoint { return endpoint{id: in.ID, addr: in.Addr} }
 
-// registration is a registration with one home. Homes.mu guards wanted and ended.
+// registration describes the registration with one home, including its renewals
+// after a lost connection. Homes.mu guards wanted and ended.
 type registration struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	home   core.Instance
-	// wanted is true if the home is dialled again when the registration ends.
+	// wanted is true while Select chooses the home. After a lost connection the
+	// agent then registers again.
 	wanted bool
-	// ended is true once the registration has ended and the home is not dialled
-	// again.
+	// ended is true once the connection was lost while wanted was false; the agent
+	// does not register again.
 	ended bool
 }
 
@@ -83,8 +85,9 @@
 	return started
 }
 
-// maintainRegistration registers with one home, again after each loss, until the
-// registration is no longer wanted.
+// maintainRegistration registers with one home, and again after each lost
+// connection. It returns when r.ctx ends, or after a lost connection if the home
+// is no longer wanted.
 func (h *Homes) maintainRegistration(r *registration) {
 	defer r.cancel()
 	delay := backoff.NewExponentialBackOff(
@@ -110,8 +113,8 @@
 	}
 }
 
-// endIfUnwanted marks a registration as ended unless it is still wanted, and
-// reports whether it is ended.
+// endIfUnwanted marks r as ended unless its home is still wanted, and reports
+// whether r is ended.
 func (h *Homes) endIfUnwanted(r *registration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/connection/homes/reportwatcher.go
+++ b/connection/homes/reportwatcher.go
@@ -18,7 +18,8 @@
 	mu sync.Mutex
 	// lastNotified is the report for which changed was last closed and replaced.
 	lastNotified frame.Report
-	changed      chan struct{}
+	// changed is closed when a report must be sent before the next heartbeat.
+	changed chan struct{}
 }
 
 func newReportWatcher(build func() frame.Report) *reportWatcher {
@@ -39,9 +40,9 @@
 	return current, w.changed
 }
 
-// run checks the report every checkInterval until ctx ends.
+// run checks the report every reportCheckInterval until ctx ends.
 func (w *reportWatcher) run(ctx context.Context) {
-	ticker := time.NewTicker(checkInterval)
+	ticker := time.NewTicker(reportCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/connection/homes/select.go
+++ b/connection/homes/select.go
@@ -10,11 +10,12 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Select returns the entry instances with which the agent self should register:
-// up to maxLocal in its own data centre, and up to perRemote in each other data
-// centre. If these are fewer than minHomes, more are added, those of the same
-// region first. Rendezvous hashing keeps the choice stable and spreads the agents
-// evenly over the entry instances. Leaving entry instances are not chosen.
+// Select returns the entry instances with which the agent self should register: up
+// to maxLocal in its own data centre, and up to perRemote in each other data
+// centre. If these are fewer than minHomes, further entry instances are added, the
+// nearest first (see sortByDistance). Rendezvous hashing keeps the choice stable
+// and spreads the agents evenly over the entry instances. Leaving entry instances
+// are not chosen.
 func Select(self core.Instance, entries []core.Instance, maxLocal, perRemote, minHomes int) []core.Instance {
 	byDataCentre := map[string][]core.Instance{}
 	for _, e := range entries {
@@ -26,40 +27,40 @@
 	var chosen, remaining []core.Instance
 	for dc, list := range byDataCentre {
 		ranked := rank(self.ID, list)
-		n := perRemote
+		count := perRemote
 		if dc == self.DataCentre {
-			n = maxLocal
+			count = maxLocal
 		}
-		n = min(n, len(ranked))
-		chosen = append(chosen, ranked[:n]...)
-		remaining = append(remaining, ranked[n:]...)
+		count = min(count, len(ranked))
+		chosen = append(chosen, ranked[:count]...)
+		remaining = append(remaining, ranked[count:]...)
 	}
-	if missing := minHomes - len(chosen); missing > 0 {
+	if missingCount := minHomes - len(chosen); missingCount > 0 {
 		sortByDistance(self, remaining)
-		chosen = append(chosen, remaining[:min(missing, len(remaining))]...)
+		chosen = append(chosen, remaining[:min(missingCount, len(remaining))]...)
 	}
 	return chosen
 }
 
 // HeartbeatInterval returns the longest time between two reports of an agent that
-// has the given number of homes. The interval is base while each entry instance in
-// the list has on average at most MaxFullRateAgents registered agents. Above that
-// it grows in proportion, so that the rate of reports at an entry instance stays
-// the same.
-func HeartbeatInterval(base time.Duration, list []core.Instance, homes int) time.Duration {
-	entries, agents := 0, 0
+// has the given number of homes. The interval is base if each entry instance in
+// the list has on average at most MaxFullRateAgents registered agents. With more
+// agents the interval grows in proportion, so that the rate of reports at an entry
+// instance does not grow.
+func HeartbeatInterval(base time.Duration, list []core.Instance, homeCount int) time.Duration {
+	entryCount, agentCount := 0, 0
 	for _, in := range list {
 		switch in.Role {
 		case core.RoleEntry:
-			entries++
+			entryCount++
 		case core.RoleAgent:
-			agents++
+			agentCount++
 		}
 	}
-	if entries == 0 {
+	if entryCount == 0 {
 		return base
 	}
-	agentsPerEntry := float64(agents*homes) / float64(entries)
+	agentsPerEntry := float64(agentCount*homeCount) / float64(entryCount)
 	return time.Duration(float64(base) * max(1, agentsPerEntry/MaxFullRateAgents))
 }
 
