--- a/connection/registry/listener.go
+++ b/connection/registry/listener.go
@@ -23,15 +23,15 @@
 	DefaultHeartbeat = 5 * time.Second
 	// helloTimeout is how long a Listener waits for the first frame.
 	helloTimeout = 5 * time.Second
-	// suspectAfter is the number of heartbeats without a report after which
-	// a server is suspect.
-	suspectAfter = 2
-	// goneAfter is the number of heartbeats without any frame from the agent
-	// after which its registration ends.
-	goneAfter = 4
-	// maxHeartbeat is the upper limit for the heartbeat that an agent
-	// announces; longer ones are shortened to it.
-	maxHeartbeat = time.Minute
+	// suspectAfterHeartbeats is the number of heartbeat intervals without a report
+	// after which a server is suspect.
+	suspectAfterHeartbeats = 2
+	// goneAfterHeartbeats is the number of heartbeat intervals without any frame
+	// from the agent after which the agent's registration ends.
+	goneAfterHeartbeats = 4
+	// maxHeartbeatInterval is the longest accepted heartbeat interval; an agent
+	// that announces a longer interval is treated as if it had announced this one.
+	maxHeartbeatInterval = time.Minute
 )
 
 // The events that a Listener logs.
@@ -52,8 +52,8 @@
 type ListenerConfig struct {
 	// Self is this entry instance.
 	Self core.Instance
-	// Heartbeat is the longest time between two reports of an agent that does
-	// not announce its own heartbeat. Default 5 s.
+	// Heartbeat is the longest time between two reports of an agent that announces
+	// no heartbeat interval. Default 5 s.
 	Heartbeat time.Duration
 }
 
@@ -67,16 +67,17 @@
 // their reports. It implements http.Handler; the peer token must be checked before
 // ServeHTTP is called.
 type Listener struct {
-	cfg      ListenerConfig
-	registry *Registry
-	hub      *confsync.Hub
-	source   confsync.Source
-	log      *eventlog.Logger
+	cfg          ListenerConfig
+	registry     *Registry
+	configHub    *confsync.Hub
+	configSource confsync.Source
+	log          *eventlog.Logger
 	// onUnregister is called with the address of an agent whose registration
 	// ended.
 	onUnregister func(addr string)
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// conns holds the open connections.
 	conns map[*frame.Conn]bool
 	// lastRegistration is the number of the newest registration.
 	lastRegistration uint64
@@ -84,15 +85,15 @@
 
 // NewListener returns a Listener. onUnregister is called with the address of an
 // agent whose registration ended, unless a newer one replaced it; it may be nil.
-func NewListener(cfg ListenerConfig, registry *Registry, hub *confsync.Hub, source confsync.Source, onUnregister func(addr string), log *eventlog.Logger) *Listener {
+func NewListener(cfg ListenerConfig, registry *Registry, configHub *confsync.Hub, configSource confsync.Source, onUnregister func(addr string), log *eventlog.Logger) *Listener {
 	if onUnregister == nil {
 		onUnregister = func(string) {}
 	}
 	return &Listener{
 		cfg:          cfg.applyDefaults(),
 		registry:     registry,
-		hub:          hub,
-		source:       source,
+		configHub:    configHub,
+		configSource: configSource,
 		log:          log,
 		onUnregister: onUnregister,
 		conns:        map[*frame.Conn]bool{},
@@ -108,8 +109,8 @@
 	}
 }
 
-// ServeHTTP upgrades r to a connection and serves one registration on it until it
-// ends.
+// ServeHTTP upgrades r to a connection, which carries one registration, and
+// returns when the registration has ended.
 func (l *Listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
@@ -132,22 +133,23 @@
 	}
 }
 
-// serveRegistration serves one registration, from the agent's Hello to the end of
-// the connection.
+// serveRegistration receives the agent's Hello frame, adds the agent to the
+// registry and handles the agent's frames until the connection ends. It then
+// removes the agent.
 func (l *Listener) serveRegistration(conn *frame.Conn, registration uint64) error {
 	var hello frame.Hello
 	if err := conn.Expect(frame.KindHello, &hello, time.Now().Add(helloTimeout)); err != nil {
 		return err
 	}
 	conn.SetPeer(hello.Instance.ID)
-	welcome := frame.Welcome{Instance: l.cfg.Self, Config: l.source.Number()}
+	welcome := frame.Welcome{Instance: l.cfg.Self, Config: l.configSource.Number()}
 	if err := conn.Send(frame.KindWelcome, welcome); err != nil {
 		return err
 	}
 	l.register(hello, registration)
 	defer l.unregister(hello, registration)
 
-	session := confsync.NewSession(l.hub, conn, hello.Report.Config)
+	session := confsync.NewSession(l.configHub, conn, hello.Report.Config)
 	defer session.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -159,14 +161,14 @@
 }
 
 // receiveFrames handles the agent's frames until the connection ends or no frame
-// arrives for goneAfter heartbeats. It returns nil in both cases, and an error for
-// a frame that it cannot handle.
+// arrives for goneAfterHeartbeats heartbeat intervals. It returns nil in both
+// cases, and an error for a frame that it cannot handle.
 func (l *Listener) receiveFrames(conn *frame.Conn, session *confsync.Session, hello frame.Hello, registration uint64) error {
-	heartbeat := l.announcedHeartbeat(hello.Report, l.cfg.Heartbeat)
-	monitor := l.monitorHeartbeats(hello.Instance.ID, registration, heartbeat)
+	heartbeatInterval := l.announcedHeartbeatInterval(hello.Report, l.cfg.Heartbeat)
+	monitor := l.monitorHeartbeats(hello.Instance.ID, registration, heartbeatInterval)
 	defer monitor.stop()
 	for {
-		f, err := conn.Receive(time.Now().Add(goneAfter * heartbeat))
+		f, err := conn.Receive(time.Now().Add(goneAfterHeartbeats * heartbeatInterval))
 		if err != nil {
 			return nil
 		}
@@ -184,22 +186,23 @@
 		if err := f.Decode(&report); err != nil {
 			return core.WrapStep("registration", conn.Peer(), err)
 		}
-		heartbeat = l.announcedHeartbeat(report, heartbeat)
+		heartbeatInterval = l.announcedHeartbeatInterval(report, heartbeatInterval)
 		l.applyReport(hello, report)
-		monitor.setHeartbeat(heartbeat)
+		monitor.setHeartbeatInterval(heartbeatInterval)
 		if err := session.PullIfNewer(report.Config); err != nil {
 			return err
 		}
 	}
 }
 
-// announcedHeartbeat returns the heartbeat that a report announces, at most
-// maxHeartbeat, or current if the report announces none.
-func (l *Listener) announcedHeartbeat(report frame.Report, current time.Duration) time.Duration {
+// announcedHeartbeatInterval returns the heartbeat interval that a report
+// announces, at most maxHeartbeatInterval. It returns current if the report
+// announces none.
+func (l *Listener) announcedHeartbeatInterval(report frame.Report, current time.Duration) time.Duration {
 	if report.HeartbeatMillis <= 0 {
 		return current
 	}
-	return min(time.Duration(report.HeartbeatMillis)*time.Millisecond, maxHeartbeat)
+	return min(time.Duration(report.HeartbeatMillis)*time.Millisecond, maxHeartbeatInterval)
 }
 
 // register adds the server to the registry and replaces an earlier registration of
--- a/connection/registry/listener_test.go
+++ b/connection/registry/listener_test.go
@@ -56,7 +56,7 @@
 		})
 		Convey("a suspect agent that reports again is no longer suspect", func() {
 			So(eventually(isSuspect), ShouldBeTrue)
-			report.HeartbeatMillis = maxHeartbeat.Milliseconds()
+			report.HeartbeatMillis = maxHeartbeatInterval.Milliseconds()
 			So(conn.Send(frame.KindReport, report), ShouldBeNil)
 			So(eventually(func() bool { return !isSuspect() }), ShouldBeTrue)
 		})
--- a/connection/registry/registry.go
+++ b/connection/registry/registry.go
@@ -28,7 +28,7 @@
 	// Report is the newest report. Its field Loaded is always set, also if the
 	// agent left it out because it had not changed.
 	Report frame.Report
-	// LastSeen is when the newest report, or the newest load figures in a
+	// LastSeen is the time at which the newest report, or the newest load in a
 	// response, arrived.
 	LastSeen time.Time
 	// Suspect is true if the agent has missed its heartbeats and has not sent a
@@ -95,7 +95,8 @@
 	return true
 }
 
-// Get returns the server with the given ID, and false if none is registered.
+// Get returns the server with the given ID. The second result is false if no such
+// server is registered.
 func (r *Registry) Get(id string) (Server, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
