--- a/connection/frame/fleet.go
+++ b/connection/frame/fleet.go
@@ -43,7 +43,8 @@
 
 // TableRequest requests the content of tables.
 type TableRequest struct {
-	// Tables are the tables of which the requester has an older revision.
+	// Tables are the tables of which the requester has an older revision than its
+	// peer.
 	Tables []catalog.Table `cbor:"1,keyasint"`
 }
 
@@ -102,25 +103,26 @@
 	Instance core.Instance `cbor:"1,keyasint"`
 	// Server is the address of the agent's backend server.
 	Server string `cbor:"2,keyasint"`
-	// HasDeclaredVersion is true if the server has loaded the newest declared version of
-	// at least one model.
+	// HasDeclaredVersion is true if the server has loaded the newest declared
+	// version of at least one model.
 	HasDeclaredVersion bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Fleet contains the versions that an agent must load and the sources from which
+// Fleet contains the versions that an agent must load and the addresses from which
 // the agent can fetch them.
 type Fleet struct {
 	// WantedVersions are the versions to load.
 	WantedVersions []WantedVersion `cbor:"1,keyasint"`
-	// Origin is the address of the store from which all weights originate.
+	// Origin is the address of the store that holds all weights, from which the
+	// agents fetch the first copy.
 	Origin string `cbor:"2,keyasint"`
 	// OriginRate is the bandwidth of the origin, in bytes per second.
 	OriginRate int64 `cbor:"3,keyasint"`
 	// Agents lists all agents that are connected to the sender. It is only sent
 	// to agents that set AgentState.WantsAgentList.
 	Agents []FleetAgent `cbor:"4,keyasint,omitempty"`
-	// Entries are the addresses of the entry instances that the sender has
-	// found.
+	// Entries are the addresses of all entry instances that are known at the
+	// sender.
 	Entries []string `cbor:"5,keyasint"`
 	// DataCentre is the data centre of the sender.
 	DataCentre string `cbor:"6,keyasint"`
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -1,7 +1,7 @@
-// Package frame defines the messages that entry instances and agents exchange
-// over WebSocket connections, and their CBOR encoding. A frame is one message in
-// an envelope with the protocol version and the kind of the message. Decoding
-// ignores unknown fields, so that newer processes can talk to older ones.
+// Package frame defines the messages that entry instances and agents exchange over
+// WebSocket connections, and their CBOR encoding. A frame is one message in an
+// envelope with the protocol version and the kind of the message. Decoding ignores
+// unknown fields, so that older processes can read the messages of newer ones.
 package frame
 
 import (
@@ -95,7 +95,8 @@
 	HeartbeatMillis int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Hello is an agent's first message on a registration connection.
+// Hello is an agent's first message on a registration connection. The entry
+// instance responds with Welcome.
 type Hello struct {
 	// Instance is the agent.
 	Instance core.Instance `cbor:"1,keyasint"`
@@ -131,21 +132,21 @@
 // Pull requests the configuration.
 type Pull struct {
 	// Have is the number of the requester's version, so that the peer can send
-	// only the difference from it; 0 requests the complete configuration.
+	// only the delta from that version; 0 requests the complete configuration.
 	Have uint64 `cbor:"1,keyasint"`
 }
 
-// Config carries a configuration version, either complete or as the difference
-// from version Base. It is the response to a Pull.
+// Config carries a configuration version, either complete or as the delta from
+// version Base. It is the response to a Pull.
 type Config struct {
 	// Number is the number of the version.
 	Number uint64 `cbor:"1,keyasint"`
 	// Digest is the digest of the complete encoded configuration.
 	Digest core.Digest `cbor:"2,keyasint"`
-	// Base is the number of the version that Body is a difference from; 0 if
+	// Base is the number of the version to which the delta in Body applies; 0 if
 	// Body is complete.
 	Base uint64 `cbor:"3,keyasint,omitempty"`
-	// Body is the configuration or the difference, encoded by package declare.
+	// Body is the complete configuration or the delta, encoded by package declare.
 	Body []byte `cbor:"4,keyasint"`
 	// Confirmed has the same meaning as Notice.Confirmed.
 	Confirmed bool `cbor:"5,keyasint,omitempty"`
@@ -179,7 +180,7 @@
 	// Config is the number of the configuration version by which the entry
 	// instance routed the call.
 	Config uint64 `cbor:"11,keyasint"`
-	// TimeoutMillis is the time left until the deadline of the call, in
+	// TimeoutMillis is the time remaining until the deadline of the call, in
 	// milliseconds.
 	TimeoutMillis int64 `cbor:"12,keyasint"`
 	// ResumeTokens is the number of tokens that the caller has already received;
@@ -213,7 +214,7 @@
 
 // The reasons why an agent does not admit a call.
 const (
-	ReasonFull             Reason = "full"       // no slot is free and the queue is full, or the wait in it took too long
+	ReasonFull             Reason = "full"       // no slot is free and the queue is full, or the wait in the queue took too long
 	ReasonLeaving          Reason = "leaving"    // the server accepts no new calls
 	ReasonDataCentreOut    Reason = "out"        // the data centre is out of service
 	ReasonStaleConfig      Reason = "stale"      // the agent's configuration is too old or unconfirmed
@@ -237,8 +238,9 @@
 	Load Load `cbor:"4,keyasint"`
 }
 
-// Load is an agent's load. The last frame of every call carries it, so that
-// the entry instance has newer values than those of the last report.
+// Load holds the limit and the call counts of an agent. The last frame of every
+// call carries a Load, so that the entry instance has newer values than those of
+// the last report.
 type Load struct {
 	// Limit is the current maximum number of concurrent calls.
 	Limit int `cbor:"1,keyasint"`
@@ -284,12 +286,12 @@
 	Load Load `cbor:"4,keyasint"`
 }
 
-// Fail reports that the response broke off, or that the engine failed before
-// the response began.
+// Fail reports that the response ended early, or that the engine failed before the
+// response began.
 type Fail struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
-	// Refusal is the outcome of the call.
+	// Refusal states whether the call was executed.
 	Refusal core.Refusal `cbor:"2,keyasint"`
 	// Detail is the cause of the failure, for logs.
 	Detail string `cbor:"3,keyasint,omitempty"`
@@ -297,8 +299,9 @@
 	Load Load `cbor:"4,keyasint"`
 }
 
-// AttemptQuery queries whether an agent has run an attempt of a keyed call. After
-// the query the agent does not start that attempt or an earlier one any more.
+// AttemptQuery queries whether an agent has run an attempt of a keyed call. An
+// attempt that the agent has not started before the query, this one or an earlier
+// one, is never started later.
 type AttemptQuery struct {
 	// ID is the request id of this query.
 	ID string `cbor:"1,keyasint"`
