--- a/connection/orders/cluster_test.go
+++ b/connection/orders/cluster_test.go
@@ -29,21 +29,21 @@
 // fakeEngine is an engine that executes each order immediately and reports the
 // effect. If ignoreOrders is set, it accepts orders without any effect.
 type fakeEngine struct {
-	mu           sync.Mutex
-	clock        clockwork.Clock
-	fencing      bool
-	ignoreOrders bool
-	loaded       []frame.Loaded
-	orders       []engine.Order
-	fence        uint64
+	mu              sync.Mutex
+	clock           clockwork.Clock
+	enforcesFencing bool
+	ignoreOrders    bool
+	loaded          []frame.Loaded
+	orders          []engine.Order
+	fence           uint64
 }
 
-// Order implements OrderSender. If fencing is set, it refuses a fencing number that
+// Order implements OrderSender. If enforcesFencing is set, it refuses a fencing number that
 // is too low.
 func (e *fakeEngine) Order(_ context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.fencing && o.Fence < e.fence {
+	if e.enforcesFencing && o.Fence < e.fence {
 		return errors.New("fencing number too old")
 	}
 	e.fence = max(e.fence, o.Fence)
@@ -82,12 +82,12 @@
 }
 
 // fakeTable is an in-memory table. It is unavailable while down is set, and the
-// next loseResponses commits take effect but return ErrUnknownOutcome.
+// next responsesToLose commits take effect but return ErrUnknownOutcome.
 type fakeTable struct {
-	mu            sync.Mutex
-	rows          map[string]platform.Row
-	down          bool
-	loseResponses int
+	mu              sync.Mutex
+	rows            map[string]platform.Row
+	down            bool
+	responsesToLose int
 	platform.Table
 }
 
@@ -116,8 +116,8 @@
 		return platform.ErrConflict
 	}
 	t.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Revision: row.Revision + 1}
-	if t.loseResponses > 0 {
-		t.loseResponses--
+	if t.responsesToLose > 0 {
+		t.responsesToLose--
 		return platform.ErrUnknownOutcome
 	}
 	return nil
@@ -128,13 +128,13 @@
 type fakeFetcher struct {
 	mu               sync.Mutex
 	blocked          map[core.Digest]bool
-	fetches          map[core.Digest]int
+	fetchCounts      map[core.Digest]int
 	cancelledFetches int
 }
 
 func (f *fakeFetcher) Fetch(ctx context.Context, d core.Digest, _ func() []spread.Peer) (*manifest.Manifest, error) {
 	f.mu.Lock()
-	f.fetches[d]++
+	f.fetchCounts[d]++
 	blocked := f.blocked[d]
 	f.mu.Unlock()
 	if blocked {
@@ -169,21 +169,21 @@
 	minServing int
 }
 
-// newCluster declares n backend servers with the given number of slots each and
+// newCluster declares backend servers with the given number of slots each and
 // starts their agents.
-func newCluster(t *testing.T, n, slots int) *cluster {
+func newCluster(t *testing.T, serverCount, slotsPerServer int) *cluster {
 	t.Helper()
 	c := &cluster{
 		clock:      clockwork.NewFakeClock(),
 		table:      &fakeTable{rows: map[string]platform.Row{}},
 		holder:     confstore.NewHolder(),
 		set:        declare.NewSet(),
-		minServing: n,
+		minServing: serverCount,
 	}
 	c.set.DataCentres["dc"] = &declare.DataCentre{Name: "dc", Region: "r"}
-	for i := range n {
+	for i := range serverCount {
 		name := fmt.Sprintf("gpu-%d", i)
-		c.set.BackendServers[name] = &declare.BackendServer{Name: name, DataCentre: "dc", Slots: slots}
+		c.set.BackendServers[name] = &declare.BackendServer{Name: name, DataCentre: "dc", Slots: slotsPerServer}
 		server := httptest.NewUnstartedServer(nil)
 		self := core.Instance{ID: name, Role: core.RoleAgent, Addr: server.Listener.Addr().String(), DataCentre: "dc", Region: "r"}
 		c.liveInstances = append(c.liveInstances, self)
@@ -200,15 +200,15 @@
 // newAgent returns an agent with a new engine and fetcher.
 func (c *cluster) newAgent(self core.Instance) *testAgent {
 	a := &testAgent{
-		engine:  &fakeEngine{clock: c.clock, fencing: true},
-		fetcher: &fakeFetcher{blocked: map[core.Digest]bool{}, fetches: map[core.Digest]int{}},
+		engine:  &fakeEngine{clock: c.clock, enforcesFencing: true},
+		fetcher: &fakeFetcher{blocked: map[core.Digest]bool{}, fetchCounts: map[core.Digest]int{}},
 	}
-	a.Controller = c.controller(self, a)
+	a.Controller = c.newController(self, a)
 	return a
 }
 
-// controller returns a Controller for the agent self that uses the fakes of a.
-func (c *cluster) controller(self core.Instance, a *testAgent) *Controller {
+// newController returns a Controller for the agent self that uses the fakes of a.
+func (c *cluster) newController(self core.Instance, a *testAgent) *Controller {
 	return New(Config{Self: self, Token: testToken, Metrics: metrics.NewRegistry()}, Deps{
 		Holder: c.holder, LiveInstances: func() []core.Instance { return c.liveInstances },
 		Fetcher: a.fetcher, Store: spread.NewMemStore(1 << 20), Engine: a.engine, StatusSource: a.engine,
@@ -244,7 +244,7 @@
 	c.holder.Offer(&declare.Snapshot{Number: c.configNumber, Set: set})
 }
 
-// step advances the clock by one second and makes every agent do one pass.
+// step advances the clock by one second and then runs one pass of every agent.
 func (c *cluster) step() {
 	c.clock.Advance(time.Second)
 	serving := 0
@@ -257,8 +257,8 @@
 	c.minServing = min(c.minServing, serving)
 }
 
-// stepUntil steps until cond returns true, and reports whether it did within a
-// limited number of steps.
+// stepUntil steps until cond returns true. It returns false if cond still returns
+// false after 300 steps.
 func (c *cluster) stepUntil(cond func() bool) bool {
 	const steps, pause = 300, 2 * time.Millisecond
 	for range steps {
--- a/connection/orders/drain.go
+++ b/connection/orders/drain.go
@@ -7,18 +7,19 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// drain is a wait for the calls of one version to end. err is set before done
-// is closed.
+// drain is a running or completed call of Drainer.Drain for one version.
 type drain struct {
 	cancel context.CancelFunc
-	done   chan struct{}
-	err    error
+	// done is closed when Drainer.Drain has returned.
+	done chan struct{}
+	// err is the result of Drainer.Drain. It is set before done is closed.
+	err error
 }
 
 // drainAndUnload drains the loaded version l and, once the drain is complete,
-// orders the engine to unload l. It never waits for the drain, because it is called
-// again on every pass. It reports whether the engine accepted the order. Running
-// calls of the version are not interrupted.
+// orders the engine to unload l. While the drain runs, it returns false at once,
+// because every later pass calls it again. It returns true if the engine accepted
+// the order. Running calls of the version are not interrupted.
 func (c *Controller) drainAndUnload(ctx context.Context, in *passInput, l frame.Loaded) bool {
 	d, ok := c.drains[l.Digest]
 	if !ok {
--- a/connection/orders/fence.go
+++ b/connection/orders/fence.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// ErrSuperseded is returned when another agent has taken a fencing number for
-// the same backend server since this agent last took a number.
+// ErrSuperseded is returned when another agent has taken a fencing number for the
+// same backend server since this agent last took one.
 var ErrSuperseded = errors.New("superseded: another agent has taken a newer fencing number for this backend server")
 
 const (
@@ -34,12 +34,13 @@
 }
 
 // fenceCounter takes fencing numbers for one backend server from a row of the
-// table. tookNumber is true once this agent has taken a number.
+// table.
 type fenceCounter struct {
 	table       platform.Table
 	key         string
 	incarnation string
-	tookNumber  bool
+	// hasTakenNumber is true once this agent has taken a number.
+	hasTakenNumber bool
 }
 
 // next takes and returns the next fencing number. If another agent has taken a
@@ -52,7 +53,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if f.tookNumber && row.Holder != f.incarnation && !takeOver {
+		if f.hasTakenNumber && row.Holder != f.incarnation && !takeOver {
 			return 0, ErrSuperseded
 		}
 		newRow := fenceRow{Fence: row.Fence + 1, Holder: f.incarnation}
@@ -61,7 +62,7 @@
 			err = f.confirmWrite(ctx, newRow)
 		}
 		if err == nil {
-			f.tookNumber = true
+			f.hasTakenNumber = true
 			return newRow.Fence, nil
 		}
 		lastErr = err
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -1,8 +1,8 @@
 // Package orders runs the reconcile loop that makes the engine beside an agent
 // load the versions that placement assigns to its backend server. Each pass
-// compares the assigned versions with the engine's report, starts missing
-// fetches and sends at most one load or unload order, with a fencing number.
-// A later pass sends an order again if it was lost or refused, or if its effect was
+// compares the assigned versions with the engine's report, starts missing fetches
+// and sends at most one load or unload order, with a fencing number. A later pass
+// sends an order again if the order was lost or refused, or if its effect was
 // undone.
 package orders
 
@@ -60,18 +60,18 @@
 	Source string
 	// Interval is the longest time between two passes.
 	Interval time.Duration
-	// LoadTimeout is how long the engine may take to report a version as
-	// loaded after it accepted the order.
+	// LoadTimeout is how long the engine may take to report a version as loaded
+	// after it has accepted the order to load the version.
 	LoadTimeout time.Duration
-	// UnloadTimeout is how long the engine may take to stop reporting a
-	// version after it accepted the order to unload it.
+	// UnloadTimeout is how long the engine may take to stop reporting a version as
+	// loaded after it has accepted the order to unload the version.
 	UnloadTimeout time.Duration
-	// RetireDelay is how long a version must be unwanted before it is
-	// unloaded although its slot is not needed, so that a shorter flap in the
-	// list of live instances causes no unload.
+	// RetireDelay is how long a version must have been unwanted before it is
+	// unloaded while no other version needs its slot. A change of the list of live
+	// instances that is undone sooner causes no unload.
 	RetireDelay time.Duration
-	// PeerTimeout is how long a server waits for its predecessor in the order
-	// of replacement while that peer does not respond.
+	// PeerTimeout is how long a server waits, before it replaces a version, for an
+	// agent that does not respond; see mayReplace.
 	PeerTimeout time.Duration
 	// MinLoadedShare is the share of a version's servers, from 0 to 1, that must
 	// report it as loaded before the version it replaces is unloaded.
@@ -160,11 +160,12 @@
 	Holder *confstore.Holder
 	// LiveInstances returns the platform's list of live instances.
 	LiveInstances func() []core.Instance
-	// Fetcher fetches the chunks of a version into Store.
+	// Fetcher fetches the chunks of a version and puts them into Store.
 	Fetcher spread.Fetcher
 	Store   spread.Store
-	// Engine receives the orders; StatusSource shows their effects.
-	Engine       OrderSender
+	// Engine receives the orders.
+	Engine OrderSender
+	// StatusSource provides the reports that show the effects of the orders.
 	StatusSource StatusSource
 	// Drainer drains a version before it is unloaded. If Drainer is nil,
 	// versions are unloaded without a drain.
@@ -201,9 +202,11 @@
 	pending *pendingOrder
 	// drains holds the drains of versions that are to be unloaded.
 	drains map[core.Digest]*drain
-	// unwantedSince holds when a loaded version was first seen to be unwanted.
+	// unwantedSince holds, for each loaded version that is not wanted, the time at
+	// which this was first seen.
 	unwantedSince map[core.Digest]time.Time
-	// unresponsiveSince holds, by agent ID, when a peer first failed to respond.
+	// unresponsiveSince holds, by agent ID, the time of the first request without
+	// a valid response since the last valid response.
 	unresponsiveSince map[string]time.Time
 	// waitReasons holds the reason why the next order for a version is delayed.
 	waitReasons map[core.Digest]string
@@ -221,17 +224,18 @@
 	fetched map[core.Digest]*manifest.Manifest
 	// fetching holds the cancel functions of the running fetches.
 	fetching map[core.Digest]context.CancelFunc
-	// digestMismatch holds the versions for which a response of the engine
-	// carried another digest and which are not ordered again yet.
+	// digestMismatch holds the versions for which a response of the engine carried
+	// another digest. A version stays in the map until the engine accepts a new
+	// order for it.
 	digestMismatch map[core.Digest]bool
 	progress       []Progress
 	plan           *placement.Plan
 }
 
-// pendingOrder is an accepted order whose effect the engine has not reported
-// yet. boot is the boot ID in the newest report when the order was sent.
+// pendingOrder is an accepted order whose effect the engine has not reported yet.
 type pendingOrder struct {
-	order  engine.Order
+	order engine.Order
+	// boot is the boot ID in the newest report when the order was sent.
 	boot   string
 	sentAt time.Time
 }
@@ -278,13 +282,13 @@
 	for {
 		// The channels are obtained before the pass, so that a change during
 		// the pass is not missed.
-		configured, reported := c.holder.Changed(), c.statusSource.Changed()
+		configChanged, statusChanged := c.holder.Changed(), c.statusSource.Changed()
 		c.pass(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-configured:
-		case <-reported:
+		case <-configChanged:
+		case <-statusChanged:
 		case <-c.wake:
 		case <-c.clock.After(c.cfg.Interval):
 		}
@@ -304,10 +308,10 @@
 // ordered to load d again.
 func (c *Controller) RecordDigestMismatch(d core.Digest) {
 	c.mu.Lock()
-	recorded := c.digestMismatch[d]
+	alreadyRecorded := c.digestMismatch[d]
 	c.digestMismatch[d] = true
 	c.mu.Unlock()
-	if recorded {
+	if alreadyRecorded {
 		return
 	}
 	c.log.Event(eventVersionDistrusted, eventlog.Fields{"version": d})
@@ -315,8 +319,8 @@
 }
 
 // AssignedAgents returns the agents to whose servers the version d is assigned, in
-// the order of their rank. They are the peers of a fetch of d, also when this agent
-// fetches a chunk of d only because another agent has requested that chunk.
+// the order of their rank. A fetch of d uses these agents as peers, also when this
+// agent fetches a chunk of d only because another agent has requested that chunk.
 func (c *Controller) AssignedAgents(d core.Digest) []core.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -30,7 +30,7 @@
 				a.engine.ignoreOrders = true
 			}
 			for _, a := range c.agents[:] {
-				a.engine.fencing = false
+				a.engine.enforcesFencing = false
 			}
 			v2 := c.declareVersion("m", "m-2", "", 8)
 			for range 50 {
@@ -60,7 +60,7 @@
 			c.declareVersion("m", "m-1", "", 8)
 			So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
 			for _, a := range c.agents {
-				So(a.fetcher.fetches[v1], ShouldEqual, 1)
+				So(a.fetcher.fetchCounts[v1], ShouldEqual, 1)
 			}
 		})
 	})
@@ -102,7 +102,7 @@
 			a.fetcher.blocked[first] = true
 		}
 		c.declareVersion("m", "m-1", "", 2)
-		So(c.stepUntil(func() bool { return c.agents[0].fetcher.count(first) > 0 }), ShouldBeTrue)
+		So(c.stepUntil(func() bool { return c.agents[0].fetcher.fetchCount(first) > 0 }), ShouldBeTrue)
 		second := core.DigestOf([]byte("m-1 again"))
 		set := *c.set
 		set.Versions = map[string]*declare.Version{"m-1": {Name: "m-1", Model: "m", Manifest: second}}
@@ -110,7 +110,7 @@
 
 		Convey("the first fetch is cancelled and only the second manifest is ever ordered", func() {
 			So(c.stepUntil(c.allLoaded(second)), ShouldBeTrue)
-			So(c.stepUntil(func() bool { return c.agents[0].fetcher.cancelled() == 1 }), ShouldBeTrue)
+			So(c.stepUntil(func() bool { return c.agents[0].fetcher.cancelledFetchCount() == 1 }), ShouldBeTrue)
 			for _, a := range c.agents {
 				for _, o := range a.engine.orders {
 					So(o.Digest, ShouldEqual, second)
@@ -120,15 +120,15 @@
 	})
 }
 
-// count returns the number of fetches of d that were started.
-func (f *fakeFetcher) count(d core.Digest) int {
+// fetchCount returns the number of fetches of d that were started.
+func (f *fakeFetcher) fetchCount(d core.Digest) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fetches[d]
+	return f.fetchCounts[d]
 }
 
-// cancelled returns the number of fetches that were cancelled.
-func (f *fakeFetcher) cancelled() int {
+// cancelledFetchCount returns the number of fetches that were cancelled.
+func (f *fakeFetcher) cancelledFetchCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cancelledFetches
@@ -145,7 +145,7 @@
 		self.Addr = "127.0.0.1:1"
 		c.liveInstances = []core.Instance{self}
 		replacement := &testAgent{engine: old.engine, fetcher: old.fetcher}
-		replacement.Controller = c.controller(self, replacement)
+		replacement.Controller = c.newController(self, replacement)
 		c.agents = []*testAgent{replacement}
 		v2 := c.declareVersion("m", "m-2", "", 1)
 		So(c.stepUntil(c.allLoaded(v2)), ShouldBeTrue)
@@ -163,7 +163,7 @@
 			So(old.engine.Order(context.Background(), stale), ShouldNotBeNil)
 		})
 		Convey("if the engine ignores fencing and executes such an order, the replacement gets the version loaded again", func() {
-			old.engine.fencing = false
+			old.engine.enforcesFencing = false
 			stale := engine.Order{Fence: 1, Action: actionUnload, Model: "m", Version: "m-2", Digest: v2}
 			So(old.engine.Order(context.Background(), stale), ShouldBeNil)
 			So(old.engine.digests(), ShouldBeEmpty)
@@ -210,10 +210,10 @@
 		v1 := core.DigestOf([]byte("m-1"))
 		a.engine.loaded = []frame.Loaded{{Model: "m", Version: "m-1", Digest: v1}}
 		c.declareVersion("m", "m-1", "", 1)
-		So(c.stepUntil(func() bool { return a.fetcher.count(v1) > 0 }), ShouldBeFalse)
+		So(c.stepUntil(func() bool { return a.fetcher.fetchCount(v1) > 0 }), ShouldBeFalse)
 		a.engine.loaded = nil
 		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
-		So(a.fetcher.count(v1), ShouldEqual, 1)
+		So(a.fetcher.fetchCount(v1), ShouldEqual, 1)
 	})
 }
 
@@ -243,7 +243,7 @@
 	})
 	Convey("A fencing number counts as taken if its commit took effect but had an unknown outcome", t, func() {
 		c := newCluster(t, 1, 1)
-		c.table.loseResponses = 1
+		c.table.responsesToLose = 1
 		f := c.agents[0].fenceCounter
 		first, err := f.next(context.Background(), false)
 		So(err, ShouldBeNil)
--- a/connection/orders/peers.go
+++ b/connection/orders/peers.go
@@ -22,9 +22,9 @@
 	versionsTimeout = time.Second
 	// maxVersionsBytes is the largest response read from a peer, in bytes.
 	maxVersionsBytes = 1 << 20
-	// sampleSize is the largest number of agents that are checked to decide
+	// maxSampleSize is the largest number of agents that are checked to decide
 	// whether a version is rolled out.
-	sampleSize = 8
+	maxSampleSize = 8
 )
 
 // versionsResponse is the body of a response at VersionsPath.
@@ -87,12 +87,12 @@
 }
 
 // versionRolledOut reports whether at least the share Config.MinLoadedShare of the
-// agents report the version d as loaded. It checks only a sample of at most
-// sampleSize agents, spread evenly over their ranks. A peer that does not respond
-// counts as not having loaded d. agents are the agents to which d is assigned, in
-// the order of their rank.
+// agents report the version d as loaded. agents are the agents to which d is
+// assigned, in the order of their rank. Only a sample of at most maxSampleSize of
+// them is checked, spread evenly over the ranks. A peer that does not respond
+// counts as not having loaded d.
 func (c *Controller) versionRolledOut(ctx context.Context, agents []core.Instance, d core.Digest) bool {
-	sample := evenSample(agents, sampleSize)
+	sample := evenSample(agents, maxSampleSize)
 	loadedCount := 0
 	for _, peer := range sample {
 		if peer.ID == c.cfg.Self.ID {
@@ -121,11 +121,13 @@
 }
 
 // mayReplace reports whether this server, of the given rank, may unload its old
-// version to load d into the same slot. At most maxReplacing of the servers to
-// which d is assigned do this at the same time: the server of rank r waits until
-// the server of rank r-maxReplacing reports d as loaded. A predecessor that has not
-// responded for Config.PeerTimeout handles no calls and is skipped. agents are the
-// agents to which d is assigned, in the order of their rank.
+// version to load d into the same slot. agents are the agents to which d is
+// assigned, in the order of their rank. At most one in Config.ReplaceDivisor of
+// their servers, but at least one, replaces its version at the same time; m is
+// this number. The server of rank r waits until the agent of rank r-m reports d as
+// loaded. If that agent has not responded for Config.PeerTimeout, its server is
+// assumed to handle no calls, and the agent of rank r-2m is checked instead, and
+// so on.
 func (c *Controller) mayReplace(ctx context.Context, agents []core.Instance, rank int, d core.Digest) bool {
 	maxReplacing := max(1, len(agents)/c.cfg.ReplaceDivisor)
 	for r := rank - maxReplacing; r >= 0; r -= maxReplacing {
--- a/connection/orders/reconcile.go
+++ b/connection/orders/reconcile.go
@@ -22,11 +22,11 @@
 
 // passInput holds the state that one reconcile pass works on.
 type passInput struct {
-	set    *declare.Set
-	plan   *placement.Plan
-	wanted []placement.Assignment
-	status engine.Status
-	slots  int
+	set       *declare.Set
+	plan      *placement.Plan
+	wanted    []placement.Assignment
+	status    engine.Status
+	slotCount int
 }
 
 // pass makes one reconcile pass: it compares the wanted versions with the
@@ -39,10 +39,10 @@
 	}
 	plan := c.computePlan(snapshot.Set)
 	in := &passInput{
-		set:    snapshot.Set,
-		plan:   plan,
-		wanted: plan.Assignments(c.cfg.Self.ID),
-		slots:  max(1, server.Slots),
+		set:       snapshot.Set,
+		plan:      plan,
+		wanted:    plan.Assignments(c.cfg.Self.ID),
+		slotCount: max(1, server.Slots),
 	}
 	c.applyRegionBudget(snapshot.Set)
 	c.logWanted(snapshot.Number, in.wanted)
@@ -93,19 +93,19 @@
 	}
 }
 
-// logWanted logs the wanted versions if they have changed since the last pass.
-// config is the number of the configuration.
-func (c *Controller) logWanted(config uint64, wanted []placement.Assignment) {
+// logWanted logs the wanted versions if they have changed since they were last
+// logged.
+func (c *Controller) logWanted(configNumber uint64, wanted []placement.Assignment) {
 	var names []string
 	for _, w := range wanted {
 		names = append(names, fmt.Sprintf("%s/%s %s rank %d", w.Model, w.Version, w.Digest, w.Rank))
 	}
-	line := strings.Join(names, ", ")
-	if line == c.loggedWanted {
+	joined := strings.Join(names, ", ")
+	if joined == c.loggedWanted {
 		return
 	}
-	c.loggedWanted = line
-	c.log.Event(eventPlacementWanted, eventlog.Fields{"config": config, "wanted": names, "server": c.cfg.Self.ID})
+	c.loggedWanted = joined
+	c.log.Event(eventPlacementWanted, eventlog.Fields{"config": configNumber, "wanted": names, "server": c.cfg.Self.ID})
 }
 
 // cancelUnwantedFetches cancels the fetches of versions that are no longer
@@ -130,9 +130,9 @@
 	return false
 }
 
-// checkPending clears the pending order if the engine's report shows its
-// effect, if the engine has restarted, or if the order is overdue. A report
-// older than the order is ignored. age is the age of the report.
+// checkPending clears the pending order if the engine's report shows its effect,
+// if the engine has restarted, or if the order is overdue. age is the age of the
+// report. A report that was read before the order was sent is ignored.
 func (c *Controller) checkPending(in *passInput, age time.Duration) {
 	p := c.pending
 	if p == nil || c.clock.Since(p.sentAt) <= age {
@@ -157,8 +157,8 @@
 	c.pending = nil
 }
 
-// updateUnwanted records since when each loaded version is unwanted, and
-// cancels the drains of versions that are wanted again or no longer loaded.
+// updateUnwanted records when each loaded version was first seen to be unwanted,
+// and cancels the drains of versions that are wanted again or no longer loaded.
 func (c *Controller) updateUnwanted(in *passInput) {
 	for _, l := range in.status.Loaded {
 		if isWanted(in.wanted, l.Digest) {
@@ -181,16 +181,16 @@
 	}
 }
 
-// sendNextOrder sends at most one order. It first goes through the wanted versions
-// that are not loaded, and loads a version that can be loaded or unloads another
-// version to free a slot for it. Otherwise it unloads a version that is no longer
-// needed.
+// sendNextOrder sends at most one order. It first looks for a wanted version that
+// is not loaded and can be loaded now. It loads that version, or unloads another
+// version if no slot is free. If this leads to no order, it unloads a version that
+// is no longer needed.
 func (c *Controller) sendNextOrder(ctx context.Context, in *passInput) {
 	for _, w := range in.wanted {
 		if c.hasLoaded(in, w.Digest) || !c.canLoad(in, w) {
 			continue
 		}
-		if len(in.status.Loaded) < in.slots || containsDigest(in.status.Loaded, w.Digest) {
+		if len(in.status.Loaded) < in.slotCount || containsDigest(in.status.Loaded, w.Digest) {
 			c.sendOrder(ctx, in, actionLoad, frame.Loaded{Model: w.Model, Version: w.Version, Digest: w.Digest})
 			return
 		}
@@ -206,16 +206,16 @@
 }
 
 // hasLoaded reports whether the engine reports d as loaded and no response to a
-// call for d carried another digest.
+// call for d has carried another digest since the last order for d.
 func (c *Controller) hasLoaded(in *passInput, d core.Digest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return containsDigest(in.status.Loaded, d) && !c.digestMismatch[d]
 }
 
-// canLoad reports whether a version can be loaded: all of its chunks are
-// verified, and its base version, if any, is loaded. If not, it records the
-// reason.
+// canLoad reports whether a version can be loaded: all of its chunks are verified,
+// and its base version, if any, is loaded. If the version cannot be loaded,
+// canLoad records the reason.
 func (c *Controller) canLoad(in *passInput, w placement.Assignment) bool {
 	c.mu.Lock()
 	verified := c.fetched[w.Digest] != nil
@@ -232,9 +232,9 @@
 }
 
 // freeSlot drains and unloads an unwanted version to free a slot for w, and
-// reports whether the engine accepted the order. An older version of the same
-// model is unloaded only if mayReplace allows it, a version of another model only
-// if that model is rolled out.
+// reports whether the engine accepted the order. It unloads an older version of
+// the same model only if mayReplace allows this, and a version of another model
+// only if that model is rolled out.
 func (c *Controller) freeSlot(ctx context.Context, in *passInput, w placement.Assignment) bool {
 	for _, l := range in.status.Loaded {
 		if isWanted(in.wanted, l.Digest) {
@@ -253,9 +253,9 @@
 	return false
 }
 
-// mayUnload reports whether a version may be unloaded although its slot is not
-// needed: it has been unwanted for RetireDelay, the wanted versions of its model
-// are loaded here, and the model is rolled out.
+// mayUnload reports whether a version may be unloaded while no other version needs
+// its slot: the version has been unwanted for RetireDelay, the wanted versions of
+// its model are loaded here, and the model is rolled out.
 func (c *Controller) mayUnload(ctx context.Context, in *passInput, l frame.Loaded) bool {
 	since, unwanted := c.unwantedSince[l.Digest]
 	if !unwanted || c.clock.Since(since) < c.cfg.RetireDelay {
@@ -309,9 +309,9 @@
 	c.pending = &pendingOrder{order: o, boot: in.status.Boot, sentAt: c.clock.Now()}
 }
 
-// takeFencingNumber returns a fencing number and its source, "table" or
-// "engine". While the table is unavailable, a load is ordered with the number
-// that the engine reports. This is safe: a load into a free slot affects no
+// takeFencingNumber returns a fencing number for an order and the number's source,
+// "table" or "engine". While the table is unavailable, a load is ordered with the
+// number that the engine reports. This is safe: a load into a free slot affects no
 // running calls, and orders with the higher number of another agent override the
 // load. An unload is never ordered without the table.
 func (c *Controller) takeFencingNumber(ctx context.Context, in *passInput, action string) (uint64, string, error) {
