--- a/connection/engine/engine.go
+++ b/connection/engine/engine.go
@@ -1,6 +1,5 @@
-// Package engine implements an agent's client of the model engine or plain
-// service beside it. The protocol is plain HTTP; docs/protocol/engine.md
-// describes it.
+// Package engine implements an agent's client of the model engine or plain service
+// beside it. docs/protocol/engine.md describes the protocol, which is plain HTTP.
 package engine
 
 import (
@@ -27,8 +26,8 @@
 
 // Order instructs an engine to load or unload a model version.
 type Order struct {
-	// Fence is the fencing number of the order. The engine refuses an order with
-	// a lower number than the highest number that it has accepted.
+	// Fence is the fencing number of the order. The engine refuses an order whose
+	// number is lower than the highest number that the engine has accepted.
 	Fence uint64 `json:"fence"`
 	// Action is "load" or "unload".
 	Action string `json:"action"`
--- a/connection/engine/http.go
+++ b/connection/engine/http.go
@@ -47,15 +47,17 @@
 	// ErrFenced is returned when the engine refuses an order because its fencing
 	// number is too old.
 	ErrFenced = errors.New("fencing number too old")
-	// ErrRefused is returned when the engine refuses an order for another reason.
+	// ErrRefused is returned when the engine refuses an order for a reason other
+	// than its fencing number.
 	ErrRefused = errors.New("refused")
 )
 
 // HTTPClient is the client of one engine or plain service. It is safe for
 // concurrent use.
 type HTTPClient struct {
-	addr       string
-	token      string
+	addr  string
+	token string
+	// healthPath is the path of the health check; empty for an engine.
 	healthPath string
 	// pooledClient reuses connections.
 	pooledClient *http.Client
@@ -192,8 +194,8 @@
 }
 
 // Do implements Engine. Cancelling ctx closes the connection, which cancels the
-// call at the engine. It returns ErrNotSent if the call did not reach the
-// engine.
+// call at the engine. The error is ErrNotSent if no connection could be opened, so
+// that the call did not reach the engine.
 func (h *HTTPClient) Do(ctx context.Context, c Call) (Response, error) {
 	req, err := h.newRequest(ctx, c)
 	if err != nil {
--- a/connection/engine/http_test.go
+++ b/connection/engine/http_test.go
@@ -20,9 +20,10 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// droppingServer starts a server that responds to the first request. It executes
-// each later request but closes the connection without a response.
-func droppingServer(t *testing.T) (addr string, executions *atomic.Int32) {
+// startDroppingServer starts a server that responds to the first request only. It
+// executes each later request and then closes the connection without a response.
+// executions counts the executed requests.
+func startDroppingServer(t *testing.T) (addr string, executions *atomic.Int32) {
 	executions = &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		if executions.Add(1) > 1 {
@@ -33,8 +34,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), executions
 }
 
-// keyedCall returns a call with an Idempotency-Key, once-only or not.
-func keyedCall(onceOnly bool) Call {
+// newKeyedCall returns a call with an Idempotency-Key, once-only or not.
+func newKeyedCall(onceOnly bool) Call {
 	return Call{
 		ID: "r1", Method: http.MethodPost, Path: "/lots", Body: []byte("{}"), OnceOnly: onceOnly,
 		Header: map[string][]string{core.HeaderIdempotencyKey: {"k1"}},
@@ -43,27 +44,27 @@
 
 func TestOnceOnlyCallIsNeverSentAgain(t *testing.T) {
 	Convey("Given a service that executes a call and then closes the reused connection without a response", t, func() {
-		addr, executions := droppingServer(t)
+		addr, executions := startDroppingServer(t)
 		client := NewHTTPClient(addr, "")
-		first, err := client.Do(context.Background(), keyedCall(false))
+		first, err := client.Do(context.Background(), newKeyedCall(false))
 		So(err, ShouldBeNil)
 		drainBody(first.Body)
 		executions.Store(1)
 
 		Convey("the HTTP library sends a call with an Idempotency-Key a second time", func() {
-			_, err := client.Do(context.Background(), keyedCall(false))
+			_, err := client.Do(context.Background(), newKeyedCall(false))
 			So(err, ShouldNotBeNil)
 			So(executions.Load(), ShouldBeGreaterThan, 2)
 		})
 		Convey("a once-only call is sent once", func() {
-			_, err := client.Do(context.Background(), keyedCall(true))
+			_, err := client.Do(context.Background(), newKeyedCall(true))
 			So(err, ShouldNotBeNil)
 			So(errors.Is(err, ErrNotSent), ShouldBeFalse)
 			So(executions.Load(), ShouldEqual, 2)
 		})
 	})
 	Convey("A call whose connection cannot be opened returns ErrNotSent", t, func() {
-		_, err := NewHTTPClient("127.0.0.1:1", "").Do(context.Background(), keyedCall(true))
+		_, err := NewHTTPClient("127.0.0.1:1", "").Do(context.Background(), newKeyedCall(true))
 		So(errors.Is(err, ErrNotSent), ShouldBeTrue)
 	})
 }
--- a/connection/engine/monitor.go
+++ b/connection/engine/monitor.go
@@ -18,7 +18,7 @@
 	DefaultStatusInterval = 250 * time.Millisecond
 	// statusTimeout limits the duration of one poll.
 	statusTimeout = time.Second
-	// maxStatusAge is the age from which a status is not used any more.
+	// maxStatusAge is the age from which on a status is no longer used.
 	maxStatusAge = 3 * time.Second
 )
 
@@ -39,8 +39,9 @@
 	status    Status
 	readAt    time.Time
 	hasStatus bool
-	up        bool
-	changed   chan struct{}
+	// up is true if the last poll succeeded.
+	up      bool
+	changed chan struct{}
 }
 
 // NewMonitor returns a Monitor that polls engine every interval; 0 means
@@ -81,8 +82,9 @@
 	m.store(s)
 }
 
-// store stores a status. If the engine came up, or if anything except its load
-// changed, store closes the channel that Changed returned.
+// store stores a status. If the engine came up, or if anything in the status
+// except the numbers of calls changed, store closes the channel that Changed
+// returned.
 func (m *Monitor) store(s Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
