--- a/connection/backend/conn.go
+++ b/connection/backend/conn.go
@@ -15,22 +15,22 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// The buffer sizes of a connection, in bytes. An event of a stream and the header
-// of a response are a few hundred bytes long.
+// The buffer sizes of a connection, in bytes. They suffice for an event of a
+// stream or the header of a response, which have a few hundred bytes.
 const (
 	readBufferBytes  = 2 << 10
 	writeBufferBytes = 2 << 10
 )
 
-// maxMismatches is the number of responses to other requests after which Conn.Do
+// maxMismatchedResponses is the number of responses to other requests after which Conn.Do
 // fails.
-const maxMismatches = 3
+const maxMismatchedResponses = 3
 
 // The errors of Conn.Do.
 var (
 	// ErrNotSent is returned when no byte of the request was sent.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrResponseMismatch is returned when maxMismatches responses arrived, all of
+	// ErrResponseMismatch is returned when maxMismatchedResponses responses arrived, all of
 	// them to other requests.
 	ErrResponseMismatch = errors.New("response belongs to another request")
 )
@@ -38,27 +38,30 @@
 // Conn is a connection to a backend server. Only one goroutine at a time may call
 // Do; Close may be called at any time.
 type Conn struct {
-	net       net.Conn
-	reader    *bufio.Reader
-	writer    *bufio.Writer
-	addr      string
-	used      bool
+	netConn net.Conn
+	reader  *bufio.Reader
+	writer  *bufio.Writer
+	addr    string
+	// used is true once Do has been called.
+	used bool
+	// idleSince is the time of the last Pool.Put.
 	idleSince time.Time
+	// idleLimit is how long the connection may stay idle after idleSince.
 	idleLimit time.Duration
 }
 
 // Close closes the connection.
-func (c *Conn) Close() { _ = c.net.Close() }
+func (c *Conn) Close() { _ = c.netConn.Close() }
 
 // Do sends a request and reads the header of the response. head is the encoded
 // request line and header, and body the request body; req is only used to parse
-// the response. belongs reports whether a response belongs to the request; other
-// responses are skipped. If a reused connection is no longer usable, Do sends
-// nothing and returns ErrNotSent. The end of ctx does not interrupt a blocked Do;
-// for that, the caller closes the connection. After Do, the caller reads the
+// the response. belongs reports whether a response belongs to the request; Do
+// skips other responses. If a reused connection is no longer usable, Do sends
+// nothing and returns ErrNotSent. To interrupt a blocked Do, the caller closes the
+// connection; the end of ctx does not interrupt it. After Do, the caller reads the
 // response body and then calls Pool.Put or Close.
 func (c *Conn) Do(ctx context.Context, head string, req *http.Request, body []byte, belongs func(*http.Response) bool) (*http.Response, error) {
-	if c.used && c.hasUnexpectedInput() {
+	if c.used && c.isUnusable() {
 		return nil, core.WrapStep("send request", c.addr, ErrNotSent)
 	}
 	c.used = true
@@ -71,7 +74,7 @@
 	if err := c.writer.Flush(); err != nil {
 		return nil, core.WrapStep("send request", c.addr, err)
 	}
-	for range maxMismatches {
+	for range maxMismatchedResponses {
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
 			return nil, core.WrapStep("read response", c.addr, err)
@@ -110,13 +113,13 @@
 	return errors.New("response to another request is too long")
 }
 
-// hasUnexpectedInput reports whether the idle connection is unusable because bytes
+// isUnusable reports whether the idle connection is unusable because bytes
 // arrived without a request, or because the server closed it.
-func (c *Conn) hasUnexpectedInput() bool {
+func (c *Conn) isUnusable() bool {
 	if c.reader.Buffered() > 0 {
 		return true
 	}
-	sysConn, ok := c.net.(syscall.Conn)
+	sysConn, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -134,8 +137,8 @@
 	return unexpected || err != nil
 }
 
-// allowedIdleTime returns how long the connection may stay idle after resp, at most
-// maxTime. Zero or less means that the connection must be closed.
+// allowedIdleTime returns how long the connection may stay idle after resp, at
+// most maxTime. If the result is zero or negative, the connection must be closed.
 func allowedIdleTime(resp *http.Response, maxTime time.Duration) time.Duration {
 	endsAtClose := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	if resp.Close || endsAtClose {
--- a/connection/backend/pool.go
+++ b/connection/backend/pool.go
@@ -21,7 +21,8 @@
 	// idleTimeMargin is subtracted from the idle timeout that a server announces,
 	// because the server may close the connection just when a request is sent.
 	idleTimeMargin = time.Second
-	// sweepInterval is the time between two searches for expired connections.
+	// sweepInterval is the time between two sweeps, which close expired
+	// connections.
 	sweepInterval = time.Second
 )
 
@@ -39,9 +40,9 @@
 }
 
 // Get returns the most recently used idle connection to addr. If there is none, or
-// if fresh is true, it opens a new connection.
-func (p *Pool) Get(ctx context.Context, addr string, fresh bool) (*Conn, error) {
-	if !fresh {
+// if openNew is true, it opens a new connection.
+func (p *Pool) Get(ctx context.Context, addr string, openNew bool) (*Conn, error) {
+	if !openNew {
 		if c := p.takeIdle(addr); c != nil {
 			return c, nil
 		}
@@ -51,7 +52,7 @@
 		return nil, core.WrapStep("connect", addr, err)
 	}
 	return &Conn{
-		net: conn, addr: addr,
+		netConn: conn, addr: addr,
 		reader: bufio.NewReaderSize(conn, readBufferBytes),
 		writer: bufio.NewWriterSize(conn, writeBufferBytes),
 	}, nil
@@ -88,7 +89,8 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// Run closes expired connections until ctx ends, and then all idle ones.
+// Run closes expired connections at each sweepInterval until ctx ends, and then
+// closes all idle connections.
 func (p *Pool) Run(ctx context.Context) error {
 	for {
 		select {
