--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -21,15 +21,16 @@
 const Path = "/internal/exchange"
 
 const (
-	// sendInterval is the time between two messages while counts change. In this
-	// time, a backend server that takes 12 requests per second gets about half a
-	// request.
+	// sendInterval is the time between two messages while counts change. A backend
+	// server that receives 12 requests per second receives about half a request in
+	// this time.
 	sendInterval = 50 * time.Millisecond
-	// heartbeatInterval is the time between two messages on an idle
-	// connection. The receiver closes the connection when no message arrives
-	// within receiveTimeout.
+	// heartbeatInterval is the longest time between two messages, also while no
+	// count changes.
 	heartbeatInterval = 500 * time.Millisecond
-	receiveTimeout    = 2 * time.Second
+	// receiveTimeout is the time without a message after which the receiver closes
+	// the connection.
+	receiveTimeout = 2 * time.Second
 )
 
 // redialPauses are the pauses before a peer is dialled again.
@@ -39,7 +40,7 @@
 	eventPeerConnected = eventlog.Define(150, "exchange-peer", logrus.InfoLevel,
 		"This entry instance connected to another entry instance.")
 	eventPeerDisconnected = eventlog.Define(151, "exchange-peer-gone", logrus.InfoLevel,
-		"The connection to or from another entry instance failed or ended; the side that opened it dials again.")
+		"The connection to or from another entry instance tableRequestErr or ended; the side that opened it dials again.")
 	eventTablesRequested = eventlog.Define(152, "exchange-want", logrus.InfoLevel,
 		"Another entry instance has a newer revision of a table than the store has delivered to this entry instance, which requests the table from the other.")
 )
@@ -53,7 +54,7 @@
 	// ResetPeerLoads discards the counts of a peer that has connected again.
 	ResetPeerLoads(peer string)
 	// UpdatePeerLoads updates the counts of a peer. running holds only the counts
-	// that have changed, by server ID.
+	// that have changed since the last update, by server ID.
 	UpdatePeerLoads(peer string, running map[string]int)
 }
 
@@ -63,10 +64,11 @@
 	Self core.Instance
 	// Token is the peer token sent to other entry instances.
 	Token string
-	// Holder holds the declared versions of the weights, whose ages are exchanged.
+	// Holder holds the declared versions of the weights. The entry instances
+	// exchange the ages of these versions.
 	Holder *catalog.Holder
-	// DeclaredFollower and ServersFollower follow the table of declarations and the
-	// table of backend servers in the store.
+	// DeclaredFollower follows the store's table of declarations, and
+	// ServersFollower the store's table of backend servers.
 	DeclaredFollower, ServersFollower *catalog.Follower
 	// LoadTracker provides and receives the request counts.
 	LoadTracker LoadTracker
@@ -83,9 +85,9 @@
 type Exchange struct {
 	cfg Config
 	mu  sync.Mutex
-	// known holds the addresses of all known entry instances including this one.
+	// known holds the addresses of all known entry instances, including this one.
+	known map[string]bool
 	// discovered receives the known addresses that Run has yet to dial.
-	known      map[string]bool
 	discovered chan string
 	// lastRequested is the time at which each table was last requested.
 	lastRequested map[catalog.Table]time.Time
@@ -125,8 +127,8 @@
 	return addrs
 }
 
-// Run dials the other entry instances, and redials them after each loss, until ctx
-// ends.
+// Run dials the other entry instances, and redials each one after a lost
+// connection, until ctx ends.
 func (x *Exchange) Run(ctx context.Context) error {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -160,8 +162,8 @@
 		return err
 	}
 	x.cfg.Log.Event(eventPeerConnected, eventlog.Fields{"peer": addr})
-	failed := make(chan error, 1)
-	go func() { failed <- x.serveTableRequests(conn) }()
+	tableRequestErr := make(chan error, 1)
+	go func() { tableRequestErr <- x.serveTableRequests(conn) }()
 	sent := map[string]int{}
 	var lastHeartbeat time.Time
 	for {
@@ -185,23 +187,23 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case err := <-failed:
+		case err := <-tableRequestErr:
 			return err
 		case <-x.cfg.Clock.After(sendInterval):
 		}
 	}
 }
 
-// sendAgesFor is how long after its declaration the age of a version of the
-// weights is sent to peers. A peer that was paused or disconnected receives the
-// declaration late and has no other source for the age.
-const sendAgesFor = 20 * time.Second
+// ageSendPeriod is the time after the declaration of a version of the weights in
+// which the version's age is sent to peers. A peer that was paused or disconnected
+// receives the declaration late and has no other source for the age.
+const ageSendPeriod = 20 * time.Second
 
 // recentVersions returns the versions of the weights declared within the last
-// sendAgesFor, with their ages.
+// ageSendPeriod, with their ages.
 func (x *Exchange) recentVersions(now time.Time) []frame.WantedVersion {
 	var recent []frame.WantedVersion
-	for _, w := range x.cfg.Holder.Current().RecentVersions(now, sendAgesFor) {
+	for _, w := range x.cfg.Holder.Current().RecentVersions(now, ageSendPeriod) {
 		recent = append(recent, frame.WantedVersion{
 			Model: w.Model, Version: w.Version, AgeMs: now.Sub(w.DeclaredAt).Milliseconds(),
 		})
@@ -316,8 +318,9 @@
 	}
 }
 
-// requestTables requests from the peer the tables of which a revision that the peer
-// has is overdue here.
+// requestTables requests from the peer each table of which the peer has a revision
+// that the store has not delivered here for too long; see lag.overdue. A table
+// that was requested within maxLag is not requested again.
 func (x *Exchange) requestTables(conn *frame.Conn, peer string, update frame.LoadUpdate, lags map[catalog.Table]*lag) error {
 	var request frame.TableRequest
 	now := x.cfg.Clock.Now()
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -78,7 +78,8 @@
 	return l.received[id]
 }
 
-// testInstance is an entry instance with what the exchange needs.
+// testInstance is an Exchange with the holder, the followers and the load tracker
+// that it uses.
 type testInstance struct {
 	*Exchange
 	holder            *catalog.Holder
@@ -86,7 +87,7 @@
 	loads             *fakeLoadTracker
 }
 
-// newTestInstance starts an instance that has no address of another instance.
+// newTestInstance starts an instance that knows no other instance yet.
 func newTestInstance(t *testing.T, name string) *testInstance {
 	t.Helper()
 	clock, log := clockwork.NewRealClock(), eventlog.Discard()
--- a/connection/exchange/lag.go
+++ b/connection/exchange/lag.go
@@ -7,29 +7,33 @@
 )
 
 // maxLag is how long a revision that a peer has may be missing here before the
-// table is requested from the peer. Usually the store delivers it sooner.
+// table is requested from the peer. Usually the store delivers the revision
+// sooner.
 const maxLag = 400 * time.Millisecond
 
-// lag tracks a revision of a table that a peer has and that is missing here, and
-// since when it is missing. In a large deployment the table of servers changes all
-// the time and every entry instance is slightly behind some other entry instance.
-// Only a revision that stays missing shows that the store does not deliver it.
+// lag tracks a revision of a table that a peer has and that is missing here. In a
+// large deployment the table of servers changes all the time and every entry
+// instance is slightly behind some other entry instance. Only a revision that
+// stays missing shows that the store does not deliver it.
 type lag struct {
+	// revision is 0 if no revision is missing.
 	revision uint64
-	since    time.Time
+	// since is the time at which the revision was first seen to be missing.
+	since time.Time
 }
 
-// overdue reports whether the tracked revision has been missing for at least
-// maxLag, or whether the peer has a revision and this entry instance has none. ours
-// and theirs are the newest revisions here and at the peer; 0 means none.
-func (l *lag) overdue(ours, theirs uint64, now time.Time) bool {
+// overdue updates the tracked revision and reports whether it has been missing
+// here for at least maxLag. It also returns true if the peer has a revision and
+// this entry instance has none. ownRevision and peerRevision are the newest
+// revisions here and at the peer; 0 means none.
+func (l *lag) overdue(ownRevision, peerRevision uint64, now time.Time) bool {
 	switch {
-	case theirs <= ours:
+	case peerRevision <= ownRevision:
 		*l = lag{}
-	case ours == 0:
+	case ownRevision == 0:
 		return true
-	case ours >= l.revision:
-		*l = lag{theirs, now}
+	case ownRevision >= l.revision:
+		*l = lag{peerRevision, now}
 	}
 	return l.revision > 0 && now.Sub(l.since) >= maxLag
 }
--- a/connection/exchange/lag_test.go
+++ b/connection/exchange/lag_test.go
@@ -16,14 +16,14 @@
 	Convey("A table that changes all the time is not requested while the store delivers it 300 ms late", t, func() {
 		// A new revision appears every 10 ms; the peer sends its newest revision every
 		// 500 ms.
-		requested := 0
+		requestCount := 0
 		var l lag
 		for ms := 1000; ms < 60_000; ms += 500 {
 			if l.overdue(uint64(ms-300)/10, uint64(ms)/10, at(ms)) {
-				requested++
+				requestCount++
 			}
 		}
-		So(requested, ShouldEqual, 0)
+		So(requestCount, ShouldEqual, 0)
 	})
 
 	Convey("A revision that stays missing is requested, also while newer ones follow", t, func() {
