--- a/connection/fleet/entryconnections.go
+++ b/connection/fleet/entryconnections.go
@@ -27,7 +27,7 @@
 	// still empty.
 	Hello frame.AgentHello
 	// DeclaredVersions returns the declared versions that the agent has received,
-	// with their ages. They are added to Hello.
+	// with their ages. EntryConnections adds them to Hello.
 	DeclaredVersions func() []frame.WantedVersion
 	// Token is the peer token sent to entry instances.
 	Token string
@@ -51,14 +51,15 @@
 	state frame.AgentState
 	// changed is closed and replaced when state or listSenders changes.
 	changed chan struct{}
-	// known holds the addresses of all known entry instances. discovered receives
-	// the known addresses that Run has yet to dial.
-	known      map[string]bool
+	// known holds the addresses of all known entry instances.
+	known map[string]bool
+	// discovered receives the known addresses that Run has yet to dial.
 	discovered chan string
-	// connected maps the addresses of the connected entry instances to their
-	// data centres. listSenders holds the addresses of the connected entry
-	// instances that are requested to send the list of agents.
-	connected   map[string]string
+	// connected maps the addresses of the connected entry instances to their data
+	// centres.
+	connected map[string]string
+	// listSenders holds the addresses of the connected entry instances from which
+	// the agent requests the list of agents.
 	listSenders map[string]bool
 }
 
@@ -104,8 +105,8 @@
 	c.updateListSenders()
 }
 
-// updateListSenders chooses again which entry instances send the list of agents.
-// c.mu must be held.
+// updateListSenders chooses again from which entry instances the agent requests
+// the list of agents. c.mu must be held.
 func (c *EntryConnections) updateListSenders() {
 	self := c.cfg.Hello.Instance
 	listSenders := chooseListSenders(self.ID, self.DataCentre, c.connected)
@@ -115,7 +116,8 @@
 	}
 }
 
-// Run dials the entry instances, and redials them after each loss, until ctx ends.
+// Run dials the entry instances, and redials each one after a lost connection,
+// until ctx ends.
 func (c *EntryConnections) Run(ctx context.Context) error {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -147,8 +149,8 @@
 	}
 }
 
-// maintainConnection dials an entry instance, and redials it after each loss, until
-// ctx ends.
+// maintainConnection dials an entry instance, and redials it after each lost
+// connection, until ctx ends.
 func (c *EntryConnections) maintainConnection(ctx context.Context, addr string) {
 	session := func(ctx context.Context, timeout time.Duration) error {
 		err := c.runSession(ctx, addr, timeout)
@@ -200,8 +202,8 @@
 	}
 }
 
-// sendStates sends the state after each change and as a heartbeat, until the
-// session ends or sending fails.
+// sendStates sends the state at once, after each change and at each
+// heartbeatInterval, until the session ends or sending fails.
 func (c *EntryConnections) sendStates(conn *frame.Conn, addr string, ended <-chan struct{}) {
 	for {
 		c.mu.Lock()
--- a/connection/fleet/fleet_test.go
+++ b/connection/fleet/fleet_test.go
@@ -22,8 +22,8 @@
 	token = "test-token"
 )
 
-// testEntry is an entry instance's end of the connections. It stores the states
-// that agents report, by the address of their backend server.
+// testEntry is an entry instance with a Hub. It stores the states that agents
+// report, by the address of their backend server.
 type testEntry struct {
 	holder *catalog.Holder
 	server *httptest.Server
@@ -76,8 +76,7 @@
 	return s, ok
 }
 
-// testAgent is an agent's end of the connections. It stores the last fleet
-// message.
+// testAgent is an agent with EntryConnections. It stores the last fleet message.
 type testAgent struct {
 	*EntryConnections
 	stop func()
--- a/connection/fleet/hub.go
+++ b/connection/fleet/hub.go
@@ -22,11 +22,12 @@
 	// batchDelay is the wait between a change and the message about it, so that
 	// further changes in that time go out in the same message.
 	batchDelay = 50 * time.Millisecond
-	// heartbeatInterval is the time between two messages on an idle
-	// connection. The receiver closes the connection when no message arrives
-	// within receiveTimeout.
+	// heartbeatInterval is the longest time between two messages, also while
+	// nothing changes.
 	heartbeatInterval = 500 * time.Millisecond
-	receiveTimeout    = 2500 * time.Millisecond
+	// receiveTimeout is the time without a message after which the receiver closes
+	// the connection.
+	receiveTimeout = 2500 * time.Millisecond
 )
 
 // HubConfig holds the settings and dependencies of a Hub.
@@ -57,7 +58,7 @@
 	changed chan struct{}
 }
 
-// agentConn is the connection of one agent.
+// agentConn is the connection of one agent. Hub.mu guards state.
 type agentConn struct {
 	hello frame.AgentHello
 	state frame.AgentState
@@ -117,8 +118,8 @@
 	})
 }
 
-// removeAgent removes a connection that ended with err, unless a newer one has
-// replaced it.
+// removeAgent removes a connection that ended with err. If a newer connection has
+// replaced it, removeAgent does nothing.
 func (h *Hub) removeAgent(a *agentConn, err error) {
 	h.mu.Lock()
 	current := h.agents[a.hello.Server] == a
@@ -184,9 +185,9 @@
 	}
 }
 
-// sendUpdates sends a fleet message after each change and heartbeats in between,
-// until ctx ends or sending fails. A heartbeat is an empty KindNotice frame, whose
-// only purpose is to arrive within the agent's receive timeout.
+// sendUpdates sends a fleet message at once and after each change, and heartbeats
+// in between, until ctx ends or sending fails. A heartbeat is an empty KindNotice
+// frame; it only keeps the agent from closing the connection.
 func (h *Hub) sendUpdates(ctx context.Context, a *agentConn) {
 	var lastSent *catalog.Snapshot
 	for {
@@ -212,9 +213,9 @@
 
 // waitForUpdate waits until a message is due, because of a change or for a
 // heartbeat. After a change it also waits for batchDelay. It sets *lastSent to
-// nil, so that the fleet message is sent again, when the agent starts or stops
-// requesting the list of agents, and when that list changed and the agent
-// requests it. It returns false when ctx ends.
+// nil, which causes the fleet message to be sent again, in two cases: the agent
+// starts or stops requesting the list of agents, or the list changes while the
+// agent requests it. It returns false when ctx ends.
 func (h *Hub) waitForUpdate(ctx context.Context, a *agentConn, agentsChanged, catalogChanged <-chan struct{}, lastSent **catalog.Snapshot) bool {
 	heartbeat := h.cfg.Clock.After(heartbeatInterval)
 	for {
@@ -265,8 +266,8 @@
 }
 
 // sameVersionsAndOrigin reports whether two snapshots declare the same versions
-// and origin. A snapshot without a configuration is equal only to another one
-// without a configuration.
+// and origin. If only one of them has a configuration it returns false, and if
+// neither has one it returns true.
 func sameVersionsAndOrigin(a, b *catalog.Snapshot) bool {
 	if a.Config == nil || b.Config == nil {
 		return a.Config == b.Config
@@ -321,7 +322,7 @@
 	}
 	for _, a := range h.agents {
 		f.Agents = append(f.Agents, frame.FleetAgent{
-			Instance: a.hello.Instance, Server: a.hello.Server, HasDeclaredVersion: hasLoadedWanted(a.state, wantedVersions),
+			Instance: a.hello.Instance, Server: a.hello.Server, HasDeclaredVersion: hasLoadedAnyWanted(a.state, wantedVersions),
 		})
 	}
 	return f
@@ -338,9 +339,9 @@
 	return w
 }
 
-// hasLoadedWanted reports whether a backend server has loaded the wanted version of
+// hasLoadedAnyWanted reports whether a backend server has loaded the wanted version of
 // at least one model.
-func hasLoadedWanted(s frame.AgentState, wantedVersions map[string]int) bool {
+func hasLoadedAnyWanted(s frame.AgentState, wantedVersions map[string]int) bool {
 	for model, version := range s.LoadedVersions {
 		if version == wantedVersions[model] {
 			return true
--- a/connection/fleet/listsenders.go
+++ b/connection/fleet/listsenders.go
@@ -17,11 +17,11 @@
 // agent requests the list of agents. connected maps the addresses of the
 // connected entry instances to their data centres.
 //
-// It chooses up to listSenderCount entry instances of the agent's own data
-// centre, so that the list does not cross the links between data centres. Only if
-// no entry instance of that data centre is connected, it chooses entry instances of
-// other data centres. A hash of agent and address orders the candidates, which
-// spreads the agents over the entry instances.
+// It chooses up to listSenderCount entry instances of the agent's own data centre,
+// so that the list does not cross the links between data centres. It chooses entry
+// instances of other data centres only if none of the agent's own data centre is
+// connected. A hash of agent and address orders the candidates, which spreads the
+// agents over the entry instances.
 func chooseListSenders(agent, dataCentre string, connected map[string]string) map[string]bool {
 	var addrs []string
 	for addr := range connected {
