--- a/connection/work/pool.go
+++ b/connection/work/pool.go
@@ -20,14 +20,14 @@
 
 // ErrWrongRequestID is returned when a received frame carries the ID of another
 // request. The frame is discarded, so that no caller gets the response to another
-// request, and its connection is closed.
+// request, and the connection is closed.
 var ErrWrongRequestID = errors.New("frame of another request")
 
 // PoolConfig holds the settings of a Pool.
 type PoolConfig struct {
 	// PeerToken is the secret that authenticates this process to agents.
 	PeerToken string
-	// MaxIdle is the maximum number of idle connections kept per agent.
+	// MaxIdle is the maximum number of idle connections kept for each agent.
 	// Default 64.
 	MaxIdle int
 	// IdleTimeout is how long a connection may be idle and still be used
@@ -152,13 +152,14 @@
 	p.CloseIdle(addr)
 }
 
-// pooledExchange implements Exchange on a connection of a Pool. failed is true
-// after an error, so that Close discards the connection; conn is nil after Close.
+// pooledExchange implements Exchange on a connection of a Pool.
 type pooledExchange struct {
-	pool   *Pool
-	addr   string
-	conn   *frame.Conn
-	id     string
+	pool *Pool
+	addr string
+	// conn is nil after Close.
+	conn *frame.Conn
+	id   string
+	// failed is true after an error; Close then discards the connection.
 	failed bool
 }
 
@@ -211,8 +212,8 @@
 }
 
 // Decode decodes a frame sent by an agent and returns a pointer to the message and
-// the request ID in it. The error is frame.ErrUnexpectedKind if agents do not send
-// frames of this kind on work connections.
+// the request ID in it. The error matches frame.ErrUnexpectedKind if agents do not
+// send frames of this kind on work connections.
 func Decode(f frame.Frame) (msg any, id string, err error) {
 	switch f.Kind {
 	case frame.KindAdmit:
--- a/connection/work/server.go
+++ b/connection/work/server.go
@@ -38,8 +38,8 @@
 	return &Server{handler: handler, log: log, conns: map[*frame.Conn]bool{}}
 }
 
-// ServeHTTP upgrades r to a work connection and serves the connection until it
-// ends.
+// ServeHTTP upgrades r to a work connection, handles the requests on it and
+// returns when the connection has ended.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Accept(w, r)
 	if err != nil {
@@ -106,8 +106,8 @@
 	}
 }
 
-// receiveAll sends the received frames to the channel frames. It cancels ctx when
-// the connection ends.
+// receiveAll sends the frames that conn receives to the channel frames. It
+// returns, and cancels ctx, when the connection ends.
 func receiveAll(ctx context.Context, cancel context.CancelFunc, conn *frame.Conn, frames chan<- frame.Frame) {
 	defer cancel()
 	for {
--- a/connection/work/work.go
+++ b/connection/work/work.go
@@ -14,8 +14,8 @@
 const Path = "/internal/work"
 
 // Exchange is the entry instance's side of one request on one connection. The
-// caller must close it; closing it before the agent has finished cancels the
-// request at the agent.
+// caller must call Close. A call of Close before the agent's last message cancels
+// the request at the agent.
 type Exchange interface {
 	// Send sends a frame of the given kind with the message msg.
 	Send(kind frame.Kind, msg any) error
@@ -40,8 +40,8 @@
 // Handler handles requests at an agent.
 type Handler interface {
 	// Handle handles the request that begins with the frame first, and returns
-	// when the exchange is over. An error closes the connection. ctx ends when
-	// the entry instance closes the connection.
+	// when the exchange is over. If it returns an error, the connection is closed.
+	// ctx ends when the entry instance closes the connection.
 	Handle(ctx context.Context, first frame.Frame, x AgentExchange) error
 }
 
--- a/connection/work/work_test.go
+++ b/connection/work/work_test.go
@@ -70,7 +70,7 @@
 		}
 		So(len(pool.idle[agent.Addr]), ShouldEqual, 1)
 	})
-	Convey("A frame that carries another request's ID is discarded with its connection", t, func() {
+	Convey("A frame that carries another request's ID is discarded, and its connection is closed", t, func() {
 		pool, agent, stop := startAgent(respondWithEnd("r0"))
 		defer stop()
 		x, err := pool.Open(ctx, agent, "r1", frame.KindRequest, frame.Request{ID: "r1"})
