--- a/connection/members/fallback.go
+++ b/connection/members/fallback.go
@@ -21,14 +21,15 @@
 	// knownEntries returns the entry instances that the watcher has listed.
 	knownEntries func() []core.Instance
 	client       *http.Client
-	// etag is the ETag of the list read last, from whichever entry instance.
+	// etag is the ETag of the list read last, whichever entry instance sent it.
 	etag string
 }
 
-// NewPeerFallback returns a Fallback that reads the list of instances from the known
-// entry instances, in random order so that the requests spread over them. An agent
-// reads the list of the first entry instance that responds. An entry instance reads
-// the lists of up to maxListsPerRead others and announces itself with each request.
+// NewPeerFallback returns a Fallback that reads the list of instances from the
+// known entry instances, in random order so that the requests are spread evenly.
+// An agent reads the list of the first entry instance that responds. An entry
+// instance reads the lists of up to maxListsPerRead others and announces itself
+// with each request.
 func NewPeerFallback(knownEntries func() []core.Instance, self core.Instance, token string) instances.Fallback {
 	l := &listReader{
 		self: self, token: token, knownEntries: knownEntries,
@@ -38,12 +39,13 @@
 }
 
 // read implements instances.Fallback. It returns the joined lists of the entry
-// instances that responded. A list that is equal to the list read before it is left
-// out; the result may be empty.
+// instances that responded. A list that has not changed since the last read is
+// left out, so the result may be empty. It returns an error if no entry instance
+// responded.
 func (l *listReader) read(ctx context.Context) ([]core.Instance, error) {
 	err := errors.New("no entry instance known")
 	var list []core.Instance
-	responses := 0
+	responseCount := 0
 	peers := l.knownEntries()
 	for _, i := range rand.Perm(len(peers)) {
 		if peers[i].ID == l.self.ID {
@@ -55,19 +57,20 @@
 			continue
 		}
 		list = append(list, received...)
-		responses++
-		if l.self.Role != core.RoleEntry || responses == maxListsPerRead {
+		responseCount++
+		if l.self.Role != core.RoleEntry || responseCount == maxListsPerRead {
 			break
 		}
 	}
-	if responses > 0 {
+	if responseCount > 0 {
 		return list, nil
 	}
 	return nil, err
 }
 
-// requestList reads the list of one entry instance. It returns nil if the list is
-// equal to the list read before it, from whichever entry instance.
+// requestList reads the list of one entry instance. It returns nil if the list has
+// not changed since the last read, whether from this entry instance or from
+// another.
 func (l *listReader) requestList(ctx context.Context, peer core.Instance) ([]core.Instance, error) {
 	const step = "list instances"
 	req, err := l.newRequest(ctx, peer)
@@ -93,8 +96,8 @@
 	return list, nil
 }
 
-// newRequest builds the HTTP request for the list of peer. The request of an entry
-// instance also announces it.
+// newRequest builds the HTTP request for the list of peer. If this process is an
+// entry instance, the request also announces this process.
 func (l *listReader) newRequest(ctx context.Context, peer core.Instance) (*http.Request, error) {
 	method, body := http.MethodGet, []byte(nil)
 	if l.self.Role == core.RoleEntry {
--- a/connection/members/members.go
+++ b/connection/members/members.go
@@ -25,16 +25,16 @@
 const Path = "/internal/instances"
 
 const (
-	// announcementLifetime is how long an announcement is valid unless it is
-	// repeated.
+	// announcementLifetime is how long an announcement is valid. Each new
+	// announcement of the same entry instance replaces the old one.
 	announcementLifetime = 10 * time.Second
-	// maxListsPerRead is the number of other entry instances from which an entry
-	// instance reads the list each time.
+	// maxListsPerRead is the maximum number of other entry instances whose lists
+	// an entry instance reads each time.
 	maxListsPerRead = 3
-	// maxAnnounceBytes and maxListBytes limit the bodies of a request and of a
-	// response, in bytes.
-	maxAnnounceBytes = 4 << 10
-	maxListBytes     = 1 << 20
+	// maxAnnouncementBytes limits the body of a request, in bytes.
+	maxAnnouncementBytes = 4 << 10
+	// maxListBytes limits the body of a response, in bytes.
+	maxListBytes = 1 << 20
 )
 
 // Server is the HTTP handler that serves the list of instances to processes that
@@ -49,7 +49,7 @@
 }
 
 // announcement is an entry instance that announced itself, with the time at which
-// this was received.
+// the announcement arrived.
 type announcement struct {
 	instance   core.Instance
 	receivedAt time.Time
@@ -87,7 +87,7 @@
 // returns false.
 func (s *Server) recordAnnouncement(w http.ResponseWriter, r *http.Request) bool {
 	var in core.Instance
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnounceBytes))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	if err := d.Decode(&in); err != nil || in.ID == "" || in.Role != core.RoleEntry {
 		http.Error(w, "want an entry instance", http.StatusBadRequest)
 		return false
@@ -99,8 +99,9 @@
 }
 
 // list returns, sorted by ID, the watched instances, the registered agents and the
-// announced entry instances. Of several instances with the same ID, only the first
-// in this order is included.
+// announced entry instances. Of several instances with the same ID it includes
+// only one: a watched instance rather than a registered agent, and an agent rather
+// than an announced entry instance.
 func (s *Server) list() []core.Instance {
 	all := append([]core.Instance{}, s.watcher.All()...)
 	listed := map[string]bool{}
