--- a/connection/confsync/confirm_test.go
+++ b/connection/confsync/confirm_test.go
@@ -40,8 +40,8 @@
 	return dialling, accepting
 }
 
-// holderAt returns a holder with version number in force.
-func holderAt(number uint64) *confstore.Holder {
+// newHolderAt returns a holder with the version of the given number in force.
+func newHolderAt(number uint64) *confstore.Holder {
 	set := declare.NewSet()
 	set.Regions["west"] = &declare.Region{Name: "west"}
 	_, digest, err := declare.Encode(set)
@@ -57,7 +57,7 @@
 func pullFromPeer(t *testing.T, ownVersion, peerVersion uint64, mayConfirm bool) *confstore.Holder {
 	t.Helper()
 	ownEnd, peerEnd := connect(t)
-	ownHolder, peerHolder := holderAt(ownVersion), holderAt(peerVersion)
+	ownHolder, peerHolder := newHolderAt(ownVersion), newHolderAt(peerVersion)
 	ownHub := NewHub(HolderSource{Holder: ownHolder}, eventlog.Discard())
 	peerHub := NewHub(HolderSource{Holder: peerHolder}, eventlog.Discard())
 	peerHub.ConfirmPeersWhen(func() bool { return mayConfirm })
--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -17,7 +17,7 @@
 	"github.com/rattanway/rattanway/version/confstore"
 )
 
-// pullTimeout is how long a pull of a version may take before the version is
+// pullTimeout is how long a pull of a version may take before the version may be
 // pulled from another peer.
 const pullTimeout = time.Second
 
@@ -33,7 +33,8 @@
 	// Encode returns the version in force, encoded for a peer that holds
 	// version peerVersion.
 	Encode(peerVersion uint64) (frame.Config, error)
-	// Offer checks c and puts it in force if it is newer.
+	// Offer checks c and puts it in force if it is newer than the version in
+	// force.
 	Offer(c frame.Config) error
 	// RecordPeerVersion records that the newest version of a peer is number, according
 	// to the response to a Pull frame that was sent at pullSent.
@@ -49,10 +50,10 @@
 	mayConfirm func() bool
 
 	mu sync.Mutex
-	// pulledVersion is the version pulled last, and pullStarted the time at which
-	// that pull started.
+	// pulledVersion is the version pulled last.
 	pulledVersion uint64
-	pullStarted   time.Time
+	// pullStarted is the time at which that pull started.
+	pullStarted time.Time
 	// sessions holds the open sessions.
 	sessions map[*Session]bool
 }
@@ -68,8 +69,9 @@
 // another paused process. ConfirmPeersWhen must be called before the Hub is used.
 func (h *Hub) ConfirmPeersWhen(mayConfirm func() bool) { h.mayConfirm = mayConfirm }
 
-// PullFromPeers sends a Pull frame to every peer, so that the version in force here
-// is confirmed or replaced. It is called after the process was paused.
+// PullFromPeers sends a Pull frame to every peer, so that the version in force
+// here is confirmed or replaced. It must be called after each pause of the
+// process.
 func (h *Hub) PullFromPeers() {
 	h.mu.Lock()
 	sessions := make([]*Session, 0, len(h.sessions))
@@ -197,8 +199,8 @@
 }
 
 // Announce sends a Notice frame to the peer for each newer version until ctx ends.
-// It waits for delay before each frame, because the peer may get the version from
-// elsewhere in this time.
+// It waits for delay before each frame, because the peer may receive the version
+// from elsewhere in this time.
 func (s *Session) Announce(ctx context.Context, delay time.Duration) error {
 	for {
 		changed := s.hub.source.Changed()
@@ -248,9 +250,9 @@
 }
 
 // applyConfig puts a received configuration in force. A configuration that fails
-// its check is logged and dropped, and the connection stays open. If a difference
-// does not start from the version in force, applyConfig requests the complete
-// configuration.
+// its check is logged and dropped, and the connection stays open. If the
+// configuration is a delta whose base is not the version in force, applyConfig
+// requests the complete configuration.
 func (s *Session) applyConfig(c frame.Config) error {
 	s.raisePeerVersion(c.Number)
 	err := s.hub.source.Offer(c)
--- a/connection/confsync/replay_test.go
+++ b/connection/confsync/replay_test.go
@@ -14,7 +14,7 @@
 // peer or from a recording, change nothing and do not end the session.
 func TestReplayedFrames(t *testing.T) {
 	Convey("Given a process with version 4 in force and a peer that replays version 3", t, func() {
-		old, current := holderAt(3), holderAt(4)
+		old, current := newHolderAt(3), newHolderAt(4)
 		ownEnd, peerEnd := connect(t)
 		source := HolderSource{Holder: current}
 		session := NewSession(NewHub(source, eventlog.Discard()), ownEnd, 3)
