--- a/core/instance.go
+++ b/core/instance.go
@@ -22,13 +22,12 @@
 	DataCentre string `json:"dataCentre" cbor:"4,keyasint"`
 	// Region is the name of the region of that data centre.
 	Region string `json:"region" cbor:"5,keyasint"`
-	// Leaving is true once the platform has announced that it will stop the
-	// instance.
+	// Leaving is true once the platform has announced that the instance will be
+	// stopped.
 	Leaving bool `json:"leaving,omitempty" cbor:"6,keyasint,omitempty"`
 }
 
-// Refusal classifies a failed call in a problem document: whether the call was
-// executed.
+// Refusal states in a problem document whether a failed call was executed.
 type Refusal string
 
 // Values of Refusal in problem documents.
@@ -47,8 +46,9 @@
 const (
 	// HeaderRequestID carries the request id in requests and responses.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderDigest carries the manifest digest of the model version that
-	// produced a response.
+	// HeaderDigest carries a manifest digest: in a request to an engine that of
+	// the model version that must serve the call, and in a response that of the
+	// model version that produced the response.
 	HeaderDigest = "X-Model-Digest"
 	// HeaderPeerToken carries the token with which the processes of this
 	// system authenticate to each other.
