--- a/process/pause/pause.go
+++ b/process/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause detects that this process was suspended for a while, so that
-// state from before the pause can be confirmed before it is used.
+// Package pause detects that this process was suspended for a while, so that the
+// process can confirm its state from before the pause before it uses that state.
 package pause
 
 import (
@@ -15,8 +15,8 @@
 const (
 	// sampleInterval is the time between two samples of the clock.
 	sampleInterval = 100 * time.Millisecond
-	// Threshold is the shortest time between two samples that counts as a
-	// pause.
+	// Threshold is the time between two samples from which on the process counts
+	// as having been paused in between.
 	Threshold = time.Second
 )
 
@@ -30,9 +30,9 @@
 	started time.Time
 
 	mu sync.Mutex
-	// lastSample is the time from started to the last sample.
+	// lastSample is the time of the last sample, counted from started.
 	lastSample time.Duration
-	pauses     int64
+	pauseCount int64
 }
 
 // New returns a Detector whose first sample is the current time.
@@ -57,16 +57,16 @@
 // PauseCount samples the clock and returns the number of pauses so far. The number
 // includes a pause that has just ended and that Run has not detected yet.
 func (d *Detector) PauseCount() int64 {
-	gap, pauses := d.sample()
+	gap, pauseCount := d.sample()
 	if gap >= Threshold {
 		d.log.Event(eventPaused, eventlog.Fields{"seconds": gap.Seconds()})
 	}
-	return pauses
+	return pauseCount
 }
 
-// sample samples the clock and returns the time since the sample before and the
-// number of pauses. Time and number change under one lock: a concurrent caller
-// must not see the new sample with the old number.
+// sample samples the clock and returns the time since the previous sample and the
+// number of pauses. Both change under one lock: a concurrent caller must not see
+// the new sample with the old number of pauses.
 func (d *Detector) sample() (time.Duration, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,7 +74,7 @@
 	gap := now - d.lastSample
 	d.lastSample = now
 	if gap >= Threshold {
-		d.pauses++
+		d.pauseCount++
 	}
-	return gap, d.pauses
+	return gap, d.pauseCount
 }
--- a/process/pause/pause_test.go
+++ b/process/pause/pause_test.go
@@ -11,7 +11,7 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// writerFunc is an io.Writer that calls the function for each log line.
+// writerFunc is an io.Writer that calls the function for each write and discards the data.
 type writerFunc func()
 
 func (f writerFunc) Write(p []byte) (int, error) {
@@ -21,21 +21,21 @@
 
 func TestDetector(t *testing.T) {
 	Convey("Given a process that was suspended for two seconds", t, func() {
-		suspended := func(w io.Writer) *Detector {
+		newSuspended := func(w io.Writer) *Detector {
 			d := New(eventlog.New(w, logrus.InfoLevel, "lots-1"))
 			d.started = d.started.Add(-2 * Threshold)
 			return d
 		}
 
 		Convey("the pause is counted once", func() {
-			d := suspended(io.Discard)
+			d := newSuspended(io.Discard)
 			So(d.PauseCount(), ShouldEqual, 1)
 			So(d.PauseCount(), ShouldEqual, 1)
 		})
 		Convey("a caller that reads the count while another goroutine logs the pause gets the new count", func() {
 			seen := make(chan int64, 1)
 			var d *Detector
-			d = suspended(writerFunc(func() {
+			d = newSuspended(writerFunc(func() {
 				started := make(chan struct{})
 				go func() {
 					close(started)
