--- a/process/platform/http.go
+++ b/process/platform/http.go
@@ -19,8 +19,8 @@
 )
 
 // ErrRefused is returned when the platform rejects a call as invalid, for example
-// because of its token or size. The call had no effect, and a retry would fail
-// again.
+// because of the call's token or size. The call had no effect, and a retry would
+// fail too.
 var ErrRefused = errors.New("platform refused the call")
 
 // Defaults of Config.
@@ -40,7 +40,7 @@
 	maxErrorBytes  = 4 << 10
 )
 
-// Config holds the settings of the HTTP adapters.
+// Config holds the settings of NewHTTP.
 type Config struct {
 	// Addr is the platform's "ip:port".
 	Addr string
@@ -64,8 +64,8 @@
 	}
 }
 
-// NewHTTP returns adapters that use the platform at config.Addr over plain HTTP.
-// They share one connection pool.
+// NewHTTP returns a Platform whose adapters call the platform at config.Addr over
+// plain HTTP. The adapters share one connection pool.
 func NewHTTP(config Config) *Platform {
 	config.applyDefaults()
 	c := newClient(config)
@@ -80,13 +80,16 @@
 // client sends requests to the platform and maps their results to the errors of
 // this package.
 type client struct {
-	addr   string
-	token  string
-	http   *http.Client
+	addr  string
+	token string
+	http  *http.Client
+	// reads and writes count the requests, and failed those without a complete
+	// response.
 	reads  metrics.Counter
 	writes metrics.Counter
 	failed metrics.Counter
-	bytes  metrics.Counter
+	// bytes counts the bytes of the bodies of requests and responses.
+	bytes metrics.Counter
 }
 
 // newClient returns a client with its own connection pool.
@@ -109,8 +112,8 @@
 	}
 }
 
-// noRedirect does not follow redirects: statusError maps their status to
-// ErrRefused.
+// noRedirect makes an http.Client return a redirect instead of following it.
+// statusError maps the status of a redirect to ErrRefused.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // request is a request to the platform.
@@ -123,11 +126,11 @@
 	query  url.Values
 	header http.Header
 	body   []byte
-	// maxBytes is the largest size of the response's body.
+	// maxBytes is the maximum size of the response's body.
 	maxBytes int64
 }
 
-// response is a response of the platform with its whole body.
+// response is a response of the platform with its complete body.
 type response struct {
 	status int
 	header http.Header
@@ -137,9 +140,9 @@
 // isWrite reports whether r may change data of the platform.
 func (r request) isWrite() bool { return r.method != http.MethodGet }
 
-// do sends a request, reads the whole response and updates the metrics. It returns
-// an error of this package wrapped in a core.StepError with the step and the
-// platform's address.
+// do sends a request, reads the complete response and updates the metrics. Its
+// errors are errors of this package, wrapped in a core.StepError with the step and
+// the platform's address.
 func (c *client) do(ctx context.Context, timeout time.Duration, req request) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -162,8 +165,8 @@
 	c.reads.Inc(1)
 }
 
-// roundTrip sends a request and reads the whole response. It returns ErrRefused,
-// ErrUnavailable or ErrUnknownOutcome if there is no whole response.
+// roundTrip sends a request and reads the complete response. Without a complete
+// response it returns ErrRefused, ErrUnavailable or ErrUnknownOutcome.
 func (c *client) roundTrip(ctx context.Context, req request) (response, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -222,9 +225,10 @@
 	return body, err
 }
 
-// transportError returns the error for a request without a whole response:
-// ErrUnknownOutcome for a write whose headers were sent, and otherwise
-// ErrUnavailable, since neither a read nor a write without headers has an effect.
+// transportError returns the error for a request without a complete response. It
+// is ErrUnknownOutcome for a write whose headers were sent, and otherwise
+// ErrUnavailable, because neither a read nor a write whose headers were not sent
+// has an effect.
 func transportError(req request, sent bool, err error) error {
 	if req.isWrite() && sent {
 		return fmt.Errorf("%w: %v", ErrUnknownOutcome, err)
@@ -232,8 +236,8 @@
 	return fmt.Errorf("%w: %v", ErrUnavailable, err)
 }
 
-// statusError maps the status of the response to req to an error, or to nil if the
-// request succeeded.
+// statusError returns the error for the status of resp, the response to req, or
+// nil if the request succeeded.
 func statusError(req request, resp response) error {
 	switch s := resp.status; {
 	case s >= 200 && s < 300:
--- a/process/platform/httpinstances.go
+++ b/process/platform/httpinstances.go
@@ -13,12 +13,12 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// gzipEncoding is the content encoding that List accepts. Compression pays off
-// because every process reads the whole list at each change and its content is
-// repetitive.
+// gzipEncoding is the content encoding that List accepts. Compression saves much
+// bandwidth, because every process reads the complete list at each change and the
+// list is repetitive.
 const gzipEncoding = "gzip"
 
-// InstanceList is the body of the platform's instance list.
+// InstanceList is the body of a response with the platform's list of instances.
 type InstanceList struct {
 	// Instances holds the instances sorted by id.
 	Instances []core.Instance `json:"instances"`
--- a/process/platform/httpobjects.go
+++ b/process/platform/httpobjects.go
@@ -69,7 +69,7 @@
 
 // sliceRange returns length bytes of body from offset; a negative length means to
 // the end. It is used when the platform responds to a range request with the
-// whole object.
+// complete object.
 func sliceRange(body []byte, offset, length int64) ([]byte, error) {
 	if offset > int64(len(body)) {
 		return nil, fmt.Errorf("%w: offset %d is beyond the object's %d bytes", ErrRefused, offset, len(body))
@@ -81,9 +81,9 @@
 	return body, nil
 }
 
-// Delete deletes an object. It returns nil if the object does not exist.
-// ObjectStore does not include Delete, because only the history of the
-// configuration deletes objects, and only those that it wrote.
+// Delete deletes an object. It returns nil if the object does not exist. The
+// interface ObjectStore does not include Delete, because only the history of the
+// configuration deletes objects, and only its own.
 func (o *httpObjectStore) Delete(ctx context.Context, name string) error {
 	_, err := o.client.do(ctx, o.timeout, request{
 		step:     "delete object " + name,
--- a/process/platform/httptable.go
+++ b/process/platform/httptable.go
@@ -38,7 +38,7 @@
 }
 
 // Get implements Table.
-func (t *httpTable) Get(ctx context.Context, key string, known uint64) (Row, error) {
+func (t *httpTable) Get(ctx context.Context, key string, knownRevision uint64) (Row, error) {
 	req := request{
 		step:     "read row " + key,
 		method:   http.MethodGet,
@@ -46,8 +46,8 @@
 		maxBytes: maxRowBytes,
 		header:   http.Header{},
 	}
-	if known != 0 {
-		req.header.Set("If-None-Match", ETag(known))
+	if knownRevision != 0 {
+		req.header.Set("If-None-Match", ETag(knownRevision))
 	}
 	resp, err := t.client.do(ctx, t.timeout, req)
 	if err != nil {
@@ -97,10 +97,10 @@
 	return err
 }
 
-// ETag returns the entity tag of a row with this revision.
+// ETag returns the entity tag of a row with the given revision.
 func ETag(revision uint64) string { return strconv.Quote(strconv.FormatUint(revision, 10)) }
 
-// ParseETag returns the revision of the row with this entity tag.
+// ParseETag returns the revision of a row with the given entity tag.
 func ParseETag(tag string) (uint64, error) {
 	return strconv.ParseUint(strings.Trim(tag, `"`), 10, 64)
 }
--- a/process/platform/platform.go
+++ b/process/platform/platform.go
@@ -1,7 +1,7 @@
 // Package platform declares the interfaces to the platform that runs the system: a
 // transactional table, an object store, a rate-limited store of model weights, and
-// a list of instances that lags behind their real state. NewHTTP returns the HTTP
-// adapters that implement them.
+// a list of instances that lags behind the real state of the instances. NewHTTP
+// returns the HTTP adapters that implement them.
 package platform
 
 import (
@@ -54,17 +54,18 @@
 	If *uint64 `json:"if,omitempty"`
 }
 
-// IfRevision returns the value of Write.If that requires revision n.
+// IfRevision returns the value of Write.If for the condition that the row has
+// revision n.
 func IfRevision(n uint64) *uint64 { return &n }
 
 // Table is the platform's transactional table.
 type Table interface {
-	// Get reads a row. known is the revision that the caller already has:
-	// Get returns ErrNotModified if the row still has it. With known 0, Get
-	// always reads the row.
-	Get(ctx context.Context, key string, known uint64) (Row, error)
-	// List reads up to limit rows whose keys start with prefix and sort
-	// after the key after, in key order.
+	// Get reads a row. It returns ErrNotModified if the row's revision is still
+	// knownRevision, the revision that the caller already has. If knownRevision is
+	// 0, Get always returns the row.
+	Get(ctx context.Context, key string, knownRevision uint64) (Row, error)
+	// List reads up to limit rows, in the order of their keys, whose keys start
+	// with prefix and are greater than after.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 	// Commit applies all writes atomically or none of them. It returns
 	// ErrConflict if a condition does not hold, ErrUnavailable if nothing was
@@ -75,14 +76,15 @@
 // ObjectStore is an object store: the platform's general one or the store of model
 // weights. Stored objects are immutable.
 type ObjectStore interface {
-	// Get reads length bytes from offset; length -1 reads to the end.
+	// Get reads length bytes of an object from offset; with length -1 it reads to
+	// the end.
 	Get(ctx context.Context, name string, offset, length int64) ([]byte, error)
 	// Put stores an object. Storing the same body again has no effect.
 	Put(ctx context.Context, name string, body []byte) error
 }
 
-// InstanceLister is the platform's list of live and leaving instances, which lags
-// behind their real state.
+// InstanceLister reads the platform's list of live and leaving instances. The list
+// lags behind the real state of the instances.
 type InstanceLister interface {
 	// List returns the instances and the tag of the list. It returns
 	// ErrNotModified if tag is the tag of the current list.
