--- a/process/eventlog/bounded.go
+++ b/process/eventlog/bounded.go
@@ -11,18 +11,22 @@
 )
 
 const (
-	// queueLines is how many lines may wait for a slow writer, about 1 MB.
-	queueLines = 2048
-	// linesPerSecond and linesBurst limit the lines of each event: an entry
-	// instance serves about 100 requests a second.
-	linesPerSecond = 150
-	linesBurst     = 300
+	// maxQueuedLines is the number of lines that may wait for a slow writer;
+	// together they have about 1 MB.
+	maxQueuedLines = 2048
+	// maxLinesPerSecond limits the lines of each event. It leaves room for one
+	// line for each request, because an entry instance serves about 100 requests
+	// per second.
+	maxLinesPerSecond = 150
+	// maxLineBurst is the number of lines of an event that may be written at once
+	// after a time without lines.
+	maxLineBurst = 300
 )
 
 // NewBounded is like New, but the Logger never blocks its caller: a background
 // goroutine writes the lines. Lines above the rate limit of their event are left
-// out, and the field "leftOut" of the event's next line holds their number. Lines
-// are dropped while the queue is full because w is slow; the event
+// out, and the field "leftOut" of the event's next line holds their number. If the
+// queue is full because w is slow, further lines are dropped; the event
 // log-lines-dropped reports their number. Closing the Closer writes the queued
 // lines and ends the goroutine.
 func NewBounded(w io.Writer, level logrus.Level, process string) (*Logger, io.Closer) {
@@ -41,30 +45,31 @@
 // rateLimit is the rate limit of one event.
 type rateLimit struct {
 	limiter *rate.Limiter
-	// leftOut counts the lines left out since the last line that was written.
-	leftOut atomic.Int64
+	// leftOutCount counts the lines left out since the last line that was written.
+	leftOutCount atomic.Int64
 }
 
-// allow reports whether a line of event e may be written now, and how many
-// lines of e were left out since the last one.
-func (l *rateLimits) allow(e Event) (leftOut int64, ok bool) {
+// allow reports whether a line of event e may be written now. If so, leftOutCount
+// is the number of lines of e that were left out since the last line that was
+// written.
+func (l *rateLimits) allow(e Event) (leftOutCount int64, ok bool) {
 	v, found := l.byNumber.Load(e.Number)
 	if !found {
-		v, _ = l.byNumber.LoadOrStore(e.Number, &rateLimit{limiter: rate.NewLimiter(linesPerSecond, linesBurst)})
+		v, _ = l.byNumber.LoadOrStore(e.Number, &rateLimit{limiter: rate.NewLimiter(maxLinesPerSecond, maxLineBurst)})
 	}
 	limit := v.(*rateLimit)
 	if !limit.limiter.Allow() {
-		limit.leftOut.Add(1)
+		limit.leftOutCount.Add(1)
 		return 0, false
 	}
-	return limit.leftOut.Swap(0), true
+	return limit.leftOutCount.Swap(0), true
 }
 
 // queue is a bounded queue of lines that a background goroutine writes.
 type queue struct {
 	lines chan []byte
-	// dropped counts the lines dropped since the last report.
-	dropped atomic.Int64
+	// droppedCount counts the lines dropped since the last report.
+	droppedCount atomic.Int64
 	// done is closed when the goroutine has ended.
 	done      chan struct{}
 	closeOnce sync.Once
@@ -73,7 +78,7 @@
 }
 
 func newQueue(w io.Writer) *queue {
-	q := &queue{lines: make(chan []byte, queueLines), done: make(chan struct{}), closing: make(chan struct{})}
+	q := &queue{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}), closing: make(chan struct{})}
 	go q.run(w)
 	return q
 }
@@ -84,12 +89,13 @@
 	select {
 	case q.lines <- append([]byte(nil), line...):
 	default:
-		q.dropped.Add(1)
+		q.droppedCount.Add(1)
 	}
 	return len(line), nil
 }
 
-// run writes the queued lines to w until Close, then those still queued.
+// run writes the queued lines to w. After Close it writes the lines that are still
+// queued and returns.
 func (q *queue) run(w io.Writer) {
 	defer close(q.done)
 	for {
@@ -112,15 +118,15 @@
 // write writes a line to w. If lines were dropped, it first writes an event with
 // their number.
 func (q *queue) write(w io.Writer, line []byte) {
-	if n := q.dropped.Swap(0); n > 0 {
+	if n := q.droppedCount.Swap(0); n > 0 {
 		if _, err := fmt.Fprintf(w, "{\"event\":611,\"level\":\"warning\",\"msg\":\"log-lines-dropped\",\"lines\":%d}\n", n); err != nil {
-			q.dropped.Add(n)
+			q.droppedCount.Add(n)
 		}
 	}
 	if _, err := w.Write(line); err != nil {
 		// The error cannot be logged to w; the line is counted as dropped and
 		// reported when a later write succeeds.
-		q.dropped.Add(1)
+		q.droppedCount.Add(1)
 	}
 }
 
--- a/process/eventlog/bounded_test.go
+++ b/process/eventlog/bounded_test.go
@@ -22,7 +22,7 @@
 		logged := make(chan struct{})
 		go func() {
 			defer close(logged)
-			for range 2 * queueLines {
+			for range 2 * maxQueuedLines {
 				l.Event(eventTest, Fields{})
 			}
 		}()
@@ -44,12 +44,12 @@
 	Convey("Lines above the rate limit of an event are left out and counted", t, func() {
 		var out bytes.Buffer
 		l, closer := NewBounded(&out, logrus.InfoLevel, "test")
-		const events = 3 * linesBurst
+		const events = 3 * maxLineBurst
 		start := time.Now()
 		for range events {
 			l.Event(eventTest, Fields{})
 		}
-		allowed := linesBurst + int(time.Since(start).Seconds()*linesPerSecond) + 1
+		allowed := maxLineBurst + int(time.Since(start).Seconds()*maxLinesPerSecond) + 1
 		limit, _ := l.limits.byNumber.Load(eventTest.Number)
 		limit.(*rateLimit).limiter.SetLimit(1e9)
 		<-time.After(time.Millisecond)
--- a/process/eventlog/eventlog.go
+++ b/process/eventlog/eventlog.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Event is a kind of log line.
+// Event describes one kind of log line.
 type Event struct {
 	// Number is unique. Its first digit is the area: 1xx connection,
 	// 2xx configuration, 3xx weights, 4xx agent, 5xx entry instance, 6xx process.
@@ -30,8 +30,9 @@
 	catalogue = map[int]Event{}
 )
 
-// Define adds an event to the catalogue and returns it. It panics if the number
-// is already in use, a programming error that shows at start-up.
+// Define adds an event to the catalogue and returns the event. It panics if the
+// number is already in use; this is a programming error that occurs at every
+// start.
 func Define(number int, name string, level logrus.Level, description string) Event {
 	e := Event{Number: number, Name: name, Level: level, Description: description}
 	catalogueMu.Lock()
@@ -65,8 +66,8 @@
 	limits *rateLimits
 }
 
-// New returns a Logger that writes the events of level and more severe ones to w
-// as JSON lines, each with process in the field "process".
+// New returns a Logger that writes events to w as JSON lines, each with process in
+// the field "process". It leaves out events that are less severe than level.
 func New(w io.Writer, level logrus.Level, process string) *Logger {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -100,12 +101,12 @@
 		return
 	}
 	if l.limits != nil {
-		leftOut, ok := l.limits.allow(e)
+		leftOutCount, ok := l.limits.allow(e)
 		if !ok {
 			return
 		}
-		if leftOut > 0 {
-			entry = entry.WithField("leftOut", leftOut)
+		if leftOutCount > 0 {
+			entry = entry.WithField("leftOut", leftOutCount)
 		}
 	}
 	entry.WithFields(f).WithField("event", e.Number).Log(e.Level, e.Name)
