--- a/process/instances/missing.go
+++ b/process/instances/missing.go
@@ -11,8 +11,8 @@
 	// defaultRemovalDelay is longer than the restart of an instance, so that a
 	// restart does not cause replicas to move.
 	defaultRemovalDelay = time.Minute
-	// defaultMassRemovalDelay is longer because a list that lacks most of the
-	// instances is probably wrong.
+	// defaultMassRemovalDelay is longer than defaultRemovalDelay because a list
+	// that lacks most of the instances is probably wrong.
 	defaultMassRemovalDelay = 10 * time.Minute
 )
 
@@ -24,8 +24,8 @@
 	expires time.Time
 }
 
-// updateMissing updates the missing instances for a new list from the platform
-// and returns those that are kept. The caller holds w.mu.
+// updateMissing updates w.missing for a new list from the platform and returns the
+// missing instances that are kept. The caller holds w.mu.
 func (w *Watcher) updateMissing(list []core.Instance) []core.Instance {
 	listed := map[string]bool{}
 	for _, in := range list {
--- a/process/instances/watcher.go
+++ b/process/instances/watcher.go
@@ -1,5 +1,5 @@
-// Package instances polls the platform's list of instances, which lags behind
-// their real state, and keeps the last known list while the platform is
+// Package instances polls the platform's list of instances, which lags behind the
+// real state of the instances, and keeps the last known list while the platform is
 // unreachable.
 package instances
 
@@ -36,10 +36,10 @@
 type Config struct {
 	// Interval is the time between two reads of the list. Default 2 s.
 	Interval time.Duration
-	// Seeds are the instances in use until the first list has been read.
+	// Seeds are the instances that All returns until the first list has been read.
 	Seeds []core.Instance
-	// RemovalDelay is how long an instance is kept that is missing from the list
-	// and was not listed as leaving before. Default 60 s.
+	// RemovalDelay is how long an instance that is missing from the list is kept.
+	// An instance that was listed as leaving before is not kept. Default 60 s.
 	RemovalDelay time.Duration
 	// MassRemovalDelay is used instead of RemovalDelay when more than half of the
 	// instances are missing from the list at once. Default 10 min.
@@ -69,7 +69,7 @@
 	mu sync.RWMutex
 	// list holds the listed instances and the missing ones that are kept.
 	list []core.Instance
-	// missing holds by id the missing instances that are kept.
+	// missing holds, by ID, the missing instances that are kept.
 	missing map[string]missingInstance
 	// tag is the tag of the platform's list read last.
 	tag string
@@ -101,7 +101,7 @@
 	return w.list
 }
 
-// WithRole returns the instances of the last known list that have this role.
+// WithRole returns the instances of the last known list that have the given role.
 func (w *Watcher) WithRole(role core.Role) []core.Instance {
 	var matching []core.Instance
 	for _, in := range w.All() {
@@ -181,9 +181,9 @@
 	w.changed = make(chan struct{})
 }
 
-// mergePeerList adds the instances of a peer's list to the known list, and takes
-// the peer's description of those that are in both. It removes none, since the
-// peer's list may be older or incomplete.
+// mergePeerList adds the instances of a peer's list to the known list. For an
+// instance that is in both lists it takes the peer's description. It removes no
+// instance, because the peer's list may be older or incomplete.
 func (w *Watcher) mergePeerList(list []core.Instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -212,8 +212,8 @@
 	w.mu.Unlock()
 }
 
-// logFailure records that a read from the platform failed, and logs err if the
-// read before succeeded.
+// logFailure records that a read from the platform failed. It logs err only if the
+// previous read succeeded.
 func (w *Watcher) logFailure(err error) {
 	w.mu.Lock()
 	first := !w.failing
--- a/process/instances/watcher_test.go
+++ b/process/instances/watcher_test.go
@@ -24,7 +24,7 @@
 	return f.list, "tag", nil
 }
 
-// agentsNamed returns agents with these ids.
+// agentsNamed returns agents with the given IDs.
 func agentsNamed(ids ...string) []core.Instance {
 	list := []core.Instance{}
 	for _, id := range ids {
@@ -33,7 +33,7 @@
 	return list
 }
 
-// sortedIDs returns the ids of the instances of list in sorted order.
+// sortedIDs returns the IDs of the instances in list, in sorted order.
 func sortedIDs(list []core.Instance) []string {
 	var names []string
 	for _, in := range list {
