--- a/process/dial/dial.go
+++ b/process/dial/dial.go
@@ -16,18 +16,18 @@
 const (
 	// Timeout is the longest time to open a connection.
 	Timeout = 800 * time.Millisecond
-	// unackedTimeout is how long sent bytes may remain unacknowledged before
-	// the connection is closed (TCP_USER_TIMEOUT).
-	unackedTimeout    = 2 * time.Second
-	keepAliveIdle     = time.Second
-	keepAliveInterval = time.Second
-	keepAliveProbes   = 2
+	// unackedTimeout is how long sent bytes may remain unacknowledged before TCP
+	// closes the connection (TCP_USER_TIMEOUT).
+	unackedTimeout      = 2 * time.Second
+	keepAliveIdle       = time.Second
+	keepAliveInterval   = time.Second
+	keepAliveProbeCount = 2
 )
 
 var dialer = &net.Dialer{
 	Timeout: Timeout,
 	KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbeCount,
 	},
 	Control: func(_, _ string, c syscall.RawConn) error {
 		var sockoptErr error
--- a/process/dial/reconnect.go
+++ b/process/dial/reconnect.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// initialTimeout bounds each of the first attempts to open a connection;
-	// the timeout then doubles with each attempt, up to Timeout. It is short
-	// because the first packet to a machine that is still starting after a
-	// power failure is lost, and TCP retransmits it only after a second.
+	// initialTimeout is the timeout of each of the first attempts to open a
+	// connection; the timeout then doubles with each attempt, up to Timeout. The
+	// initial value is short because the first packet to a machine that is still
+	// starting after a power failure is lost, and TCP retransmits that packet only
+	// after a second.
 	initialTimeout = 100 * time.Millisecond
-	// initialAttempts is the number of attempts before pauses and timeouts
-	// grow: machines that start together are up within about half a second
-	// of each other.
-	initialAttempts = 5
+	// initialAttemptCount is the number of attempts before pauses and timeouts grow.
+	// Machines that are started together complete their start within about half a
+	// second of each other.
+	initialAttemptCount = 5
 )
 
 // Backoff configures the pauses of KeepConnected between the end of a connection
@@ -54,7 +55,7 @@
 		case <-ctx.Done():
 		case <-clock.After(pause/2 + rand.N(pause)):
 		}
-		if attempt >= initialAttempts {
+		if attempt >= initialAttemptCount {
 			pause, timeout = min(2*pause, b.MaxDelay), min(2*timeout, Timeout)
 		}
 	}
--- a/process/dial/reconnect_test.go
+++ b/process/dial/reconnect_test.go
@@ -39,22 +39,22 @@
 	Convey("Only the first of several failures in a row is reported; a connection that lasts longer than ResetAfter starts a new series", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			reported, attempts := 0, 0
+			reportCount, attemptCount := 0, 0
 			KeepConnected(ctx, clockwork.NewRealClock(), backoff, func(_ context.Context, timeout time.Duration) error {
-				attempts++
+				attemptCount++
 				if timeout > Timeout {
 					t.Errorf("timeout %s", timeout)
 				}
 				switch {
-				case attempts == 20:
+				case attemptCount == 20:
 					cancel()
-				case attempts == 10:
+				case attemptCount == 10:
 					<-time.After(2 * backoff.ResetAfter)
 				}
 				return errors.New("refused")
-			}, func(error) { reported++ })
-			if reported != 2 {
-				t.Errorf("%d failures were reported", reported)
+			}, func(error) { reportCount++ })
+			if reportCount != 2 {
+				t.Errorf("%d failures were reported", reportCount)
 			}
 		})
 	})
