--- a/process/settings/values.go
+++ b/process/settings/values.go
@@ -1,6 +1,6 @@
 // Package settings holds value types and checks for flags and environment
-// variables. A value type stores a parse error instead of returning it, so that a
-// command can report all invalid settings together.
+// variables. A value type stores its parse error instead of returning the error,
+// so that a command can report all invalid settings together.
 package settings
 
 import (
@@ -43,8 +43,8 @@
 	}
 }
 
-// Err returns one error with a line for each collected error, or nil if there is
-// none.
+// Err returns one error that has a line for each collected error, or nil if no
+// error was collected.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
@@ -140,11 +140,11 @@
 	return nil
 }
 
-// minTokenBytes is the minimum length of a secret token, in bytes.
+// minTokenBytes is the minimum length of a secret token.
 const minTokenBytes = 8
 
-// CheckToken returns a Problem for the setting name unless value is at least 8
-// bytes long. The Problem does not contain the secret.
+// CheckToken returns a Problem for the setting name unless value is at least
+// minTokenBytes long. The Problem does not contain the secret.
 func CheckToken(name, value string) error {
 	if len(value) >= minTokenBytes {
 		return nil
@@ -157,8 +157,8 @@
 }
 
 // ParseSeed returns the entry instance that text describes in the form
-// "ID@IP:PORT/DATACENTRE/REGION", or a Problem for the setting name. Seeds are
-// used until the list of instances has been read.
+// "ID@IP:PORT/DATACENTRE/REGION", or a Problem for the setting name. A seed is an
+// entry instance that is used until the list of instances has been read.
 func ParseSeed(name, text string) (core.Instance, error) {
 	invalid := Problem{Name: name, Value: text, Allowed: "ID@IP:PORT/DATACENTRE/REGION"}
 	id, rest, ok := strings.Cut(text, "@")
