--- a/process/httpserver/httpserver.go
+++ b/process/httpserver/httpserver.go
@@ -13,10 +13,10 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// headerTimeout is the longest time to read a request's header.
+// headerTimeout limits the time to read a request's header.
 const headerTimeout = 5 * time.Second
 
-// maxHeaderBytes is the largest size of a request's header, in bytes.
+// maxHeaderBytes is the maximum size of a request's header, in bytes.
 const maxHeaderBytes = 64 << 10
 
 // Server is an HTTP server with an open listener.
@@ -65,8 +65,8 @@
 }
 
 // RequirePeerToken returns a handler that passes requests with the peer token to
-// next and responds to all others with status 401. An empty token admits no
-// request.
+// next and responds to all other requests with status 401. If token is empty, it
+// passes no request.
 func RequirePeerToken(token string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if token == "" || !core.SameSecret(r.Header.Get(core.HeaderPeerToken), token) {
--- a/process/metrics/metrics.go
+++ b/process/metrics/metrics.go
@@ -48,8 +48,8 @@
 	setGauge(registry, nameMaxRSS, usage.Maxrss*1024)
 }
 
-// setGauge sets the gauge with this name in registry, and adds the gauge if it is
-// not there yet.
+// setGauge sets the gauge with the given name in registry. If there is no such
+// gauge, setGauge adds it.
 func setGauge(registry gometrics.Registry, name string, value int64) {
 	gometrics.GetOrRegisterGauge(name, registry).Update(value)
 }
