--- a/daemon/hosted/agent.go
+++ b/daemon/hosted/agent.go
@@ -24,19 +24,19 @@
 )
 
 const (
-	// storeBytes is the largest size of the weights in memory: a copy takes
+	// maxWeightBytes is the maximum size of the weights in memory: a copy takes
 	// 2.4 MB, and two copies may be in memory at once.
-	storeBytes = 16 << 20
-	// linkShare is the share of the machine's link that the distribution of
-	// weights may use; responses to requests use the same link.
-	linkShare = 0.95
-	// firstLoadAge is the age of a version at which the first backend server
-	// loads it: by then its chunks have usually arrived.
+	maxWeightBytes = 16 << 20
+	// maxLinkShare is the share of the bandwidth of the machine's link that the
+	// distribution of weights may use. Responses to requests use the same link.
+	maxLinkShare = 0.95
+	// firstLoadAge is the age of a version at which the first backend server loads
+	// the version. By then the chunks of the version have usually arrived.
 	firstLoadAge = 2200 * time.Millisecond
-	// lastLoadMargin is the time between the start of the load on the last
-	// backend server and the due time of the declared weights, from which no
-	// request may start on older ones. It is a little longer than weightsMargin,
-	// so that the load starts shortly before entry instances stop using them.
+	// lastLoadMargin is the time between the start of the load on the last backend
+	// server and the due time of the declared weights, from which no request may
+	// start on older ones. It is a little longer than weightsMargin, so that the
+	// load starts shortly before entry instances stop using the older weights.
 	lastLoadMargin = 1050 * time.Millisecond
 	// agentGCPercent is the GOGC value of the agent. It keeps the heap small:
 	// an agent allocates little and uses 0.6 % of a core at this value (0.5 %
@@ -55,10 +55,10 @@
 	chunkFetchTimeout = 30 * time.Second
 	maxPeerFetches    = 6
 	maxOwnedFetches   = 6
-	uploadSlots       = 3
+	uploadSlotCount   = 3
 )
 
-// agent holds the parts of an agent.
+// agent holds the components of an agent.
 type agent struct {
 	settings         platform.Settings
 	log              *eventlog.Logger
@@ -69,11 +69,11 @@
 	metricsRegistry  gometrics.Registry
 
 	mu sync.Mutex
-	// fleets holds the last message of each connected entry instance by its
-	// address.
-	fleets map[string]frame.Fleet
-	// agents is the last list of agents that was not empty.
-	agents []spread.Peer
+	// lastFleets holds the last message of each connected entry instance, by the
+	// address of the entry instance.
+	lastFleets map[string]frame.Fleet
+	// lastAgents is the last list of agents that was not empty.
+	lastAgents []spread.Peer
 }
 
 // RunAgent runs an agent until SIGTERM or SIGINT.
@@ -93,24 +93,24 @@
 	return a.run(o)
 }
 
-// newAgent creates the parts of an agent and connects them.
+// newAgent creates the components of an agent and connects them.
 func newAgent(s platform.Settings, o Options, log *eventlog.Logger) *agent {
 	clock := clockwork.NewRealClock()
-	a := &agent{settings: s, log: log, clock: clock, metricsRegistry: gometrics.NewRegistry(), fleets: map[string]frame.Fleet{}}
+	a := &agent{settings: s, log: log, clock: clock, metricsRegistry: gometrics.NewRegistry(), lastFleets: map[string]frame.Fleet{}}
 	self := core.Instance{
 		ID: s.Name, Role: core.RoleAgent, Addr: net.JoinHostPort(s.IP, strconv.Itoa(s.PortRange[0])),
 		DataCentre: s.DataCentre, Region: s.Region,
 	}
 	origin := platform.NewOrigin()
 	originChunks := loading.NewOriginChunks(origin)
-	linkBytesPerSecond := int64(s.Limits.LinkMbps * 1e6 / 8 * linkShare)
+	linkBytesPerSecond := int64(s.Limits.LinkMbps * 1e6 / 8 * maxLinkShare)
 	a.swarm = spread.NewSwarm(spread.Config{
 		Self: self, Token: o.Token, UploadBytesPerSecond: linkBytesPerSecond, ReadOriginOnce: true,
-		MaxPeerFetches: maxPeerFetches, MaxOwnedFetches: maxOwnedFetches, UploadSlots: uploadSlots,
+		MaxPeerFetches: maxPeerFetches, MaxOwnedFetches: maxOwnedFetches, UploadSlots: uploadSlotCount,
 		LongPollTimeout: longPollTimeout, ResponseMargin: responseMargin, StallTimeout: stallTimeout, SuspectPeriod: peerSuspectPeriod,
 		RetryPause: chunkRetryPause, FetchTimeout: chunkFetchTimeout, Metrics: a.metricsRegistry,
 		Peers: func(core.Digest) []spread.Peer { return a.loader.ChunkSources() },
-	}, spread.NewMemStore(storeBytes), originChunks, log, clock)
+	}, spread.NewMemStore(maxWeightBytes), originChunks, log, clock)
 	a.entryConnections = fleet.NewEntryConnections(fleet.EntryConnectionsConfig{
 		Hello: frame.AgentHello{Instance: self, Server: s.ServerAddr}, Token: o.Token,
 		DeclaredVersions: a.declaredVersions, Entries: s.EntryAddrs, OnFleet: a.onFleet, Log: log, Clock: clock,
@@ -128,7 +128,8 @@
 	return a
 }
 
-// run serves peers and loads weights until SIGTERM or SIGINT.
+// run serves weights to other agents and loads weights into the model server until
+// SIGTERM or SIGINT.
 func (a *agent) run(o Options) error {
 	var g run.Group
 	mux := http.NewServeMux()
@@ -179,40 +180,41 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if f == nil {
-		delete(a.fleets, entryAddr)
+		delete(a.lastFleets, entryAddr)
 		return
 	}
-	a.fleets[entryAddr] = *f
+	a.lastFleets[entryAddr] = *f
 	a.loader.SetTarget(a.buildTarget())
 }
 
-// buildTarget merges the last messages of all connected entry instances into the
-// newest version of each model and the list of all agents. The caller holds a.mu.
+// buildTarget merges the last messages of all connected entry instances. The
+// result has the newest version of each model and the list of all agents. The
+// caller holds a.mu.
 func (a *agent) buildTarget() loading.Target {
 	t := loading.Target{Wanted: map[string]loading.WantedVersion{}, Holders: map[string]bool{}}
 	now := a.clock.Now()
 	seen := map[string]bool{}
-	newest := 0
-	for _, f := range a.fleets {
+	newestVersion := 0
+	for _, f := range a.lastFleets {
 		for _, w := range f.WantedVersions {
-			newest = max(newest, w.Version)
+			newestVersion = max(newestVersion, w.Version)
 			a.addWanted(&t, w, now)
 		}
 	}
-	for _, f := range a.fleets {
+	for _, f := range a.lastFleets {
 		if f.Origin != "" {
 			t.Origin = f.Origin
 		}
-		hasNewest := false
+		hasNewestVersion := false
 		for _, w := range f.WantedVersions {
-			hasNewest = hasNewest || w.Version == newest
+			hasNewestVersion = hasNewestVersion || w.Version == newestVersion
 		}
 		for _, other := range f.Agents {
 			if !seen[other.Instance.ID] {
 				seen[other.Instance.ID] = true
 				t.Agents = append(t.Agents, other.Instance)
 			}
-			if other.HasDeclaredVersion && hasNewest {
+			if other.HasDeclaredVersion && hasNewestVersion {
 				t.Holders[other.Instance.ID] = true
 			}
 		}
@@ -221,9 +223,9 @@
 		// At the moment no entry instance sends the list. The last list is
 		// kept: with an empty list the agent would treat itself as the owner
 		// of every chunk.
-		t.Agents = a.agents
+		t.Agents = a.lastAgents
 	}
-	a.agents = t.Agents
+	a.lastAgents = t.Agents
 	return t
 }
 
--- a/daemon/hosted/common.go
+++ b/daemon/hosted/common.go
@@ -21,7 +21,7 @@
 	// settingsPollInterval is the time between two checks of the settings
 	// file, which may change without a signal.
 	settingsPollInterval = time.Second
-	// stopMargin is how long before SIGKILL a process must have stopped.
+	// stopMargin is how long before SIGKILL a process must have ended.
 	stopMargin = 500 * time.Millisecond
 	// defaultStopGrace is the time from SIGTERM to SIGKILL if the settings
 	// contain none.
@@ -34,13 +34,13 @@
 	eventStopping = eventlog.Define(621, "hosted-stopping", logrus.InfoLevel,
 		"The process received a signal to stop; it soon accepts no new connections and completes the running requests.")
 	eventStopped = eventlog.Define(622, "hosted-stopped", logrus.InfoLevel,
-		"The process exits; the field, on entry instances, gives the number of requests that were still running.")
+		"The process exits; on entry instances, a field gives the number of requests that were still running. A line with an error precedes this if running requests had to be aborted.")
 	eventSettingsReloaded = eventlog.Define(623, "hosted-settings", logrus.InfoLevel,
 		"The settings file was read again; an invalid file is not applied.")
 	eventReady = eventlog.Define(624, "hosted-ready", logrus.InfoLevel,
 		"This entry instance started or stopped reporting that it is ready for new connections.")
 	eventEntries = eventlog.Define(625, "hosted-entries", logrus.InfoLevel,
-		"This entry instance has written its address to the store and read the addresses of the others.")
+		"This entry instance has written its address to the store and read the addresses of the others. If the line has an error, this failed and is tried again.")
 	eventServerError = eventlog.Define(626, "hosted-server-error", logrus.WarnLevel,
 		"The HTTP server for clients reported an error on a connection.")
 )
@@ -68,14 +68,14 @@
 	return max(time.Second, grace-stopMargin)
 }
 
-// addRunner adds an actor to the group that calls runner. The context of runner
+// addRunner adds to the group an actor that calls runner. The context of runner
 // ends when the group stops.
 func addRunner(g *run.Group, runner func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error { return runner(ctx) }, func(error) { cancel() })
 }
 
-// addSignals adds an actor to the group that calls drain at SIGTERM or SIGINT and
+// addSignals adds to the group an actor that calls drain at SIGTERM or SIGINT and
 // stops the group once drain has returned.
 func addSignals(g *run.Group, log *eventlog.Logger, drain func()) {
 	done := make(chan struct{})
@@ -97,13 +97,13 @@
 type settingsWatcher struct {
 	path string
 	log  *eventlog.Logger
-	// content is the content of the file at the last read.
+	// content is the content of the file at the last successful read.
 	content []byte
 	apply   func(platform.Settings)
 }
 
-// newSettingsWatcher returns a settingsWatcher of the file at path. The current
-// content counts as applied already.
+// newSettingsWatcher returns a settingsWatcher of the file at path. It does not
+// apply the current content of the file, only later changes.
 func newSettingsWatcher(path string, log *eventlog.Logger, apply func(platform.Settings)) (*settingsWatcher, error) {
 	raw, err := os.ReadFile(path)
 	return &settingsWatcher{path: path, log: log, content: raw, apply: apply}, core.WrapStep("read settings", "", err)
--- a/daemon/hosted/entry.go
+++ b/daemon/hosted/entry.go
@@ -25,35 +25,35 @@
 )
 
 const (
-	// weightsMargin is how long before the due time of declared weights the
-	// entry instance stops using older ones: a request that was sent to a
-	// server just before starts there within this margin.
+	// weightsMargin is how long before the due time of declared weights the entry
+	// instance stops using older weights. A request sent just before that moment
+	// starts at the server within this margin.
 	weightsMargin = 900 * time.Millisecond
-	// maxWaitShare is the share of a request's first-byte objective that the
-	// request may wait for a free slot: a refusal has no cost within an
-	// eighth of the objective.
+	// maxWaitShare is the maximum time that a request waits for a free slot, as a
+	// share of the request's first-byte objective. It is a little less than an
+	// eighth, because a refusal within an eighth of the objective has no cost.
 	maxWaitShare = 0.11
-	// acceptAfterSignal is how long new connections are accepted after
-	// SIGTERM: the load balancer checks readiness once a second and sends no
-	// more connections after two failed checks.
-	acceptAfterSignal = 2500 * time.Millisecond
+	// acceptPeriodAfterSignal is how long new connections are accepted after
+	// SIGTERM. The load balancer checks readiness once a second and sends no more
+	// connections after two failed checks.
+	acceptPeriodAfterSignal = 2500 * time.Millisecond
 	// entryGCPercent is the GOGC value of the entry instance. It keeps the
 	// heap small: an entry instance uses 4.7 % of a core under load at this
 	// value (4.3 % at 100).
 	entryGCPercent = 30
 	// announceRetryPause is the pause between two attempts to write this
-	// instance's address to the store.
+	// instance's address to the store and to read the other addresses.
 	announceRetryPause = 500 * time.Millisecond
 )
 
-// entry holds the parts of an entry instance.
+// entry holds the components of an entry instance.
 type entry struct {
 	settings         platform.Settings
 	options          Options
 	log              *eventlog.Logger
 	clock            clockwork.Clock
 	store            *platform.Store
-	holder           *catalog.Holder
+	catalogHolder    *catalog.Holder
 	declaredFollower *catalog.Follower
 	serversFollower  *catalog.Follower
 	scheduler        *dispatch.Scheduler
@@ -63,7 +63,8 @@
 	handler          *forward.Handler
 	metricsRegistry  gometrics.Registry
 	stopping         atomic.Bool
-	// lastReady is the last reported readiness.
+	// lastReady is true if the last response to the readiness check was that the
+	// instance is ready.
 	lastReady    atomic.Bool
 	clientServer *http.Server
 }
@@ -84,16 +85,16 @@
 	return e.run()
 }
 
-// newEntry creates the parts of an entry instance and connects them.
+// newEntry creates the components of an entry instance and connects them.
 func newEntry(s platform.Settings, o Options, log *eventlog.Logger) *entry {
 	clock := clockwork.NewRealClock()
 	e := &entry{
 		settings: s, options: o, log: log, clock: clock,
-		store: platform.NewStore(s.Store.Addr), holder: catalog.NewHolder(log),
+		store: platform.NewStore(s.Store.Addr), catalogHolder: catalog.NewHolder(log),
 		pool: backend.NewPool(clock), metricsRegistry: gometrics.NewRegistry(),
 	}
-	e.declaredFollower = catalog.NewFollower(catalog.TableDeclared, e.store, e.holder, log, clock)
-	e.serversFollower = catalog.NewFollower(catalog.TableServers, e.store, e.holder, log, clock)
+	e.declaredFollower = catalog.NewFollower(catalog.TableDeclared, e.store, e.catalogHolder, log, clock)
+	e.serversFollower = catalog.NewFollower(catalog.TableServers, e.store, e.catalogHolder, log, clock)
 	e.scheduler = dispatch.NewScheduler(dispatch.Config{
 		DataCentre: s.DataCentre, Regions: s.Regions,
 		RetryLimits: dispatch.RetryLimits{
@@ -102,18 +103,18 @@
 		},
 		WeightsDueAfter: weightsDueAfter(&s) - weightsMargin,
 		MaxWaitShare:    maxWaitShare,
-	}, e.holder, clock)
+	}, e.catalogHolder, clock)
 	e.exchange = exchange.New(exchange.Config{
 		Self: core.Instance{
 			ID: s.Name, Role: core.RoleEntry, Addr: s.Listen.Peers, DataCentre: s.DataCentre, Region: s.Region,
 		},
-		Token: o.Token, Holder: e.holder, DeclaredFollower: e.declaredFollower, ServersFollower: e.serversFollower, LoadTracker: e.scheduler, Log: log, Clock: clock,
+		Token: o.Token, Holder: e.catalogHolder, DeclaredFollower: e.declaredFollower, ServersFollower: e.serversFollower, LoadTracker: e.scheduler, Log: log, Clock: clock,
 	})
 	e.fleetHub = fleet.NewHub(fleet.HubConfig{
-		DataCentre: s.DataCentre, Holder: e.holder, OnAgentState: e.scheduler.SetAgentState, Entries: e.exchange.KnownAddrs, Log: log, Clock: clock,
+		DataCentre: s.DataCentre, Holder: e.catalogHolder, OnAgentState: e.scheduler.SetAgentState, Entries: e.exchange.KnownAddrs, Log: log, Clock: clock,
 	})
 	e.handler = forward.New(forward.Config{
-		Headers: platform.HeaderNames(), Holder: e.holder, Scheduler: e.scheduler, Pool: e.pool,
+		Headers: platform.HeaderNames(), Holder: e.catalogHolder, Scheduler: e.scheduler, Pool: e.pool,
 		Log: log, Clock: clock, Metrics: e.metricsRegistry,
 	})
 	return e
@@ -135,10 +136,11 @@
 	e.clientServer = e.newClientServer()
 	stopped := make(chan struct{})
 	g.Add(func() error {
-		err := serveError(e.clientServer.Serve(clientListener))
+		err := ignoreServerClosed(e.clientServer.Serve(clientListener))
 		if err == nil {
-			// The listener is closed; the running requests are completed
-			// before the group stops.
+			// Shutdown has closed the listener. The actor must not return while
+			// requests still run, because the group stops as soon as one actor
+			// returns.
 			<-stopped
 		}
 		return err
@@ -174,21 +176,21 @@
 	return err
 }
 
-// serveError returns the error of a server's Serve, or nil if the server was
-// closed.
-func serveError(err error) error {
+// ignoreServerClosed returns nil for http.ErrServerClosed. It returns any other
+// error of http.Server.Serve with the failed step.
+func ignoreServerClosed(err error) error {
 	if err == http.ErrServerClosed {
 		return nil
 	}
 	return core.WrapStep("serve clients", "", err)
 }
 
-// Limits of client connections. Limits that operators declare are smaller; these
-// apply where operators declare none.
+// Limits of client connections. They apply where the operators declare no limits;
+// declared limits are smaller.
 const (
-	clientHeaderTimeout = 5 * time.Second
-	clientIdleTimeout   = 30 * time.Second
-	clientHeaderBytes   = 64 << 10
+	clientHeaderTimeout  = 5 * time.Second
+	clientIdleTimeout    = 30 * time.Second
+	maxClientHeaderBytes = 64 << 10
 )
 
 // newClientServer returns the HTTP server for requests of clients.
@@ -197,7 +199,7 @@
 		Handler:           e.handler,
 		ReadHeaderTimeout: clientHeaderTimeout,
 		IdleTimeout:       clientIdleTimeout,
-		MaxHeaderBytes:    clientHeaderBytes,
+		MaxHeaderBytes:    maxClientHeaderBytes,
 		ErrorLog:          newErrorLog(e.log),
 	}
 }
@@ -221,7 +223,7 @@
 
 // serveReady responds to the readiness check of the load balancer.
 func (e *entry) serveReady(w http.ResponseWriter, _ *http.Request) {
-	ready := e.holder.Current().Complete() && !e.stopping.Load()
+	ready := e.catalogHolder.Current().Complete() && !e.stopping.Load()
 	if e.lastReady.Swap(ready) != ready {
 		e.log.Event(eventReady, eventlog.Fields{"ready": ready, "stopping": e.stopping.Load()})
 	}
@@ -252,7 +254,8 @@
 	return nil
 }
 
-// readEntries reads the addresses of the entry instances from the store.
+// readEntries reads the addresses of the entry instances from the store and adds
+// them to the exchange as peers.
 func (e *entry) readEntries(ctx context.Context) error {
 	rows, _, err := e.store.List(ctx, catalog.TableEntries)
 	if err != nil {
@@ -265,11 +268,11 @@
 	return nil
 }
 
-// removeUnlistedServers removes servers that are no longer listed from the
-// scheduler after each change of the catalogue, until ctx ends.
+// removeUnlistedServers removes from the scheduler, after each change of the
+// catalogue, the servers that are no longer listed. It returns when ctx ends.
 func (e *entry) removeUnlistedServers(ctx context.Context) error {
 	for {
-		changed := e.holder.Changed()
+		changed := e.catalogHolder.Changed()
 		e.scheduler.RemoveUnlistedServers()
 		select {
 		case <-ctx.Done():
@@ -279,7 +282,9 @@
 	}
 }
 
-// applySettings applies the settings of a changed settings file.
+// applySettings applies the addresses of the store and of other entry instances
+// from a changed settings file. Other changed settings take effect at the next
+// start.
 func (e *entry) applySettings(s platform.Settings) {
 	e.store.SetAddr(s.Store.Addr)
 	for _, addr := range s.EntryAddrs {
@@ -287,7 +292,8 @@
 	}
 }
 
-// drain reports that the instance is not ready and completes the running requests.
+// drain reports that the instance is not ready and waits until the running
+// requests have ended, within the stop grace.
 func (e *entry) drain() {
 	e.stopping.Store(true)
 	err := shutDownClients(e.clock, e.handler, e.clientServer, stopGrace(&e.settings))
--- a/daemon/hosted/servers.go
+++ b/daemon/hosted/servers.go
@@ -17,10 +17,10 @@
 	"github.com/rattanway/rattanway/process/metrics"
 )
 
-// shutdownTimeout bounds the shutdown of each internal HTTP server.
+// shutdownTimeout limits the time of the shutdown of each internal HTTP server.
 const shutdownTimeout = 200 * time.Millisecond
 
-// addServer adds an actor to the group that serves handler on addr.
+// addServer adds to the group an actor that serves handler on addr.
 func addServer(g *run.Group, addr string, handler http.Handler) error {
 	server, err := httpserver.Listen(addr, handler)
 	if err != nil {
@@ -29,15 +29,15 @@
 	g.Add(server.Run, func(error) {
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		// Other processes of this system keep their connections open; those
-		// are closed at the timeout.
+		// Other processes of this system keep their connections open. Shutdown
+		// closes these connections at the timeout.
 		_ = server.Shutdown(ctx)
 	})
 	return nil
 }
 
-// addMetrics adds an actor to the group that serves the metrics of registry on
-// port, unless port is 0.
+// addMetrics adds to the group an actor that serves the metrics of registry on
+// port. If port is 0, addMetrics does nothing.
 func addMetrics(g *run.Group, ip string, port int, registry gometrics.Registry) error {
 	if port == 0 {
 		return nil
--- a/daemon/hosted/stop_test.go
+++ b/daemon/hosted/stop_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// busyServer is a fake of a server to which clients keep connecting. It records
-// the shutdown.
+// busyServer is a fake of the handler and the server for clients. It records the
+// calls of Drain and Shutdown.
 type busyServer struct {
 	drained    bool
 	shutdownAt time.Time
@@ -34,7 +34,7 @@
 		stopped := make(chan error, 1)
 		go func() { stopped <- shutDownClients(clock, server, server, 7500*time.Millisecond) }()
 		So(clock.BlockUntilContext(t.Context(), 1), ShouldBeNil)
-		clock.Advance(acceptAfterSignal)
+		clock.Advance(acceptPeriodAfterSignal)
 		So(<-stopped, ShouldBeNil)
 		So(server.drained, ShouldBeTrue)
 		// The load balancer checks once a second and needs two failed checks.
