--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -38,13 +38,14 @@
 	EngineAddr string
 	// Service names the plain service; empty for an engine.
 	Service string
-	// HealthPath is the URL path of the service's health check.
+	// HealthPath is the URL path of the plain service's health check; empty means
+	// engine.HealthPath.
 	HealthPath string
-	// LeaveNotice is the time between the announcement that this agent leaves
-	// and the start of the drain, in which the entry instances receive the
-	// announcement.
+	// LeaveNotice is the time between the announcement that this agent leaves and
+	// the start of the drain. It must suffice for the entry instances to receive
+	// the announcement.
 	LeaveNotice time.Duration
-	// StoreBytes is the largest size of the weights kept in memory, in bytes.
+	// StoreBytes is the maximum size of the weights kept in memory, in bytes.
 	StoreBytes int64
 	// Spread holds the settings of the distribution of weights among agents.
 	// RunAgent sets Self, Token and Peers.
@@ -54,19 +55,19 @@
 	Homes homes.Config
 }
 
-// agent holds the parts of an agent.
+// agent holds the components of an agent.
 type agent struct {
 	cfg AgentConfig
 	log *eventlog.Logger
-	// incarnation is an id of this run of the process.
+	// incarnation is an ID that is different each time the process starts.
 	incarnation   string
 	holder        *confstore.Holder
 	watcher       *instances.Watcher
-	engine        *engine.HTTPClient
+	engineClient  *engine.HTTPClient
 	monitor       *engine.Monitor
 	limiter       *admission.AdaptiveLimiter
 	handler       *serve.Handler
-	work          *work.Server
+	workServer    *work.Server
 	homes         *homes.Homes
 	pauseDetector *pause.Detector
 	freshnessGate *freshness.Gate
@@ -101,16 +102,16 @@
 	return g.Run()
 }
 
-// newAgent creates the parts of an agent and connects them.
+// newAgent creates the components of an agent and connects them.
 func newAgent(cfg AgentConfig, log *eventlog.Logger) *agent {
 	clock := clockwork.NewRealClock()
-	adapters := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
+	platformClient := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
 	a := &agent{cfg: cfg, log: log, incarnation: uuid.NewString(), holder: confstore.NewHolder()}
 	a.holder.SetLogger(log)
 	a.pauseDetector = pause.New(log)
-	a.watcher = a.newWatcher(adapters)
-	a.engine = newEngineClient(cfg)
-	a.monitor = engine.NewMonitor(a.engine, 0, log, clock)
+	a.watcher = a.newWatcher(platformClient)
+	a.engineClient = newEngineClient(cfg)
+	a.monitor = engine.NewMonitor(a.engineClient, 0, log, clock)
 	a.limiter = admission.New(admission.Config{Log: log}, clock)
 
 	hub := confsync.NewHub(confsync.HolderSource{Holder: a.holder}, log)
@@ -122,22 +123,22 @@
 		Service:        cfg.Service,
 		LastConfirmed:  a.lastConfirmed,
 		OnWrongVersion: a.onWrongVersion,
-	}, a.holder, a.limiter, a.engine, a.engineStatus, log, clock)
-	a.work = work.NewServer(a.handler, log)
+	}, a.holder, a.limiter, a.engineClient, a.engineStatus, log, clock)
+	a.workServer = work.NewServer(a.handler, log)
 	a.homes = a.newHomes(hub)
 	if cfg.Service == "" {
-		a.swarm = a.newSwarm(adapters, clock)
-		a.orders = a.newOrders(adapters, clock)
+		a.swarm = a.newSwarm(platformClient, clock)
+		a.orders = a.newOrders(platformClient, clock)
 	}
 	return a
 }
 
 // newWatcher returns the watcher of the platform's list of instances.
-func (a *agent) newWatcher(adapters *platform.Platform) *instances.Watcher {
+func (a *agent) newWatcher(platformClient *platform.Platform) *instances.Watcher {
 	entries := func() []core.Instance { return a.watcher.WithRole(core.RoleEntry) }
 	return instances.NewWatcher(
 		instances.Config{Interval: a.cfg.ListInterval, Seeds: a.cfg.Seeds},
-		adapters.Instances, members.NewPeerFallback(entries, a.cfg.Self, a.cfg.PeerToken), a.log)
+		platformClient.Instances, members.NewPeerFallback(entries, a.cfg.Self, a.cfg.PeerToken), a.log)
 }
 
 // newEngineClient returns the client of the backend server beside the agent, which
@@ -149,7 +150,8 @@
 	return engine.NewServiceHTTPClient(cfg.EngineAddr, cfg.HealthPath)
 }
 
-// newHomes returns the part that registers the agent with entry instances.
+// newHomes returns the agent's Homes, which register the agent with entry
+// instances.
 func (a *agent) newHomes(hub *confsync.Hub) *homes.Homes {
 	cfg := a.cfg.Homes
 	cfg.Self = a.cfg.Self
@@ -160,18 +162,18 @@
 	return homes.New(cfg, a.watcher, hub, a.report, a.log)
 }
 
-// newSwarm returns the part that distributes weights among agents.
-func (a *agent) newSwarm(adapters *platform.Platform, clock clockwork.Clock) *spread.Swarm {
+// newSwarm returns the agent's Swarm, which exchanges weights with other agents.
+func (a *agent) newSwarm(platformClient *platform.Platform, clock clockwork.Clock) *spread.Swarm {
 	cfg := a.cfg.Spread
 	cfg.Self = a.cfg.Self
 	cfg.Token = a.cfg.PeerToken
 	cfg.Peers = func(d core.Digest) []spread.Peer { return a.orders.AssignedAgents(d) }
-	return spread.NewSwarm(cfg, spread.NewMemStore(a.cfg.StoreBytes), adapters.WeightStore, a.log, clock)
+	return spread.NewSwarm(cfg, spread.NewMemStore(a.cfg.StoreBytes), platformClient.WeightStore, a.log, clock)
 }
 
 // newOrders returns the controller that orders the engine to load and unload
 // versions.
-func (a *agent) newOrders(adapters *platform.Platform, clock clockwork.Clock) *orders.Controller {
+func (a *agent) newOrders(platformClient *platform.Platform, clock clockwork.Clock) *orders.Controller {
 	return orders.New(orders.Config{
 		Self:        a.cfg.Self,
 		Incarnation: a.incarnation,
@@ -181,27 +183,28 @@
 		LiveInstances:  a.watcher.All,
 		Fetcher:        a.swarm,
 		Store:          a.swarm.Store(),
-		Engine:         a.engine,
+		Engine:         a.engineClient,
 		StatusSource:   a.monitor,
 		Drainer:        versionDrainer{handler: a.handler},
 		SetRegionShare: a.setRegionShare,
-		Table:          adapters.Table,
+		Table:          platformClient.Table,
 		Log:            a.log,
 		Clock:          clock,
 	})
 }
 
 // setRegionShare sets the bandwidth that this agent may use on the link between
-// regions, its share of the declared budget. A limit in the settings takes
-// precedence.
+// regions, which is the agent's share of the declared budget. If the settings
+// contain a limit, setRegionShare does nothing.
 func (a *agent) setRegionShare(bytesPerSecond int64) {
 	if a.cfg.Spread.RegionBytesPerSecond == 0 {
 		a.swarm.SetRegionShare(bytesPerSecond)
 	}
 }
 
-// onWrongVersion makes the controller order a version again that the engine
-// reports as loaded although a response to a call came from another version.
+// onWrongVersion handles a response that came from another version than the
+// requested one, which the engine reports as loaded. The controller then orders
+// the engine to load the requested version again.
 func (a *agent) onWrongVersion(version core.Digest) {
 	if a.orders != nil {
 		a.orders.RecordDigestMismatch(version)
@@ -217,13 +220,13 @@
 	return d.handler.DrainVersion(ctx, digest)
 }
 
-// Resume ends the refusal of new calls of a version.
+// Resume admits new calls of a version again.
 func (d versionDrainer) Resume(digest core.Digest) { d.handler.ResumeVersion(digest) }
 
 // routes returns the HTTP handler of all paths that the agent serves.
 func (a *agent) routes() http.Handler {
 	peers := http.NewServeMux()
-	peers.Handle(work.Path, a.work)
+	peers.Handle(work.Path, a.workServer)
 	peers.Handle(metrics.ProfilePath, metrics.ProfileHandler())
 	if a.orders != nil {
 		weights := spread.Handler(a.swarm, a.cfg.PeerToken)
@@ -235,12 +238,12 @@
 	mux.Handle("/internal/", httpserver.RequirePeerToken(a.cfg.PeerToken, peers))
 	mux.Handle(metrics.Path, httpserver.RequirePeerToken(a.cfg.PeerToken, metrics.Handler(gometrics.DefaultRegistry)))
 	mux.HandleFunc(healthPath, serveHealth)
-	mux.Handle(readyPath, serveReady(a.notReadyReason))
+	mux.Handle(readyPath, newReadyHandler(a.notReadyReason))
 	return mux
 }
 
-// notReadyReason returns why the agent takes no work, or an empty string if it
-// does.
+// notReadyReason returns why the agent accepts no calls, or an empty string if it
+// accepts calls.
 func (a *agent) notReadyReason() string {
 	if a.handler.Leaving() {
 		return "leaving"
@@ -262,8 +265,8 @@
 }
 
 // lastConfirmed returns the current time while the agent may act on its
-// configuration, and otherwise the zero time, which makes the handler refuse new
-// calls.
+// configuration. Otherwise it returns the zero time, so that the handler refuses
+// new calls. It never returns the actual time of the last confirmation.
 func (a *agent) lastConfirmed() time.Time {
 	if a.freshnessGate.Fresh() {
 		return time.Now()
@@ -295,8 +298,8 @@
 }
 
 // followDeclaredLimits passes the declared limits of the backend server to the
-// limiter until ctx ends. When the server returns to service, the limiter starts
-// again at the cold limit, since the server may have turned cold meanwhile.
+// limiter until ctx ends. When the server returns to service, the limiter is reset
+// to the cold limit, because the server may have become cold in the meantime.
 func (a *agent) followDeclaredLimits(ctx context.Context) error {
 	for wasOutOfService := false; ; {
 		changed := a.holder.Changed()
@@ -319,9 +322,9 @@
 	}
 }
 
-// watchEngineRestarts passes the engine's boot id to the handler, which resets the
-// limiter to the cold limit after a restart of the engine, until ctx ends. It
-// detects a restart also when no calls arrive.
+// watchEngineRestarts passes each boot ID of the engine to the handler until ctx
+// ends. When the boot ID has changed, the handler resets the limiter to the cold
+// limit. A restart is thus detected even if no calls arrive.
 func (a *agent) watchEngineRestarts(ctx context.Context) error {
 	for {
 		changed := a.monitor.Changed()
@@ -336,8 +339,8 @@
 	}
 }
 
-// drain announces that the agent leaves and waits until its work in flight has
-// ended, for at most cfg.DrainTimeout.
+// drain announces that the agent leaves, waits for cfg.LeaveNotice, and then waits
+// until the agent's calls in flight have ended, for at most cfg.DrainTimeout.
 func (a *agent) drain() {
 	a.handler.Leave()
 	a.log.Event(eventDraining, nil)
@@ -347,6 +350,6 @@
 	if err := a.handler.Drain(ctx); err != nil {
 		a.log.EventWithError(eventDrainTimedOut, err, nil)
 	}
-	a.work.Close()
+	a.workServer.Close()
 	a.log.Event(eventDrained, nil)
 }
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -50,13 +50,13 @@
 	// BalancerLag is how long the platform's load balancer may continue to
 	// send calls after this instance has reported that it is not ready.
 	BalancerLag time.Duration
-	// Relay and Routing hold the settings of the relay and of routing.
-	// RunEntry sets the field Self of both.
-	Relay   relay.Config
+	// Relay holds the settings of the relay. RunEntry sets its field Self.
+	Relay relay.Config
+	// Routing holds the settings of routing. RunEntry sets its field Self.
 	Routing routing.Config
 }
 
-// entry holds the parts of an entry instance.
+// entry holds the components of an entry instance.
 type entry struct {
 	cfg           EntryConfig
 	log           *eventlog.Logger
@@ -95,10 +95,10 @@
 	return g.Run()
 }
 
-// newEntry creates the parts of an entry instance and connects them.
+// newEntry creates the components of an entry instance and connects them.
 func newEntry(cfg EntryConfig, log *eventlog.Logger) *entry {
 	clock := clockwork.NewRealClock()
-	adapters := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
+	platformClient := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
 	cfg.Relay.Self = cfg.Self
 	cfg.Routing.Self = cfg.Self
 
@@ -109,9 +109,9 @@
 	entries := func() []core.Instance { return e.watcher.WithRole(core.RoleEntry) }
 	e.watcher = instances.NewWatcher(
 		instances.Config{Interval: cfg.ListInterval, Seeds: cfg.Seeds},
-		adapters.Instances, members.NewPeerFallback(entries, cfg.Self, cfg.PeerToken), log)
-	e.follower = confstore.NewFollower(confstore.FollowerConfig{}, adapters.Table, adapters.ObjectStore, e.holder, log, clock)
-	e.onceRecords = once.New(once.Config{Entry: cfg.Self.ID}, adapters.Table, adapters.ObjectStore, log, clock)
+		platformClient.Instances, members.NewPeerFallback(entries, cfg.Self, cfg.PeerToken), log)
+	e.follower = confstore.NewFollower(confstore.FollowerConfig{}, platformClient.Table, platformClient.ObjectStore, e.holder, log, clock)
+	e.onceRecords = once.New(once.Config{Entry: cfg.Self.ID}, platformClient.Table, platformClient.ObjectStore, log, clock)
 	picker := routing.New(cfg.Routing, e.agentRegistry, e.holder, log, clock)
 	e.relay = relay.New(cfg.Relay, e.holder, picker, e.pool, e.onceRecords, log, clock)
 
@@ -122,8 +122,8 @@
 	e.freshnessGate = freshness.New(e.pauseDetector, e.holder.ConfirmationAge, hub.PullFromPeers)
 	hub.ConfirmPeersWhen(e.freshnessGate.MayConfirmPeers)
 	e.ops = ops.New(
-		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, LiveInstances: e.watcher.All, WeightStore: adapters.WeightStore},
-		confstore.NewPublisher(adapters.Table, adapters.ObjectStore, clock), e.holder, e.agentRegistry.All, log)
+		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, LiveInstances: e.watcher.All, WeightStore: platformClient.WeightStore},
+		confstore.NewPublisher(platformClient.Table, platformClient.ObjectStore, clock), e.holder, e.agentRegistry.All, log)
 	return e
 }
 
@@ -143,7 +143,7 @@
 	mux.Handle("/internal/", httpserver.RequirePeerToken(e.cfg.PeerToken, peers))
 	mux.Handle(metrics.Path, httpserver.RequirePeerToken(e.cfg.PeerToken, metrics.Handler(gometrics.DefaultRegistry)))
 	mux.HandleFunc(healthPath, serveHealth)
-	mux.Handle(readyPath, serveReady(e.notReadyReason))
+	mux.Handle(readyPath, newReadyHandler(e.notReadyReason))
 	mux.Handle("/", callers)
 	return mux
 }
@@ -157,8 +157,8 @@
 	}
 }
 
-// notReadyReason returns why the instance must not get calls, or an empty string
-// if it may.
+// notReadyReason returns why the entry instance must not receive calls, or an
+// empty string if it may receive calls.
 func (e *entry) notReadyReason() string {
 	switch {
 	case e.draining.Load():
--- a/daemon/health.go
+++ b/daemon/health.go
@@ -16,9 +16,10 @@
 	_, _ = fmt.Fprintln(w, "ok")
 }
 
-// serveReady returns the handler of the readiness check: status 200 if
-// notReadyReason returns an empty string, and otherwise status 503 with the reason.
-func serveReady(notReadyReason func() string) http.Handler {
+// newReadyHandler returns the handler of the readiness check. It responds with
+// status 200 if notReadyReason returns an empty string, and otherwise with status
+// 503 and the reason.
+func newReadyHandler(notReadyReason func() string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if reason := notReadyReason(); reason != "" {
 			http.Error(w, reason, http.StatusServiceUnavailable)
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -19,13 +19,14 @@
 	PlatformAddr string
 	// PlatformToken authenticates this process to the platform.
 	PlatformToken string
-	// Seeds are the entry instances in use until the list of instances has
+	// Seeds are the entry instances that are used until the list of instances has
 	// been read.
 	Seeds []core.Instance
 	// ListInterval is the time between two reads of the instance list.
 	ListInterval time.Duration
-	// Heartbeat is the longest time between two reports of an agent.
+	// Heartbeat is the longest time between two reports of an agent to an entry
+	// instance. With many agents the time is longer; see homes.HeartbeatInterval.
 	Heartbeat time.Duration
-	// DrainTimeout bounds the wait for work in flight when the process stops.
+	// DrainTimeout limits the wait for calls in flight when the process stops.
 	DrainTimeout time.Duration
 }
