--- a/cmd/rattanway-node/main.go
+++ b/cmd/rattanway-node/main.go
@@ -24,8 +24,8 @@
 	LogLevel string       `help:"Lowest level that is logged." enum:"debug,info,warning,error" default:"info" env:"RATTANWAY_LOG_LEVEL"`
 }
 
-// options returns the options of a daemon, or one error that lists all invalid
-// flags.
+// options returns the options of a daemon. If flags are invalid, it returns one
+// error that lists all of them.
 func (f *flags) options() (hosted.Options, error) {
 	var problems settings.Problems
 	problems.Add(f.Metrics.Check("--metrics", 0, 65535))
