--- a/connection/backend/conn.go
+++ b/connection/backend/conn.go
@@ -22,16 +22,16 @@
 	writeBufferBytes = 2 << 10
 )
 
-// maxMismatchedResponses is the number of responses to other requests after which Conn.Do
-// fails.
+// maxMismatchedResponses is the number of responses to other requests after which
+// Conn.Do fails.
 const maxMismatchedResponses = 3
 
 // The errors of Conn.Do.
 var (
 	// ErrNotSent is returned when no byte of the request was sent.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrResponseMismatch is returned when maxMismatchedResponses responses arrived, all of
-	// them to other requests.
+	// ErrResponseMismatch is returned when maxMismatchedResponses responses
+	// arrived, all of them to other requests.
 	ErrResponseMismatch = errors.New("response belongs to another request")
 )
 
