--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -36,9 +36,9 @@
 	// Offer checks c and puts it in force if it is newer than the version in
 	// force.
 	Offer(c frame.Config) error
-	// RecordPeerVersion records that the newest version of a peer is number, according
-	// to the response to a Pull frame that was sent at pullSent.
-	RecordPeerVersion(number uint64, pullSent time.Time)
+	// RecordPeerVersion records that the newest version of a peer is number,
+	// according to the response to a Pull frame that was sent at pullSentAt.
+	RecordPeerVersion(number uint64, pullSentAt time.Time)
 }
 
 // Hub coordinates the sessions of one process, so that the process pulls each
@@ -52,8 +52,8 @@
 	mu sync.Mutex
 	// pulledVersion is the version pulled last.
 	pulledVersion uint64
-	// pullStarted is the time at which that pull started.
-	pullStarted time.Time
+	// pullStartedAt is the time at which that pull started.
+	pullStartedAt time.Time
 	// sessions holds the open sessions.
 	sessions map[*Session]bool
 }
@@ -93,11 +93,11 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.pulledVersion >= number && time.Since(h.pullStarted) < pullTimeout {
+	if h.pulledVersion >= number && time.Since(h.pullStartedAt) < pullTimeout {
 		return false
 	}
 	h.pulledVersion = number
-	h.pullStarted = time.Now()
+	h.pullStartedAt = time.Now()
 	return true
 }
 
@@ -109,9 +109,9 @@
 	peerVersion atomic.Uint64
 
 	mu sync.Mutex
-	// pullSent is when the oldest Pull frame without a response was sent. It is
-	// zero if there is none.
-	pullSent time.Time
+	// pullSentAt is the time at which the oldest Pull frame without a response was
+	// sent; zero if every Pull frame has a response.
+	pullSentAt time.Time
 }
 
 // NewSession returns a Session over conn, whose peer holds version peerVersion. The
@@ -145,8 +145,8 @@
 // pull sends a Pull frame to the peer.
 func (s *Session) pull() error {
 	s.mu.Lock()
-	if s.pullSent.IsZero() {
-		s.pullSent = time.Now()
+	if s.pullSentAt.IsZero() {
+		s.pullSentAt = time.Now()
 	}
 	s.mu.Unlock()
 	return s.conn.Send(frame.KindPull, frame.Pull{Have: s.hub.source.Number()})
@@ -162,11 +162,11 @@
 		return
 	}
 	s.mu.Lock()
-	pullSent := s.pullSent
-	s.pullSent = time.Time{}
+	pullSentAt := s.pullSentAt
+	s.pullSentAt = time.Time{}
 	s.mu.Unlock()
-	if !pullSent.IsZero() {
-		s.hub.source.RecordPeerVersion(number, pullSent)
+	if !pullSentAt.IsZero() {
+		s.hub.source.RecordPeerVersion(number, pullSentAt)
 	}
 }
 
--- a/connection/confsync/holder.go
+++ b/connection/confsync/holder.go
@@ -41,6 +41,6 @@
 }
 
 // RecordPeerVersion implements Source.
-func (s HolderSource) RecordPeerVersion(number uint64, pullSent time.Time) {
-	s.Holder.RecordPeerVersion(number, pullSent)
+func (s HolderSource) RecordPeerVersion(number uint64, pullSentAt time.Time) {
+	s.Holder.RecordPeerVersion(number, pullSentAt)
 }
