--- a/connection/engine/http.go
+++ b/connection/engine/http.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// NewHTTPClientWithTransport returns the client of an engine that is called through
-// transport, such as an engine in the same process. Once-only calls use the same
-// transport as all others.
+// NewHTTPClientWithTransport returns the client of an engine that is called
+// through transport, such as an engine in the same process. Once-only calls use
+// this transport too.
 func NewHTTPClientWithTransport(transport http.RoundTripper) *HTTPClient {
 	client := &http.Client{Transport: transport, CheckRedirect: noRedirect}
 	return &HTTPClient{addr: "engine", pooledClient: client, unpooledClient: client}
