--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -85,7 +85,8 @@
 type Exchange struct {
 	cfg Config
 	mu  sync.Mutex
-	// known holds the addresses of all known entry instances, including this one.
+	// known holds the addresses that AddPeer has queued, and the address of this
+	// entry instance.
 	known map[string]bool
 	// discovered receives the known addresses that Run has yet to dial.
 	discovered chan string
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -87,7 +87,7 @@
 	loads             *fakeLoadTracker
 }
 
-// newTestInstance starts an instance that knows no other instance yet.
+// newTestInstance starts an instance without the address of any other instance.
 func newTestInstance(t *testing.T, name string) *testInstance {
 	t.Helper()
 	clock, log := clockwork.NewRealClock(), eventlog.Discard()
--- a/connection/exchange/lag_test.go
+++ b/connection/exchange/lag_test.go
@@ -14,8 +14,8 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 	Convey("A table that changes all the time is not requested while the store delivers it 300 ms late", t, func() {
-		// A new revision appears every 10 ms; the peer sends its newest revision every
-		// 500 ms.
+		// A new revision appears every 10 ms; the peer sends its newest revision
+		// every 500 ms.
 		requestCount := 0
 		var l lag
 		for ms := 1000; ms < 60_000; ms += 500 {
