--- a/connection/fleet/entryconnections.go
+++ b/connection/fleet/entryconnections.go
@@ -51,7 +51,7 @@
 	state frame.AgentState
 	// changed is closed and replaced when state or listSenders changes.
 	changed chan struct{}
-	// known holds the addresses of all known entry instances.
+	// known holds the addresses that addEntry has queued.
 	known map[string]bool
 	// discovered receives the known addresses that Run has yet to dial.
 	discovered chan string
--- a/connection/fleet/hub.go
+++ b/connection/fleet/hub.go
@@ -339,8 +339,8 @@
 	return w
 }
 
-// hasLoadedAnyWanted reports whether a backend server has loaded the wanted version of
-// at least one model.
+// hasLoadedAnyWanted reports whether a backend server has loaded the wanted
+// version of at least one model.
 func hasLoadedAnyWanted(s frame.AgentState, wantedVersions map[string]int) bool {
 	for model, version := range s.LoadedVersions {
 		if version == wantedVersions[model] {
--- a/connection/fleet/listsenders.go
+++ b/connection/fleet/listsenders.go
@@ -7,10 +7,10 @@
 )
 
 // listSenderCount is the number of entry instances that send an agent the list of
-// agents. With two, the list stays up to date when one of them is lost. More
-// would cost bandwidth: the list is the largest message of this package, about
-// 100 bytes for each agent, and is sent again whenever an agent connects or
-// disconnects.
+// agents. With two, the list stays up to date when the connection to one of them
+// is lost. More would cost bandwidth: the list is the largest message of this
+// package, about 100 bytes for each agent, and is sent again whenever an agent
+// connects or disconnects.
 const listSenderCount = 2
 
 // chooseListSenders returns the addresses of the entry instances from which an
