--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -90,8 +90,8 @@
 	// LoadedChanged is true if Loaded replaces the list of the last report;
 	// otherwise that list is still valid.
 	LoadedChanged bool `cbor:"7,keyasint,omitempty"`
-	// HeartbeatMillis is the maximum time until the next report, in
-	// milliseconds; 0 means that it is the same as before.
+	// HeartbeatMillis is the maximum time until the next report, in milliseconds;
+	// 0 means that the maximum has not changed.
 	HeartbeatMillis int64 `cbor:"8,keyasint,omitempty"`
 }
 
