--- a/connection/homes/select.go
+++ b/connection/homes/select.go
@@ -11,11 +11,11 @@
 )
 
 // Select returns the entry instances with which the agent self should register: up
-// to maxLocal in its own data centre, and up to perRemote in each other data
-// centre. If these are fewer than minHomes, further entry instances are added, the
-// nearest first (see sortByDistance). Rendezvous hashing keeps the choice stable
-// and spreads the agents evenly over the entry instances. Leaving entry instances
-// are not chosen.
+// to maxLocal in the agent's own data centre, and up to perRemote in each other
+// data centre. If these are fewer than minHomes, further entry instances are
+// added, the nearest first (see sortByDistance). Rendezvous hashing keeps the
+// choice stable and spreads the agents evenly over the entry instances. Leaving
+// entry instances are not chosen.
 func Select(self core.Instance, entries []core.Instance, maxLocal, perRemote, minHomes int) []core.Instance {
 	byDataCentre := map[string][]core.Instance{}
 	for _, e := range entries {
