--- a/connection/members/members.go
+++ b/connection/members/members.go
@@ -40,8 +40,8 @@
 // Server is the HTTP handler that serves the list of instances to processes that
 // cannot reach the platform.
 type Server struct {
-	watcher *instances.Watcher
-	reg     *registry.Registry
+	watcher       *instances.Watcher
+	agentRegistry *registry.Registry
 
 	mu sync.Mutex
 	// announcements holds the latest announcement of each entry instance, by its ID.
@@ -56,9 +56,9 @@
 }
 
 // NewServer returns a Server for the instances that w watches and the agents
-// registered in reg.
-func NewServer(w *instances.Watcher, reg *registry.Registry) *Server {
-	return &Server{watcher: w, reg: reg, announcements: map[string]announcement{}}
+// registered in agentRegistry.
+func NewServer(w *instances.Watcher, agentRegistry *registry.Registry) *Server {
+	return &Server{watcher: w, agentRegistry: agentRegistry, announcements: map[string]announcement{}}
 }
 
 // ServeHTTP implements http.Handler. The response carries an ETag, so that a
@@ -114,7 +114,7 @@
 			all = append(all, in)
 		}
 	}
-	for _, srv := range s.reg.All() {
+	for _, srv := range s.agentRegistry.All() {
 		add(srv.Instance)
 	}
 	for _, in := range s.recentAnnouncements() {
