--- a/connection/orders/cluster_test.go
+++ b/connection/orders/cluster_test.go
@@ -38,8 +38,8 @@
 	fence           uint64
 }
 
-// Order implements OrderSender. If enforcesFencing is set, it refuses a fencing number that
-// is too low.
+// Order implements OrderSender. If enforcesFencing is set, it refuses a fencing
+// number that is too low.
 func (e *fakeEngine) Order(_ context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Status implements StatusSource. The negative age marks the report as newer than any
-// order.
+// Status implements StatusSource. The negative age marks the report as newer than
+// any order.
 func (e *fakeEngine) Status() (engine.Status, time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -55,9 +55,9 @@
 	Incarnation string
 	// Token is the shared secret with which agents authenticate to each other.
 	Token string
-	// Source is the URL prefix from which the engine reads chunks; empty
-	// means "http://" + Self.Addr + "/internal".
-	Source string
+	// WeightsURL is the URL prefix from which the engine reads manifests and
+	// chunks; empty means "http://" + Self.Addr + "/internal".
+	WeightsURL string
 	// Interval is the longest time between two passes.
 	Interval time.Duration
 	// LoadTimeout is how long the engine may take to report a version as loaded
@@ -103,8 +103,8 @@
 	if c.Incarnation == "" {
 		c.Incarnation = uuid.NewString()
 	}
-	if c.Source == "" {
-		c.Source = "http://" + c.Self.Addr + "/internal"
+	if c.WeightsURL == "" {
+		c.WeightsURL = "http://" + c.Self.Addr + "/internal"
 	}
 	if c.MinLoadedShare <= 0 {
 		c.MinLoadedShare = DefaultMinLoadedShare
--- a/connection/orders/reconcile.go
+++ b/connection/orders/reconcile.go
@@ -292,7 +292,7 @@
 		return
 	}
 	o := engine.Order{
-		Fence: fence, Action: action, Model: l.Model, Version: l.Version, Digest: l.Digest, Source: c.cfg.Source,
+		Fence: fence, Action: action, Model: l.Model, Version: l.Version, Digest: l.Digest, Source: c.cfg.WeightsURL,
 	}
 	fields := eventlog.Fields{
 		"action": action, "model": l.Model, "version": l.Digest, "fence": fence, "fenceFrom": source,
