--- a/connection/registry/heartbeat.go
+++ b/connection/registry/heartbeat.go
@@ -14,8 +14,8 @@
 const lateCheckFactor = 1.5
 
 // heartbeatMonitor marks a server as suspect if Server.LastSeen has not changed
-// for suspectAfterHeartbeats heartbeat intervals. It uses a timer instead of a goroutine,
-// because an entry instance has one monitor for each registration.
+// for suspectAfterHeartbeats heartbeat intervals. It uses a timer instead of a
+// goroutine, because an entry instance has one monitor for each registration.
 type heartbeatMonitor struct {
 	listener *Listener
 	server   string
--- a/connection/registry/registry.go
+++ b/connection/registry/registry.go
@@ -31,8 +31,8 @@
 	// LastSeen is the time at which the newest report, or the newest load in a
 	// response, arrived.
 	LastSeen time.Time
-	// Suspect is true if the agent has missed its heartbeats and has not sent a
-	// report since.
+	// Suspect is true if the agent's reports were overdue and no report has
+	// arrived since.
 	Suspect bool
 }
 
