--- a/connection/work/pool.go
+++ b/connection/work/pool.go
@@ -13,9 +13,9 @@
 
 // The default values of PoolConfig.
 const (
-	defaultMaxIdle     = 64
-	defaultIdleTimeout = 30 * time.Second
-	defaultDialTimeout = 2 * time.Second
+	defaultMaxIdlePerAgent = 64
+	defaultIdleTimeout     = 30 * time.Second
+	defaultDialTimeout     = 2 * time.Second
 )
 
 // ErrWrongRequestID is returned when a received frame carries the ID of another
@@ -27,10 +27,10 @@
 type PoolConfig struct {
 	// PeerToken is the secret that authenticates this process to agents.
 	PeerToken string
-	// MaxIdle is the maximum number of idle connections kept for each agent.
+	// MaxIdlePerAgent is the maximum number of idle connections kept for each agent.
 	// Default 64.
-	MaxIdle int
-	// IdleTimeout is how long a connection may be idle and still be used
+	MaxIdlePerAgent int
+	// IdleTimeout is the longest idle time after which a connection is still used
 	// again. Default 30 s.
 	IdleTimeout time.Duration
 	// DialTimeout limits the time to open a connection. Default 2 s.
@@ -39,7 +39,7 @@
 
 // applyDefaults returns c with its zero fields set to their defaults.
 func (c PoolConfig) applyDefaults() PoolConfig {
-	core.SetDefault(&c.MaxIdle, defaultMaxIdle)
+	core.SetDefault(&c.MaxIdlePerAgent, defaultMaxIdlePerAgent)
 	core.SetDefault(&c.IdleTimeout, defaultIdleTimeout)
 	core.SetDefault(&c.DialTimeout, defaultDialTimeout)
 	return c
@@ -131,11 +131,11 @@
 	return last.conn
 }
 
-// putIdle keeps conn for a later request, or closes it if there are MaxIdle idle
-// connections to addr already.
+// putIdle keeps conn for a later request, or closes it if there are
+// MaxIdlePerAgent idle connections to addr already.
 func (p *Pool) putIdle(addr string, conn *frame.Conn) {
 	p.mu.Lock()
-	if len(p.idle[addr]) < p.cfg.MaxIdle {
+	if len(p.idle[addr]) < p.cfg.MaxIdlePerAgent {
 		p.idle[addr] = append(p.idle[addr], idleConn{conn: conn, idleSince: time.Now()})
 		conn = nil
 	}
