--- a/daemon/hosted/agent.go
+++ b/daemon/hosted/agent.go
@@ -160,8 +160,8 @@
 	return err
 }
 
-// declaredVersions returns the declared versions that the agent knows, with the
-// time since each was declared.
+// declaredVersions returns the declared versions that the agent has received, with
+// the time since the declaration of each version.
 func (a *agent) declaredVersions() []frame.WantedVersion {
 	now := a.clock.Now()
 	var all []frame.WantedVersion
--- a/daemon/hosted/entry.go
+++ b/daemon/hosted/entry.go
@@ -57,7 +57,7 @@
 	declaredFollower *catalog.Follower
 	serversFollower  *catalog.Follower
 	scheduler        *dispatch.Scheduler
-	pool             *backend.Pool
+	connPool         *backend.Pool
 	exchange         *exchange.Exchange
 	fleetHub         *fleet.Hub
 	handler          *forward.Handler
@@ -91,7 +91,7 @@
 	e := &entry{
 		settings: s, options: o, log: log, clock: clock,
 		store: platform.NewStore(s.Store.Addr), catalogHolder: catalog.NewHolder(log),
-		pool: backend.NewPool(clock), metricsRegistry: gometrics.NewRegistry(),
+		connPool: backend.NewPool(clock), metricsRegistry: gometrics.NewRegistry(),
 	}
 	e.declaredFollower = catalog.NewFollower(catalog.TableDeclared, e.store, e.catalogHolder, log, clock)
 	e.serversFollower = catalog.NewFollower(catalog.TableServers, e.store, e.catalogHolder, log, clock)
@@ -114,7 +114,7 @@
 		DataCentre: s.DataCentre, Holder: e.catalogHolder, OnAgentState: e.scheduler.SetAgentState, Entries: e.exchange.KnownAddrs, Log: log, Clock: clock,
 	})
 	e.handler = forward.New(forward.Config{
-		Headers: platform.HeaderNames(), Holder: e.catalogHolder, Scheduler: e.scheduler, Pool: e.pool,
+		Headers: platform.HeaderNames(), Holder: e.catalogHolder, Scheduler: e.scheduler, Pool: e.connPool,
 		Log: log, Clock: clock, Metrics: e.metricsRegistry,
 	})
 	return e
@@ -158,7 +158,7 @@
 	addRunner(&g, watcher.Run)
 	addRunner(&g, e.declaredFollower.Run)
 	addRunner(&g, e.serversFollower.Run)
-	addRunner(&g, e.pool.Run)
+	addRunner(&g, e.connPool.Run)
 	addRunner(&g, e.scheduler.Run)
 	addRunner(&g, e.exchange.Run)
 	addRunner(&g, e.announceAddress)
