--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -61,7 +61,7 @@
 	log *eventlog.Logger
 	// incarnation is an ID that is different each time the process starts.
 	incarnation   string
-	holder        *confstore.Holder
+	configHolder  *confstore.Holder
 	watcher       *instances.Watcher
 	engineClient  *engine.HTTPClient
 	monitor       *engine.Monitor
@@ -106,26 +106,26 @@
 func newAgent(cfg AgentConfig, log *eventlog.Logger) *agent {
 	clock := clockwork.NewRealClock()
 	platformClient := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
-	a := &agent{cfg: cfg, log: log, incarnation: uuid.NewString(), holder: confstore.NewHolder()}
-	a.holder.SetLogger(log)
+	a := &agent{cfg: cfg, log: log, incarnation: uuid.NewString(), configHolder: confstore.NewHolder()}
+	a.configHolder.SetLogger(log)
 	a.pauseDetector = pause.New(log)
 	a.watcher = a.newWatcher(platformClient)
 	a.engineClient = newEngineClient(cfg)
 	a.monitor = engine.NewMonitor(a.engineClient, 0, log, clock)
 	a.limiter = admission.New(admission.Config{Log: log}, clock)
 
-	hub := confsync.NewHub(confsync.HolderSource{Holder: a.holder}, log)
-	a.freshnessGate = freshness.New(a.pauseDetector, a.holder.ConfirmationAge, hub.PullFromPeers)
-	hub.ConfirmPeersWhen(a.freshnessGate.MayConfirmPeers)
+	configHub := confsync.NewHub(confsync.HolderSource{Holder: a.configHolder}, log)
+	a.freshnessGate = freshness.New(a.pauseDetector, a.configHolder.ConfirmationAge, configHub.PullFromPeers)
+	configHub.ConfirmPeersWhen(a.freshnessGate.MayConfirmPeers)
 	a.handler = serve.New(serve.Config{
 		Self:           cfg.Self,
 		Incarnation:    a.incarnation,
 		Service:        cfg.Service,
 		LastConfirmed:  a.lastConfirmed,
 		OnWrongVersion: a.onWrongVersion,
-	}, a.holder, a.limiter, a.engineClient, a.engineStatus, log, clock)
+	}, a.configHolder, a.limiter, a.engineClient, a.engineStatus, log, clock)
 	a.workServer = work.NewServer(a.handler, log)
-	a.homes = a.newHomes(hub)
+	a.homes = a.newHomes(configHub)
 	if cfg.Service == "" {
 		a.swarm = a.newSwarm(platformClient, clock)
 		a.orders = a.newOrders(platformClient, clock)
@@ -152,14 +152,14 @@
 
 // newHomes returns the agent's Homes, which register the agent with entry
 // instances.
-func (a *agent) newHomes(hub *confsync.Hub) *homes.Homes {
+func (a *agent) newHomes(configHub *confsync.Hub) *homes.Homes {
 	cfg := a.cfg.Homes
 	cfg.Self = a.cfg.Self
 	cfg.Incarnation = a.incarnation
 	cfg.Service = a.cfg.Service
 	cfg.PeerToken = a.cfg.PeerToken
 	cfg.Heartbeat = a.cfg.Heartbeat
-	return homes.New(cfg, a.watcher, hub, a.report, a.log)
+	return homes.New(cfg, a.watcher, configHub, a.report, a.log)
 }
 
 // newSwarm returns the agent's Swarm, which exchanges weights with other agents.
@@ -179,7 +179,7 @@
 		Incarnation: a.incarnation,
 		Token:       a.cfg.PeerToken,
 	}, orders.Deps{
-		Holder:         a.holder,
+		Holder:         a.configHolder,
 		LiveInstances:  a.watcher.All,
 		Fetcher:        a.swarm,
 		Store:          a.swarm.Store(),
@@ -282,7 +282,7 @@
 		Limit:    load.Limit,
 		InFlight: load.InFlight,
 		Queued:   load.Queued,
-		Config:   a.holder.Current().Number,
+		Config:   a.configHolder.Current().Number,
 	}
 	status, ok := a.engineStatus()
 	if ok {
@@ -302,8 +302,8 @@
 // to the cold limit, because the server may have become cold in the meantime.
 func (a *agent) followDeclaredLimits(ctx context.Context) error {
 	for wasOutOfService := false; ; {
-		changed := a.holder.Changed()
-		set := a.holder.Current().Set
+		changed := a.configHolder.Changed()
+		set := a.configHolder.Current().Set
 		server := set.BackendServers[a.cfg.Self.ID]
 		if server != nil {
 			a.limiter.Configure(server.Limit, server.ColdLimit)
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -58,21 +58,21 @@
 
 // entry holds the components of an entry instance.
 type entry struct {
-	cfg           EntryConfig
-	log           *eventlog.Logger
-	holder        *confstore.Holder
-	agentRegistry *registry.Registry
-	pool          *work.Pool
-	watcher       *instances.Watcher
-	follower      *confstore.Follower
-	onceRecords   *once.RecordStore
-	relay         *relay.Relay
-	agentListener *registry.Listener
-	pauseDetector *pause.Detector
-	freshnessGate *freshness.Gate
-	ops           *ops.Server
-	server        *httpserver.Server
-	draining      atomic.Bool
+	cfg            EntryConfig
+	log            *eventlog.Logger
+	configHolder   *confstore.Holder
+	agentRegistry  *registry.Registry
+	workPool       *work.Pool
+	watcher        *instances.Watcher
+	configFollower *confstore.Follower
+	onceRecords    *once.RecordStore
+	relay          *relay.Relay
+	agentListener  *registry.Listener
+	pauseDetector  *pause.Detector
+	freshnessGate  *freshness.Gate
+	ops            *ops.Server
+	server         *httpserver.Server
+	draining       atomic.Bool
 }
 
 // RunEntry runs an entry instance until SIGTERM or SIGINT.
@@ -87,7 +87,7 @@
 	var g run.Group
 	g.Add(server.Run, func(error) { stopServer(server) })
 	addRunner(&g, e.watcher.Run)
-	addRunner(&g, e.follower.Run)
+	addRunner(&g, e.configFollower.Run)
 	addRunner(&g, e.onceRecords.Run)
 	addRunner(&g, e.pauseDetector.Run)
 	addSignals(&g, e.drain)
@@ -102,28 +102,28 @@
 	cfg.Relay.Self = cfg.Self
 	cfg.Routing.Self = cfg.Self
 
-	e := &entry{cfg: cfg, log: log, holder: confstore.NewHolder(), agentRegistry: registry.New()}
-	e.holder.SetLogger(log)
-	e.pool = work.NewPool(work.PoolConfig{PeerToken: cfg.PeerToken})
+	e := &entry{cfg: cfg, log: log, configHolder: confstore.NewHolder(), agentRegistry: registry.New()}
+	e.configHolder.SetLogger(log)
+	e.workPool = work.NewPool(work.PoolConfig{PeerToken: cfg.PeerToken})
 	e.pauseDetector = pause.New(log)
 	entries := func() []core.Instance { return e.watcher.WithRole(core.RoleEntry) }
 	e.watcher = instances.NewWatcher(
 		instances.Config{Interval: cfg.ListInterval, Seeds: cfg.Seeds},
 		platformClient.Instances, members.NewPeerFallback(entries, cfg.Self, cfg.PeerToken), log)
-	e.follower = confstore.NewFollower(confstore.FollowerConfig{}, platformClient.Table, platformClient.ObjectStore, e.holder, log, clock)
+	e.configFollower = confstore.NewFollower(confstore.FollowerConfig{}, platformClient.Table, platformClient.ObjectStore, e.configHolder, log, clock)
 	e.onceRecords = once.New(once.Config{Entry: cfg.Self.ID}, platformClient.Table, platformClient.ObjectStore, log, clock)
-	picker := routing.New(cfg.Routing, e.agentRegistry, e.holder, log, clock)
-	e.relay = relay.New(cfg.Relay, e.holder, picker, e.pool, e.onceRecords, log, clock)
+	picker := routing.New(cfg.Routing, e.agentRegistry, e.configHolder, log, clock)
+	e.relay = relay.New(cfg.Relay, e.configHolder, picker, e.workPool, e.onceRecords, log, clock)
 
-	source := confsync.HolderSource{Holder: e.holder}
-	hub := confsync.NewHub(source, log)
+	source := confsync.HolderSource{Holder: e.configHolder}
+	configHub := confsync.NewHub(source, log)
 	listenerConfig := registry.ListenerConfig{Self: cfg.Self, Heartbeat: cfg.Heartbeat}
-	e.agentListener = registry.NewListener(listenerConfig, e.agentRegistry, hub, source, e.pool.CloseIdle, log)
-	e.freshnessGate = freshness.New(e.pauseDetector, e.holder.ConfirmationAge, hub.PullFromPeers)
-	hub.ConfirmPeersWhen(e.freshnessGate.MayConfirmPeers)
+	e.agentListener = registry.NewListener(listenerConfig, e.agentRegistry, configHub, source, e.workPool.CloseIdle, log)
+	e.freshnessGate = freshness.New(e.pauseDetector, e.configHolder.ConfirmationAge, configHub.PullFromPeers)
+	configHub.ConfirmPeersWhen(e.freshnessGate.MayConfirmPeers)
 	e.ops = ops.New(
 		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, LiveInstances: e.watcher.All, WeightStore: platformClient.WeightStore},
-		confstore.NewPublisher(platformClient.Table, platformClient.ObjectStore, clock), e.holder, e.agentRegistry.All, log)
+		confstore.NewPublisher(platformClient.Table, platformClient.ObjectStore, clock), e.configHolder, e.agentRegistry.All, log)
 	return e
 }
 
@@ -163,7 +163,7 @@
 	switch {
 	case e.draining.Load():
 		return "draining"
-	case e.holder.Current().Number == 0:
+	case e.configHolder.Current().Number == 0:
 		return "no configuration yet"
 	default:
 		return ""
@@ -186,6 +186,6 @@
 	// Responses of completed calls may still be on their way to callers.
 	_ = e.server.Shutdown(ctx)
 	e.agentListener.Close()
-	e.pool.Close()
+	e.workPool.Close()
 	e.log.Event(eventDrained, nil)
 }
