--- a/process/dial/reconnect_test.go
+++ b/process/dial/reconnect_test.go
@@ -16,8 +16,8 @@
 
 	Convey("A machine that starts a little later than the others is reached soon after its start", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			// Before upAfter every packet to the machine is lost, so an attempt
-			// lasts for its whole timeout.
+			// Before upAfter every packet to the machine is lost, so each attempt
+			// lasts until its timeout.
 			const upAfter = 400 * time.Millisecond
 			ctx, cancel := context.WithCancel(t.Context())
 			start := time.Now()
