--- a/process/httpserver/httpserver.go
+++ b/process/httpserver/httpserver.go
@@ -21,19 +21,19 @@
 
 // Server is an HTTP server with an open listener.
 type Server struct {
-	http     *http.Server
-	listener net.Listener
+	httpServer *http.Server
+	listener   net.Listener
 }
 
-// Listen returns a Server that listens on addr ("ip:port") and serves handler.
-// Requests are served once Run is called.
+// Listen returns a Server that listens on addr ("ip:port") and serves handler. It
+// serves no request before Run is called.
 func Listen(addr string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, core.WrapStep("listen", addr, err)
 	}
 	return &Server{
-		http: &http.Server{
+		httpServer: &http.Server{
 			Handler:           handler,
 			ReadHeaderTimeout: headerTimeout,
 			MaxHeaderBytes:    maxHeaderBytes,
@@ -47,7 +47,7 @@
 
 // Run serves requests until Shutdown is called, and then returns nil.
 func (s *Server) Run() error {
-	err := s.http.Serve(s.listener)
+	err := s.httpServer.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -57,9 +57,9 @@
 // Shutdown closes the listener and waits for the requests in flight. If ctx ends
 // first, Shutdown closes the remaining connections and returns an error.
 func (s *Server) Shutdown(ctx context.Context) error {
-	err := s.http.Shutdown(ctx)
+	err := s.httpServer.Shutdown(ctx)
 	if err != nil {
-		_ = s.http.Close()
+		_ = s.httpServer.Close()
 	}
 	return core.WrapStep("shut down", s.Addr(), err)
 }
