--- a/process/instances/missing.go
+++ b/process/instances/missing.go
@@ -20,8 +20,8 @@
 // kept for a while.
 type missingInstance struct {
 	instance core.Instance
-	// expires is when the instance is removed.
-	expires time.Time
+	// expiresAt is the time at which the instance is removed.
+	expiresAt time.Time
 }
 
 // updateMissing updates w.missing for a new list from the platform and returns the
@@ -43,9 +43,9 @@
 	if 2*len(newlyMissing) > len(w.list) {
 		keepFor = w.cfg.MassRemovalDelay
 	}
-	expires := w.cfg.Clock.Now().Add(keepFor)
+	expiresAt := w.cfg.Clock.Now().Add(keepFor)
 	for _, in := range newlyMissing {
-		w.missing[in.ID] = missingInstance{instance: in, expires: expires}
+		w.missing[in.ID] = missingInstance{instance: in, expiresAt: expiresAt}
 	}
 	var kept []core.Instance
 	for _, m := range w.missing {
@@ -61,7 +61,7 @@
 	now := w.cfg.Clock.Now()
 	expired := map[string]bool{}
 	for id, m := range w.missing {
-		if now.Before(m.expires) {
+		if now.Before(m.expiresAt) {
 			continue
 		}
 		expired[id] = true
