--- a/process/pause/pause_test.go
+++ b/process/pause/pause_test.go
@@ -11,7 +11,8 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// writerFunc is an io.Writer that calls the function for each write and discards the data.
+// writerFunc is an io.Writer that calls the function for each write and discards
+// the data.
 type writerFunc func()
 
 func (f writerFunc) Write(p []byte) (int, error) {
