--- a/process/platform/http.go
+++ b/process/platform/http.go
@@ -80,9 +80,9 @@
 // client sends requests to the platform and maps their results to the errors of
 // this package.
 type client struct {
-	addr  string
-	token string
-	http  *http.Client
+	addr       string
+	token      string
+	httpClient *http.Client
 	// reads and writes count the requests, and failed those without a complete
 	// response.
 	reads  metrics.Counter
@@ -102,13 +102,13 @@
 		DisableCompression:  true,
 	}
 	return &client{
-		addr:   config.Addr,
-		token:  config.Token,
-		http:   &http.Client{Transport: transport, CheckRedirect: noRedirect},
-		reads:  metrics.GetOrRegisterCounter("platform.reads", config.Metrics),
-		writes: metrics.GetOrRegisterCounter("platform.writes", config.Metrics),
-		failed: metrics.GetOrRegisterCounter("platform.failed", config.Metrics),
-		bytes:  metrics.GetOrRegisterCounter("platform.bytes", config.Metrics),
+		addr:       config.Addr,
+		token:      config.Token,
+		httpClient: &http.Client{Transport: transport, CheckRedirect: noRedirect},
+		reads:      metrics.GetOrRegisterCounter("platform.reads", config.Metrics),
+		writes:     metrics.GetOrRegisterCounter("platform.writes", config.Metrics),
+		failed:     metrics.GetOrRegisterCounter("platform.failed", config.Metrics),
+		bytes:      metrics.GetOrRegisterCounter("platform.bytes", config.Metrics),
 	}
 }
 
@@ -176,7 +176,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	httpResp, err := c.http.Do(httpReq)
+	httpResp, err := c.httpClient.Do(httpReq)
 	if err != nil {
 		return response{}, transportError(req, sent.Load(), err)
 	}
