--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -40,7 +40,7 @@
 	eventPeerConnected = eventlog.Define(150, "exchange-peer", logrus.InfoLevel,
 		"This entry instance connected to another entry instance.")
 	eventPeerDisconnected = eventlog.Define(151, "exchange-peer-gone", logrus.InfoLevel,
-		"The connection to or from another entry instance tableRequestErr or ended; the side that opened it dials again.")
+		"The connection to or from another entry instance failed or ended; the side that opened it dials again.")
 	eventTablesRequested = eventlog.Define(152, "exchange-want", logrus.InfoLevel,
 		"Another entry instance has a newer revision of a table than the store has delivered to this entry instance, which requests the table from the other.")
 )
