--- a/connection/orders/peers.go
+++ b/connection/orders/peers.go
@@ -122,9 +122,9 @@
 
 // mayReplace reports whether this server, of the given rank, may unload its old
 // version to load d into the same slot. agents are the agents to which d is
-// assigned, in the order of their rank. At most one in Config.ReplaceDivisor of
-// their servers, but at least one, replaces its version at the same time; m is
-// this number. The server of rank r waits until the agent of rank r-m reports d as
+// assigned, in the order of their rank. At most m = max(1,
+// len(agents)/Config.ReplaceDivisor) servers replace their version at the same
+// time: the server of rank r waits until the agent of rank r-m reports d as
 // loaded. If that agent has not responded for Config.PeerTimeout, its server is
 // assumed to handle no calls, and the agent of rank r-2m is checked instead, and
 // so on.
