--- a/connection/work/pool.go
+++ b/connection/work/pool.go
@@ -13,24 +13,24 @@
 
 // The default values of PoolConfig.
 const (
-	defaultMaxIdle     = 64
-	defaultIdleTimeout = 30 * time.Second
-	defaultDialTimeout = 2 * time.Second
+	defaultMaxIdlePerAgent = 64
+	defaultIdleTimeout     = 30 * time.Second
+	defaultDialTimeout     = 2 * time.Second
 )
 
 // ErrWrongRequestID is returned when a received frame carries the ID of another
 // request. The frame is discarded, so that no caller gets the response to another
-// request, and its connection is closed.
+// request, and the connection is closed.
 var ErrWrongRequestID = errors.New("frame of another request")
 
 // PoolConfig holds the settings of a Pool.
 type PoolConfig struct {
 	// PeerToken is the secret that authenticates this process to agents.
 	PeerToken string
-	// MaxIdle is the maximum number of idle connections kept per agent.
+	// MaxIdlePerAgent is the maximum number of idle connections kept for each agent.
 	// Default 64.
-	MaxIdle int
-	// IdleTimeout is how long a connection may be idle and still be used
+	MaxIdlePerAgent int
+	// IdleTimeout is the longest idle time after which a connection is still used
 	// again. Default 30 s.
 	IdleTimeout time.Duration
 	// DialTimeout limits the time to open a connection. Default 2 s.
@@ -39,7 +39,7 @@
 
 // applyDefaults returns c with its zero fields set to their defaults.
 func (c PoolConfig) applyDefaults() PoolConfig {
-	core.SetDefault(&c.MaxIdle, defaultMaxIdle)
+	core.SetDefault(&c.MaxIdlePerAgent, defaultMaxIdlePerAgent)
 	core.SetDefault(&c.IdleTimeout, defaultIdleTimeout)
 	core.SetDefault(&c.DialTimeout, defaultDialTimeout)
 	return c
@@ -131,11 +131,11 @@
 	return last.conn
 }
 
-// putIdle keeps conn for a later request, or closes it if there are MaxIdle idle
-// connections to addr already.
+// putIdle keeps conn for a later request, or closes it if there are
+// MaxIdlePerAgent idle connections to addr already.
 func (p *Pool) putIdle(addr string, conn *frame.Conn) {
 	p.mu.Lock()
-	if len(p.idle[addr]) < p.cfg.MaxIdle {
+	if len(p.idle[addr]) < p.cfg.MaxIdlePerAgent {
 		p.idle[addr] = append(p.idle[addr], idleConn{conn: conn, idleSince: time.Now()})
 		conn = nil
 	}
@@ -152,13 +152,14 @@
 	p.CloseIdle(addr)
 }
 
-// pooledExchange implements Exchange on a connection of a Pool. failed is true
-// after an error, so that Close discards the connection; conn is nil after Close.
+// pooledExchange implements Exchange on a connection of a Pool.
 type pooledExchange struct {
-	pool   *Pool
-	addr   string
-	conn   *frame.Conn
-	id     string
+	pool *Pool
+	addr string
+	// conn is nil after Close.
+	conn *frame.Conn
+	id   string
+	// failed is true after an error; Close then discards the connection.
 	failed bool
 }
 
@@ -211,8 +212,8 @@
 }
 
 // Decode decodes a frame sent by an agent and returns a pointer to the message and
-// the request ID in it. The error is frame.ErrUnexpectedKind if agents do not send
-// frames of this kind on work connections.
+// the request ID in it. The error matches frame.ErrUnexpectedKind if agents do not
+// send frames of this kind on work connections.
 func Decode(f frame.Frame) (msg any, id string, err error) {
 	switch f.Kind {
 	case frame.KindAdmit:
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -50,29 +50,29 @@
 	// BalancerLag is how long the platform's load balancer may continue to
 	// send calls after this instance has reported that it is not ready.
 	BalancerLag time.Duration
-	// Relay and Routing hold the settings of the relay and of routing.
-	// RunEntry sets the field Self of both.
-	Relay   relay.Config
+	// Relay holds the settings of the relay. RunEntry sets its field Self.
+	Relay relay.Config
+	// Routing holds the settings of routing. RunEntry sets its field Self.
 	Routing routing.Config
 }
 
-// entry holds the parts of an entry instance.
+// entry holds the components of an entry instance.
 type entry struct {
-	cfg           EntryConfig
-	log           *eventlog.Logger
-	holder        *confstore.Holder
-	agentRegistry *registry.Registry
-	pool          *work.Pool
-	watcher       *instances.Watcher
-	follower      *confstore.Follower
-	onceRecords   *once.RecordStore
-	relay         *relay.Relay
-	agentListener *registry.Listener
-	pauseDetector *pause.Detector
-	freshnessGate *freshness.Gate
-	ops           *ops.Server
-	server        *httpserver.Server
-	draining      atomic.Bool
+	cfg            EntryConfig
+	log            *eventlog.Logger
+	configHolder   *confstore.Holder
+	agentRegistry  *registry.Registry
+	workPool       *work.Pool
+	watcher        *instances.Watcher
+	configFollower *confstore.Follower
+	onceRecords    *once.RecordStore
+	relay          *relay.Relay
+	agentListener  *registry.Listener
+	pauseDetector  *pause.Detector
+	freshnessGate  *freshness.Gate
+	ops            *ops.Server
+	server         *httpserver.Server
+	draining       atomic.Bool
 }
 
 // RunEntry runs an entry instance until SIGTERM or SIGINT.
@@ -87,7 +87,7 @@
 	var g run.Group
 	g.Add(server.Run, func(error) { stopServer(server) })
 	addRunner(&g, e.watcher.Run)
-	addRunner(&g, e.follower.Run)
+	addRunner(&g, e.configFollower.Run)
 	addRunner(&g, e.onceRecords.Run)
 	addRunner(&g, e.pauseDetector.Run)
 	addSignals(&g, e.drain)
@@ -95,35 +95,35 @@
 	return g.Run()
 }
 
-// newEntry creates the parts of an entry instance and connects them.
+// newEntry creates the components of an entry instance and connects them.
 func newEntry(cfg EntryConfig, log *eventlog.Logger) *entry {
 	clock := clockwork.NewRealClock()
-	adapters := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
+	platformClient := platform.NewHTTP(platform.Config{Addr: cfg.PlatformAddr, Token: cfg.PlatformToken})
 	cfg.Relay.Self = cfg.Self
 	cfg.Routing.Self = cfg.Self
 
-	e := &entry{cfg: cfg, log: log, holder: confstore.NewHolder(), agentRegistry: registry.New()}
-	e.holder.SetLogger(log)
-	e.pool = work.NewPool(work.PoolConfig{PeerToken: cfg.PeerToken})
+	e := &entry{cfg: cfg, log: log, configHolder: confstore.NewHolder(), agentRegistry: registry.New()}
+	e.configHolder.SetLogger(log)
+	e.workPool = work.NewPool(work.PoolConfig{PeerToken: cfg.PeerToken})
 	e.pauseDetector = pause.New(log)
 	entries := func() []core.Instance { return e.watcher.WithRole(core.RoleEntry) }
 	e.watcher = instances.NewWatcher(
 		instances.Config{Interval: cfg.ListInterval, Seeds: cfg.Seeds},
-		adapters.Instances, members.NewPeerFallback(entries, cfg.Self, cfg.PeerToken), log)
-	e.follower = confstore.NewFollower(confstore.FollowerConfig{}, adapters.Table, adapters.ObjectStore, e.holder, log, clock)
-	e.onceRecords = once.New(once.Config{Entry: cfg.Self.ID}, adapters.Table, adapters.ObjectStore, log, clock)
-	picker := routing.New(cfg.Routing, e.agentRegistry, e.holder, log, clock)
-	e.relay = relay.New(cfg.Relay, e.holder, picker, e.pool, e.onceRecords, log, clock)
-
-	source := confsync.HolderSource{Holder: e.holder}
-	hub := confsync.NewHub(source, log)
+		platformClient.Instances, members.NewPeerFallback(entries, cfg.Self, cfg.PeerToken), log)
+	e.configFollower = confstore.NewFollower(confstore.FollowerConfig{}, platformClient.Table, platformClient.ObjectStore, e.configHolder, log, clock)
+	e.onceRecords = once.New(once.Config{Entry: cfg.Self.ID}, platformClient.Table, platformClient.ObjectStore, log, clock)
+	picker := routing.New(cfg.Routing, e.agentRegistry, e.configHolder, log, clock)
+	e.relay = relay.New(cfg.Relay, e.configHolder, picker, e.workPool, e.onceRecords, log, clock)
+
+	source := confsync.HolderSource{Holder: e.configHolder}
+	configHub := confsync.NewHub(source, log)
 	listenerConfig := registry.ListenerConfig{Self: cfg.Self, Heartbeat: cfg.Heartbeat}
-	e.agentListener = registry.NewListener(listenerConfig, e.agentRegistry, hub, source, e.pool.CloseIdle, log)
-	e.freshnessGate = freshness.New(e.pauseDetector, e.holder.ConfirmationAge, hub.PullFromPeers)
-	hub.ConfirmPeersWhen(e.freshnessGate.MayConfirmPeers)
+	e.agentListener = registry.NewListener(listenerConfig, e.agentRegistry, configHub, source, e.workPool.CloseIdle, log)
+	e.freshnessGate = freshness.New(e.pauseDetector, e.configHolder.ConfirmationAge, configHub.PullFromPeers)
+	configHub.ConfirmPeersWhen(e.freshnessGate.MayConfirmPeers)
 	e.ops = ops.New(
-		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, LiveInstances: e.watcher.All, WeightStore: adapters.WeightStore},
-		confstore.NewPublisher(adapters.Table, adapters.ObjectStore, clock), e.holder, e.agentRegistry.All, log)
+		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, LiveInstances: e.watcher.All, WeightStore: platformClient.WeightStore},
+		confstore.NewPublisher(platformClient.Table, platformClient.ObjectStore, clock), e.configHolder, e.agentRegistry.All, log)
 	return e
 }
 
@@ -143,7 +143,7 @@
 	mux.Handle("/internal/", httpserver.RequirePeerToken(e.cfg.PeerToken, peers))
 	mux.Handle(metrics.Path, httpserver.RequirePeerToken(e.cfg.PeerToken, metrics.Handler(gometrics.DefaultRegistry)))
 	mux.HandleFunc(healthPath, serveHealth)
-	mux.Handle(readyPath, serveReady(e.notReadyReason))
+	mux.Handle(readyPath, newReadyHandler(e.notReadyReason))
 	mux.Handle("/", callers)
 	return mux
 }
@@ -157,13 +157,13 @@
 	}
 }
 
-// notReadyReason returns why the instance must not get calls, or an empty string
-// if it may.
+// notReadyReason returns why the entry instance must not receive calls, or an
+// empty string if it may receive calls.
 func (e *entry) notReadyReason() string {
 	switch {
 	case e.draining.Load():
 		return "draining"
-	case e.holder.Current().Number == 0:
+	case e.configHolder.Current().Number == 0:
 		return "no configuration yet"
 	default:
 		return ""
@@ -186,6 +186,6 @@
 	// Responses of completed calls may still be on their way to callers.
 	_ = e.server.Shutdown(ctx)
 	e.agentListener.Close()
-	e.pool.Close()
+	e.workPool.Close()
 	e.log.Event(eventDrained, nil)
 }
--- a/process/instances/missing.go
+++ b/process/instances/missing.go
@@ -11,8 +11,8 @@
 	// defaultRemovalDelay is longer than the restart of an instance, so that a
 	// restart does not cause replicas to move.
 	defaultRemovalDelay = time.Minute
-	// defaultMassRemovalDelay is longer because a list that lacks most of the
-	// instances is probably wrong.
+	// defaultMassRemovalDelay is longer than defaultRemovalDelay because a list
+	// that lacks most of the instances is probably wrong.
 	defaultMassRemovalDelay = 10 * time.Minute
 )
 
@@ -20,12 +20,12 @@
 // kept for a while.
 type missingInstance struct {
 	instance core.Instance
-	// expires is when the instance is removed.
-	expires time.Time
+	// expiresAt is the time at which the instance is removed.
+	expiresAt time.Time
 }
 
-// updateMissing updates the missing instances for a new list from the platform
-// and returns those that are kept. The caller holds w.mu.
+// updateMissing updates w.missing for a new list from the platform and returns the
+// missing instances that are kept. The caller holds w.mu.
 func (w *Watcher) updateMissing(list []core.Instance) []core.Instance {
 	listed := map[string]bool{}
 	for _, in := range list {
@@ -43,9 +43,9 @@
 	if 2*len(newlyMissing) > len(w.list) {
 		keepFor = w.cfg.MassRemovalDelay
 	}
-	expires := w.cfg.Clock.Now().Add(keepFor)
+	expiresAt := w.cfg.Clock.Now().Add(keepFor)
 	for _, in := range newlyMissing {
-		w.missing[in.ID] = missingInstance{instance: in, expires: expires}
+		w.missing[in.ID] = missingInstance{instance: in, expiresAt: expiresAt}
 	}
 	var kept []core.Instance
 	for _, m := range w.missing {
@@ -61,7 +61,7 @@
 	now := w.cfg.Clock.Now()
 	expired := map[string]bool{}
 	for id, m := range w.missing {
-		if now.Before(m.expires) {
+		if now.Before(m.expiresAt) {
 			continue
 		}
 		expired[id] = true
