--- a/bench/requests/caller.go
+++ b/bench/requests/caller.go
@@ -17,8 +17,8 @@
 	"github.com/rattanway/rattanway/standin/engine"
 )
 
-// Outcome is the outcome of a call. The outcome of a refused call is the one in
-// the refusal.
+// Outcome is the outcome of a call: one of the constants below or, for a refused
+// call, the outcome that the refusal contains.
 type Outcome string
 
 // Outcomes of calls that were not refused.
@@ -28,8 +28,8 @@
 	// OutcomeWrong means that a response ended normally but was not the correct
 	// one.
 	OutcomeWrong Outcome = "wrong"
-	// OutcomeDoubled means that the response was longer than the correct one, as
-	// when a part of the response is sent twice.
+	// OutcomeDoubled means that the response was longer than the correct one, for
+	// example because a part of it was sent twice.
 	OutcomeDoubled Outcome = "doubled"
 	// OutcomeCut means that the response ended with an error after it had begun.
 	OutcomeCut Outcome = "cut"
@@ -49,16 +49,18 @@
 // callResult is the result of one call.
 type callResult struct {
 	outcome Outcome
-	// firstByte and total are the times from the planned arrival to the first
-	// byte and to the end of the response.
+	// Both times begin at the planned arrival: firstByte ends at the first byte
+	// of the response, total at its end.
 	firstByte, total time.Duration
-	tokens           int
-	// detail describes a call whose response was not whole.
+	tokenCount       int
+	// detail explains an outcome other than OutcomeWhole: an error, the detail of
+	// the refusal, the request id or the body of the response. It is empty for
+	// OutcomeWhole.
 	detail string
 }
 
 // completionResponse is the part of a completion, or of one event of a streamed
-// completion, that is compared.
+// completion, that is compared with the expected text.
 type completionResponse struct {
 	Choices []struct {
 		Text string `json:"text"`
@@ -67,10 +69,10 @@
 
 // caller makes calls to the entry instances in turn.
 type caller struct {
-	entries []string
-	health  *healthChecker
-	timeout time.Duration
-	client  *http.Client
+	entryAddrs []string
+	health     *healthChecker
+	timeout    time.Duration
+	client     *http.Client
 }
 
 func newCaller(s *Scenario) *caller {
@@ -82,21 +84,21 @@
 		}
 	}
 	return &caller{
-		entries: s.Entries,
-		health:  newHealthChecker(s.Entries, s.Transport),
-		timeout: s.Timeout,
-		client:  &http.Client{Transport: transport},
+		entryAddrs: s.Entries,
+		health:     newHealthChecker(s.Entries, s.Transport),
+		timeout:    s.Timeout,
+		client:     &http.Client{Transport: transport},
 	}
 }
 
 // call makes a planned call. A once-only call with a key is submitted up to
-// maxSubmissions times until a whole or wrong response arrives. The first
-// submission goes to the entry instance at index, each further one to the next
-// entry instance.
+// maxSubmissions times until a whole or wrong response arrives; every other call
+// is submitted once. The first submission goes to the entry instance at index,
+// each further one to the next entry instance.
 func (c *caller) call(call plannedCall, index int, arrival time.Time) callResult {
 	result := callResult{}
-	for attempt := range maxSubmissions {
-		result = c.submit(call, index+attempt, arrival)
+	for submission := range maxSubmissions {
+		result = c.submit(call, index+submission, arrival)
 		if !call.keyed || result.outcome == OutcomeWhole || result.outcome == OutcomeWrong {
 			break
 		}
@@ -112,12 +114,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
 	result := callResult{outcome: OutcomeLost, detail: "no entry instance is ready"}
-	for n := range c.entries {
-		entry := c.entries[(index+n)%len(c.entries)]
+	for n := range c.entryAddrs {
+		entry := c.entryAddrs[(index+n)%len(c.entryAddrs)]
 		if !c.health.isReady(entry) {
 			continue
 		}
-		resp, err := c.client.Do(c.request(ctx, call, entry))
+		resp, err := c.client.Do(c.newRequest(ctx, call, entry))
 		var opError *net.OpError
 		if errors.As(err, &opError) && opError.Op == "dial" {
 			result = callResult{outcome: OutcomeLost, detail: err.Error()}
@@ -127,15 +129,15 @@
 			return callResult{outcome: OutcomeLost, detail: err.Error()}
 		}
 		defer resp.Body.Close()
-		result := callResult{firstByte: time.Since(arrival)}
-		c.checkResponse(call, resp, arrival, &result)
-		return result
+		received := callResult{firstByte: time.Since(arrival)}
+		c.checkResponse(call, resp, arrival, &received)
+		return received
 	}
 	return result
 }
 
-// request builds the HTTP request of a call to an entry instance.
-func (c *caller) request(ctx context.Context, call plannedCall, entry string) *http.Request {
+// newRequest builds the HTTP request of a call to an entry instance.
+func (c *caller) newRequest(ctx context.Context, call plannedCall, entry string) *http.Request {
 	path := "/v1/completions"
 	if call.once {
 		path = call.account.OncePath
@@ -181,7 +183,7 @@
 		return
 	}
 	expected, err := engine.ExpectedText(core.Digest(resp.Header.Get(core.HeaderDigest)), call.body)
-	result.tokens = len(strings.Fields(text))
+	result.tokenCount = len(strings.Fields(text))
 	switch {
 	case err == nil && text == expected:
 		result.outcome = OutcomeWhole
@@ -200,8 +202,8 @@
 		result.outcome, result.detail = OutcomeCut, err.Error()
 		return
 	}
-	var executed onceCall
-	if json.Unmarshal(raw, &executed) != nil || executed.ID != call.id {
+	var echoed onceCall
+	if json.Unmarshal(raw, &echoed) != nil || echoed.ID != call.id {
 		result.outcome, result.detail = OutcomeWrong, string(raw)
 		return
 	}
@@ -209,7 +211,7 @@
 }
 
 // readDocument reads a response that is a single JSON document and returns its
-// text. It calls onFirst once the response has been read.
+// text. It calls onFirst when the response has been read to its end.
 func readDocument(body io.Reader, onFirst func()) (string, error) {
 	raw, err := io.ReadAll(body)
 	if err != nil {
@@ -219,8 +221,9 @@
 	return completionText(raw)
 }
 
-// readEventStream reads a stream of events and returns its text. It calls onFirst
-// when the first event arrives. Without a final [DONE] it returns an empty text.
+// readEventStream reads a stream of events and returns their texts as one. It
+// calls onFirst when the first event arrives. If the stream ends without [DONE], it
+// returns an empty text.
 func readEventStream(body io.Reader, onFirst func()) (string, error) {
 	var text strings.Builder
 	started, done := false, false
--- a/bench/requests/plan.go
+++ b/bench/requests/plan.go
@@ -14,12 +14,12 @@
 	account *Account
 	// arrival is the time from the start of the run to the call.
 	arrival time.Duration
-	// id identifies the call in the whole run.
+	// id is unique within the run.
 	id string
 	// body is the body of the request.
 	body []byte
-	// stream marks a streamed model call, once a once-only call, and keyed a
-	// once-only call with an idempotency key.
+	// Kind of the call: stream marks a streamed model call, once a once-only
+	// call; keyed is set in addition to once if the call has an idempotency key.
 	stream, once, keyed bool
 }
 
--- a/bench/requests/run.go
+++ b/bench/requests/run.go
@@ -15,7 +15,7 @@
 	// maxLatencyMicros is the largest latency that a histogram can record, in
 	// microseconds.
 	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
-	// maxDetails is the largest number of details kept for each account.
+	// maxDetails is the largest number of details in one Counts.
 	maxDetails = 20
 	// defaultTimeout is the timeout of one submission.
 	defaultTimeout = time.Minute
@@ -33,7 +33,7 @@
 type Counts struct {
 	// Calls is the number of calls made.
 	Calls int `json:"calls"`
-	// Outcomes is the number of calls by outcome.
+	// Outcomes holds the number of calls with each outcome.
 	Outcomes map[Outcome]int `json:"words"`
 	// Tokens is the number of tokens in whole responses.
 	Tokens int `json:"tokens"`
@@ -47,7 +47,8 @@
 	// NotWhole is the time from the planned arrival to the first byte of every
 	// response that was not whole; a call without a response counts as 0.
 	NotWhole Latency `json:"refusal"`
-	// Details describes the first calls whose responses were not whole.
+	// Details describes the first maxDetails calls whose responses were not
+	// whole.
 	Details []string `json:"details,omitempty"`
 
 	firstByte, total, notWhole *hdrhistogram.Histogram
@@ -135,23 +136,23 @@
 		if ctx.Err() != nil {
 			break
 		}
-		r.callStarted()
-		calls.Go(func() { r.callFinished(call, r.caller.call(call, n, arrival)) })
+		r.recordStart()
+		calls.Go(func() { r.recordFinish(call, r.caller.call(call, n, arrival)) })
 	}
 	r.result.Seconds = time.Since(start).Seconds()
 	calls.Wait()
 }
 
-// callStarted counts a call in flight.
-func (r *benchRun) callStarted() {
+// recordStart counts a call as in flight.
+func (r *benchRun) recordStart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight++
 	r.result.MaxInFlight = max(r.result.MaxInFlight, r.inFlight)
 }
 
-// callFinished records the result of a call.
-func (r *benchRun) callFinished(call plannedCall, result callResult) {
+// recordFinish records the result of a call, which is no longer in flight.
+func (r *benchRun) recordFinish(call plannedCall, result callResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight--
@@ -173,7 +174,7 @@
 		}
 		return
 	}
-	c.Tokens += result.tokens
+	c.Tokens += result.tokenCount
 	_ = c.total.RecordValue(result.total.Microseconds())
 	if call.stream {
 		_ = c.firstByte.RecordValue(result.firstByte.Microseconds())
@@ -204,8 +205,8 @@
 	return nil
 }
 
-// readCounters returns the number of executions by call id at the service stand-in
-// at addr.
+// readCounters returns how often the service stand-in at addr has executed each
+// call, by call id.
 func readCounters(ctx context.Context, addr string) (map[string]int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/service/counters", nil)
 	if err != nil {
@@ -231,7 +232,7 @@
 	}
 }
 
-// finish computes the quantiles and, from the length of the run, the goodput.
+// finish computes the quantiles, and the goodput of a run of the given length.
 func (c *Counts) finish(seconds float64) {
 	c.GoodputPerSecond = float64(c.Outcomes[OutcomeWhole]) / seconds
 	c.FirstToken = quantiles(c.firstByte)
--- a/bench/requests/scenario.go
+++ b/bench/requests/scenario.go
@@ -44,7 +44,7 @@
 	Key string `yaml:"key"`
 	// Rate is the mean number of calls per second; arrivals are Poisson.
 	Rate float64 `yaml:"rate"`
-	// Model is the model that model calls name.
+	// Model is the name of the model in model calls.
 	Model string `yaml:"model"`
 	// Tokens is the range of response lengths, in tokens.
 	Tokens Range `yaml:"tokens"`
@@ -71,8 +71,8 @@
 	Max int `yaml:"max"`
 }
 
-// Load reads and checks a scenario from a YAML file. Unless they are empty,
-// entries and services replace the ones in the file.
+// Load reads and checks a scenario from a YAML file. If entries or services is not
+// empty, it replaces the list of that name in the file.
 func Load(path string, entries, services []string) (*Scenario, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
