--- a/test/inprocess/cluster_test.go
+++ b/test/inprocess/cluster_test.go
@@ -37,10 +37,12 @@
 	testDigest           = core.Digest("sha256:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa")
 	// reportInterval is the time between two reports of an agent.
 	reportInterval = time.Second
-	tokenTime      = 50 * time.Millisecond
-	// streamTokens is the mean length of a response, which takes 3 s.
+	// tokenTime is the time between two tokens of an engine.
+	tokenTime = 50 * time.Millisecond
+	// streamTokens is the mean number of tokens of a response.
 	streamTokens = 60
-	streamTime   = streamTokens * tokenTime
+	// streamTime is the time that a response of streamTokens tokens takes, 3 s.
+	streamTime = streamTokens * tokenTime
 )
 
 // dataCentres are the data centres of a cluster with their regions.
@@ -51,7 +53,7 @@
 // serverCount is the number of backend servers of a cluster.
 var serverCount = serversPerDataCentre * len(dataCentres)
 
-// server is a stand-in engine with its agent.
+// server is a stand-in engine with the limiter and the handler of its agent.
 type server struct {
 	id, dataCentre, region string
 	engine                 *standin.Engine
@@ -79,19 +81,21 @@
 // cluster consists of four entry instances and nine engines with their agents,
 // all in one process.
 type cluster struct {
-	t         *testing.T
-	holder    *confstore.Holder
-	servers   []*server
-	entries   []*registry.Registry
-	transport Transport
-	stop      context.CancelFunc
+	t            *testing.T
+	configHolder *confstore.Holder
+	servers      []*server
+	// registries holds the server registry of each entry instance.
+	registries []*registry.Registry
+	transport  Transport
+	// stop ends the delivery of reports.
+	stop context.CancelFunc
 }
 
 // newCluster starts a cluster whose engines all have the configuration cfg.
 // Every server is declared with coldLimit as its cold limit.
 func newCluster(t *testing.T, cfg standin.Config, coldLimit int) *cluster {
 	ctx, stop := context.WithCancel(context.Background())
-	c := &cluster{t: t, holder: confstore.NewHolder(), transport: Transport{}, stop: stop}
+	c := &cluster{t: t, configHolder: confstore.NewHolder(), transport: Transport{}, stop: stop}
 	agents := map[string]work.Handler{}
 	for _, dc := range dataCentres {
 		for n := range serversPerDataCentre {
@@ -101,7 +105,7 @@
 			agents[s.id] = s.handler
 		}
 	}
-	c.holder.Offer(&declare.Snapshot{Number: 1, Set: c.declarations(coldLimit)})
+	c.configHolder.Offer(&declare.Snapshot{Number: 1, Set: c.declarations(coldLimit)})
 	for n := range entryCount {
 		c.startEntry(n, Opener{AgentHandlers: agents})
 	}
@@ -124,7 +128,7 @@
 		return status, ok
 	}
 	s.handler = serve.New(serve.Config{Self: core.Instance{ID: s.id, DataCentre: s.dataCentre}, Incarnation: "i1"},
-		c.holder, s.limiter, client, status, eventlog.Discard(), clock)
+		c.configHolder, s.limiter, client, status, eventlog.Discard(), clock)
 	c.servers = append(c.servers, s)
 }
 
@@ -132,12 +136,12 @@
 	self := core.Instance{ID: fmt.Sprintf("entry-%d", n+1), DataCentre: dataCentres[n%3].name, Region: dataCentres[n%3].region}
 	reg := registry.New()
 	clock := clockwork.NewRealClock()
-	router := routing.New(routing.Config{Self: self, Seed: uint64(n + 1)}, reg, c.holder, eventlog.Discard(), clock)
-	r := relay.New(relay.Config{Self: self}, c.holder, router, opener, nil, eventlog.Discard(), clock)
+	router := routing.New(routing.Config{Self: self, Seed: uint64(n + 1)}, reg, c.configHolder, eventlog.Discard(), clock)
+	r := relay.New(relay.Config{Self: self}, c.configHolder, router, opener, nil, eventlog.Discard(), clock)
 	e := echo.New()
 	r.Register(e)
 	e.GET("/readyz", func(c echo.Context) error { return c.NoContent(http.StatusOK) })
-	c.entries = append(c.entries, reg)
+	c.registries = append(c.registries, reg)
 	c.transport[self.ID] = e
 }
 
@@ -162,7 +166,7 @@
 func (c *cluster) sendReports(ctx context.Context) {
 	for {
 		for _, s := range c.servers {
-			for _, reg := range c.entries {
+			for _, reg := range c.registries {
 				reg.Put(s.registryServer())
 			}
 			select {
@@ -174,8 +178,8 @@
 	}
 }
 
-// registryServer returns the server as an entry instance registers it when it
-// receives the agent's report.
+// registryServer returns the record that an entry instance puts into its registry
+// when it receives the agent's report.
 func (s *server) registryServer() registry.Server {
 	load := s.limiter.Load()
 	return registry.Server{
@@ -204,18 +208,18 @@
 	return s
 }
 
-// runScenario runs a scenario and returns its result and the goodput: the
-// tokens that the engines send in countTime, as a share of the tokens that slots
-// can send. Counting starts when the scenario has run for after; event, unless
-// nil, runs just before.
-func (c *cluster) runScenario(s *requests.Scenario, slots int, after time.Duration, event func()) (*requests.Result, float64) {
+// runScenario runs a scenario and returns its result and the goodput: the tokens
+// that the engines send in countTime, as a share of the tokens that slotCount slots
+// can send in that time. Counting starts countDelay after the start of the
+// scenario; beforeCount, unless nil, runs just before.
+func (c *cluster) runScenario(s *requests.Scenario, slotCount int, countDelay time.Duration, beforeCount func()) (*requests.Result, float64) {
 	var sent int
 	countDone := make(chan struct{})
 	go func() {
 		defer close(countDone)
-		<-time.After(after)
-		if event != nil {
-			event()
+		<-time.After(countDelay)
+		if beforeCount != nil {
+			beforeCount()
 		}
 		before := c.tokensSent()
 		<-time.After(countTime)
@@ -227,7 +231,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	capacity := float64(slots) * countTime.Seconds() / tokenTime.Seconds()
+	capacity := float64(slotCount) * countTime.Seconds() / tokenTime.Seconds()
 	return result, float64(sent) / capacity
 }
 
--- a/test/inprocess/opener.go
+++ b/test/inprocess/opener.go
@@ -15,9 +15,9 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// frameBuffer is the number of frames that an exchange buffers in each
-// direction; a socket's buffers hold more.
-const frameBuffer = 64
+// maxBufferedFrames is the largest number of unread frames of an exchange in each
+// direction. The buffers of a socket hold more.
+const maxBufferedFrames = 64
 
 var errClosed = errors.New("exchange closed")
 
@@ -42,7 +42,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	x := &exchange{
-		toEntry: make(chan frame.Frame, frameBuffer), toAgent: make(chan frame.Frame, frameBuffer),
+		toEntry: make(chan frame.Frame, maxBufferedFrames), toAgent: make(chan frame.Frame, maxBufferedFrames),
 		ended: ctx.Done(), cancel: cancel, handlerDone: make(chan struct{}),
 	}
 	go func() {
@@ -64,8 +64,8 @@
 	return frame.Parse(raw)
 }
 
-// exchange is one request between an entry instance and an agent. Its methods
-// are the end of the entry instance.
+// exchange carries the frames of one request between an entry instance and an
+// agent. The entry instance calls its methods; the agent uses agentEnd.
 type exchange struct {
 	toEntry, toAgent chan frame.Frame
 	// ended is closed when the entry instance closes the exchange or the
--- a/test/inprocess/overload_test.go
+++ b/test/inprocess/overload_test.go
@@ -12,15 +12,18 @@
 )
 
 const (
-	// fillTime is the time in which the engines fill up, and countTime the
-	// time over which tokens are counted.
-	fillTime  = 3 * time.Second
+	// fillTime is the time in which the slots of the engines fill up.
+	fillTime = 3 * time.Second
+	// countTime is the time over which tokens are counted.
 	countTime = 12 * time.Second
 	// warmUpTime is the time in which cold engines warm up under load.
 	warmUpTime = 12 * time.Second
-	// minWarmGoodput and minColdGoodput are the least goodput under overload,
-	// as shares of the capacity of warm and of cold engines.
+	// minWarmGoodput is the lowest accepted goodput of overloaded warm engines, as
+	// a share of their capacity. It is also the lowest accepted share of whole
+	// responses of a small client account.
 	minWarmGoodput = 0.95
+	// minColdGoodput is the lowest accepted goodput of overloaded cold engines, as
+	// a share of their cold capacity.
 	minColdGoodput = 0.9
 	// maxRefusalMs bounds the 95th percentile of the time to a refusal, in
 	// milliseconds.
@@ -38,14 +41,14 @@
 	}
 }
 
-// lengthsAround returns response lengths from half to one and a half times
-// tokens.
-func lengthsAround(tokens int) requests.Range {
-	return requests.Range{Min: tokens / 2, Max: tokens * 3 / 2}
+// lengthsAround returns response lengths from 0.5 to 1.5 times meanTokens.
+func lengthsAround(meanTokens int) requests.Range {
+	return requests.Range{Min: meanTokens / 2, Max: meanTokens * 3 / 2}
 }
 
-// callsPerSecond returns the rate of calls that keeps so many slots occupied.
-func callsPerSecond(slots int) float64 { return float64(slots) / streamTime.Seconds() }
+// callsPerSecond returns the rate of calls of mean length at which slotCount slots
+// are occupied.
+func callsPerSecond(slotCount int) float64 { return float64(slotCount) / streamTime.Seconds() }
 
 func TestTwiceTheCapacityOfNineServers(t *testing.T) {
 	RunInVirtualTime(t, func(t *testing.T) {
--- a/test/inprocess/rollout_test.go
+++ b/test/inprocess/rollout_test.go
@@ -14,21 +14,22 @@
 
 const (
 	nextDigest = core.Digest("sha256:bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb")
-	// rolloutRate and rolloutTokens are the load during a rollout: about 25
-	// calls at once, of the 72 that nine cold servers can run.
-	rolloutRate   = 25
+	// rolloutRate is the load during a rollout, in calls per second. About 25
+	// calls run at once, of the 72 that nine cold servers can run.
+	rolloutRate = 25
+	// rolloutTokens is the number of tokens of a response during a rollout.
 	rolloutTokens = 20
 	// loadTime is how long a server has no version loaded.
 	loadTime = 100 * time.Millisecond
 )
 
-// rollOut declares the next version and replaces the previous one with it on
-// one server after the other.
+// rollOut declares the next version and loads it on one server after another, in
+// place of the previous version.
 func (c *cluster) rollOut() {
 	set := c.declarations(engineColdLimit)
 	set.Versions["v2"] = &declare.Version{Name: "v2", Model: testModel, Manifest: nextDigest}
 	set.Models[testModel].Version = "v2"
-	c.holder.Offer(&declare.Snapshot{Number: 2, Set: set})
+	c.configHolder.Offer(&declare.Snapshot{Number: 2, Set: set})
 	for _, s := range c.servers {
 		if err := s.handler.DrainVersion(c.t.Context(), testDigest); err != nil {
 			c.t.Error(err)
--- a/test/inprocess/virtual.go
+++ b/test/inprocess/virtual.go
@@ -8,17 +8,17 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// settleTime is the virtual time that a test waits at its end for background
-// loops that end by themselves. It is longer than any of them runs after the
-// last call.
+// settleTime is the virtual time that a test waits at its end until background
+// loops have ended by themselves. It is longer than any of them runs after the last
+// call.
 const settleTime = 10 * time.Second
 
 // RunInVirtualTime runs a test in virtual time: the clock advances only while
 // every goroutine is blocked, so that results do not depend on the machine's
 // speed.
 func RunInVirtualTime(t *testing.T, test func(t *testing.T)) {
-	// The first meter starts a goroutine of the metrics library. It never ends,
-	// so it must start outside the synctest bubble.
+	// The first meter starts a goroutine of the metrics library. That goroutine
+	// never ends, so it must start outside the synctest bubble.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
 		test(t)
