--- a/test/wait/wait.go
+++ b/test/wait/wait.go
@@ -4,15 +4,15 @@
 import "time"
 
 const (
-	// timeout is the longest that one step of a test may take, also on a busy
-	// machine.
+	// timeout is the longest time that Until waits. It is long enough for one step
+	// of a test on a busy machine.
 	timeout = 60 * time.Second
 	// pollInterval is the time between two checks of a condition.
 	pollInterval = 5 * time.Millisecond
 )
 
-// Until polls condition until it returns true, and reports whether it did so
-// before the timeout.
+// Until polls condition until condition returns true or the timeout passes. It
+// reports whether condition returned true.
 func Until(condition func() bool) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		if condition() {
