--- a/test/ports/ports.go
+++ b/test/ports/ports.go
@@ -49,8 +49,8 @@
 	return nil, errors.Errorf("fewer than %d free ports found", n)
 }
 
-// reserve binds the UDP port of addr and reports whether its TCP port is free
-// too.
+// reserve reserves addr by a UDP socket that stays bound. It reports false, and
+// leaves nothing bound, if the UDP port or the TCP port is in use.
 func reserve(addr string) bool {
 	udp, err := net.ListenPacket("udp4", addr)
 	if err != nil {
