--- a/bench/control/agent.go
+++ b/bench/control/agent.go
@@ -11,14 +11,14 @@
 func (t *testbed) measureAgent(ctx context.Context, r *Report) error {
 	targetHomes := HomesPerAgent(defaultMaxLocal, defaultPerRemote)
 	target := float64(targetHomes)
-	reports := reportsPerSecond(targetHomes, heartbeatAtTarget(AgentsPerEntry(targetServers, targetHomes)))
-	const x = "home"
-	memory := newSeries("agent: live memory", x, "KiB", target, LimitMemory/kib)
-	rss := newSeries("agent: resident set", x, "KiB", target, LimitMemory/kib)
-	cpu := newSeries("agent: CPU in steady state", x, "% of a core", target, LimitCPU*percent)
+	reports := reportsPerSecond(targetHomes, reportIntervalAtTarget(AgentsPerEntry(targetServerCount, targetHomes)))
+	const sizeUnit = "home"
+	memory := newSeries("agent: live memory", sizeUnit, "KiB", target, LimitMemory/kib)
+	rss := newSeries("agent: resident set", sizeUnit, "KiB", target, LimitMemory/kib)
+	cpu := newSeries("agent: CPU in steady state", sizeUnit, "% of a core", target, LimitCPU*percent)
 	reportTraffic := newSeries("agent: registrations in steady state", "report/s", "B/s", reports, LimitTraffic)
-	changeCPU := newSeries("agent: CPU for a change", x, "ms", target, 0)
-	changeTraffic := newSeries("agent: registrations for a change", x, "B", target, 0)
+	changeCPU := newSeries("agent: CPU for a change", sizeUnit, "ms", target, 0)
+	changeTraffic := newSeries("agent: registrations for a change", sizeUnit, "B", target, 0)
 	r.Series = append(r.Series, memory, rss, cpu, reportTraffic, changeCPU, changeTraffic)
 
 	agentProbe := probe{addr: t.opt.AgentAddr, token: t.opt.PeerToken}
@@ -43,12 +43,12 @@
 		rss.add(homeCount, steady.to.rssBytes/kib)
 		cpu.add(homeCount, percent*cpuCores(steady.from, steady.to))
 		reportTraffic.add(reportsPerSecond(n, registry.DefaultHeartbeat), steady.traffic[0]/steady.seconds())
-		changed, err := t.measureChanges(ctx, agentProbe, &registrations)
+		changeWindow, err := t.measureChanges(ctx, agentProbe, &registrations)
 		if err != nil {
 			return err
 		}
-		changeCPU.add(homeCount, changed.extraCPU(steady)/changesPerWindow*1e3)
-		changeTraffic.add(float64(n), changed.extraTraffic(steady)/changesPerWindow)
+		changeCPU.add(homeCount, changeWindow.extraCPU(steady)/changesPerWindow*1e3)
+		changeTraffic.add(float64(n), changeWindow.extraTraffic(steady)/changesPerWindow)
 	}
 	return nil
 }
--- a/bench/control/calls.go
+++ b/bench/control/calls.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// heldStreamTokens is the length of the streams that are open while memory
-	// is measured.
+	// heldStreamTokens is the length, in tokens, of the streams that are open
+	// while memory is measured.
 	heldStreamTokens = 128
 	// The calls and tokens per second of one entry instance and of one agent at
 	// the target.
-	entryCallsPerSecond  = float64(targetCallsPerSecond) / targetEntries
-	entryTokensPerSecond = float64(targetTokensPerSecond) / targetEntries
-	agentCallsPerSecond  = float64(targetCallsPerSecond) / targetServers
-	agentTokensPerSecond = float64(targetTokensPerSecond) / targetServers
-	// entryStreams is the number of concurrent streams of one entry instance at
+	entryCallsPerSecond  = float64(targetCallsPerSecond) / targetEntryCount
+	entryTokensPerSecond = float64(targetTokensPerSecond) / targetEntryCount
+	agentCallsPerSecond  = float64(targetCallsPerSecond) / targetServerCount
+	agentTokensPerSecond = float64(targetTokensPerSecond) / targetServerCount
+	// entryStreamCount is the number of concurrent streams of one entry instance at
 	// the target.
-	entryStreams = entryTokensPerSecond * targetSecondsPerToken
+	entryStreamCount = entryTokensPerSecond * targetSecondsPerToken
 	// targetSecondsPerToken is the time between two tokens of an engine at the
 	// target.
 	targetSecondsPerToken = 0.035
@@ -30,11 +30,11 @@
 	if err := c.waitUntilReady(ctx, t.opt.EntryAddr); err != nil {
 		return err
 	}
-	const x = "token of a call"
+	const sizeUnit = "token of a call"
 	tokens := float64(targetTokensPerSecond) / targetCallsPerSecond
-	entry := newSeries("entry: CPU for a call", x, "µs", tokens, 0)
-	agent := newSeries("agent: CPU for a call", x, "µs", tokens, 0)
-	r.Series = append(r.Series, entry, agent)
+	entryCPU := newSeries("entry: CPU for a call", sizeUnit, "µs", tokens, 0)
+	agentCPU := newSeries("agent: CPU for a call", sizeUnit, "µs", tokens, 0)
+	r.Series = append(r.Series, entryCPU, agentCPU)
 	idle, err := t.measureBoth(ctx, t.opt.Window)
 	if err != nil {
 		return err
@@ -45,13 +45,13 @@
 			return err
 		}
 		perCall := 1e6 / float64(t.opt.Streams)
-		entry.add(float64(n), windows.entry.extraCPU(idle.entry)*perCall)
-		agent.add(float64(n), windows.agent.extraCPU(idle.agent)*perCall)
+		entryCPU.add(float64(n), windows.entry.extraCPU(idle.entry)*perCall)
+		agentCPU.add(float64(n), windows.agent.extraCPU(idle.agent)*perCall)
 	}
 	if err := t.measureStreams(ctx, c, r); err != nil {
 		return err
 	}
-	entryLine, agentLine := FitLine(entry.Points), FitLine(agent.Points)
+	entryLine, agentLine := FitLine(entryCPU.Points), FitLine(agentCPU.Points)
 	r.addFact("entry: CPU of relayed payload at the target, % of a core",
 		percent*1e-6*(entryCallsPerSecond*entryLine.Base+entryTokensPerSecond*entryLine.Slope))
 	r.addFact("agent: CPU of relayed payload at the target, % of a core",
@@ -78,10 +78,10 @@
 // measureStreams measures the memory of both daemons with several numbers of open
 // streams.
 func (t *testbed) measureStreams(ctx context.Context, c *client, r *Report) error {
-	const x = "stream"
-	entry := newSeries("entry: live memory, open streams", x, "KiB", entryStreams, 0)
-	agent := newSeries("agent: live memory, open streams", x, "KiB", agentTokensPerSecond*targetSecondsPerToken, 0)
-	r.Series = append(r.Series, entry, agent)
+	const sizeUnit = "stream"
+	entryMemory := newSeries("entry: live memory, open streams", sizeUnit, "KiB", entryStreamCount, 0)
+	agentMemory := newSeries("agent: live memory, open streams", sizeUnit, "KiB", agentTokensPerSecond*targetSecondsPerToken, 0)
+	r.Series = append(r.Series, entryMemory, agentMemory)
 	for _, n := range []int{0, t.opt.Streams / 4, t.opt.Streams / 2, t.opt.Streams} {
 		done := make(chan error, 1)
 		go func() {
@@ -91,7 +91,7 @@
 		if err := sleep(ctx, t.opt.PerToken*heldStreamTokens/4); err != nil {
 			return err
 		}
-		if err := t.addMemory(ctx, float64(n), entry, agent); err != nil {
+		if err := t.addMemory(ctx, float64(n), entryMemory, agentMemory); err != nil {
 			return err
 		}
 		if err := <-done; err != nil {
--- a/bench/control/chunks.go
+++ b/bench/control/chunks.go
@@ -18,9 +18,9 @@
 // measureChunks measures the size of an encoded manifest, and the memory of the
 // decoded manifest together with the list of its distinct chunks.
 func measureChunks(r *Report) error {
-	const x = "GiB of weights"
-	encoded := newSeries("weights: manifest", x, "KiB", largeModelGiB, 0)
-	held := newSeries("weights: memory of a manifest", x, "KiB", largeModelGiB, LimitMemory/kib)
+	const sizeUnit = "GiB of weights"
+	encoded := newSeries("weights: manifest", sizeUnit, "KiB", largeModelGiB, 0)
+	held := newSeries("weights: memory of a manifest", sizeUnit, "KiB", largeModelGiB, LimitMemory/kib)
 	r.Series = append(r.Series, encoded, held)
 	for _, gib := range []int{1, 4, 16, 64, largeModelGiB} {
 		body, digest, err := encodeManifest(gib)
@@ -66,30 +66,31 @@
 }
 
 const (
-	// targetInstances is the number of instances that receive new weights.
-	targetInstances = 1_300
-	// planModels is the number of models among which these instances are
+	// targetInstanceCount is the number of instances that receive new weights.
+	targetInstanceCount = 1_300
+	// planModelCount is the number of models among which these instances are
 	// divided.
-	planModels = 20
-	// planSlots is the number of versions that a backend server can hold.
-	planSlots = 3
-	// planRuns is the number of placement plans that are timed.
-	planRuns = 5
+	planModelCount = 20
+	// planSlotsPerServer is the number of versions that a backend server can hold.
+	planSlotsPerServer = 3
+	// planRunCount is the number of times that each placement plan is computed; the
+	// mean time is reported.
+	planRunCount = 5
 )
 
 // measurePlans measures the time that an agent takes to compute the placement of
 // every version.
 func (t *testbed) measurePlans(_ context.Context, r *Report) error {
-	series := newSeries("agent: CPU for a placement plan", "server", "ms", targetServers, 0)
+	series := newSeries("agent: CPU for a placement plan", "server", "ms", targetServerCount, 0)
 	r.Series = append(r.Series, series)
-	for _, n := range []int{100, 300, targetServers} {
+	for _, n := range []int{100, 300, targetServerCount} {
 		set := t.setWithModels(n)
 		live := liveAgents(set)
 		start := time.Now()
-		for range planRuns {
+		for range planRunCount {
 			placement.Compute(set, live)
 		}
-		series.add(float64(n), time.Since(start).Seconds()*1e3/planRuns)
+		series.add(float64(n), time.Since(start).Seconds()*1e3/planRunCount)
 	}
 	return nil
 }
@@ -103,18 +104,18 @@
 	return live
 }
 
-// setWithModels returns declarations with that many backend servers and planModels
-// models. The replicas of all models together are targetInstances, scaled to the
-// number of servers.
-func (t *testbed) setWithModels(servers int) *declare.Set {
-	set := t.declaredSet(servers)
+// setWithModels returns declarations with serverCount backend servers and
+// planModelCount models. All models together have targetInstanceCount replicas,
+// reduced in proportion if serverCount is below targetServerCount.
+func (t *testbed) setWithModels(serverCount int) *declare.Set {
+	set := t.declaredSet(serverCount)
 	for _, server := range set.BackendServers {
-		server.Slots = planSlots
+		server.Slots = planSlotsPerServer
 	}
-	for i := range planModels {
+	for i := range planModelCount {
 		name := fmt.Sprintf("model-%d", i)
 		version := name + "-v1"
-		replicas := targetInstances * servers / targetServers / planModels
+		replicas := targetInstanceCount * serverCount / targetServerCount / planModelCount
 		set.Models[name] = &declare.Model{Name: name, Version: version, Replicas: replicas}
 		set.Versions[version] = &declare.Version{Name: version, Model: name, Manifest: core.DigestOf([]byte(version))}
 	}
--- a/bench/control/client.go
+++ b/bench/control/client.go
@@ -17,8 +17,8 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxConns is the largest number of idle connections of the client.
-const maxConns = 4096
+// maxIdleConns is the largest number of idle connections of the client.
+const maxIdleConns = 4096
 
 // client makes streamed calls and records when their tokens arrive.
 type client struct {
@@ -29,7 +29,7 @@
 
 func newClient() *client {
 	return &client{http: &http.Client{Transport: &http.Transport{
-		MaxIdleConns: maxConns, MaxIdleConnsPerHost: maxConns,
+		MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns,
 	}}}
 }
 
@@ -40,9 +40,10 @@
 	gaps       []time.Duration
 }
 
-// makeCall makes one call and reads its response to the end.
+// makeCall makes one call, reads the response to its end and returns the times of
+// its tokens. A response with another number of tokens is an error.
 func (c *client) makeCall(ctx context.Context, addr string, tokens int) (streamTimes, error) {
-	req, err := c.request(ctx, addr, tokens)
+	req, err := c.newRequest(ctx, addr, tokens)
 	if err != nil {
 		return streamTimes{}, err
 	}
@@ -63,8 +64,8 @@
 	return times, core.WrapStep("call", addr, err)
 }
 
-// request builds a chat call with a unique prompt.
-func (c *client) request(ctx context.Context, addr string, tokens int) (*http.Request, error) {
+// newRequest builds a chat call with a unique prompt.
+func (c *client) newRequest(ctx context.Context, addr string, tokens int) (*http.Request, error) {
 	body, err := json.Marshal(map[string]any{
 		"model": modelName, "stream": true, "max_tokens": tokens,
 		"messages": []map[string]string{{"role": "user", "content": fmt.Sprintf("label %d", c.promptNumber.Add(1))}},
@@ -82,7 +83,7 @@
 }
 
 // readEvents reads a streamed response to its end and returns the times of its
-// tokens.
+// tokens. It returns io.EOF if the stream ends without [DONE].
 func readEvents(body io.Reader, start time.Time) (streamTimes, error) {
 	var times streamTimes
 	var last time.Time
--- a/bench/control/configsize.go
+++ b/bench/control/configsize.go
@@ -12,11 +12,11 @@
 // measureDeclared measures the memory of both daemons, and the size of the encoded
 // configuration, with each number of declared backend servers.
 func (t *testbed) measureDeclared(ctx context.Context, r *Report) error {
-	const x = "server"
-	entry := newSeries("entry: live memory, configuration", x, "KiB", targetServers, LimitMemory/kib)
-	agent := newSeries("agent: live memory, configuration", x, "KiB", targetServers, LimitMemory/kib)
-	encoded := newSeries("configuration, whole", x, "B", targetServers, 0)
-	delta := newSeries("configuration, difference", x, "B", targetServers, 0)
+	const sizeUnit = "server"
+	entry := newSeries("entry: live memory, configuration", sizeUnit, "KiB", targetServerCount, LimitMemory/kib)
+	agent := newSeries("agent: live memory, configuration", sizeUnit, "KiB", targetServerCount, LimitMemory/kib)
+	encoded := newSeries("configuration, whole", sizeUnit, "B", targetServerCount, 0)
+	delta := newSeries("configuration, difference", sizeUnit, "B", targetServerCount, 0)
 	r.Series = append(r.Series, entry, agent, encoded, delta)
 	for _, n := range t.opt.ServerCounts {
 		set := t.declaredSet(n)
@@ -43,11 +43,11 @@
 		return err
 	}
 	encoded.add(x, float64(len(body)))
-	changed := set.Clone()
+	changedSet := set.Clone()
 	leaving := *set.BackendServers[backendServerName(1)]
 	leaving.Leaving = true
-	changed.BackendServers[backendServerName(1)] = &leaving
-	if body, err = declare.EncodeDelta(set, changed); err != nil {
+	changedSet.BackendServers[backendServerName(1)] = &leaving
+	if body, err = declare.EncodeDelta(set, changedSet); err != nil {
 		return err
 	}
 	delta.add(x, float64(len(body)))
@@ -57,7 +57,7 @@
 // addMemory adds the live memory of both daemons to their series.
 func (t *testbed) addMemory(ctx context.Context, x float64, entry, agent *Series) error {
 	for addr, s := range map[string]*Series{t.opt.EntryAddr: entry, t.opt.AgentAddr: agent} {
-		u, err := probe{addr: addr, token: t.opt.PeerToken}.collect(ctx)
+		u, err := probe{addr: addr, token: t.opt.PeerToken}.readAfterGC(ctx)
 		if err != nil {
 			return err
 		}
@@ -71,15 +71,15 @@
 // and their traffic with the platform in steady state and for one change of the
 // list.
 func (t *testbed) measureListed(ctx context.Context, r *Report) error {
-	const x = "instance"
-	entry := newSeries("entry: live memory, instance list", x, "KiB", targetEntries+targetServers, LimitMemory/kib)
-	agent := newSeries("agent: live memory, instance list", x, "KiB", targetEntries+targetServers, LimitMemory/kib)
-	entryTraffic := newSeries("entry: platform in steady state", x, "B/s", targetEntries+targetServers, LimitTraffic)
-	agentTraffic := newSeries("agent: platform in steady state", x, "B/s", targetEntries+targetServers, LimitTraffic)
-	entryReads := newSeries("entry: platform reads", x, "1/s", targetEntries+targetServers, 0)
-	agentReads := newSeries("agent: platform reads", x, "1/s", targetEntries+targetServers, 0)
-	change := newSeries("agent: platform for a change of the list", x, "B", targetEntries+targetServers, 0)
-	r.Series = append(r.Series, entry, agent, entryTraffic, agentTraffic, entryReads, agentReads, change)
+	const sizeUnit = "instance"
+	entry := newSeries("entry: live memory, instance list", sizeUnit, "KiB", targetEntryCount+targetServerCount, LimitMemory/kib)
+	agent := newSeries("agent: live memory, instance list", sizeUnit, "KiB", targetEntryCount+targetServerCount, LimitMemory/kib)
+	entryTraffic := newSeries("entry: platform in steady state", sizeUnit, "B/s", targetEntryCount+targetServerCount, LimitTraffic)
+	agentTraffic := newSeries("agent: platform in steady state", sizeUnit, "B/s", targetEntryCount+targetServerCount, LimitTraffic)
+	entryReads := newSeries("entry: platform reads", sizeUnit, "1/s", targetEntryCount+targetServerCount, 0)
+	agentReads := newSeries("agent: platform reads", sizeUnit, "1/s", targetEntryCount+targetServerCount, 0)
+	changeTraffic := newSeries("agent: platform for a change of the list", sizeUnit, "B", targetEntryCount+targetServerCount, 0)
+	r.Series = append(r.Series, entry, agent, entryTraffic, agentTraffic, entryReads, agentReads, changeTraffic)
 	listedAgents := 0
 	for _, n := range t.opt.ListedCounts {
 		t.addListedAgents(listedAgents, n)
@@ -87,25 +87,25 @@
 		if err := sleep(ctx, t.opt.SettleTime); err != nil {
 			return err
 		}
-		listed := float64(n + 2)
-		if err := t.addMemory(ctx, listed, entry, agent); err != nil {
+		listedCount := float64(n + 2)
+		if err := t.addMemory(ctx, listedCount, entry, agent); err != nil {
 			return err
 		}
 		steady, err := t.measureBoth(ctx, t.opt.Window)
 		if err != nil {
 			return err
 		}
-		entryTraffic.add(listed, steady.entry.traffic[0]/steady.entry.seconds())
-		agentTraffic.add(listed, steady.agent.traffic[0]/steady.agent.seconds())
-		entryReads.add(listed, steady.entry.platformReadsPerSecond())
-		agentReads.add(listed, steady.agent.platformReadsPerSecond())
+		entryTraffic.add(listedCount, steady.entry.traffic[0]/steady.entry.seconds())
+		agentTraffic.add(listedCount, steady.agent.traffic[0]/steady.agent.seconds())
+		entryReads.add(listedCount, steady.entry.platformReadsPerSecond())
+		agentReads.add(listedCount, steady.agent.platformReadsPerSecond())
 		t.addListedAgents(listedAgents, listedAgents+1)
 		listedAgents++
-		changed, err := t.measureBoth(ctx, t.opt.SettleTime)
+		changeWindows, err := t.measureBoth(ctx, t.opt.SettleTime)
 		if err != nil {
 			return err
 		}
-		change.add(listed+1, changed.agent.extraTraffic(steady.agent))
+		changeTraffic.add(listedCount+1, changeWindows.agent.extraTraffic(steady.agent))
 	}
 	return nil
 }
@@ -125,10 +125,10 @@
 	done := make(chan error, 1)
 	go func() {
 		var err error
-		windows.agent, err = measureWindow(ctx, probe{addr: t.opt.AgentAddr, token: t.opt.PeerToken}, d, &t.agentLink)
+		windows.agent, err = measureWindow(ctx, probe{addr: t.opt.AgentAddr, token: t.opt.PeerToken}, d, &t.agentPlatformTraffic)
 		done <- err
 	}()
 	var err error
-	windows.entry, err = measureWindow(ctx, probe{addr: t.opt.EntryAddr, token: t.opt.PeerToken}, d, &t.entryLink)
+	windows.entry, err = measureWindow(ctx, probe{addr: t.opt.EntryAddr, token: t.opt.PeerToken}, d, &t.entryPlatformTraffic)
 	return windows, errors.Join(err, <-done)
 }
--- a/bench/control/entry.go
+++ b/bench/control/entry.go
@@ -13,8 +13,8 @@
 	percent = 100
 )
 
-// changesPerWindow is the number of changes made in one window. The cost of a
-// change is their mean.
+// changesPerWindow is the number of changes made in one window. The reported cost
+// of a change is the mean of these changes.
 const changesPerWindow = 5
 
 // entrySeries holds the series that are measured at an entry instance against the
@@ -22,27 +22,27 @@
 type entrySeries struct {
 	memory, rss, cpu, traffic, changeCPU, changeTraffic *Series
 	// joinCPU, joinTraffic and joinTime are the processor time, the traffic and
-	// the time that it takes when all agents register at once and fetch the
-	// whole configuration.
+	// the time from the start of all agents until each of them has registered and
+	// fetched the complete configuration.
 	joinCPU, joinTraffic, joinTime *Series
 }
 
 // newEntrySeries returns empty series with their names, units, targets and limits.
 func newEntrySeries() entrySeries {
-	registered := AgentsPerEntry(targetServers, HomesPerAgent(defaultMaxLocal, defaultPerRemote))
+	registered := AgentsPerEntry(targetServerCount, HomesPerAgent(defaultMaxLocal, defaultPerRemote))
 	agents := float64(registered)
-	reports := reportsPerSecond(registered, heartbeatAtTarget(registered))
-	const x = "agent"
+	reports := reportsPerSecond(registered, reportIntervalAtTarget(registered))
+	const sizeUnit = "agent"
 	return entrySeries{
-		memory:        newSeries("entry: live memory", x, "KiB", agents, LimitMemory/kib),
-		rss:           newSeries("entry: resident set", x, "KiB", agents, LimitMemory/kib),
-		cpu:           newSeries("entry: CPU in steady state", x, "% of a core", agents, LimitCPU*percent),
+		memory:        newSeries("entry: live memory", sizeUnit, "KiB", agents, LimitMemory/kib),
+		rss:           newSeries("entry: resident set", sizeUnit, "KiB", agents, LimitMemory/kib),
+		cpu:           newSeries("entry: CPU in steady state", sizeUnit, "% of a core", agents, LimitCPU*percent),
 		traffic:       newSeries("entry: registrations in steady state", "report/s", "B/s", reports, LimitTraffic),
-		changeCPU:     newSeries("entry: CPU for a change", x, "ms", agents, 0),
-		changeTraffic: newSeries("entry: registrations for a change", x, "B", agents, 0),
-		joinCPU:       newSeries("entry: CPU when all register at once", x, "ms", agents, 0),
-		joinTraffic:   newSeries("entry: traffic when all register at once", x, "KiB", agents, 0),
-		joinTime:      newSeries("entry: time until all have registered", x, "ms", agents, 0),
+		changeCPU:     newSeries("entry: CPU for a change", sizeUnit, "ms", agents, 0),
+		changeTraffic: newSeries("entry: registrations for a change", sizeUnit, "B", agents, 0),
+		joinCPU:       newSeries("entry: CPU when all register at once", sizeUnit, "ms", agents, 0),
+		joinTraffic:   newSeries("entry: traffic when all register at once", sizeUnit, "KiB", agents, 0),
+		joinTime:      newSeries("entry: time until all have registered", sizeUnit, "ms", agents, 0),
 	}
 }
 
@@ -90,12 +90,12 @@
 	series.cpu.add(x, percent*cpuCores(steady.from, steady.to))
 	series.traffic.add(reportsPerSecond(n, registry.DefaultHeartbeat), steady.traffic[0]/steady.seconds())
 
-	changed, err := t.measureChanges(ctx, entryProbe, entryProxy.traffic)
+	changeWindow, err := t.measureChanges(ctx, entryProbe, entryProxy.traffic)
 	if err != nil {
 		return err
 	}
-	series.changeCPU.add(x, changed.extraCPU(steady)/changesPerWindow*1e3)
-	series.changeTraffic.add(x, changed.extraTraffic(steady)/changesPerWindow)
+	series.changeCPU.add(x, changeWindow.extraCPU(steady)/changesPerWindow*1e3)
+	series.changeTraffic.add(x, changeWindow.extraTraffic(steady)/changesPerWindow)
 	return nil
 }
 
@@ -103,7 +103,7 @@
 // time until each of them has registered and has the configuration. The returned
 // function stops the agents.
 func (t *testbed) measureJoin(ctx context.Context, entryProbe probe, entryProxy *proxy, n int, series entrySeries) (stop func(), err error) {
-	from, err := entryProbe.collect(ctx)
+	from, err := entryProbe.readAfterGC(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 func (t *testbed) measureChanges(ctx context.Context, p probe, counted ...*traffic) (window, error) {
 	var w window
 	var err error
-	if w.from, err = p.collect(ctx); err != nil {
+	if w.from, err = p.readAfterGC(ctx); err != nil {
 		return w, err
 	}
 	before := wireBytes(counted)
--- a/bench/control/fit_test.go
+++ b/bench/control/fit_test.go
@@ -30,6 +30,6 @@
 	Convey("At the target an agent has 65 homes and an entry instance has 118 registered agents", t, func() {
 		homes := HomesPerAgent(defaultMaxLocal, defaultPerRemote)
 		So(homes, ShouldEqual, 65)
-		So(AgentsPerEntry(targetServers, homes), ShouldEqual, 118)
+		So(AgentsPerEntry(targetServerCount, homes), ShouldEqual, 118)
 	})
 }
--- a/bench/control/latency.go
+++ b/bench/control/latency.go
@@ -35,9 +35,9 @@
 	Rounds int
 	// TokensPerCall is the number of tokens of a call.
 	TokensPerCall int
-	// Burst starts all calls of a round at the same time. By default the starts
-	// of the streams are distributed over the length of a call, and each stream
-	// makes several calls one after another.
+	// Burst starts all streams of a round at the same time, with one call each.
+	// Without it, the starts are distributed over the length of a call, and each
+	// stream makes callsPerStream calls one after another.
 	Burst bool
 }
 
@@ -58,7 +58,7 @@
 
 // RunLatency compares streamed calls sent directly to the engine, through two plain
 // TCP proxies, and through an entry instance and an agent. The rounds of the three
-// routes alternate. It prints the quantiles of their latencies.
+// routes alternate. It prints percentiles of their latencies.
 func RunLatency(ctx context.Context, out io.Writer, opt LatencyOptions) error {
 	t, err := newTestbed(ctx, opt.Options)
 	if err != nil {
@@ -95,7 +95,8 @@
 	return writeLatency(out, direct, proxied, relayed)
 }
 
-// callsPerStream is the number of calls that a stream makes in a round.
+// callsPerStream is the number of calls that a stream makes in a round without
+// Burst.
 const callsPerStream = 3
 
 // runRound makes the calls of one round. Without Burst the starts of the streams
@@ -123,8 +124,8 @@
 }
 
 // startProxies starts a chain of two plain TCP proxies in front of addr and returns
-// its address. It shows the latency that two hops add on this machine when they
-// only copy bytes.
+// the address of the chain. The chain shows the latency that two hops add on this
+// machine when they only copy bytes.
 func startProxies(addr string) (string, error) {
 	for range 2 {
 		p, err := newProxy(addr)
@@ -136,7 +137,7 @@
 	return addr, nil
 }
 
-// writeLatency prints the quantiles of each route and the latency that the relayed
+// writeLatency prints percentiles of each route and the latency that the relayed
 // route adds to the direct one.
 func writeLatency(out io.Writer, direct, proxied, relayed *route) error {
 	table := tablewriter.NewWriter(out)
@@ -150,10 +151,10 @@
 		{"between tokens", direct.gaps, proxied.gaps, relayed.gaps},
 	} {
 		for _, q := range []struct {
-			quantile float64
-			target   time.Duration
+			percentile float64
+			target     time.Duration
 		}{{50, maxAddedMedian}, {99, maxAddedP99}} {
-			table.Append(latencyRow(row.name, q.quantile, q.target, row.direct, row.proxied, row.relayed))
+			table.Append(latencyRow(row.name, q.percentile, q.target, row.direct, row.proxied, row.relayed))
 		}
 	}
 	table.Render()
@@ -161,16 +162,16 @@
 	return err
 }
 
-// latencyRow returns the table row of one quantile.
-func latencyRow(name string, quantile float64, target time.Duration, direct, proxied, relayed *hdrhistogram.Histogram) []string {
-	directTime := time.Duration(direct.ValueAtQuantile(quantile))
-	proxiedTime := time.Duration(proxied.ValueAtQuantile(quantile))
-	relayedTime := time.Duration(relayed.ValueAtQuantile(quantile))
+// latencyRow returns the table row of one percentile.
+func latencyRow(name string, percentile float64, target time.Duration, direct, proxied, relayed *hdrhistogram.Histogram) []string {
+	directTime := time.Duration(direct.ValueAtQuantile(percentile))
+	proxiedTime := time.Duration(proxied.ValueAtQuantile(percentile))
+	relayedTime := time.Duration(relayed.ValueAtQuantile(percentile))
 	met := "no"
 	if relayedTime-directTime <= target {
 		met = "yes"
 	}
-	return []string{name, fmt.Sprintf("%g %%", quantile), formatMillis(directTime), formatMillis(proxiedTime), formatMillis(relayedTime), formatMillis(relayedTime - directTime), formatMillis(target), met}
+	return []string{name, fmt.Sprintf("%g %%", percentile), formatMillis(directTime), formatMillis(proxiedTime), formatMillis(relayedTime), formatMillis(relayedTime - directTime), formatMillis(target), met}
 }
 
 // formatMillis returns d in milliseconds.
--- a/bench/control/probe.go
+++ b/bench/control/probe.go
@@ -39,8 +39,8 @@
 	token string
 }
 
-// collect makes the daemon run its garbage collector twice and returns its usage.
-func (p probe) collect(ctx context.Context) (usage, error) {
+// readAfterGC makes the daemon run its garbage collector twice and returns its usage.
+func (p probe) readAfterGC(ctx context.Context) (usage, error) {
 	for range 2 {
 		if _, err := p.httpGet(ctx, metrics.ProfilePath+"heap?gc=1"); err != nil {
 			return usage{}, err
@@ -93,11 +93,12 @@
 	return body, core.WrapStep("read metrics", p.addr, err)
 }
 
-// window holds the usage of a daemon at the start and the end of a measurement, and
-// the bytes of traffic in between, one value for each counter.
+// window holds the usage of a daemon at the start and the end of a measurement.
 type window struct {
 	from, to usage
-	traffic  []float64
+	// traffic holds the bytes that each traffic counter counted between from and
+	// to.
+	traffic []float64
 }
 
 // measureWindow measures the usage of the daemon, and the counted traffic, over the
@@ -105,7 +106,7 @@
 func measureWindow(ctx context.Context, p probe, d time.Duration, counted ...*traffic) (window, error) {
 	var w window
 	var err error
-	if w.from, err = p.collect(ctx); err != nil {
+	if w.from, err = p.readAfterGC(ctx); err != nil {
 		return w, err
 	}
 	before := wireBytes(counted)
@@ -127,7 +128,7 @@
 // cpuSeconds returns the processor time used in the window, in seconds.
 func (w window) cpuSeconds() float64 { return (w.to.cpu - w.from.cpu).Seconds() }
 
-// wireBytes returns the present byte count of each counter.
+// wireBytes returns the bytes on the wire that each counter has counted so far.
 func wireBytes(counted []*traffic) []float64 {
 	var bytes []float64
 	for _, t := range counted {
--- a/bench/control/series.go
+++ b/bench/control/series.go
@@ -30,8 +30,8 @@
 }
 
 // newSeries returns a series without points.
-func newSeries(name, x, y string, target, limit float64) *Series {
-	return &Series{Name: name, X: x, Y: y, Target: target, Limit: limit}
+func newSeries(name, sizeUnit, unit string, target, limit float64) *Series {
+	return &Series{Name: name, X: sizeUnit, Y: unit, Target: target, Limit: limit}
 }
 
 // add adds a measured point.
--- a/bench/control/target.go
+++ b/bench/control/target.go
@@ -9,9 +9,9 @@
 
 // The target: the size of the deployment that the system must support.
 const (
-	targetEntries         = 330
-	targetServers         = 600
-	targetDataCentres     = 6
+	targetEntryCount      = 330
+	targetServerCount     = 600
+	targetDataCentreCount = 6
 	targetCallsPerSecond  = 2_100
 	targetTokensPerSecond = 880_000
 	targetChangesPerDay   = 1_100
@@ -36,22 +36,26 @@
 // agent registers, at the target and with the given values of
 // homes.Config.MaxLocal and homes.Config.PerRemote.
 func HomesPerAgent(maxLocal, perRemote int) int {
-	local := targetEntries / targetDataCentres
-	return min(maxLocal, local) + perRemote*(targetDataCentres-1)
+	local := targetEntryCount / targetDataCentreCount
+	return min(maxLocal, local) + perRemote*(targetDataCentreCount-1)
 }
 
 // AgentsPerEntry returns the number of agents registered with an entry instance at
-// the target when the agent of each backend server has that many homes.
-func AgentsPerEntry(servers, homes int) int { return servers * homes / targetEntries }
+// the target if the agent of each of serverCount backend servers registers with
+// homesPerAgent entry instances.
+func AgentsPerEntry(serverCount, homesPerAgent int) int {
+	return serverCount * homesPerAgent / targetEntryCount
+}
 
-// heartbeatAtTarget returns the time between two reports of an agent when that many
-// agents are registered with an entry instance.
-func heartbeatAtTarget(agents int) time.Duration {
-	factor := max(1, float64(agents)/homes.MaxFullRateAgents)
+// reportIntervalAtTarget returns the time between two reports of an agent if
+// agentCount agents are registered with each entry instance.
+func reportIntervalAtTarget(agentCount int) time.Duration {
+	factor := max(1, float64(agentCount)/homes.MaxFullRateAgents)
 	return time.Duration(float64(registry.DefaultHeartbeat) * factor)
 }
 
-// reportsPerSecond returns the number of reports per second of n registrations.
-func reportsPerSecond(n int, heartbeat time.Duration) float64 {
-	return float64(n) / heartbeat.Seconds()
+// reportsPerSecond returns the rate of the reports of n registrations, each of which
+// sends one report every interval.
+func reportsPerSecond(n int, interval time.Duration) float64 {
+	return float64(n) / interval.Seconds()
 }
--- a/bench/control/testbed.go
+++ b/bench/control/testbed.go
@@ -49,11 +49,11 @@
 	platformServer *standin.Server
 	// listed holds the instances in the platform's list.
 	listed []core.Instance
-	// entryLink and agentLink count the traffic of the two daemons with the
-	// platform.
-	entryLink, agentLink traffic
-	// changes is the number of configuration changes made so far.
-	changes int
+	// entryPlatformTraffic and agentPlatformTraffic count the traffic of the two
+	// daemons with the platform.
+	entryPlatformTraffic, agentPlatformTraffic traffic
+	// changeCount is the number of configuration changes made so far.
+	changeCount int
 	// closers are called in reverse order by Close.
 	closers []func()
 }
@@ -71,7 +71,7 @@
 	for _, link := range []struct {
 		addr    string
 		traffic *traffic
-	}{{opt.EntryPlatform, &t.entryLink}, {opt.AgentPlatform, &t.agentLink}} {
+	}{{opt.EntryPlatform, &t.entryPlatformTraffic}, {opt.AgentPlatform, &t.agentPlatformTraffic}} {
 		if _, err := t.serve(link.addr, t.platformServer, link.traffic); err != nil {
 			return nil, err
 		}
@@ -108,9 +108,9 @@
 	}
 }
 
-// declaredSet returns declarations with that many backend servers. Only the
+// declaredSet returns declarations with serverCount backend servers. Only the
 // backend server of the agent under test may hold the model.
-func (t *testbed) declaredSet(servers int) *declare.Set {
+func (t *testbed) declaredSet(serverCount int) *declare.Set {
 	set := declare.NewSet()
 	set.Regions[region] = &declare.Region{Name: region}
 	for _, name := range []string{localDataCentre, remoteDataCentre} {
@@ -122,7 +122,7 @@
 	set.BackendServers[t.opt.AgentID] = &declare.BackendServer{
 		Name: t.opt.AgentID, DataCentre: localDataCentre, Limit: engineLimit, ColdLimit: engineLimit, Slots: 2, Fencing: true,
 	}
-	for i := 1; i < servers; i++ {
+	for i := 1; i < serverCount; i++ {
 		set.BackendServers[backendServerName(i)] = &declare.BackendServer{
 			Name: backendServerName(i), DataCentre: remoteDataCentre, Limit: 16, ColdLimit: 4, Slots: 2, Fencing: true,
 		}
@@ -135,14 +135,14 @@
 
 // apply publishes a set as the next version and returns its number.
 func (t *testbed) apply(ctx context.Context, set *declare.Set) (uint64, error) {
-	t.changes++
+	t.changeCount++
 	head, err := t.publisher.Head(ctx)
 	if err != nil {
 		return 0, err
 	}
 	snapshot, err := t.publisher.Apply(ctx, confstore.Change{
 		Base: head.Number, Author: "bench", Reason: "measure",
-		ChangeID: fmt.Sprintf("change-%d", t.changes), Set: set,
+		ChangeID: fmt.Sprintf("change-%d", t.changeCount), Set: set,
 	})
 	if err != nil {
 		return 0, err
@@ -150,10 +150,11 @@
 	return snapshot.Number, nil
 }
 
-// changeLimit changes the limit of one backend server in the set.
+// changeLimit changes the limit of one backend server in the set, so that the set
+// differs from the version in force.
 func (t *testbed) changeLimit(set *declare.Set) {
 	server := set.BackendServers[backendServerName(1)]
-	server.Limit = 16 + (t.changes % 2)
+	server.Limit = 16 + (t.changeCount % 2)
 }
 
 // staticMembers is a list of members that never changes.
--- a/bench/control/traffic.go
+++ b/bench/control/traffic.go
@@ -14,7 +14,9 @@
 
 // traffic counts the bytes, and the reads and writes, of a group of connections.
 type traffic struct {
-	bytes    atomic.Int64
+	bytes atomic.Int64
+	// segments is the number of reads and writes; each of them is taken for one
+	// TCP segment.
 	segments atomic.Int64
 }
 
