--- a/bench/spread/bench.go
+++ b/bench/spread/bench.go
@@ -27,7 +27,8 @@
 	// CopyTime is the time that one copy of the version takes over the link of a
 	// machine. It determines the bandwidth of every link.
 	CopyTime time.Duration
-	// AlternativesCopyTime is the same for the alternative ways of distribution.
+	// AlternativesCopyTime takes the place of CopyTime in the runs of the
+	// alternative ways of distribution.
 	AlternativesCopyTime time.Duration
 	// DataCentres is the number of data centres in each region.
 	DataCentres int
@@ -38,8 +39,8 @@
 	// MaxPeerFetches, UploadSlots and Fanout are the fields of the same name in
 	// spread.Config of version/spread.
 	MaxPeerFetches, UploadSlots, Fanout int
-	// Alternatives adds runs of the alternative ways of distribution, Faults adds
-	// runs with faults.
+	// Alternatives adds runs of the alternative ways of distribution; Faults adds
+	// runs of the real distribution code with faults.
 	Alternatives, Faults bool
 	// Log receives the events of the agents; nil discards them.
 	Log *eventlog.Logger
@@ -56,9 +57,9 @@
 	Agents  int
 	Regions int
 	Fault   string
-	// Time is the time until the last agent had the version, Origin the bytes
-	// that the origin sent, Link the bytes that crossed between regions, and
-	// MaxSent the largest number of bytes that one machine sent.
+	// Time is the time until the last agent had the version. The others are
+	// amounts of data: Origin is what the origin sent, Link what crossed between
+	// regions, and MaxSent what the machine that sent most has sent.
 	Time, Origin, Link, MaxSent float64
 }
 
@@ -133,10 +134,10 @@
 	corruptedChunkShare = 0.01
 )
 
-// runSwarm measures the real distribution code with n agents spread over the
-// number of regions.
-func runSwarm(opt Options, n, regions int, fault string) (Row, error) {
-	t, err := newTestbed(opt, n, regions)
+// runSwarm measures the real distribution code with n agents distributed over
+// regionCount regions, and with the fault unless it is empty.
+func runSwarm(opt Options, n, regionCount int, fault string) (Row, error) {
+	t, err := newTestbed(opt, n, regionCount)
 	if err != nil {
 		return Row{}, err
 	}
@@ -146,7 +147,7 @@
 	}
 	timer := time.AfterFunc(time.Duration(faultDelayCopies*float64(opt.CopyTime)), func() { t.injectFaults(fault) })
 	defer timer.Stop()
-	row := Row{Way: "scatter and gather", Agents: n, Regions: regions, Fault: fault}
+	row := Row{Way: "scatter and gather", Agents: n, Regions: regionCount, Fault: fault}
 	row.Time, err = t.fetchAll(t.peers)
 	return t.withTraffic(row), err
 }
--- a/bench/spread/origin.go
+++ b/bench/spread/origin.go
@@ -40,7 +40,7 @@
 	return maybeCorrupt(body, o.corruptProbability), nil
 }
 
-// remoteOrigin is the origin for the agents of another region: its data also
+// remoteOrigin is the origin as agents of another region reach it: the data also
 // passes the link between the regions.
 type remoteOrigin struct {
 	*origin
--- a/bench/spread/relay.go
+++ b/bench/spread/relay.go
@@ -19,19 +19,20 @@
 const relayConcurrency = 4
 
 // relay is a machine of a chain or tree. It reads every chunk from its parent, or
-// from the origin if it is the root, and serves each chunk as soon as it arrives.
+// from the origin if it is the root, and serves a chunk as soon as the chunk has
+// arrived.
 type relay struct {
-	chunks                     []manifest.Chunk
-	bodies                     [][]byte
-	arrived                    []chan struct{} // closed when the chunk with this index is in bodies
-	parent                     string          // address; empty for the root
-	origin                     *origin
-	uploadLimit, downloadLimit *spread.BandwidthLimiter
-	server                     *http.Server
+	chunks                         []manifest.Chunk
+	bodies                         [][]byte
+	arrived                        []chan struct{} // closed when the chunk with this index is in bodies
+	parentAddr                     string          // empty for the root
+	origin                         *origin
+	uploadLimiter, downloadLimiter *spread.BandwidthLimiter
+	server                         *http.Server
 }
 
-// ServeHTTP responds to a request for "/N" with chunk number N once the chunk has
-// arrived.
+// ServeHTTP waits until chunk number N has arrived and responds with it to a request
+// for "/N".
 func (r *relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	i, err := strconv.Atoi(req.URL.Path[1:])
 	if err != nil || i >= len(r.chunks) {
@@ -43,7 +44,7 @@
 	case <-req.Context().Done():
 		return
 	}
-	if r.uploadLimit.Wait(req.Context(), r.chunks[i].Size) != nil {
+	if r.uploadLimiter.Wait(req.Context(), r.chunks[i].Size) != nil {
 		return
 	}
 	_, _ = w.Write(r.bodies[i])
@@ -51,10 +52,10 @@
 
 // fetchChunk reads chunk i from the parent or the origin.
 func (r *relay) fetchChunk(ctx context.Context, i int) ([]byte, error) {
-	if r.parent == "" {
+	if r.parentAddr == "" {
 		return r.origin.Get(ctx, manifest.ChunkName(r.chunks[i].Digest), 0, -1)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.parent+"/"+strconv.Itoa(i), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.parentAddr+"/"+strconv.Itoa(i), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +80,7 @@
 			if !chunk.Digest.Matches(body) {
 				return errors.New("the chunk does not match its digest")
 			}
-			if err := r.downloadLimit.Wait(ctx, chunk.Size); err != nil {
+			if err := r.downloadLimiter.Wait(ctx, chunk.Size); err != nil {
 				return err
 			}
 			r.bodies[i] = body
@@ -107,13 +108,13 @@
 		}
 		r := &relay{
 			chunks: chunks, bodies: make([][]byte, len(chunks)), arrived: make([]chan struct{}, len(chunks)),
-			origin: t.origin, uploadLimit: spread.NewBandwidthLimiter(opt.machineRate()), downloadLimit: spread.NewBandwidthLimiter(opt.machineRate()),
+			origin: t.origin, uploadLimiter: spread.NewBandwidthLimiter(opt.machineRate()), downloadLimiter: spread.NewBandwidthLimiter(opt.machineRate()),
 		}
 		for j := range r.arrived {
 			r.arrived[j] = make(chan struct{})
 		}
 		if i > 0 {
-			r.parent = relays[(i-1)/fanout].server.Addr
+			r.parentAddr = relays[(i-1)/fanout].server.Addr
 		}
 		r.server = &http.Server{Handler: r, Addr: listener.Addr().String(), ReadHeaderTimeout: time.Minute}
 		defer func() { _ = r.server.Close() }()
--- a/bench/spread/testbed.go
+++ b/bench/spread/testbed.go
@@ -27,13 +27,15 @@
 	// storeCopies is the size of an agent's chunk store, in copies of the
 	// version.
 	storeCopies = 2
-	// originLinkFactor and regionLinkFactor are the bandwidths of the origin's
-	// link and of the link between regions, in units of a machine's link.
+	// originLinkFactor is the bandwidth of the origin's link, as a multiple of
+	// that of a machine's link.
 	originLinkFactor = 2
+	// regionLinkFactor is the bandwidth of the link between regions, as a multiple
+	// of that of a machine's link.
 	regionLinkFactor = 1
-	// idleConnections limits the idle connections of each agent, so that 128
-	// agents in one process stay below its limit of open files.
-	idleConnections = 24
+	// maxIdleConnections is the largest number of idle connections of each agent.
+	// It keeps 128 agents in one process below the process's limit of open files.
+	maxIdleConnections = 24
 )
 
 // testbed holds the origin, the links and the agents of one run.
@@ -55,19 +57,19 @@
 	swarm     *spread.Swarm
 	server    *http.Server
 	sentBytes atomic.Int64
-	// killed is closed when the agent is killed; it ends the requests that are
-	// held open.
+	// killed is closed when the agent is killed, to end the requests that are held
+	// open.
 	killed chan struct{}
 	// unresponsive means that the agent holds every request open without a
 	// response.
 	unresponsive atomic.Bool
-	// failed means that a fault has hit the agent.
+	// failed means that the agent has been disabled by a fault.
 	failed bool
 }
 
-// newTestbed publishes a version and starts n agents, distributed over the number
-// of regions.
-func newTestbed(opt Options, n, regions int) (*testbed, error) {
+// newTestbed publishes a version and starts n agents, distributed over regionCount
+// regions.
+func newTestbed(opt Options, n, regionCount int) (*testbed, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &testbed{opt: opt, ctx: ctx, cancel: cancel, link: spread.NewBandwidthLimiter(regionLinkFactor * opt.machineRate())}
 	t.origin = &origin{objects: map[string][]byte{}, link: spread.NewBandwidthLimiter(originLinkFactor * opt.machineRate())}
@@ -75,7 +77,7 @@
 		return nil, err
 	}
 	for i := range n {
-		if err := t.startAgent(i, regions); err != nil {
+		if err := t.startAgent(i, regionCount); err != nil {
 			t.close()
 			return nil, err
 		}
@@ -98,13 +100,13 @@
 }
 
 // startAgent creates agent i and starts its server.
-func (t *testbed) startAgent(i, regions int) error {
+func (t *testbed) startAgent(i, regionCount int) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	region := i % regions
-	dataCentre := i / regions % t.opt.DataCentres
+	region := i % regionCount
+	dataCentre := i / regionCount % t.opt.DataCentres
 	a := &agent{killed: make(chan struct{})}
 	a.self = core.Instance{
 		ID: fmt.Sprintf("agent%03d", i), Role: core.RoleAgent, Addr: listener.Addr().String(),
@@ -125,7 +127,7 @@
 		MaxPeerFetches:         t.opt.MaxPeerFetches,
 		UploadSlots:            t.opt.UploadSlots,
 		Fanout:                 t.opt.Fanout,
-		IdleConnections:        idleConnections,
+		IdleConnections:        maxIdleConnections,
 		LongPollTimeout:        t.opt.LongPollTimeout,
 		ResponseMargin:         t.opt.LongPollTimeout,
 		StallTimeout:           t.opt.LongPollTimeout,
@@ -138,8 +140,8 @@
 	return nil
 }
 
-// peers returns every agent. As in the platform's list, agents that were killed
-// remain in it.
+// peers returns every agent, also those that were killed: the platform's list also
+// contains them for a while.
 func (t *testbed) peers() []core.Instance {
 	var instances []core.Instance
 	for _, a := range t.agents {
