--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -18,8 +18,8 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// probeParallelism is the maximum number of concurrent health checks.
-const probeParallelism = 16
+// maxConcurrentProbes is the maximum number of concurrent health checks.
+const maxConcurrentProbes = 16
 
 // maxProbeTimeout limits the time of one health check.
 const maxProbeTimeout = time.Second
@@ -77,13 +77,13 @@
 	return true
 }
 
-// probe checks the health of every registered instance and lists those that are
-// healthy.
+// probe checks the health of every registered instance and replaces the listed
+// instances by those that are healthy.
 func (l *instanceList) probe(ctx context.Context, timeout time.Duration) {
 	registered := l.allRegistered()
 	healthy := make([]bool, len(registered))
 	var group errgroup.Group
-	group.SetLimit(probeParallelism)
+	group.SetLimit(maxConcurrentProbes)
 	for n, instance := range registered {
 		group.Go(func() error {
 			healthy[n] = l.isHealthy(ctx, instance.Addr, min(timeout, maxProbeTimeout))
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -106,8 +106,8 @@
 	return corrupt
 }
 
-// maxWriteBytes is the size of the blocks in which responses with objects are
-// written.
+// maxWriteBytes is the largest size of the blocks in which responses with objects
+// are written.
 const maxWriteBytes = 32 << 10
 
 // meteredWriter counts the bytes of a response and can limit their rate.
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -20,19 +20,20 @@
 
 const testToken = "secret"
 
-// startStandin serves a stand-in and returns the adapters that connect to it.
+// startStandin serves a stand-in and returns the stand-in, its HTTP server and a
+// client of it.
 func startStandin(t *testing.T, config Config) (*Server, *httptest.Server, *platform.Platform) {
 	t.Helper()
 	config.Token = testToken
 	s := New(config, clockwork.NewRealClock())
 	web := httptest.NewServer(s)
 	t.Cleanup(web.Close)
-	return s, web, adapters(web, testToken)
+	return s, web, newClient(web, testToken)
 }
 
-// adapters returns the HTTP adapters of package process/platform for the server
-// web.
-func adapters(web *httptest.Server, token string) *platform.Platform {
+// newClient returns a client of package process/platform that sends requests with
+// token to the server web.
+func newClient(web *httptest.Server, token string) *platform.Platform {
 	return platform.NewHTTP(platform.Config{
 		Addr:    strings.TrimPrefix(web.URL, "http://"),
 		Token:   token,
@@ -41,7 +42,7 @@
 	})
 }
 
-// setFaults sends a fault request.
+// setFaults sends a fault request and asserts that the stand-in accepts it.
 func setFaults(web *httptest.Server, f FaultRequest) {
 	body, err := json.Marshal(f)
 	So(err, ShouldBeNil)
@@ -125,7 +126,7 @@
 			So(err, ShouldWrap, platform.ErrUnknownOutcome)
 		})
 		Convey("a wrong token is refused", func() {
-			err := adapters(web, "other").Table.Commit(ctx, []platform.Write{{Key: "k"}})
+			err := newClient(web, "other").Table.Commit(ctx, []platform.Write{{Key: "k"}})
 			So(err, ShouldWrap, platform.ErrRefused)
 		})
 	})
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -31,8 +31,9 @@
 	// Token is the bearer token that clients must send; empty means that no
 	// token is required.
 	Token string
-	// Lag is the time between two health checks of an instance, and thus the
-	// delay of the instance list. The default is 500 ms.
+	// Lag is the time between two health checks of an instance. A change of its
+	// health appears in the instance list after at most about this time. The
+	// default is 500 ms.
 	Lag time.Duration
 	// Instances are the instances registered at the start.
 	Instances []core.Instance
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -35,14 +35,14 @@
 	return row, ok
 }
 
-// list returns up to limit rows whose keys start with prefix and sort after the
-// key after, in key order.
-func (t *table) list(prefix, after string, limit int) []platform.Row {
+// list returns the first limit rows, in key order, whose keys start with prefix and
+// are greater than afterKey.
+func (t *table) list(prefix, afterKey string, limit int) []platform.Row {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	found := []platform.Row{}
 	for key, row := range t.rows {
-		if strings.HasPrefix(key, prefix) && key > after {
+		if strings.HasPrefix(key, prefix) && key > afterKey {
 			found = append(found, row)
 		}
 	}
@@ -53,9 +53,9 @@
 	return found
 }
 
-// commit applies all writes, or, if a condition fails, none; then it returns the
-// key of that condition and false.
-func (t *table) commit(writes []platform.Write) (conflict string, ok bool) {
+// commit applies all writes and returns true. If the condition of a write fails, it
+// applies none of them and returns the key of that write and false.
+func (t *table) commit(writes []platform.Write) (conflictKey string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, w := range writes {
