--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -31,10 +31,11 @@
 	digest core.Digest
 	// seed determines the tokens of the response.
 	seed uint64
-	// resume is the number of tokens that the client has already received.
-	resume int
-	// cached reports whether the prefix of the prompt was cached.
-	cached bool
+	// receivedTokenCount is the number of tokens that the client has already
+	// received; the response begins after them.
+	receivedTokenCount int
+	// prefixCached reports whether the prefix of the prompt was cached.
+	prefixCached bool
 	// faults are the faults that were on when the request arrived.
 	faults Faults
 	// chat is true for a chat completion.
@@ -47,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	parsed, err := parseCompletion(body)
+	parsed, err := parseCompletionRequest(body)
 	if err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
@@ -81,7 +82,7 @@
 		chat:              strings.Contains(c.Path(), "chat"),
 		faults:            e.currentFaults(),
 	}
-	r.resume, _ = strconv.Atoi(header.Get(engine.HeaderResumeTokens))
+	r.receivedTokenCount, _ = strconv.Atoi(header.Get(engine.HeaderResumeTokens))
 	r.digest = e.findVersion(parsed.Model, core.Digest(header.Get(core.HeaderDigest)))
 	if r.digest == "" {
 		return r, echo.NewHTTPError(http.StatusNotFound, "model "+parsed.Model+" is not loaded")
@@ -92,7 +93,7 @@
 	}
 	r.seed = tokenSeed(r.digest, prompt)
 	e.mu.Lock()
-	r.cached = e.cache.lookup(prompt)
+	r.prefixCached = e.cache.lookup(prompt)
 	e.mu.Unlock()
 	return r, nil
 }
@@ -117,12 +118,12 @@
 func (e *Engine) acquireSlot(ctx context.Context) error {
 	e.mu.Lock()
 	capacity := e.warmUp.capacity(e.clock.Now())
-	if e.faults.Refuse || float64(e.inFlight+e.queued+1) > refuseRatio*capacity {
+	if e.faults.Refuse || float64(e.inFlightCount+e.queuedCount+1) > refuseRatio*capacity {
 		e.counters.Refused++
 		e.mu.Unlock()
 		return echo.NewHTTPError(http.StatusServiceUnavailable, "overloaded")
 	}
-	e.queued++
+	e.queuedCount++
 	e.mu.Unlock()
 	var err error
 	select {
@@ -132,15 +133,15 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.queued--
+	e.queuedCount--
 	if err != nil {
 		e.counters.Cancelled++
 		return err
 	}
-	e.inFlight++
+	e.inFlightCount++
 	e.counters.Started++
-	e.counters.MaxInFlight = max(e.counters.MaxInFlight, e.inFlight)
-	if float64(e.inFlight) > capacity {
+	e.counters.MaxInFlight = max(e.counters.MaxInFlight, e.inFlightCount)
+	if float64(e.inFlightCount) > capacity {
 		e.counters.Overloaded++
 	}
 	return nil
@@ -152,7 +153,7 @@
 	<-e.slots
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.inFlight--
+	e.inFlightCount--
 	if !finished {
 		e.counters.Cancelled++
 		return
@@ -166,7 +167,7 @@
 	header := c.Response().Header()
 	header.Set(core.HeaderRequestID, r.id)
 	header.Set(core.HeaderDigest, string(r.digest))
-	if r.cached {
+	if r.prefixCached {
 		header.Set(HeaderPrefixCache, "hit")
 		e.mu.Lock()
 		e.counters.PrefixHits++
@@ -183,14 +184,14 @@
 		return false
 	}
 	pause := e.cfg.PerToken
-	if i == r.resume {
+	if i == r.receivedTokenCount {
 		pause = e.cfg.FirstToken
-		if r.cached {
+		if r.prefixCached {
 			pause = time.Duration(float64(pause) * cachedTimeShare)
 		}
 	}
 	e.mu.Lock()
-	factor := slowdown(e.inFlight, e.warmUp.capacity(e.clock.Now()))
+	factor := slowdown(e.inFlightCount, e.warmUp.capacity(e.clock.Now()))
 	e.mu.Unlock()
 	timer := e.clock.NewTimer(time.Duration(float64(pause) * factor))
 	defer timer.Stop()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -21,7 +21,7 @@
 
 // Defaults of a Config.
 const (
-	// DefaultSlots is the number of requests that run at once.
+	// DefaultSlots is the largest number of requests that run at once.
 	DefaultSlots = 32
 	// DefaultColdLimit is the number of requests that run at full speed just
 	// after a start.
@@ -33,13 +33,13 @@
 	// DefaultWarmPerCall is the number by which each finished request
 	// increases the capacity.
 	DefaultWarmPerCall = 1.0
-	// DefaultCacheEntries is the number of cached prefixes.
+	// DefaultCacheEntries is the largest number of cached prefixes.
 	DefaultCacheEntries = 1024
 )
 
 // Config holds the settings of an Engine. A zero value means the default.
 type Config struct {
-	// Slots is the number of requests that run at once; others wait.
+	// Slots is the largest number of requests that run at once; others wait.
 	Slots int
 	// WarmLimit is the number of requests that run at full speed on a warm
 	// engine; 0 means Slots.
@@ -59,9 +59,10 @@
 	PerToken time.Duration
 	// LoadTime is the time that loading takes after all chunks are read.
 	LoadTime time.Duration
-	// ReportLag is the minimum age of the status that the engine reports.
+	// ReportLag is the minimum age of the status that the engine reports, unless
+	// every recorded status is younger.
 	ReportLag time.Duration
-	// CacheEntries is the number of cached prefixes.
+	// CacheEntries is the largest number of cached prefixes.
 	CacheEntries int
 	// Fencing makes the engine refuse orders with an outdated fencing number.
 	Fencing bool
@@ -83,7 +84,9 @@
 
 // Counters are the counters of an Engine since its start.
 type Counters struct {
-	// Started, Finished, Cancelled and Refused are numbers of requests.
+	// Started counts the requests that got a slot, Finished those whose response
+	// was sent completely, Cancelled those that ended before, also while they
+	// waited for a slot, and Refused those refused with status 503.
 	Started   int `json:"started"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
@@ -94,8 +97,8 @@
 	PrefixHits int `json:"prefixHits"`
 	// MaxInFlight is the highest number of requests that ran at once.
 	MaxInFlight int `json:"maxInFlight"`
-	// Overloaded is the number of requests whose start made the number of
-	// running requests exceed the capacity, or found it exceeded.
+	// Overloaded is the number of requests after whose start more requests ran
+	// than the capacity.
 	Overloaded int `json:"overloaded"`
 	// Capacity is the current capacity: the number of requests that run at full
 	// speed.
@@ -104,7 +107,7 @@
 	LoadError string `json:"loadError,omitempty"`
 }
 
-// timedStatus is the status of the engine at a time.
+// timedStatus is a status of the engine and the time at which it was recorded.
 type timedStatus struct {
 	at     time.Time
 	status engine.Status
@@ -121,14 +124,14 @@
 	cache  *prefixCache
 	// loaded are the loaded versions in the order in which they were loaded.
 	loaded []frame.Loaded
-	// fence is the highest fencing number of an accepted order.
-	fence uint64
-	// boot is the boot ID.
-	boot     string
-	inFlight int
-	queued   int
-	faults   Faults
-	counters Counters
+	// highestFence is the highest fencing number of an accepted order.
+	highestFence uint64
+	// bootID changes when the engine restarts.
+	bootID        string
+	inFlightCount int
+	queuedCount   int
+	faults        Faults
+	counters      Counters
 	// history holds the statuses that may still be reported, oldest first.
 	history []timedStatus
 }
@@ -144,8 +147,8 @@
 			coldLimit: cfg.ColdLimit, warmLimit: cfg.WarmLimit, gainPerRequest: cfg.WarmPerCall,
 			warmAfter: cfg.WarmAfter, coldSince: clock.Now(),
 		},
-		cache: newPrefixCache(cfg.CacheEntries),
-		boot:  uuid.NewString(),
+		cache:  newPrefixCache(cfg.CacheEntries),
+		bootID: uuid.NewString(),
 	}
 }
 
@@ -196,7 +199,7 @@
 	if e.faults.FalseLoaded != nil {
 		loaded = append(loaded, *e.faults.FalseLoaded)
 	}
-	return engine.Status{Loaded: loaded, InFlight: e.inFlight, Queued: e.queued, Fence: e.fence, Boot: e.boot}
+	return engine.Status{Loaded: loaded, InFlight: e.inFlightCount, Queued: e.queuedCount, Fence: e.highestFence, Boot: e.bootID}
 }
 
 // getCounters serves the counters.
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -24,9 +24,10 @@
 type weightSource struct {
 	// objects holds the response bodies by path.
 	objects map[string][]byte
-	// digest is the manifest digest, and chunk the digest of the only chunk.
+	// digest is the manifest digest.
 	digest core.Digest
-	chunk  core.Digest
+	// chunkDigest is the digest of the only chunk.
+	chunkDigest core.Digest
 }
 
 // newWeightSource returns the source of a version with one chunk.
@@ -35,7 +36,7 @@
 	m := &manifest.Manifest{Files: []manifest.File{{Path: "weights.bin", Size: chunk.Size, Chunks: []manifest.Chunk{chunk}}}}
 	raw, digest, err := m.Encode()
 	So(err, ShouldBeNil)
-	return &weightSource{digest: digest, chunk: chunk.Digest, objects: map[string][]byte{
+	return &weightSource{digest: digest, chunkDigest: chunk.Digest, objects: map[string][]byte{
 		"/manifests/" + string(digest):    raw,
 		"/chunks/" + string(chunk.Digest): []byte(body),
 	}}
@@ -88,7 +89,7 @@
 			So(s.Fence, ShouldEqual, 5)
 		})
 		Convey("the engine does not load a version with a corrupt chunk", func() {
-			weights.objects["/chunks/"+string(weights.chunk)] = []byte("basil")
+			weights.objects["/chunks/"+string(weights.chunkDigest)] = []byte("basil")
 			e, client := startEngine(true)
 			So(client.Order(ctx, order), ShouldBeNil)
 			eventually(t, "load failed", func() bool { return e.Counters().LoadError != "" })
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -61,7 +61,7 @@
 		e.warmUp.reset(e.clock.Now())
 	}
 	if f.Reboot {
-		e.boot = uuid.NewString()
+		e.bootID = uuid.NewString()
 	}
 	e.warmUp.paused = f.StayCold
 	e.faults = f
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -45,20 +45,20 @@
 	return c.NoContent(http.StatusAccepted)
 }
 
-// acceptFence records the highest fencing number and reports whether an order with
-// this fencing number may be carried out.
+// acceptFence reports whether an order with this fencing number may be carried out.
+// If so, it also records the number if it is the highest so far.
 func (e *Engine) acceptFence(fence uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cfg.Fencing && fence < e.fence {
+	if e.cfg.Fencing && fence < e.highestFence {
 		return false
 	}
-	e.fence = max(e.fence, fence)
+	e.highestFence = max(e.highestFence, fence)
 	return true
 }
 
-// unload removes a version from the loaded ones. An order without a digest names
-// the version by its name.
+// unload removes a version from the loaded ones. If the order has no digest, the
+// version is identified by its name.
 func (e *Engine) unload(order engine.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/response.go
+++ b/standin/engine/response.go
@@ -23,7 +23,7 @@
 	resp.Flush()
 	before, after := eventFrame(r, r.digest)
 	var event []byte
-	for i := r.resume; i < r.MaxTokens; i++ {
+	for i := r.receivedTokenCount; i < r.MaxTokens; i++ {
 		if !e.waitForToken(ctx, r, i) {
 			return false
 		}
@@ -79,7 +79,7 @@
 // sent the response.
 func (e *Engine) sendCompletion(ctx context.Context, c echo.Context, r activeRequest) bool {
 	var text strings.Builder
-	for i := r.resume; i < r.MaxTokens; i++ {
+	for i := r.receivedTokenCount; i < r.MaxTokens; i++ {
 		if !e.waitForToken(ctx, r, i) {
 			return false
 		}
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -31,8 +31,9 @@
 	Content string `json:"content"`
 }
 
-// parseCompletion decodes a request's body.
-func parseCompletion(body []byte) (completionRequest, error) {
+// parseCompletionRequest decodes the body of a completion request and sets the
+// default of max_tokens. A request without a model is an error.
+func parseCompletionRequest(body []byte) (completionRequest, error) {
 	var c completionRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		return c, errors.Wrap(err, "request body")
@@ -76,7 +77,7 @@
 // ExpectedText returns the text of the response to a request with this body from the
 // version with this manifest digest. Tests use it to check responses.
 func ExpectedText(digest core.Digest, body []byte) (string, error) {
-	c, err := parseCompletion(body)
+	c, err := parseCompletionRequest(body)
 	if err != nil {
 		return "", err
 	}
--- a/standin/engine/warmup.go
+++ b/standin/engine/warmup.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// slowdownExponent is the power of the overload ratio by which the time per
-	// token grows.
+	// slowdownExponent is the exponent with which the time per token grows with
+	// the ratio of running requests to capacity, once the ratio exceeds 1.
 	slowdownExponent = 3
 	// refuseRatio is the ratio of requests to capacity above which new requests
 	// are refused.
@@ -16,7 +16,8 @@
 	// cachedTimeShare is the share of the time to the first token that remains
 	// if the prefix of the prompt is cached.
 	cachedTimeShare = 0.2
-	// prefixBytes is the length of the prefixes that are cached.
+	// prefixBytes is the length, in bytes, of the prefixes that are cached. A
+	// shorter prompt is cached whole.
 	prefixBytes = 256
 )
 
@@ -75,15 +76,15 @@
 
 // prefixCache is a least-recently-used cache of prefixes of prompts.
 type prefixCache struct {
-	capacity int
+	maxEntries int
 	// recent holds the prefixes, most recently used first.
 	recent   *list.List
 	byPrefix map[string]*list.Element
 }
 
-// newPrefixCache returns an empty cache for up to capacity prefixes.
-func newPrefixCache(capacity int) *prefixCache {
-	return &prefixCache{capacity: capacity, recent: list.New(), byPrefix: map[string]*list.Element{}}
+// newPrefixCache returns an empty cache for up to maxEntries prefixes.
+func newPrefixCache(maxEntries int) *prefixCache {
+	return &prefixCache{maxEntries: maxEntries, recent: list.New(), byPrefix: map[string]*list.Element{}}
 }
 
 // lookup reports whether the prefix of a prompt is cached, and adds it if not.
@@ -94,7 +95,7 @@
 		return true
 	}
 	c.byPrefix[prefix] = c.recent.PushFront(prefix)
-	if c.recent.Len() > c.capacity {
+	if c.recent.Len() > c.maxEntries {
 		oldest := c.recent.Back()
 		delete(c.byPrefix, c.recent.Remove(oldest).(string))
 	}
