--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -53,9 +53,10 @@
 	Service string `json:"service"`
 	// ID identifies the request.
 	ID string `json:"id"`
-	// Method and Path are the request's method and path.
+	// Method is the request's HTTP method.
 	Method string `json:"method"`
-	Path   string `json:"path"`
+	// Path is the path of the request's URL.
+	Path string `json:"path"`
 	// Number is the number of executions of all requests so far, including
 	// this one.
 	Number int `json:"number"`
@@ -68,15 +69,16 @@
 
 	mu     sync.Mutex
 	faults Faults
-	// executions holds the number of executions by request ID, and
-	// totalExecutions their sum.
-	executions      map[string]int
+	// executionCounts holds the number of executions of each request by the
+	// request's ID.
+	executionCounts map[string]int
+	// totalExecutions is the sum of executionCounts.
 	totalExecutions int
 }
 
 // New returns a Service without executions.
 func New(cfg Config, clock clockwork.Clock) *Service {
-	return &Service{cfg: cfg, clock: clock, executions: map[string]int{}}
+	return &Service{cfg: cfg, clock: clock, executionCounts: map[string]int{}}
 }
 
 // Handler returns the service's HTTP API. A request to any path but those of the
@@ -103,12 +105,12 @@
 	return c.JSON(http.StatusOK, s.Executions())
 }
 
-// Executions returns the number of executions of each request by its ID.
+// Executions returns the number of executions of each request by the request's ID.
 func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := make(map[string]int, len(s.executions))
-	for id, n := range s.executions {
+	counts := make(map[string]int, len(s.executionCounts))
+	for id, n := range s.executionCounts {
 		counts[id] = n
 	}
 	return counts
@@ -184,7 +186,7 @@
 func (s *Service) execute(id string, r *http.Request) Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.executions[id]++
+	s.executionCounts[id]++
 	s.totalExecutions++
 	return Result{Service: s.cfg.Name, ID: id, Method: r.Method, Path: r.URL.Path, Number: s.totalExecutions}
 }
