--- a/cli/agent.go
+++ b/cli/agent.go
@@ -59,8 +59,8 @@
 	return daemon.RunAgent(cfg, log)
 }
 
-// checkSettings validates the settings that only the agent has and adds every
-// wrong one to problems.
+// checkSettings validates the settings that only the agent has and adds a problem
+// for each invalid one.
 func (c *AgentCmd) checkSettings(problems *settings.Problems) {
 	problems.Add(settings.CheckAddr("--engine", c.Engine))
 	if c.Service != "" {
--- a/cli/apply.go
+++ b/cli/apply.go
@@ -35,8 +35,8 @@
 	return printChange(s, metadata, response)
 }
 
-// baseVersion returns the version of --base, or the newest version without it.
-// It returns 0 if there is no version yet.
+// baseVersion returns the value of --base or, if the flag is absent, the number of
+// the newest version; 0 if there is no version yet.
 func (c *ApplyCmd) baseVersion(client *ops.Client) (uint64, error) {
 	if c.Base != nil {
 		return *c.Base, nil
--- a/cli/ask.go
+++ b/cli/ask.go
@@ -37,8 +37,8 @@
 	Messages  []chatMessage `json:"messages"`
 }
 
-// chatChunk is one event of a streamed response.
-type chatChunk struct {
+// chatEvent holds the fields of one event of a streamed response that are printed.
+type chatEvent struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -46,8 +46,8 @@
 	} `json:"choices"`
 }
 
-// errRefused is returned when the call was refused or got no response; the call
-// may be retried.
+// errRefused is returned if the call was refused or got no response. Run then
+// retries the call until AskCmd.Retry has passed.
 var errRefused = errors.New("refused")
 
 // Run implements the command.
@@ -104,11 +104,11 @@
 			complete = true
 			continue
 		}
-		var chunk chatChunk
-		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
+		var event chatEvent
+		if err := json.Unmarshal([]byte(data), &event); err != nil {
 			return errors.Wrap(err, "answer")
 		}
-		for _, choice := range chunk.Choices {
+		for _, choice := range event.Choices {
 			_, _ = fmt.Fprint(out, choice.Delta.Content)
 		}
 	}
--- a/cli/daemon_flags.go
+++ b/cli/daemon_flags.go
@@ -14,9 +14,13 @@
 
 // Limits of duration settings.
 const (
+	// minInterval is the lowest value of intervals and of the timeouts of calls.
 	minInterval = 100 * time.Millisecond
+	// maxInterval is the highest value of intervals, of the leave notice and of
+	// the lags.
 	maxInterval = time.Minute
-	maxDuration = time.Hour
+	// maxTimeout is the highest value of timeouts.
+	maxTimeout = time.Hour
 )
 
 // daemonFlags holds the settings that the entry and agent commands share.
@@ -36,8 +40,8 @@
 	LogLevel      string            `help:"Lowest level of events to log: debug, info, warning, error." default:"info" env:"RATTANWAY_LOG_LEVEL"`
 }
 
-// commonConfig validates the settings, adds every wrong one to problems and
-// returns the configuration that both daemons share.
+// commonConfig validates the settings, adds a problem for each invalid one and
+// returns the part of the configuration that both daemons have.
 func (f *daemonFlags) commonConfig(role core.Role, problems *settings.Problems) daemon.CommonConfig {
 	if f.Advertise == "" {
 		f.Advertise = f.Listen
@@ -51,7 +55,7 @@
 	problems.Add(settings.CheckAddr("--platform", f.Platform))
 	problems.Add(f.ListInterval.Check("--list-interval", minInterval, maxInterval))
 	problems.Add(f.Heartbeat.Check("--heartbeat", minInterval, maxInterval))
-	problems.Add(f.DrainTimeout.Check("--drain-timeout", 0, maxDuration))
+	problems.Add(f.DrainTimeout.Check("--drain-timeout", 0, maxTimeout))
 	return daemon.CommonConfig{
 		Self: core.Instance{
 			ID: f.ID, Role: role, Addr: f.Advertise, DataCentre: f.DataCentre, Region: f.Region,
@@ -67,8 +71,8 @@
 	}
 }
 
-// parseSeeds returns the entry instances of --entries and adds every invalid
-// one to problems.
+// parseSeeds returns the entry instances of --entries and adds a problem for each
+// invalid one.
 func (f *daemonFlags) parseSeeds(problems *settings.Problems) []core.Instance {
 	var seeds []core.Instance
 	for _, text := range f.Entries {
@@ -80,7 +84,7 @@
 }
 
 // newLogger returns the event log of the process, which is written to standard
-// error.
+// error. It adds a problem if --log-level is invalid.
 func (f *daemonFlags) newLogger(problems *settings.Problems) *eventlog.Logger {
 	level, err := logrus.ParseLevel(f.LogLevel)
 	if err != nil {
--- a/cli/entry.go
+++ b/cli/entry.go
@@ -36,9 +36,9 @@
 		Routing: routing.Config{Policy: routing.Policy(c.Policy), PrefixAffinity: c.PrefixAffinity},
 	}
 	problems.Add(c.BalancerLag.Check("--balancer-lag", 0, maxInterval))
-	problems.Add(c.Deadline.Check("--deadline", minInterval, maxDuration))
-	problems.Add(c.FirstTokenTimeout.Check("--first-token-timeout", minInterval, maxDuration))
-	problems.Add(c.StallTimeout.Check("--stall-timeout", minInterval, maxDuration))
+	problems.Add(c.Deadline.Check("--deadline", minInterval, maxTimeout))
+	problems.Add(c.FirstTokenTimeout.Check("--first-token-timeout", minInterval, maxTimeout))
+	problems.Add(c.StallTimeout.Check("--stall-timeout", minInterval, maxTimeout))
 	problems.Add(c.checkPolicy())
 	log := c.newLogger(&problems)
 	if err := problems.Err(); err != nil {
@@ -47,8 +47,8 @@
 	return daemon.RunEntry(cfg, log)
 }
 
-// parseOperators returns the operators of --operators and adds every invalid
-// one to problems. The messages do not contain the tokens.
+// parseOperators returns the operators of --operators and adds a problem for each
+// invalid one. The problems do not contain the tokens.
 func (c *EntryCmd) parseOperators(problems *settings.Problems) []ops.Operator {
 	var operators []ops.Operator
 	for _, text := range c.Operators {
--- a/cli/ops.go
+++ b/cli/ops.go
@@ -38,8 +38,8 @@
 	ChangeID string `help:"Identifies the change: a retry of the command with the same id has no further effect. Default is a new id, which is printed."`
 }
 
-// changeMetadata returns the metadata of the change. A missing change id is
-// generated, and the default author is the name of the current user.
+// changeMetadata returns the metadata of the change. Without --change-id it
+// generates a new id; without --author the author is the current user.
 func (f changeMetadataFlags) changeMetadata() ops.ChangeMetadata {
 	metadata := ops.ChangeMetadata{Author: f.Author, Reason: f.Reason, ChangeID: f.ChangeID}
 	if metadata.ChangeID == "" {
@@ -59,7 +59,8 @@
 	return os.Getenv("USER")
 }
 
-// usageError reports a wrong setting or argument.
+// usageError reports an invalid setting or argument. The process exits with
+// ExitUsage.
 type usageError struct{ error }
 
 // ExitCode returns the exit code of the process.
@@ -69,7 +70,7 @@
 func (e usageError) Unwrap() error { return e.error }
 
 // conflictError reports that a change is based on a version that is no longer
-// the newest.
+// the newest. The process exits with ExitConflict.
 type conflictError struct{ error }
 
 // ExitCode returns the exit code of the process.
@@ -78,10 +79,10 @@
 // Unwrap returns the wrapped error.
 func (e conflictError) Unwrap() error { return e.error }
 
-// changeError converts an error of a change request for the command line. A
-// conflict gets its own exit code. If the outcome of the change is unknown, the
-// message contains flags, with which the command can be retried so that the change
-// takes effect only once.
+// changeError converts the error of a change request to the error of the command.
+// A conflict gets its own exit code. If the outcome of the change is unknown, the
+// message contains flags: a retry of the command with these flags does not make the
+// change a second time.
 func changeError(flags string, err error) error {
 	if err == nil {
 		return nil
--- a/cli/standin_serve.go
+++ b/cli/standin_serve.go
@@ -19,8 +19,9 @@
 	standinStopTimeout = 30 * time.Second
 )
 
-// serveStandin serves handler at the address and runs the background tasks
-// until SIGINT or SIGTERM arrives, and then waits for the requests in flight.
+// serveStandin serves handler at the address and runs the background tasks until
+// SIGINT or SIGTERM arrives or one of them ends. It then waits at most
+// standinStopTimeout for the requests in flight.
 func serveStandin(address string, handler http.Handler, background ...func(context.Context) error) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cli/trace_request.go
+++ b/cli/trace_request.go
@@ -20,7 +20,7 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// errRequestNotFound is returned when no line of the logs names the request.
+// errRequestNotFound is returned if no line of the logs contains the request id.
 var errRequestNotFound = errors.New("no line of the logs names this request")
 
 // TraceRequestCmd shows every decision about one call.
@@ -29,14 +29,15 @@
 	Log []string `required:"" help:"Log files of entry instances and agents; - for standard input."`
 }
 
-// logLine is one event of a log. fields holds the fields that have no member of
-// their own.
+// logLine is one event of a log.
 type logLine struct {
 	at      time.Time
 	process string
-	event   int
-	name    string
-	fields  map[string]any
+	// event is the number of the event.
+	event int
+	name  string
+	// fields holds all other fields of the line, except for its level.
+	fields map[string]any
 }
 
 // Run implements the command. If the request belongs to a once-only call with a
@@ -86,7 +87,7 @@
 func parseLog(r io.Reader) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLogLine)
+	scanner.Buffer(nil, maxLogLineBytes)
 	for scanner.Scan() {
 		if l, ok := parseLogLine(scanner.Bytes()); ok {
 			lines = append(lines, l)
@@ -116,10 +117,10 @@
 	return l, true
 }
 
-// keyedCall returns the row key of the once-only call that the line is about, or
+// rowKey returns the row key of the once-only call that the line is about, or
 // "" if the line is about none. Entry instances log the row key in the field row,
 // agents in the field key.
-func (l logLine) keyedCall() string {
+func (l logLine) rowKey() string {
 	for _, name := range []string{"row", "key"} {
 		if text, ok := l.fields[name].(string); ok {
 			return text
@@ -128,17 +129,18 @@
 	return ""
 }
 
-// linesAbout returns the lines about the request with the id and about its
-// once-only call with a key, if any. It modifies the slice all.
+// linesAbout returns the lines about the request with this id and, if the request
+// is a submission of a once-only call with a key, all lines about that call. It
+// overwrites the elements of all.
 func linesAbout(all []logLine, id string) []logLine {
-	keyedCalls := map[string]bool{}
+	rowKeys := map[string]bool{}
 	for _, l := range all {
-		if l.fields["request"] == id && l.keyedCall() != "" {
-			keyedCalls[l.keyedCall()] = true
+		if l.fields["request"] == id && l.rowKey() != "" {
+			rowKeys[l.rowKey()] = true
 		}
 	}
 	return slices.DeleteFunc(all, func(l logLine) bool {
-		return l.fields["request"] != id && !keyedCalls[l.keyedCall()]
+		return l.fields["request"] != id && !rowKeys[l.rowKey()]
 	})
 }
 
--- a/cli/trace_version.go
+++ b/cli/trace_version.go
@@ -28,8 +28,9 @@
 	Chunks bool     `help:"Print a line for each chunk at each agent, not only the sums." default:"true" negatable:""`
 }
 
-// maxLogLine bounds one line of a log, in bytes.
-const maxLogLine = 4 << 20
+// maxLogLineBytes is the largest length of one line of a log, in bytes. A longer line
+// is an error.
+const maxLogLineBytes = 4 << 20
 
 // Numbers of the events about weights.
 const (
@@ -38,8 +39,7 @@
 	chunkFetchedEvent = 301
 )
 
-// weightLine is a line of an agent's log about weights. raw holds all of its
-// fields.
+// weightLine is a line of an agent's log about weights.
 type weightLine struct {
 	Time     time.Time   `json:"time"`
 	Process  string      `json:"process"`
@@ -54,6 +54,7 @@
 	Bytes    int64       `json:"bytes"`
 	Millis   int64       `json:"ms"`
 
+	// raw holds all fields of the line, also those above.
 	raw map[string]any
 }
 
@@ -95,7 +96,7 @@
 	defer func() { _ = file.Close() }()
 	var lines []weightLine
 	scanner := bufio.NewScanner(file)
-	scanner.Buffer(nil, maxLogLine)
+	scanner.Buffer(nil, maxLogLineBytes)
 	for scanner.Scan() {
 		// Lines that are not events, such as the output of a panic, are skipped.
 		var l weightLine
@@ -160,7 +161,7 @@
 // source.
 func writeSources(out io.Writer, lines []weightLine) error {
 	type transfer struct{ agent, from string }
-	bytes, chunks := map[transfer]int64{}, map[transfer]int{}
+	byteCounts, objectCounts := map[transfer]int64{}, map[transfer]int{}
 	var transfers []transfer
 	var originBytes int64
 	for _, l := range lines {
@@ -168,11 +169,11 @@
 			continue
 		}
 		t := transfer{l.agentName(), l.From}
-		if chunks[t] == 0 {
+		if objectCounts[t] == 0 {
 			transfers = append(transfers, t)
 		}
-		chunks[t]++
-		bytes[t] += l.Bytes
+		objectCounts[t]++
+		byteCounts[t] += l.Bytes
 		if l.From == "origin" {
 			originBytes += l.Bytes
 		}
@@ -184,7 +185,7 @@
 		return transfers[i].from < transfers[j].from
 	})
 	for _, t := range transfers {
-		if _, err := fmt.Fprintf(out, "%s got %d objects, %d bytes from %s\n", t.agent, chunks[t], bytes[t], t.from); err != nil {
+		if _, err := fmt.Fprintf(out, "%s got %d objects, %d bytes from %s\n", t.agent, objectCounts[t], byteCounts[t], t.from); err != nil {
 			return err
 		}
 	}
