--- a/test/faults/agent_once_test.go
+++ b/test/faults/agent_once_test.go
@@ -19,6 +19,7 @@
 	"github.com/rattanway/rattanway/request/serve"
 )
 
+// responseTimeout is the longest wait for the next message of an exchange.
 const responseTimeout = 20 * time.Second
 
 // agentClient sends requests to one agent of a cluster as an entry instance
@@ -66,8 +67,8 @@
 	return x
 }
 
-// awaitAdmitting waits until the agent admits offers. After a start or a pause
-// it does so only once its configuration is confirmed.
+// awaitAdmitting waits until the agent admits offers. After a start or a pause the
+// agent refuses offers until its configuration has been confirmed.
 func (a *agentClient) awaitAdmitting() {
 	n := 0
 	a.c.eventually("the agent admits offers", func() bool {
@@ -106,11 +107,11 @@
 	return a.receive(x).(*frame.AttemptStatus)
 }
 
-// executions returns how often the service beside an agent has executed the
-// call with this key.
-func (c *cluster) executions(server, key string) int {
+// executionCount returns how many times the service beside an agent has executed
+// the call with this key.
+func (c *cluster) executionCount(server, key string) int {
 	counts := map[string]int{}
-	c.must(json.Unmarshal([]byte(get(c.procs["service:"+server].addr, "/service/counters")), &counts))
+	c.must(json.Unmarshal([]byte(getBody(c.procs["service:"+server].addr, "/service/counters")), &counts))
 	return counts[key]
 }
 
@@ -134,7 +135,7 @@
 		refused, ok := agent.receive(x).(*frame.Refuse)
 		So(ok, ShouldBeTrue)
 		So(refused.Reason, ShouldEqual, frame.ReasonExpired)
-		So(c.executions(server, "frozen"), ShouldEqual, 0)
+		So(c.executionCount(server, "frozen"), ShouldEqual, 0)
 		So(agent.queryAttempt("frozen").State, ShouldEqual, frame.AttemptNotRun)
 
 		c.setServiceFaults(server, `{"delayMillis":1500}`)
@@ -142,21 +143,21 @@
 		x = agent.offer("killed")
 		incarnation := agent.queryAttempt("other").Incarnation
 		So(x.Send(frame.KindGo, frame.Go{ID: "offer-killed"}), ShouldBeNil)
-		c.eventually("the call runs", func() bool { return c.executions(server, "killed") == 1 })
+		c.eventually("the call runs", func() bool { return c.executionCount(server, "killed") == 1 })
 		c.signal(server, syscall.SIGKILL)
 		_, err := x.Receive(agent.ctx)
 		So(err, ShouldNotBeNil)
 		<-c.procs[server].done
 		c.start(server)
-		c.eventually("the agent serves again", func() bool { return listening(c.procs[server].addr) })
+		c.eventually("the agent serves again", func() bool { return isListening(c.procs[server].addr) })
 		agent = c.newAgentClient(server)
 		So(agent.queryAttempt("killed").Incarnation, ShouldNotEqual, incarnation)
-		So(c.executions(server, "killed"), ShouldEqual, 1)
+		So(c.executionCount(server, "killed"), ShouldEqual, 1)
 
 		agent.awaitAdmitting()
 		x = agent.offer("stopped")
 		So(x.Send(frame.KindGo, frame.Go{ID: "offer-stopped"}), ShouldBeNil)
-		c.eventually("the call runs", func() bool { return c.executions(server, "stopped") == 1 })
+		c.eventually("the call runs", func() bool { return c.executionCount(server, "stopped") == 1 })
 		c.terminate(server)
 		head, ok := agent.receive(x).(*frame.Head)
 		So(ok, ShouldBeTrue)
@@ -164,6 +165,6 @@
 		So(agent.receive(x), ShouldHaveSameTypeAs, &frame.Data{})
 		So(agent.receive(x), ShouldHaveSameTypeAs, &frame.End{})
 		x.Close(true)
-		So(c.executions(server, "stopped"), ShouldEqual, 1)
+		So(c.executionCount(server, "stopped"), ShouldEqual, 1)
 	})
 }
--- a/test/faults/agent_process_test.go
+++ b/test/faults/agent_process_test.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// stream makes one call and returns the number of tokens of its response, or
-// -1 if the response is not whole.
-func (a *agentClient) stream(req frame.Request) int {
+// makeCall makes one streamed call and returns the number of tokens of its
+// response, or -1 if no whole response arrives.
+func (a *agentClient) makeCall(req frame.Request) int {
 	x, err := a.pool.Open(a.ctx, a.agent, req.ID, frame.KindRequest, req)
 	if err != nil {
 		return -1
@@ -55,9 +55,9 @@
 	}
 }
 
-// streams makes calls from as many workers as the cold limit. It returns the
-// number of tokens of all whole responses and the number of calls without one.
-func (a *agentClient) streams(calls int, digest core.Digest, tokens int) (sum, failed int) {
+// makeCalls makes calls from engineColdLimit workers. It returns the number of
+// tokens of all whole responses, and the number of calls without a whole response.
+func (a *agentClient) makeCalls(calls int, digest core.Digest, tokens int) (sum, failed int) {
 	var mu sync.Mutex
 	var workers sync.WaitGroup
 	for w := range engineColdLimit {
@@ -65,7 +65,7 @@
 		go func() {
 			defer workers.Done()
 			for i := w; i < calls; i += engineColdLimit {
-				n := a.stream(completionRequest(fmt.Sprintf("call-%d-%d", tokens, i), digest, tokens))
+				n := a.makeCall(completionRequest(fmt.Sprintf("call-%d-%d", tokens, i), digest, tokens))
 				mu.Lock()
 				if n < 0 {
 					failed++
@@ -90,10 +90,10 @@
 
 		const short, long, longTokens = 2000, 40, 201
 		before := c.cpuTime(server)
-		_, failed := agent.streams(short, digest, 1)
+		_, failed := agent.makeCalls(short, digest, 1)
 		So(failed, ShouldEqual, 0)
 		middle := c.cpuTime(server)
-		tokens, failed := agent.streams(long, digest, longTokens)
+		tokens, failed := agent.makeCalls(long, digest, longTokens)
 		So(failed, ShouldEqual, 0)
 		So(tokens, ShouldEqual, long*longTokens)
 		perCall := (middle - before) / short
@@ -109,8 +109,8 @@
 			}
 			<-time.After(2 * time.Second)
 			c.signal(server, syscall.SIGCONT)
-			c.eventually("the agent is ready", func() bool { return strings.Contains(get(c.procs[server].addr, "/readyz"), "ready") })
-			c.eventually("the agent admits calls", func() bool { return c.newAgentClient(server).stream(completionRequest("new", digest, 1)) == 1 })
+			c.eventually("the agent is ready", func() bool { return strings.Contains(getBody(c.procs[server].addr, "/readyz"), "ready") })
+			c.eventually("the agent admits calls", func() bool { return c.newAgentClient(server).makeCall(completionRequest("new", digest, 1)) == 1 })
 			So(c.engineCounters(server).Started, ShouldEqual, started+1)
 		})
 	})
--- a/test/faults/entry_cluster_test.go
+++ b/test/faults/entry_cluster_test.go
@@ -30,8 +30,12 @@
 	engineLimit          = 48
 	engineColdLimit      = 8
 	serversPerDataCentre = 3
-	stopTimeout          = 30 * time.Second
-	readyTimeout         = 60 * time.Second
+	// stopTimeout is the longest time that a process may take to exit after
+	// SIGTERM.
+	stopTimeout = 30 * time.Second
+	// readyTimeout is the longest wait for a condition. It also limits the total
+	// time of the requests of one agentClient.
+	readyTimeout = 60 * time.Second
 )
 
 // dataCentres are the data centres of a cluster with their regions.
@@ -39,8 +43,8 @@
 	{"palermo", "west"}, {"trapani", "west"}, {"catania", "east"},
 }
 
-// binary builds the rattanway command once and returns its path.
-var binary = sync.OnceValues(func() (string, error) {
+// buildBinary builds the rattanway command once and returns its path.
+var buildBinary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "rattanway-faults")
 	if err != nil {
 		return "", err
@@ -53,18 +57,18 @@
 	return path, nil
 })
 
-// process is one process of a cluster. Its channel done is closed when the
-// process has exited.
+// process is one process of a cluster.
 type process struct {
 	name string
 	addr string
 	args []string
 	cmd  *exec.Cmd
+	// done is closed when the process has exited.
 	done chan struct{}
 }
 
-// sharedCluster is the cluster of the tests that need warm servers. The first
-// of them starts it.
+// sharedCluster is the cluster of the tests that need warm servers. The first such
+// test starts the cluster.
 var sharedCluster *cluster
 
 // TestMain stops the shared cluster after the tests.
@@ -127,12 +131,12 @@
 	return addrs[0]
 }
 
-// newCluster starts four entry instances and, in each of three data centres,
-// model engines and one plain service, and waits until all of them serve. The
-// caller stops it.
+// newCluster starts four entry instances and, in each of three data centres, model
+// engines and one plain service, all with their agents. It waits until all of them
+// serve. The caller must stop the cluster.
 func newCluster(t *testing.T, engineArgs, entryArgs []string) *cluster {
 	t.Helper()
-	bin, err := binary()
+	bin, err := buildBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -278,7 +282,7 @@
 	c.must(os.WriteFile(file, list, 0o644))
 	c.addProcess("platform", c.platformAddr, "standin", "platform", "--listen", c.platformAddr, "--instances", file, "--lag", "200ms")
 	c.start("platform")
-	c.eventually("platform", func() bool { return listening(c.platformAddr) })
+	c.eventually("platform", func() bool { return isListening(c.platformAddr) })
 	for _, name := range c.startOrder[:len(c.startOrder)-1] {
 		c.start(name)
 	}
@@ -302,7 +306,7 @@
 	c.t.Helper()
 	for name, p := range c.procs {
 		if strings.HasPrefix(name, "engine:") {
-			c.eventually(name+" has loaded the model", func() bool { return strings.Contains(get(p.addr, "/engine/status"), "herbs") })
+			c.eventually(name+" has loaded the model", func() bool { return strings.Contains(getBody(p.addr, "/engine/status"), "herbs") })
 		}
 	}
 	c.eventually("every entry instance serves", func() bool {
@@ -348,15 +352,15 @@
 // engineCounters reads an engine's counters.
 func (c *cluster) engineCounters(server string) engine.Counters {
 	var n engine.Counters
-	if err := json.Unmarshal([]byte(get(c.procs["engine:"+server].addr, "/engine/counters")), &n); err != nil {
+	if err := json.Unmarshal([]byte(getBody(c.procs["engine:"+server].addr, "/engine/counters")), &n); err != nil {
 		c.t.Errorf("counters of %s: %v", server, err)
 	}
 	return n
 }
 
 // metric reads the value of a gauge from an entry instance or agent.
-func (c *cluster) metric(name, gauge string) float64 {
-	req, err := http.NewRequest(http.MethodGet, "http://"+c.procs[name].addr+metrics.Path, nil)
+func (c *cluster) metric(process, gauge string) float64 {
+	req, err := http.NewRequest(http.MethodGet, "http://"+c.procs[process].addr+metrics.Path, nil)
 	c.must(err)
 	req.Header.Set(core.HeaderPeerToken, peerToken)
 	resp, err := http.DefaultClient.Do(req)
@@ -388,7 +392,7 @@
 	}
 }
 
-func listening(addr string) bool {
+func isListening(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return false
@@ -397,9 +401,9 @@
 	return true
 }
 
-// get returns the body of the response to a GET request, or "" if there is
+// getBody returns the body of the response to a GET request, or "" if there is
 // none.
-func get(addr, path string) string {
+func getBody(addr, path string) string {
 	client := http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + addr + path)
 	if err != nil {
--- a/test/faults/entry_datacentre_test.go
+++ b/test/faults/entry_datacentre_test.go
@@ -15,15 +15,20 @@
 
 const (
 	drainedDataCentre = "catania"
-	// twoDataCentresRate is a load that two of the three data centres can
-	// serve alone.
+	// twoDataCentresRate is a load, in calls per second, that two of the three
+	// data centres can serve alone.
 	twoDataCentresRate = 68
 	// maxDrainDelay is how long after a drain is accepted the data centre may
 	// still start new calls.
-	maxDrainDelay   = 3 * time.Second
+	maxDrainDelay = 3 * time.Second
+	// drainedDuration is how long the data centre is observed while it is out of
+	// service.
 	drainedDuration = 4 * time.Second
-	quietDuration   = 6 * time.Second
-	changeDuration  = 18 * time.Second
+	// quietDuration is the duration of the load without a change.
+	quietDuration = 6 * time.Second
+	// changeDuration is the duration of the load during which the data centre is
+	// drained and returned to service.
+	changeDuration = 18 * time.Second
 	// maxFirstTokenRatio bounds the 95th percentile of the time to the first
 	// token during the change, as a multiple of the one without a change.
 	maxFirstTokenRatio = 1.5
--- a/test/faults/entry_engine_test.go
+++ b/test/faults/entry_engine_test.go
@@ -13,10 +13,12 @@
 )
 
 const (
-	crossedDuration   = 4 * time.Second
+	// crossedDuration is how long an engine returns responses to other requests.
+	crossedDuration = 4 * time.Second
+	// isolationDuration is how long palermo is cut off from everything else.
 	isolationDuration = 10 * time.Second
-	// oneDataCentreRate is a load that one data centre can serve alone, even
-	// when the limit of one of its servers has fallen a little.
+	// oneDataCentreRate is a load, in calls per second, that one data centre can
+	// serve alone, even when the limit of one of its servers has fallen a little.
 	oneDataCentreRate = 30
 )
 
@@ -27,8 +29,8 @@
 	_ = resp.Body.Close()
 }
 
-// totalCPUTime returns the CPU time that all processes whose names start
-// with prefix report.
+// totalCPUTime returns the CPU time that all processes whose names start with
+// prefix have used together since their start.
 func (c *cluster) totalCPUTime(prefix string) time.Duration {
 	var sum float64
 	for name := range c.procs {
@@ -39,16 +41,16 @@
 	return time.Duration(sum) * time.Microsecond
 }
 
-// logCPUTime runs a load without faults and logs its CPU time per call and per
-// token.
+// logCPUTime runs a load without faults and logs the CPU time that entry instances
+// and agents use for a call and for a token.
 func (c *cluster) logCPUTime(run func() *requests.Result) {
-	entries, agents := c.totalCPUTime("entry-"), c.totalCPUTime("gpu-")
+	entryCPU, agentCPU := c.totalCPUTime("entry-"), c.totalCPUTime("gpu-")
 	r := run()
-	entries, agents = c.totalCPUTime("entry-")-entries, c.totalCPUTime("gpu-")-agents
+	entryCPU, agentCPU = c.totalCPUTime("entry-")-entryCPU, c.totalCPUTime("gpu-")-agentCPU
 	per := func(d time.Duration, n int) time.Duration { return d / time.Duration(max(1, n)) }
 	c.t.Logf("%d calls, %d tokens; CPU time of entry instances: %s per call, %s per token; of agents: %s per call, %s per token",
-		r.All.Calls, r.All.Tokens, per(entries, r.All.Calls), per(entries, r.All.Tokens),
-		per(agents, r.All.Calls), per(agents, r.All.Tokens))
+		r.All.Calls, r.All.Tokens, per(entryCPU, r.All.Calls), per(entryCPU, r.All.Tokens),
+		per(agentCPU, r.All.Calls), per(agentCPU, r.All.Tokens))
 }
 
 // processesOutsidePalermo returns the names of the platform and of every
--- a/test/faults/entry_freeze_test.go
+++ b/test/faults/entry_freeze_test.go
@@ -32,8 +32,8 @@
 	return s
 }
 
-// assertAtMostOnce asserts that once-only calls ran, that none ran twice, and
-// that none ran that was reported as not run.
+// assertAtMostOnce asserts that once-only calls ran, that none ran twice, and that
+// no call with the last outcome not-run was executed.
 func assertAtMostOnce(r *requests.Result) {
 	So(r.Executions, ShouldBeGreaterThan, 0)
 	So(r.DuplicateExecutions, ShouldEqual, 0)
--- a/test/faults/entry_kill_test.go
+++ b/test/faults/entry_kill_test.go
@@ -15,23 +15,34 @@
 )
 
 const (
-	streamTokens   = 60
-	streamRate     = 75 // about 220 streams in flight at 3 s each
-	faultDelay     = 3 * time.Second
-	loadDuration   = 8 * time.Second
+	// streamTokens is the number of tokens of a response.
+	streamTokens = 60
+	// streamRate is the load, in calls per second: about 220 streams in flight at
+	// 3 s each.
+	streamRate = 75
+	// faultDelay is the time from the start of a load to the fault.
+	faultDelay   = 3 * time.Second
+	loadDuration = 8 * time.Second
+	// freezeDuration is how long processes are frozen.
 	freezeDuration = 10 * time.Second
+	// warmUpDuration is the duration of one round of the warm-up.
 	warmUpDuration = 4 * time.Second
-	warmUpRate     = 320 // fills every slot with responses of half the length
-	maxWarmUps     = 30
-	minWarmShare   = 0.9
+	// warmUpRate is the load of the warm-up, in calls per second. It fills every
+	// slot with responses of half the length.
+	warmUpRate = 320
+	// maxWarmUps is the largest number of rounds of the warm-up.
+	maxWarmUps = 30
+	// minWarmShare is the share of the declared limits from which on the servers
+	// count as warm.
+	minWarmShare = 0.9
 )
 
 // engineArgs make streams of 60 tokens last about 3 s.
 var engineArgs = []string{"--slots", "64", "--warm-limit", "48", "--cold-limit", "8",
 	"--per-token", "50ms", "--first-token", "50ms"}
 
-// runWithFault runs a scenario and, faultDelay after its start, fault. It
-// returns when both have ended.
+// runWithFault runs a scenario and calls fault when faultDelay has passed since the
+// start of the scenario. It returns when both have ended.
 func (c *cluster) runWithFault(s *requests.Scenario, fault func()) *requests.Result {
 	c.t.Helper()
 	done := make(chan struct{})
@@ -69,9 +80,9 @@
 	c.t.Fatalf("servers are not warm after %d rounds", maxWarmUps)
 }
 
-// isWarm reports whether the limits of the model servers add up to nearly the
-// declared ones. On a busy machine a limit falls a little now and then, so all
-// of them are rarely at their maximum at the same time.
+// isWarm reports whether the sum of the limits of the model servers is at least
+// minWarmShare of the sum of the declared limits. On a busy machine a limit falls a
+// little now and then, so all limits are rarely at their maximum at the same time.
 func (c *cluster) isWarm() bool {
 	sum, declared := 0.0, 0.0
 	for _, dc := range dataCentres {
@@ -83,9 +94,8 @@
 	return sum >= minWarmShare*declared
 }
 
-// assertAllWhole asserts that at least 200 calls ran at once and that every call
-// got its whole response, except for at most maxLost calls of a killed
-// entry instance.
+// assertAllWhole asserts that at least 200 calls ran at once, that no response was
+// wrong or doubled, and that all but at most maxLost calls got a whole response.
 func assertAllWhole(r *requests.Result, maxLost int) {
 	So(r.MaxInFlight, ShouldBeGreaterThanOrEqualTo, 200)
 	So(r.All.Outcomes[requests.OutcomeWrong], ShouldEqual, 0)
--- a/test/faults/entry_once_test.go
+++ b/test/faults/entry_once_test.go
@@ -13,16 +13,19 @@
 )
 
 const (
-	onceCalls = 10_000
-	onceRate  = 400
+	// onceCallCount is the mean number of calls in a run.
+	onceCallCount = 10_000
+	// onceRate is the load, in calls per second.
+	onceRate = 400
 	// faultInterval is the time between two faults.
 	faultInterval = 2 * time.Second
-	// lostCommits is the number of commits in a row whose responses the
+	// lostCommitCount is the number of consecutive commits whose responses the
 	// platform loses.
-	lostCommits = "50"
+	lostCommitCount = "50"
 )
 
-// setPlatformFaults switches faults of the platform on or off.
+// setPlatformFaults sets the given faults, a JSON object, at the platform stand-in;
+// the others stay unchanged.
 func (c *cluster) setPlatformFaults(faults string) {
 	resp, err := http.Post("http://"+c.platformAddr+"/faults", "application/json", strings.NewReader(faults))
 	c.must(err)
@@ -35,7 +38,7 @@
 	steps := []func(){
 		func() { c.signal("lots-palermo", syscall.SIGKILL) },
 		func() { c.start("lots-palermo") },
-		func() { c.setPlatformFaults(`{"loseCommitAnswers":` + lostCommits + `}`) },
+		func() { c.setPlatformFaults(`{"loseCommitAnswers":` + lostCommitCount + `}`) },
 		func() { c.signal("entry-2", syscall.SIGSTOP) },
 		func() { c.signal("entry-2", syscall.SIGCONT) },
 		func() { c.setPlatformFaults(`{"unavailable":true}`) },
@@ -51,13 +54,14 @@
 	}
 }
 
-// TestOnceOnlyCallsOfRealProcesses makes 10,000 once-only calls, half of them
-// with an idempotency key. Calls with a key are submitted again through other
-// entry instances until they get a response. The services count the executions.
+// TestOnceOnlyCallsOfRealProcesses makes about 10,000 once-only calls, half of them
+// with an idempotency key. A call with a key is submitted again through other entry
+// instances, a limited number of times, until it gets a response. The services count
+// the executions.
 func TestOnceOnlyCallsOfRealProcesses(t *testing.T) {
 	Convey("Given once-only calls under kills, freezes, lost responses and an outage", t, func() {
 		c := warmCluster(t)
-		s := c.scenario("once", onceCalls*time.Second/onceRate, onceRate, 1, c.entryAddrs()...)
+		s := c.scenario("once", onceCallCount*time.Second/onceRate, onceRate, 1, c.entryAddrs()...)
 		s.Services = c.serviceAddrs()
 		s.Accounts[0].OnceShare = 1
 		s.Accounts[0].KeyedShare = 0.5
@@ -65,7 +69,7 @@
 		r := c.runWithFault(s, c.runFaultSequence)
 		assertAtMostOnce(r)
 		So(r.All.Outcomes[requests.OutcomeWrong], ShouldEqual, 0)
-		So(r.All.Calls, ShouldBeGreaterThan, onceCalls*9/10)
-		So(r.All.Outcomes[requests.OutcomeWhole], ShouldBeGreaterThan, onceCalls/2)
+		So(r.All.Calls, ShouldBeGreaterThan, onceCallCount*9/10)
+		So(r.All.Outcomes[requests.OutcomeWhole], ShouldBeGreaterThan, onceCallCount/2)
 	})
 }
--- a/test/faults/entry_overload_test.go
+++ b/test/faults/entry_overload_test.go
@@ -11,17 +11,19 @@
 
 const (
 	overloadDuration = 10 * time.Second
-	// tokenTime and streamTime are the times that a token and a whole response
-	// take at a server that is within its capacity.
-	tokenTime        = 50 * time.Millisecond
-	streamTime       = streamTokens * tokenTime
+	// tokenTime is the time that a token takes at a server that is not overloaded.
+	tokenTime = 50 * time.Millisecond
+	// streamTime is the time that a response of streamTokens tokens takes at a
+	// server that is not overloaded.
+	streamTime = streamTokens * tokenTime
+	// smallAccountRate is the load of a small client account, in calls per second.
 	smallAccountRate = 6.0
 )
 
-// overloadScenario returns a load of one large and three small client
-// accounts, total calls per second in all.
-func (c *cluster) overloadScenario(name string, total float64) *requests.Scenario {
-	s := c.scenario(name, overloadDuration, total-3*smallAccountRate, streamTokens, c.entryAddrs()...)
+// overloadScenario returns a load of one large and three small client accounts,
+// which together make totalRate calls per second.
+func (c *cluster) overloadScenario(name string, totalRate float64) *requests.Scenario {
+	s := c.scenario(name, overloadDuration, totalRate-3*smallAccountRate, streamTokens, c.entryAddrs()...)
 	s.Accounts[0].StreamShare = 1
 	s.Accounts[0].Tokens = requests.Range{Min: streamTokens / 2, Max: streamTokens * 3 / 2}
 	for _, small := range []string{"small-1", "small-2", "small-3"} {
--- a/test/faults/weights_rollout_test.go
+++ b/test/faults/weights_rollout_test.go
@@ -20,21 +20,26 @@
 const (
 	// rolloutBytes is the size of the version that is rolled out.
 	rolloutBytes = 16 << 20
-	// regionCount is the number of regions of a cluster.
+	// regionCount is the number of regions in dataCentres.
 	regionCount = 2
-	// maxOriginCopies bounds what each region reads from the origin, in copies
-	// of the version.
+	// maxOriginCopies is the largest amount of data that the agents of a region
+	// may read from the origin in a rollout without faults, in copies of the
+	// version.
 	maxOriginCopies = 1.05
-	// maxOriginCopiesWithFaults is the same bound for a rollout with faults.
+	// maxOriginCopiesWithFaults takes the place of maxOriginCopies in a rollout
+	// with faults.
 	maxOriginCopiesWithFaults = 1.3
-	// maxRollbackCopies bounds what a rollback reads from the origin, in copies:
-	// the one restarted agent has lost its chunks and, as their owner, reads
-	// its share of them again.
+	// maxRollbackCopies is the largest amount of data that all agents together may
+	// read from the origin in a rollback, in copies of the version. The restarted
+	// agent has lost its chunks, and reads again those of which it is an owner.
 	maxRollbackCopies = 0.5
-	rolloutRate       = 25
-	rolloutTokens     = 20
-	// faultRate is a load that the servers can serve cold while two of nine are
-	// down and others switch versions.
+	// rolloutRate is the load during a rollout without faults, in calls per
+	// second.
+	rolloutRate = 25
+	// rolloutTokens is the number of tokens of a response.
+	rolloutTokens = 20
+	// faultRate is a load, in calls per second, that cold servers can serve while
+	// two of nine are down and others switch versions.
 	faultRate = 8
 )
 
@@ -66,7 +71,7 @@
 // originBytes returns the number of bytes that the weight store has sent.
 func (c *cluster) originBytes() int64 {
 	var counts map[string]map[string]int64
-	c.must(json.Unmarshal([]byte(get(c.platformAddr, "/counters")), &counts))
+	c.must(json.Unmarshal([]byte(getBody(c.platformAddr, "/counters")), &counts))
 	return counts["weights"]["bytesOut"]
 }
 
@@ -79,7 +84,7 @@
 			continue
 		}
 		c.eventually(name+" has loaded only the expected version", func() bool {
-			status := get(p.addr, "/engine/status")
+			status := getBody(p.addr, "/engine/status")
 			return strings.Contains(status, digest) && strings.Count(status, "sha256:") == 1
 		})
 	}
