--- a/test/configuration/freeze_test.go
+++ b/test/configuration/freeze_test.go
@@ -26,7 +26,7 @@
 // wait. The drained data centre may not serve any of them.
 func TestFrozenPastAChange(t *testing.T) {
 	Convey("Given services in three data centres", t, func() {
-		r := newRig(t, rigConfig{entries: 2, services: 3})
+		r := newRig(t, rigConfig{entryCount: 2, serviceCount: 3})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
@@ -52,7 +52,8 @@
 )
 
 // freezeRound freezes entry-1 and the agent in palermo, drains palermo, resumes
-// both and returns the number of calls by outcome. It ends the drain again.
+// both and returns the number of calls with each outcome. It also returns palermo
+// to service.
 func (r *rig) freezeRound(round int, rng *rand.Rand) map[string]int {
 	frozen := []*process{r.entries[0], r.agents[0]}
 	for _, p := range frozen {
@@ -106,9 +107,9 @@
 	}
 }
 
-// awaitResponseFrom waits until a server serves the calls through an entry
-// instance. Both must be in one data centre, because an entry instance prefers
-// the servers of its own.
+// awaitResponseFrom waits until the server serves a call through the entry instance.
+// Both must be in the same data centre, because an entry instance prefers servers
+// of its own data centre.
 func (r *rig) awaitResponseFrom(entry, server *process) {
 	r.t.Helper()
 	r.eventually(server.id+" serves calls", startTimeout, func() bool {
--- a/test/configuration/leaving_test.go
+++ b/test/configuration/leaving_test.go
@@ -16,12 +16,13 @@
 	// callDuration is how long a call runs. It is long enough that some calls
 	// run when the server is marked as leaving.
 	callDuration = 800 * time.Millisecond
-	// callersPerEntry is how many calls run at once through each entry instance.
+	// callersPerEntry is the number of calls that run at once through each entry
+	// instance.
 	callersPerEntry = 8
 	// maxLeaveDelay is how long a leaving server may still get new calls.
 	maxLeaveDelay = 3 * time.Second
-	// watchDuration is how long the test watches for new calls after the
-	// request.
+	// watchDuration is how long after the request to mark the server as leaving
+	// the test observes the server for new calls.
 	watchDuration = 3 * maxLeaveDelay / 2
 )
 
@@ -29,7 +30,7 @@
 // new calls after 3 s, and no call may be cut off.
 func TestLeavingServer(t *testing.T) {
 	Convey("Given four entry instances and three services under load", t, func() {
-		r := newRig(t, rigConfig{entries: 4, services: 3, delay: callDuration})
+		r := newRig(t, rigConfig{entryCount: 4, serviceCount: 3, serviceDelay: callDuration})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
@@ -37,7 +38,7 @@
 		leaving := r.agents[0]
 		r.awaitResponseFrom(r.entries[0], leaving)
 		load := r.startLoad()
-		r.eventually("the server runs calls", startTimeout, func() bool { return r.executions(0) > callersPerEntry })
+		r.eventually("the server runs calls", startTimeout, func() bool { return r.executionCount(0) > callersPerEntry })
 
 		Convey("a leaving server gets no new calls after 3 s, and no call is cut off", func() {
 			cause := ops.ChangeMetadata{Author: "ada", Reason: "repair", ChangeID: "leave"}
@@ -54,8 +55,8 @@
 	})
 }
 
-// executions returns how many calls a plain service has run.
-func (r *rig) executions(n int) int {
+// executionCount returns how many calls plain service n has executed.
+func (r *rig) executionCount(n int) int {
 	r.t.Helper()
 	resp, err := http.Get("http://" + r.serviceProcesses[n].addr + "/service/counters")
 	r.must(err)
@@ -69,14 +70,15 @@
 	return sum
 }
 
-// lastExecution polls a plain service until watch after requested and returns
-// when it last started a call, as the time since requested.
-func (r *rig) lastExecution(n int, requested time.Time, watch time.Duration) time.Duration {
+// lastExecution polls the execution count of plain service n until duration has
+// passed since requested. It returns the time from requested to the last increase
+// of the count, or 0 if there was none.
+func (r *rig) lastExecution(n int, requested time.Time, duration time.Duration) time.Duration {
 	r.t.Helper()
-	last, count := time.Duration(0), r.executions(n)
-	for time.Since(requested) < watch {
+	last, count := time.Duration(0), r.executionCount(n)
+	for time.Since(requested) < duration {
 		<-time.After(pollInterval)
-		if now := r.executions(n); now != count {
+		if now := r.executionCount(n); now != count {
 			last, count = time.Since(requested), now
 		}
 	}
--- a/test/configuration/load_test.go
+++ b/test/configuration/load_test.go
@@ -8,16 +8,21 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Target size of the system, capacity of the platform and extent of the
-// measurement.
 const (
-	targetEntries        = 330
-	targetServers        = 600
+	// targetEntryCount and targetServerCount are the size of the deployment that
+	// the system must support.
+	targetEntryCount  = 330
+	targetServerCount = 600
+	// platformReadsPerSec and platformWritesPerSec are the capacity of the
+	// platform.
 	platformReadsPerSec  = 2000
 	platformWritesPerSec = 300
-	measuredChanges      = 10
-	measureDuration      = 2 * time.Second
-	// listInterval is the default of entry instances and agents.
+	// measuredChangeCount is the number of changes over which the load of a change
+	// is averaged.
+	measuredChangeCount = 10
+	// measureDuration is the length of a measurement of the steady load.
+	measureDuration = 2 * time.Second
+	// listInterval is the default time between two reads of the instance list.
 	listInterval = 2 * time.Second
 )
 
@@ -66,20 +71,20 @@
 // stay below the capacity of the platform.
 func TestLoadOnThePlatform(t *testing.T) {
 	Convey("Given four entry instances and twelve agents", t, func() {
-		r := newRig(t, rigConfig{entries: 4, agents: 12, listInterval: listInterval})
+		r := newRig(t, rigConfig{entryCount: 4, agentCount: 12, listInterval: listInterval})
 		r.awaitRegistered()
 		perChange := r.loadPerChange()
-		all := r.steadyLoad()
-		entries := r.steadyLoadWithout(r.agents)
-		one := r.steadyLoadWithout(r.entries[1:])
-		perAgent := all.minus(entries).dividedBy(float64(len(r.agents)))
-		perEntry := entries.minus(one).dividedBy(float64(len(r.entries) - 1))
+		allProcessLoad := r.steadyLoad()
+		entryLoad := r.steadyLoadWithout(r.agents)
+		oneEntryLoad := r.steadyLoadWithout(r.entries[1:])
+		perAgent := allProcessLoad.minus(entryLoad).dividedBy(float64(len(r.agents)))
+		perEntry := entryLoad.minus(oneEntryLoad).dividedBy(float64(len(r.entries) - 1))
 		t.Logf("per second and entry instance: %s", perEntry)
 		t.Logf("per second and agent: %s", perAgent)
 		t.Logf("per change: %s", perChange)
-		reads := perEntry.reads*targetEntries + perAgent.reads*targetServers
-		writes := perEntry.writes*targetEntries + perAgent.writes*targetServers
-		t.Logf("at %d entry instances and %d servers: %.0f reads and %.0f writes per second", targetEntries, targetServers, reads, writes)
+		reads := perEntry.reads*targetEntryCount + perAgent.reads*targetServerCount
+		writes := perEntry.writes*targetEntryCount + perAgent.writes*targetServerCount
+		t.Logf("at %d entry instances and %d servers: %.0f reads and %.0f writes per second", targetEntryCount, targetServerCount, reads, writes)
 
 		Convey("the load at the target size stays below the capacity of the platform", func() {
 			So(reads, ShouldBeLessThan, platformReadsPerSec)
@@ -97,14 +102,14 @@
 	return r.steadyLoad()
 }
 
-// loadPerChange measures the load of one change beyond the steady load.
+// loadPerChange measures the load that one change adds to the steady load.
 func (r *rig) loadPerChange() platformLoad {
 	number, err := r.apply(r.entries[0], 0, "first")
 	r.must(err)
 	r.awaitInForce(number, startTimeout, r.all...)
 	steady := r.steadyLoad()
 	begin, before := time.Now(), r.totalLoad()
-	for n := range measuredChanges {
+	for n := range measuredChangeCount {
 		name := fmt.Sprintf("m%d", n)
 		number, err = r.apply(r.entries[0], number, name, name)
 		r.must(err)
@@ -113,5 +118,5 @@
 	<-time.After(measureDuration)
 	took := time.Since(begin).Seconds()
 	idle := steady.dividedBy(1 / took)
-	return r.totalLoad().minus(before).minus(idle).dividedBy(measuredChanges)
+	return r.totalLoad().minus(before).minus(idle).dividedBy(measuredChangeCount)
 }
--- a/test/configuration/never_falls_test.go
+++ b/test/configuration/never_falls_test.go
@@ -34,18 +34,18 @@
 	rng    *rand.Rand
 	frozen map[*process]bool
 	killed map[*process]bool
-	// down reports whether the platform is unavailable.
-	down bool
+	// platformDown reports whether the platform is unavailable.
+	platformDown bool
 	// accepted maps each accepted change id to its version.
 	accepted map[string]uint64
 	// refused holds the ids of refused changes, which must have no effect.
 	refused map[string]bool
-	// newest is the newest version that responses have named.
-	newest uint64
-	// changes counts the changes that were sent.
-	changes int
-	// restarts counts the processes that were started again.
-	restarts int
+	// newestVersion is the newest version in a response so far.
+	newestVersion uint64
+	// changeCount is the number of changes that were sent.
+	changeCount int
+	// restartCount is the number of times that a killed process was started again.
+	restartCount int
 }
 
 // TestVersionNeverFalls injects random kills, freezes, restarts, outages and lost
@@ -54,7 +54,7 @@
 // every accepted change once and no refused one.
 func TestVersionNeverFalls(t *testing.T) {
 	Convey("Given three entry instances and six agents under random faults", t, func() {
-		r := newRig(t, rigConfig{entries: 3, agents: 6})
+		r := newRig(t, rigConfig{entryCount: 3, agentCount: 6})
 		r.awaitRegistered()
 		s := &chaos{
 			rig: r, rng: rand.New(rand.NewPCG(seed(), 0)),
@@ -67,11 +67,11 @@
 		}
 		s.endFaults()
 		t.Logf("seed %d: %d changes, %d accepted, %d refused, newest version %d, %d restarts, %d of them from an older version",
-			seed(), s.changes, len(s.accepted), len(s.refused), s.newest, s.restarts, countStaleStarts(r.activations()))
+			seed(), s.changeCount, len(s.accepted), len(s.refused), s.newestVersion, s.restartCount, countStaleStarts(r.activations()))
 
 		Convey("no version is followed by an older one, every process ends at the newest, and the history contains every accepted change once and no refused one", func() {
 			So(orderViolations(r.activations()), ShouldBeEmpty)
-			r.awaitInForce(s.newest, startTimeout, r.all...)
+			r.awaitInForce(s.newestVersion, startTimeout, r.all...)
 			So(orderViolations(r.activations()), ShouldBeEmpty)
 			versions := s.versionsByChangeID()
 			for id, number := range s.accepted {
@@ -92,8 +92,8 @@
 	case 1:
 		s.toggleKilled(p)
 	case 2:
-		s.down = !s.down
-		s.setDown(s.down)
+		s.platformDown = !s.platformDown
+		s.setDown(s.platformDown)
 	case 3:
 		slow := int64(s.rng.IntN(300))
 		s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &slow})
@@ -122,7 +122,7 @@
 func (s *chaos) toggleKilled(p *process) {
 	if s.killed[p] {
 		s.start(p)
-		s.restarts++
+		s.restartCount++
 	} else {
 		s.kill(p)
 	}
@@ -130,8 +130,8 @@
 	s.frozen[p] = false
 }
 
-// makeChange applies a change to the newest known version, through an entry
-// instance that runs.
+// makeChange applies a change to the newest known version through an entry instance
+// that is neither killed nor frozen. If there is none, it does nothing.
 func (s *chaos) makeChange() {
 	var live []*process
 	for _, p := range s.entries {
@@ -142,17 +142,18 @@
 	if len(live) == 0 {
 		return
 	}
-	s.changes++
-	id := fmt.Sprintf("change-%d", s.changes)
+	s.changeCount++
+	id := fmt.Sprintf("change-%d", s.changeCount)
 	s.applyChange(id, live[s.rng.IntN(len(live))])
 }
 
-// applyChange applies a change and records its outcome.
+// applyChange applies a change and records whether it was accepted or refused. It
+// records nothing if the outcome is unknown.
 func (s *chaos) applyChange(id string, entry *process) {
-	number, err := s.apply(entry, s.newest, id, id)
+	number, err := s.apply(entry, s.newestVersion, id, id)
 	if err == nil {
 		s.accepted[id] = number
-		s.newest = number
+		s.newestVersion = number
 		return
 	}
 	var p *ops.Problem
@@ -161,13 +162,13 @@
 	}
 	s.refused[id] = true
 	if p.Type == ops.TypeConflict {
-		s.newest = p.InForce
+		s.newestVersion = p.InForce
 	}
 }
 
 // endFaults ends every fault and makes a last change.
 func (s *chaos) endFaults() {
-	s.down = false
+	s.platformDown = false
 	s.setDown(false)
 	quick, none := int64(0), 0
 	s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &quick, LoseCommitResponses: &none})
@@ -197,9 +198,9 @@
 	return versions
 }
 
-// orderViolations describes each activation whose version is not newer than the
-// one before it since the same start of the process, and each that names another
-// version as the one before it.
+// orderViolations compares each activation with the previous one after the same
+// start of the process. It describes each activation whose version is not newer,
+// and each whose from is not the version of the previous one.
 func orderViolations(events []activation) []string {
 	type processRun struct {
 		process    string
@@ -218,9 +219,9 @@
 	return wrong
 }
 
-// countStaleStarts counts the restarts after which the first version was older
-// than the last one before the restart. Nothing is kept on disk, so a process
-// that reaches only peers with an older version starts from that version.
+// countStaleStarts counts the restarts after which the first version in force was
+// older than the last one before the restart. A process keeps no version on disk,
+// so if all peers that it reaches have an older version, it starts with that one.
 func countStaleStarts(events []activation) int {
 	type latestVersion struct {
 		startCount int
--- a/test/configuration/outage_test.go
+++ b/test/configuration/outage_test.go
@@ -14,7 +14,7 @@
 )
 
 // peerTimeout is how long a new process may take to get the configuration from
-// its peers while the platform is down.
+// peers while it cannot reach the platform.
 const peerTimeout = 10 * time.Second
 
 // outageDuration returns how long the platform stays down;
@@ -28,7 +28,7 @@
 
 func TestPlatformOutage(t *testing.T) {
 	Convey("Given a version in force and a platform that goes down", t, func() {
-		r := newRig(t, rigConfig{entries: 3, agents: 2, services: 2})
+		r := newRig(t, rigConfig{entryCount: 3, agentCount: 2, serviceCount: 2})
 		r.awaitRegistered()
 		first, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
--- a/test/configuration/retry_test.go
+++ b/test/configuration/retry_test.go
@@ -11,10 +11,10 @@
 	"github.com/rattanway/rattanway/request/ops"
 )
 
-// applyDuration is about how long an apply takes when platformDelay is added to
-// each platform call.
 const (
+	// platformDelay is the delay that is added to each platform call.
 	platformDelay = 60 * time.Millisecond
+	// applyDuration is about how long an apply takes with platformDelay.
 	applyDuration = 8 * platformDelay
 )
 
@@ -22,7 +22,7 @@
 // carries out an apply. The operator retries the change through another one.
 func TestEntryKilledInAnApply(t *testing.T) {
 	Convey("Given two entry instances and a platform with some delay", t, func() {
-		r := newRig(t, rigConfig{entries: 2, agents: 1})
+		r := newRig(t, rigConfig{entryCount: 2, agentCount: 1})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[1], 0, "first")
 		So(err, ShouldBeNil)
@@ -62,7 +62,7 @@
 // platform together with others that do.
 func TestEntryCutOffFromThePlatform(t *testing.T) {
 	Convey("Given an entry instance that cannot reach the platform", t, func() {
-		r := newRig(t, rigConfig{entries: 2, agents: 2})
+		r := newRig(t, rigConfig{entryCount: 2, agentCount: 2})
 		r.awaitRegistered()
 		first, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
--- a/test/configuration/rig_test.go
+++ b/test/configuration/rig_test.go
@@ -41,9 +41,9 @@
 	configurationInForceEvent = 206
 )
 
-// binary builds the rattanway command once for all tests of the package and
+// buildBinary builds the rattanway command once for all tests of the package and
 // returns its path.
-var binary = sync.OnceValues(func() (string, error) {
+var buildBinary = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(buildDir, "rattanway")
 	out, err := exec.Command("go", "build", "-o", path, "../../cmd/rattanway").CombinedOutput()
 	if err != nil {
@@ -73,7 +73,7 @@
 	// from is the version that was in force before; 0 for none.
 	from uint64
 	at   time.Time
-	// startCount is the number of starts of the process so far.
+	// startCount is the number of starts of the process up to the activation.
 	startCount int
 }
 
@@ -107,19 +107,20 @@
 
 	mu       sync.Mutex
 	recorded []activation
-	// logTails are the last log lines by process id.
+	// logTails holds the last log lines of each process by process.id.
 	logTails map[string][]string
 }
 
 // rigConfig configures a rig.
 type rigConfig struct {
-	entries int
-	// agents is the number of agents without an engine.
-	agents int
-	// services is the number of plain services, each with an agent.
-	services int
-	// delay is the time that each call of a service takes. Default 20 ms.
-	delay time.Duration
+	// entryCount is the number of entry instances.
+	entryCount int
+	// agentCount is the number of agents without an engine.
+	agentCount int
+	// serviceCount is the number of plain services, each with an agent.
+	serviceCount int
+	// serviceDelay is the time that each call of a service takes; at least 20 ms.
+	serviceDelay time.Duration
 	// listInterval is the time between two reads of the instance list.
 	// Default 500 ms, for a quick start.
 	listInterval time.Duration
@@ -128,7 +129,7 @@
 // newRig starts a platform stand-in and the processes of cfg.
 func newRig(t *testing.T, cfg rigConfig) *rig {
 	t.Helper()
-	bin, err := binary()
+	bin, err := buildBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,16 +137,16 @@
 		cfg.listInterval = 500 * time.Millisecond
 	}
 	r := &rig{t: t, bin: bin, platformAddr: newAddr(), config: cfg, logTails: map[string][]string{}}
-	for i := range cfg.entries {
+	for i := range cfg.entryCount {
 		id := fmt.Sprintf("entry-%d", i+1)
 		r.entries = append(r.entries, r.addProcess(id, "entry", i))
 	}
-	for i := range cfg.agents {
+	for i := range cfg.agentCount {
 		id := fmt.Sprintf("gpu-%d", i+1)
 		r.agents = append(r.agents, r.addProcess(id, "agent", i, "--engine", unreachableAddr))
 	}
-	for i := range cfg.services {
-		r.addService(i, max(cfg.delay, 20*time.Millisecond))
+	for i := range cfg.serviceCount {
+		r.addService(i, max(cfg.serviceDelay, 20*time.Millisecond))
 	}
 	t.Cleanup(r.stop)
 	r.startPlatform()
@@ -282,8 +283,8 @@
 	return append([]activation{}, r.recorded...)
 }
 
-// countInForce returns the number of procs in which number or a newer version
-// has come into force since their last start.
+// countInForce returns in how many of procs the version with this number, or a newer
+// one, has come into force since the last start of the process.
 func (r *rig) countInForce(number uint64, procs []*process) int {
 	startCounts := map[string]int{}
 	for _, p := range procs {
@@ -298,8 +299,8 @@
 	return len(found)
 }
 
-// awaitInForce waits until number or a newer version is in force in all of
-// these processes.
+// awaitInForce waits until the version with this number, or a newer one, is in force
+// in all of procs. It fails the test after bound.
 func (r *rig) awaitInForce(number uint64, bound time.Duration, procs ...*process) {
 	r.t.Helper()
 	r.eventually(fmt.Sprintf("version %d is in force in %d processes", number, len(procs)), bound,
@@ -419,7 +420,8 @@
 // httpClient makes the calls of client accounts.
 var httpClient = &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// setPlatformFaults sets faults of the platform.
+// setPlatformFaults sets the given faults at the platform stand-in and leaves the
+// others unchanged. It fails the test if the stand-in refuses them.
 func (r *rig) setPlatformFaults(f standin.FaultRequest) {
 	r.t.Helper()
 	body, err := json.Marshal(f)
@@ -469,19 +471,21 @@
 	}
 }
 
-// host is a random loopback address for this test run, and nextPort counts the
-// ports used on it. A free port obtained from the operating system and released
-// again could be handed out twice or to an outgoing connection.
+// newAddr counts ports itself: a free port that the operating system has returned and
+// that is released again could be given out twice or to an outgoing connection.
 var (
-	host     = fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254))
-	nextPort atomic.Int32
+	// host is a random loopback address for this test run.
+	host = fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254))
+	// usedPortCount is the number of ports of host that are already used.
+	usedPortCount atomic.Int32
 )
 
-// firstPort lies below the operating system's ephemeral ports.
-const firstPort = 20000
+// basePort is the port below those that newAddr returns. They all lie below the
+// operating system's ephemeral ports.
+const basePort = 20000
 
 // newAddr returns an address that no other process of this test run uses.
-func newAddr() string { return fmt.Sprintf("%s:%d", host, firstPort+nextPort.Add(1)) }
+func newAddr() string { return fmt.Sprintf("%s:%d", host, basePort+usedPortCount.Add(1)) }
 
 // getStatus returns the status of the response to a GET request, or 0 if there
 // is none.
--- a/test/configuration/slow_test.go
+++ b/test/configuration/slow_test.go
@@ -16,7 +16,8 @@
 	tolerableDelay = 500 * time.Millisecond
 	// excessiveDelay is a delay beyond the timeout of a platform call.
 	excessiveDelay = 3 * time.Second
-	// maxCallTime bounds the time of a client's call while the platform is slow.
+	// maxCallTime is the limit of the time of a client's call while the platform is
+	// slow.
 	maxCallTime = time.Second
 )
 
@@ -25,7 +26,7 @@
 // the timeout, and be refused as not applied when they do not.
 func TestSlowPlatform(t *testing.T) {
 	Convey("Given two entry instances, two services and a slow platform", t, func() {
-		r := newRig(t, rigConfig{entries: 2, services: 2})
+		r := newRig(t, rigConfig{entryCount: 2, serviceCount: 2})
 		r.awaitRegistered()
 		first, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
--- a/test/configuration/spread_test.go
+++ b/test/configuration/spread_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxPropagationP99 bounds the 99th percentile, over all processes and
-	// changes, of the time until a change is in force.
+	// maxPropagationP99 is the limit of the 99th percentile of the time from a
+	// request until the change is in force, over all processes and changes.
 	maxPropagationP99 = 2 * time.Second
 	// propagationTimeout is the time within which every change must be in force
 	// in every process.
@@ -31,7 +31,7 @@
 
 func TestChangeIsInForceEverywhere(t *testing.T) {
 	Convey("Given four entry instances and thirty agents", t, func() {
-		r := newRig(t, rigConfig{entries: 4, agents: 30})
+		r := newRig(t, rigConfig{entryCount: 4, agentCount: 30})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
@@ -69,8 +69,8 @@
 	}
 }
 
-// delays returns, for each process, the time from begin until version number or
-// a newer one came into force.
+// delays returns, for each process, the time from begin until the version with this
+// number, or a newer one, came into force.
 func (r *rig) delays(number uint64, begin time.Time) []time.Duration {
 	first := map[string]time.Duration{}
 	for _, e := range r.activations() {
@@ -85,7 +85,8 @@
 	return all
 }
 
-// percentile returns the value below which percent of the sorted values lie.
+// percentile returns the value below which percent per cent of the sorted values
+// lie, or the largest value.
 func percentile(sorted []time.Duration, percent int) time.Duration {
 	return sorted[min(len(sorted)*percent/100, len(sorted)-1)]
 }
