--- a/test/sessions/sessions_test.go
+++ b/test/sessions/sessions_test.go
@@ -21,7 +21,8 @@
 	})
 }
 
-// addrNames are the environment variables that hold the addresses of a session.
+// addrNames are the names of the environment variables that hold the addresses of
+// the processes of a session.
 var addrNames = []string{
 	"PLATFORM", "ENTRY1", "ENTRY2",
 	"AGENT1", "AGENT2", "AGENT3", "AGENT4", "AGENT5",
@@ -85,7 +86,8 @@
 	ts.Fatalf("no background process with %s", args[1])
 }
 
-// writeInstances writes the instance list of the platform stand-in.
+// writeInstances writes the file instances.json, from which the platform stand-in
+// reads its instances.
 func writeInstances(env *testscript.Env) error {
 	const line = `{"id":%q,"role":%q,"addr":%q,"dataCentre":%q,"region":"sicily"}`
 	list := "[" +
