--- a/internal/lint/imports_test.go
+++ b/internal/lint/imports_test.go
@@ -17,7 +17,8 @@
 
 // layers orders folders by the lifetime of the state that their packages handle,
 // the longest first. A package may import only from a folder of its own layer or
-// of a lower one. Folders that are not listed assemble the others.
+// of a lower one. Folders that are not listed assemble the others: they may import
+// from every layer, and listed folders may not import from them.
 var layers = map[string]int{
 	"core":       0,
 	"process":    1,
@@ -26,7 +27,8 @@
 	"request":    4,
 }
 
-// goFiles returns the paths of the module's Go files, with or without tests.
+// goFiles returns the paths of the module's Go files, without the tests unless
+// includeTests is set. Folders whose names begin with a dot are skipped.
 func goFiles(t *testing.T, includeTests bool) []string {
 	t.Helper()
 	var files []string
--- a/internal/lint/platform_test.go
+++ b/internal/lint/platform_test.go
@@ -13,7 +13,8 @@
 )
 
 // platformWireNames returns a pattern for names that only the protocol of the
-// users' platform uses. Each line of its file is a pattern.
+// users' platform uses. Each line of the file wire-names.txt is a pattern for one
+// name.
 func platformWireNames(t *testing.T) *regexp.Regexp {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(root, "platform", "testdata", "wire-names.txt"))
--- a/internal/lint/wrap_test.go
+++ b/internal/lint/wrap_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// isWrapOfErr reports whether n calls errors.Wrap or errors.Wrapf with the
-// variable err as first argument. Package-level errors are never nil and need no
-// guard.
+// isWrapOfErr reports whether n is a call of errors.Wrap or errors.Wrapf whose first
+// argument is the variable err. A package-level error as the argument is never nil
+// and needs no guard.
 func isWrapOfErr(n ast.Node) bool {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
@@ -49,8 +49,8 @@
 	return ok && pkg.Name == "errors" && isIdent && arg.Name == "err"
 }
 
-// guarded reports whether the innermost function on the stack has an if, a case
-// or a loop around the call, or a check before it.
+// guarded reports whether, in the innermost function on the stack, an if, a case or a
+// loop encloses the call or a check stands before the call.
 func guarded(stack []ast.Node) bool {
 	for i := len(stack) - 1; i >= 0; i-- {
 		switch stack[i].(type) {
