--- a/bench/control/latency.go
+++ b/bench/control/latency.go
@@ -36,8 +36,9 @@
 	// TokensPerCall is the number of tokens of a call.
 	TokensPerCall int
 	// Burst starts all streams of a round at the same time, with one call each.
-	// Without it, the starts are distributed over the length of a call, and each
-	// stream makes callsPerStream calls one after another.
+	// Without it, each stream makes callsPerStream calls one after another, and
+	// the starts of the streams are distributed over the length of a call, so that
+	// calls begin at any time.
 	Burst bool
 }
 
--- a/bench/control/series.go
+++ b/bench/control/series.go
@@ -79,8 +79,8 @@
 	table.SetAutoWrapText(false)
 	for _, s := range r.Series {
 		table.Append([]string{
-			s.Name, s.Y, pointsText(s.Points), formatNumber(s.Line.Base), formatNumber(s.Line.Slope) + " / " + s.X,
-			formatNumber(s.Line.Residual), fmt.Sprintf("%s at %s", formatNumber(s.AtTarget), formatNumber(s.Target)), limitText(s.Limit),
+			s.Name, s.Y, formatPoints(s.Points), formatNumber(s.Line.Base), formatNumber(s.Line.Slope) + " / " + s.X,
+			formatNumber(s.Line.Residual), fmt.Sprintf("%s at %s", formatNumber(s.AtTarget), formatNumber(s.Target)), formatLimit(s.Limit),
 		})
 	}
 	table.Render()
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// pointsText returns the points as size:value, separated by spaces.
-func pointsText(points []Point) string {
+// formatPoints returns the points as size:value, separated by spaces.
+func formatPoints(points []Point) string {
 	var texts []string
 	for _, p := range points {
 		texts = append(texts, formatNumber(p.X)+":"+formatNumber(p.Y))
@@ -104,8 +104,8 @@
 // formatNumber returns the value with four significant digits.
 func formatNumber(value float64) string { return fmt.Sprintf("%.4g", value) }
 
-// limitText returns the limit, or "-" for no limit.
-func limitText(value float64) string {
+// formatLimit returns the limit, or "-" for no limit.
+func formatLimit(value float64) string {
 	if value == 0 {
 		return "-"
 	}
--- a/bench/control/testbed.go
+++ b/bench/control/testbed.go
@@ -47,8 +47,8 @@
 	publisher      *confstore.Publisher
 	digest         core.Digest // manifest digest of the model's version
 	platformServer *standin.Server
-	// listed holds the instances in the platform's list.
-	listed []core.Instance
+	// listedInstances holds the instances in the platform's list.
+	listedInstances []core.Instance
 	// entryPlatformTraffic and agentPlatformTraffic count the traffic of the two
 	// daemons with the platform.
 	entryPlatformTraffic, agentPlatformTraffic traffic
@@ -213,11 +213,12 @@
 }
 
 // startEntries starts n entry instances and adds them to the platform's list, and
-// waits until the agent under test has registered with them. before is the number
-// of entry instances started earlier; counted counts the traffic of the new ones.
-func (t *testbed) startEntries(ctx context.Context, n, before int, counted *traffic) error {
+// waits until the agent under test has registered with them. startedBefore is the
+// number of entry instances started earlier; counted counts the traffic of the new
+// ones.
+func (t *testbed) startEntries(ctx context.Context, n, startedBefore int, counted *traffic) error {
 	var registries []*registry.Registry
-	for i := before; i < before+n; i++ {
+	for i := startedBefore; i < startedBefore+n; i++ {
 		self := core.Instance{ID: fmt.Sprintf("bench-entry-%d", i), Role: core.RoleEntry, DataCentre: localDataCentre, Region: region}
 		holder := confstore.NewHolder()
 		source := confsync.HolderSource{Holder: holder}
@@ -251,8 +252,8 @@
 // check their health, because the checks would count as traffic of the
 // registrations.
 func (t *testbed) addListed(instances ...core.Instance) {
-	t.listed = append(t.listed[:len(t.listed):len(t.listed)], instances...)
-	t.platformServer.SetInstanceList(t.listed)
+	t.listedInstances = append(t.listedInstances[:len(t.listedInstances):len(t.listedInstances)], instances...)
+	t.platformServer.SetInstanceList(t.listedInstances)
 }
 
 // addListedAgents adds the agents with numbers in the half-open range [from, to) to
