--- a/bench/history/history.go
+++ b/bench/history/history.go
@@ -49,7 +49,7 @@
 	CallID string `json:"call"`
 	// SubmissionID is the request id of the submission.
 	SubmissionID string `json:"submission,omitempty"`
-	// Entry is the name of the entry instance that received the submission.
+	// Entry identifies the entry instance that received the submission.
 	Entry string `json:"entry,omitempty"`
 	// Server and Incarnation identify the agent that ran the call.
 	Server      string `json:"server,omitempty"`
@@ -79,8 +79,8 @@
 // Elapsed returns the time in nanoseconds since the start of the history.
 func (w *Writer) Elapsed() int64 { return time.Since(w.start).Nanoseconds() }
 
-// Add sets the time of r to the current time and writes r. Err returns a
-// failure to write.
+// Add sets the timestamp of r to the current time and writes r. If that fails, Err
+// returns the error.
 func (w *Writer) Add(r Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,8 +99,8 @@
 
 // Result holds the counts and violations of a checked history.
 type Result struct {
-	// Calls, Executions and Submissions are the numbers of calls, of their
-	// executions and of their submissions.
+	// Calls is the number of calls, Executions that of all their executions, and
+	// Submissions that of all their submissions.
 	Calls       int `json:"calls"`
 	Executions  int `json:"runs"`
 	Submissions int `json:"answers"`
@@ -121,11 +121,11 @@
 	responses  []Record
 }
 
-// Check reads a history and checks three rules: each call ran at most once;
-// every whole response to a call has the bytes that its execution returned; and a
-// "not-run" refusal is correct, which means that the refused submission did not run
-// and that no other submission of the call had run when it was sent. Another
-// submission in flight at the same time may still run after that refusal.
+// Check reads a history and checks three rules. Each call ran at most once. Every
+// whole response to a call has the bytes that the execution of the call returned. If
+// a submission was refused as "not-run", it did not run, and no other submission of
+// the call had run when the refused one was sent; another submission in flight at the
+// same time may still run after the refusal.
 func Check(in io.Reader) (Result, error) {
 	calls := map[string]*callHistory{}
 	result := Result{Violations: []string{}}
