--- a/bench/requests/caller.go
+++ b/bench/requests/caller.go
@@ -115,11 +115,11 @@
 	defer cancel()
 	result := callResult{outcome: OutcomeLost, detail: "no entry instance is ready"}
 	for n := range c.entryAddrs {
-		entry := c.entryAddrs[(index+n)%len(c.entryAddrs)]
-		if !c.health.isReady(entry) {
+		addr := c.entryAddrs[(index+n)%len(c.entryAddrs)]
+		if !c.health.isReady(addr) {
 			continue
 		}
-		resp, err := c.client.Do(c.newRequest(ctx, call, entry))
+		resp, err := c.client.Do(c.newRequest(ctx, call, addr))
 		var opError *net.OpError
 		if errors.As(err, &opError) && opError.Op == "dial" {
 			result = callResult{outcome: OutcomeLost, detail: err.Error()}
@@ -136,13 +136,13 @@
 	return result
 }
 
-// newRequest builds the HTTP request of a call to an entry instance.
-func (c *caller) newRequest(ctx context.Context, call plannedCall, entry string) *http.Request {
+// newRequest builds the HTTP request of a call to the entry instance at addr.
+func (c *caller) newRequest(ctx context.Context, call plannedCall, addr string) *http.Request {
 	path := "/v1/completions"
 	if call.once {
 		path = call.account.OncePath
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(call.body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(call.body))
 	if err != nil {
 		panic(err) // fails only if the address and path are not a valid URL
 	}
--- a/bench/requests/run.go
+++ b/bench/requests/run.go
@@ -88,9 +88,9 @@
 	scenario *Scenario
 	caller   *caller
 
-	mu       sync.Mutex
-	inFlight int
-	result   *Result
+	mu            sync.Mutex
+	inFlightCount int
+	result        *Result
 	// onceOutcomes holds the outcome of each once-only call by call id.
 	onceOutcomes map[string]Outcome
 }
@@ -127,7 +127,7 @@
 func (r *benchRun) startCalls(ctx context.Context) {
 	var calls sync.WaitGroup
 	start := time.Now()
-	for n, call := range planCalls(r.scenario) {
+	for index, call := range planCalls(r.scenario) {
 		arrival := start.Add(call.arrival)
 		select {
 		case <-ctx.Done():
@@ -137,7 +137,7 @@
 			break
 		}
 		r.recordStart()
-		calls.Go(func() { r.recordFinish(call, r.caller.call(call, n, arrival)) })
+		calls.Go(func() { r.recordFinish(call, r.caller.call(call, index, arrival)) })
 	}
 	r.result.Seconds = time.Since(start).Seconds()
 	calls.Wait()
@@ -147,15 +147,15 @@
 func (r *benchRun) recordStart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.inFlight++
-	r.result.MaxInFlight = max(r.result.MaxInFlight, r.inFlight)
+	r.inFlightCount++
+	r.result.MaxInFlight = max(r.result.MaxInFlight, r.inFlightCount)
 }
 
 // recordFinish records the result of a call, which is no longer in flight.
 func (r *benchRun) recordFinish(call plannedCall, result callResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.inFlight--
+	r.inFlightCount--
 	if call.once {
 		r.onceOutcomes[call.id] = result.outcome
 	}
