--- a/bench/spread/origin.go
+++ b/bench/spread/origin.go
@@ -27,7 +27,7 @@
 }
 
 // Get implements platform.ObjectStore. It waits for the bandwidth of the origin's
-// link and returns the whole object whatever the range.
+// link and returns the complete object; the range is ignored.
 func (o *origin) Get(ctx context.Context, name string, _, _ int64) ([]byte, error) {
 	body, ok := o.objects[name]
 	if !ok {
@@ -44,7 +44,7 @@
 // passes the link between the regions.
 type remoteOrigin struct {
 	*origin
-	link             *spread.BandwidthLimiter
+	regionLink       *spread.BandwidthLimiter
 	crossRegionBytes *atomic.Int64
 }
 
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	r.crossRegionBytes.Add(int64(len(body)))
-	return body, r.link.Wait(ctx, int64(len(body)))
+	return body, r.regionLink.Wait(ctx, int64(len(body)))
 }
 
 // maybeCorrupt returns body, or with the given probability a copy in which one
--- a/bench/spread/testbed.go
+++ b/bench/spread/testbed.go
@@ -46,7 +46,7 @@
 	manifest         *manifest.Manifest
 	agents           []*agent
 	crossRegionBytes atomic.Int64
-	link             *spread.BandwidthLimiter // the link between regions
+	regionLink       *spread.BandwidthLimiter // the link between regions
 	ctx              context.Context
 	cancel           context.CancelFunc
 }
@@ -71,7 +71,7 @@
 // regions.
 func newTestbed(opt Options, n, regionCount int) (*testbed, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	t := &testbed{opt: opt, ctx: ctx, cancel: cancel, link: spread.NewBandwidthLimiter(regionLinkFactor * opt.machineRate())}
+	t := &testbed{opt: opt, ctx: ctx, cancel: cancel, regionLink: spread.NewBandwidthLimiter(regionLinkFactor * opt.machineRate())}
 	t.origin = &origin{objects: map[string][]byte{}, link: spread.NewBandwidthLimiter(originLinkFactor * opt.machineRate())}
 	if err := t.publish(); err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 	}
 	var store platform.ObjectStore = t.origin
 	if region != 0 {
-		store = &remoteOrigin{origin: t.origin, link: t.link, crossRegionBytes: &t.crossRegionBytes}
+		store = &remoteOrigin{origin: t.origin, regionLink: t.regionLink, crossRegionBytes: &t.crossRegionBytes}
 	}
 	a.swarm = spread.NewSwarm(spread.Config{
 		Self:                   a.self,
