--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -129,19 +129,19 @@
 }
 
 // set replaces the listed instances. The version increases only if they differ.
-func (l *instanceList) set(live []core.Instance) {
+func (l *instanceList) set(listed []core.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.version > 0 && cmp.Equal(live, l.listed) {
+	if l.version > 0 && cmp.Equal(listed, l.listed) {
 		return
 	}
-	l.listed = live
+	l.listed = listed
 	l.version++
 }
 
 // SetInstanceList replaces the listed instances. It must not be used together with
 // Run, which lists the instances that pass their health checks.
-func (s *Server) SetInstanceList(live []core.Instance) { s.instances.set(live) }
+func (s *Server) SetInstanceList(listed []core.Instance) { s.instances.set(listed) }
 
 // get returns the listed instances and the ETag of the list.
 func (l *instanceList) get() ([]core.Instance, string) {
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -139,7 +139,7 @@
 		body := []byte("0123456789")
 		So(p.WeightStore.Put(ctx, "chunks/a", body), ShouldBeNil)
 
-		Convey("ranges and whole objects can be read", func() {
+		Convey("ranges and complete objects can be read", func() {
 			part, err := p.WeightStore.Get(ctx, "chunks/a", 3, 4)
 			So(err, ShouldBeNil)
 			So(string(part), ShouldEqual, "3456")
