--- a/standin/engine/warmup.go
+++ b/standin/engine/warmup.go
@@ -17,7 +17,7 @@
 	// if the prefix of the prompt is cached.
 	cachedTimeShare = 0.2
 	// prefixBytes is the length, in bytes, of the prefixes that are cached. A
-	// shorter prompt is cached whole.
+	// shorter prompt is cached completely.
 	prefixBytes = 256
 )
 
