--- a/test/configuration/freeze_test.go
+++ b/test/configuration/freeze_test.go
@@ -59,10 +59,10 @@
 	for _, p := range frozen {
 		r.signal(p, syscall.SIGSTOP)
 	}
-	cause := ops.ChangeMetadata{Author: "ada", Reason: "test", ChangeID: fmt.Sprintf("out-%d", round)}
-	out, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], true, cause)
+	metadata := ops.ChangeMetadata{Author: "ada", Reason: "test", ChangeID: fmt.Sprintf("out-%d", round)}
+	drained, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], true, metadata)
 	r.must(err)
-	r.awaitInForce(out.Number, propagationTimeout, r.entries[1], r.agents[1], r.agents[2])
+	r.awaitInForce(drained.Number, propagationTimeout, r.entries[1], r.agents[1], r.agents[2])
 	<-time.After(freezeDuration)
 
 	outcomes := make(chan string, concurrentCalls)
@@ -85,11 +85,11 @@
 	for server := range outcomes {
 		counts[server]++
 	}
-	r.awaitInForce(out.Number, propagationTimeout, r.all...)
-	cause.ChangeID = fmt.Sprintf("in-%d", round)
-	in, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], false, cause)
+	r.awaitInForce(drained.Number, propagationTimeout, r.all...)
+	metadata.ChangeID = fmt.Sprintf("in-%d", round)
+	returned, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], false, metadata)
 	r.must(err)
-	r.awaitInForce(in.Number, propagationTimeout, r.all...)
+	r.awaitInForce(returned.Number, propagationTimeout, r.all...)
 	r.awaitResponseFrom(r.entries[0], r.agents[0])
 	return counts
 }
--- a/test/configuration/leaving_test.go
+++ b/test/configuration/leaving_test.go
@@ -41,16 +41,16 @@
 		r.eventually("the server runs calls", startTimeout, func() bool { return r.executionCount(0) > callersPerEntry })
 
 		Convey("a leaving server gets no new calls after 3 s, and no call is cut off", func() {
-			cause := ops.ChangeMetadata{Author: "ada", Reason: "repair", ChangeID: "leave"}
+			metadata := ops.ChangeMetadata{Author: "ada", Reason: "repair", ChangeID: "leave"}
 			requested := time.Now()
-			_, err := r.operatorClient(r.entries[3]).SetBackendServerLeaving(t.Context(), leaving.id, true, cause)
+			_, err := r.operatorClient(r.entries[3]).SetBackendServerLeaving(t.Context(), leaving.id, true, metadata)
 			So(err, ShouldBeNil)
 			last := r.lastExecution(0, requested, watchDuration)
-			whole, failed := load.stop()
-			t.Logf("last new call %s after the request; %d calls whole, %d failed: %v", last, whole, len(failed), failed)
+			wholeCount, failed := load.stop()
+			t.Logf("last new call %s after the request; %d calls whole, %d failed: %v", last, wholeCount, len(failed), failed)
 			So(last, ShouldBeLessThanOrEqualTo, maxLeaveDelay)
 			So(failed, ShouldBeEmpty)
-			So(whole, ShouldBeGreaterThan, 4*callersPerEntry)
+			So(wholeCount, ShouldBeGreaterThan, 4*callersPerEntry)
 		})
 	})
 }
@@ -90,9 +90,9 @@
 	stopCh  chan struct{}
 	workers sync.WaitGroup
 
-	mu     sync.Mutex
-	whole  int
-	failed []string
+	mu         sync.Mutex
+	wholeCount int
+	failed     []string
 }
 
 // startLoad starts a load of callersPerEntry workers per entry instance.
@@ -119,7 +119,7 @@
 		_, err := r.call(entry)
 		l.mu.Lock()
 		if err == nil {
-			l.whole++
+			l.wholeCount++
 		} else {
 			l.failed = append(l.failed, err.Error())
 		}
@@ -129,8 +129,8 @@
 
 // stop stops the load and returns the number of whole responses and the errors
 // of the other calls.
-func (l *callLoad) stop() (whole int, failed []string) {
+func (l *callLoad) stop() (wholeCount int, failed []string) {
 	close(l.stopCh)
 	l.workers.Wait()
-	return l.whole, l.failed
+	return l.wholeCount, l.failed
 }
