--- a/test/faults/agent_process_test.go
+++ b/test/faults/agent_process_test.go
@@ -57,27 +57,27 @@
 
 // makeCalls makes calls from engineColdLimit workers. It returns the number of
 // tokens of all whole responses, and the number of calls without a whole response.
-func (a *agentClient) makeCalls(calls int, digest core.Digest, tokens int) (sum, failed int) {
+func (a *agentClient) makeCalls(callCount int, digest core.Digest, tokensPerCall int) (tokenCount, failedCount int) {
 	var mu sync.Mutex
 	var workers sync.WaitGroup
 	for w := range engineColdLimit {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			for i := w; i < calls; i += engineColdLimit {
-				n := a.makeCall(completionRequest(fmt.Sprintf("call-%d-%d", tokens, i), digest, tokens))
+			for i := w; i < callCount; i += engineColdLimit {
+				n := a.makeCall(completionRequest(fmt.Sprintf("call-%d-%d", tokensPerCall, i), digest, tokensPerCall))
 				mu.Lock()
 				if n < 0 {
-					failed++
+					failedCount++
 				} else {
-					sum += n
+					tokenCount += n
 				}
 				mu.Unlock()
 			}
 		}()
 	}
 	workers.Wait()
-	return sum, failed
+	return tokenCount, failedCount
 }
 
 func TestAgentProcess(t *testing.T) {
@@ -88,16 +88,16 @@
 		agent := c.newAgentClient(server)
 		digest := loadedDigest(c, server)
 
-		const short, long, longTokens = 2000, 40, 201
-		before := c.cpuTime(server)
-		_, failed := agent.makeCalls(short, digest, 1)
+		const shortCallCount, longCallCount, longCallTokens = 2000, 40, 201
+		cpuBefore := c.cpuTime(server)
+		_, failed := agent.makeCalls(shortCallCount, digest, 1)
 		So(failed, ShouldEqual, 0)
-		middle := c.cpuTime(server)
-		tokens, failed := agent.makeCalls(long, digest, longTokens)
+		cpuAfterShortCalls := c.cpuTime(server)
+		tokens, failed := agent.makeCalls(longCallCount, digest, longCallTokens)
 		So(failed, ShouldEqual, 0)
-		So(tokens, ShouldEqual, long*longTokens)
-		perCall := (middle - before) / short
-		perToken := (c.cpuTime(server) - middle - long*perCall) / (long * (longTokens - 1))
+		So(tokens, ShouldEqual, longCallCount*longCallTokens)
+		perCall := (cpuAfterShortCalls - cpuBefore) / shortCallCount
+		perToken := (c.cpuTime(server) - cpuAfterShortCalls - longCallCount*perCall) / (longCallCount * (longCallTokens - 1))
 		t.Logf("CPU time of the agent: %s per call, %s per token", perCall, perToken)
 
 		Convey("calls that were cancelled while the agent was frozen are not started when it resumes", func() {
