--- a/test/inprocess/cluster_test.go
+++ b/test/inprocess/cluster_test.go
@@ -113,6 +113,8 @@
 	return c
 }
 
+// startServer starts the engine of s, and the limiter and the handler of its agent,
+// and adds s to the servers of the cluster.
 func (c *cluster) startServer(s *server, cfg standin.Config, coldLimit int) {
 	clock := clockwork.NewRealClock()
 	s.engine = standin.New(cfg, clock)
@@ -132,6 +134,8 @@
 	c.servers = append(c.servers, s)
 }
 
+// startEntry starts entry instance n+1. It opens exchanges with agents by opener, and
+// receives no reports before sendReports runs.
 func (c *cluster) startEntry(n int, opener work.Opener) {
 	self := core.Instance{ID: fmt.Sprintf("entry-%d", n+1), DataCentre: dataCentres[n%3].name, Region: dataCentres[n%3].region}
 	reg := registry.New()
@@ -145,6 +149,8 @@
 	c.transport[self.ID] = e
 }
 
+// declarations returns a configuration with the servers of the cluster, one model and
+// four client accounts.
 func (c *cluster) declarations(coldLimit int) *declare.Set {
 	set := declare.NewSet()
 	for _, dc := range dataCentres {
