--- a/test/inprocess/cluster_test.go
+++ b/test/inprocess/cluster_test.go
@@ -134,7 +134,7 @@
 	c.servers = append(c.servers, s)
 }
 
-// startEntry starts entry instance n+1. It opens exchanges with agents by opener, and
+// startEntry starts entry instance n+1, which opens exchanges with agents by opener and
 // receives no reports before sendReports runs.
 func (c *cluster) startEntry(n int, opener work.Opener) {
 	self := core.Instance{ID: fmt.Sprintf("entry-%d", n+1), DataCentre: dataCentres[n%3].name, Region: dataCentres[n%3].region}
