--- a/bench/history/history.go
+++ b/bench/history/history.go
@@ -51,8 +51,9 @@
 	SubmissionID string `json:"submission,omitempty"`
 	// Entry identifies the entry instance that received the submission.
 	Entry string `json:"entry,omitempty"`
-	// Server and Incarnation identify the agent that ran the call.
-	Server      string `json:"server,omitempty"`
+	// Server is the ID of the agent that ran the call.
+	Server string `json:"server,omitempty"`
+	// Incarnation identifies the run of that agent's process.
 	Incarnation string `json:"incarnation,omitempty"`
 	// Status is the HTTP status of the response, or 0 if the connection broke.
 	Status int `json:"status,omitempty"`
@@ -104,13 +105,14 @@
 	Calls       int `json:"calls"`
 	Executions  int `json:"runs"`
 	Submissions int `json:"answers"`
-	// Whole, NotRun, Unknown and Broken count submissions by their result: a
-	// whole response, a "not-run" refusal, any other refusal, or a broken
-	// connection.
-	Whole   int `json:"whole"`
-	NotRun  int `json:"notRun"`
+	// Whole is the number of submissions that got a whole response.
+	Whole int `json:"whole"`
+	// NotRun is the number of submissions that were refused as "not-run".
+	NotRun int `json:"notRun"`
+	// Unknown is the number of submissions that got any other refusal.
 	Unknown int `json:"unknown"`
-	Broken  int `json:"broken"`
+	// Broken is the number of submissions whose connection broke.
+	Broken int `json:"broken"`
 	// Violations describes every violation of a rule.
 	Violations []string `json:"violations"`
 }
