--- a/cli/standin_serve.go
+++ b/cli/standin_serve.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// standinHeaderTimeout bounds the time to read the headers of a request.
+	// standinHeaderTimeout limits the time to read the headers of a request.
 	standinHeaderTimeout = 5 * time.Second
-	// standinStopTimeout bounds the wait for requests in flight at shutdown.
+	// standinStopTimeout limits the wait for requests in flight at shutdown.
 	standinStopTimeout = 30 * time.Second
 )
 
 // serveStandin serves handler at the address and runs the background tasks until
-// SIGINT or SIGTERM arrives or one of them ends. It then waits at most
-// standinStopTimeout for the requests in flight.
+// SIGINT or SIGTERM arrives or a task ends. It then waits at most standinStopTimeout
+// for the requests in flight.
 func serveStandin(address string, handler http.Handler, background ...func(context.Context) error) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cli/wait.go
+++ b/cli/wait.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// pollInterval is the time between two attempts of wait and ask.
+	// pollInterval is the time between two attempts of the commands wait and ask.
 	pollInterval = 50 * time.Millisecond
-	// probeTimeout bounds one readiness request.
+	// probeTimeout limits the time of one readiness request.
 	probeTimeout = 2 * time.Second
 )
 
