--- a/test/configuration/load_test.go
+++ b/test/configuration/load_test.go
@@ -9,13 +9,16 @@
 )
 
 const (
-	// targetEntryCount and targetServerCount are the size of the deployment that
-	// the system must support.
-	targetEntryCount  = 330
+	// targetEntryCount is the number of entry instances in the largest deployment
+	// that the system must support.
+	targetEntryCount = 330
+	// targetServerCount is the number of backend servers in that deployment.
 	targetServerCount = 600
-	// platformReadsPerSec and platformWritesPerSec are the capacity of the
-	// platform.
-	platformReadsPerSec  = 2000
+	// platformReadsPerSec is the number of reads per second that the platform can
+	// serve.
+	platformReadsPerSec = 2000
+	// platformWritesPerSec is the number of writes per second that the platform can
+	// serve.
 	platformWritesPerSec = 300
 	// measuredChangeCount is the number of changes over which the load of a change
 	// is averaged.
