--- a/test/faults/entry_datacentre_test.go
+++ b/test/faults/entry_datacentre_test.go
@@ -29,7 +29,7 @@
 	// changeDuration is the duration of the load during which the data centre is
 	// drained and returned to service.
 	changeDuration = 18 * time.Second
-	// maxFirstTokenRatio bounds the 95th percentile of the time to the first
+	// maxFirstTokenRatio is the limit of the 95th percentile of the time to the first
 	// token during the change, as a multiple of the one without a change.
 	maxFirstTokenRatio = 1.5
 )
