--- a/test/inprocess/overload_test.go
+++ b/test/inprocess/overload_test.go
@@ -25,7 +25,7 @@
 	// minColdGoodput is the lowest accepted goodput of overloaded cold engines, as
 	// a share of their cold capacity.
 	minColdGoodput = 0.9
-	// maxRefusalMs bounds the 95th percentile of the time to a refusal, in
+	// maxRefusalMs is the limit of the 95th percentile of the time to a refusal, in
 	// milliseconds.
 	maxRefusalMs = 100.0
 	// smallAccountRate is the load of a small client account, in calls per
