--- a/test/ports/ports.go
+++ b/test/ports/ports.go
@@ -18,7 +18,8 @@
 	minPort = 12000
 	// portLimit is the first port above the range.
 	portLimit = 32000
-	// maxAttempts bounds the random ports that one call of FreeAddrs tries.
+	// maxAttempts is the largest number of random ports that one call of FreeAddrs
+	// tries.
 	maxAttempts = 1000
 )
 
