--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -18,8 +18,8 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// probeParallelism is the maximum number of concurrent health checks.
-const probeParallelism = 16
+// maxConcurrentProbes is the maximum number of concurrent health checks.
+const maxConcurrentProbes = 16
 
 // maxProbeTimeout limits the time of one health check.
 const maxProbeTimeout = time.Second
@@ -77,13 +77,13 @@
 	return true
 }
 
-// probe checks the health of every registered instance and lists those that are
-// healthy.
+// probe checks the health of every registered instance and replaces the listed
+// instances by those that are healthy.
 func (l *instanceList) probe(ctx context.Context, timeout time.Duration) {
 	registered := l.allRegistered()
 	healthy := make([]bool, len(registered))
 	var group errgroup.Group
-	group.SetLimit(probeParallelism)
+	group.SetLimit(maxConcurrentProbes)
 	for n, instance := range registered {
 		group.Go(func() error {
 			healthy[n] = l.isHealthy(ctx, instance.Addr, min(timeout, maxProbeTimeout))
@@ -129,19 +129,19 @@
 }
 
 // set replaces the listed instances. The version increases only if they differ.
-func (l *instanceList) set(live []core.Instance) {
+func (l *instanceList) set(listed []core.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.version > 0 && cmp.Equal(live, l.listed) {
+	if l.version > 0 && cmp.Equal(listed, l.listed) {
 		return
 	}
-	l.listed = live
+	l.listed = listed
 	l.version++
 }
 
 // SetInstanceList replaces the listed instances. It must not be used together with
 // Run, which lists the instances that pass their health checks.
-func (s *Server) SetInstanceList(live []core.Instance) { s.instances.set(live) }
+func (s *Server) SetInstanceList(listed []core.Instance) { s.instances.set(listed) }
 
 // get returns the listed instances and the ETag of the list.
 func (l *instanceList) get() ([]core.Instance, string) {
--- a/test/configuration/freeze_test.go
+++ b/test/configuration/freeze_test.go
@@ -26,7 +26,7 @@
 // wait. The drained data centre may not serve any of them.
 func TestFrozenPastAChange(t *testing.T) {
 	Convey("Given services in three data centres", t, func() {
-		r := newRig(t, rigConfig{entries: 2, services: 3})
+		r := newRig(t, rigConfig{entryCount: 2, serviceCount: 3})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
@@ -52,16 +52,17 @@
 )
 
 // freezeRound freezes entry-1 and the agent in palermo, drains palermo, resumes
-// both and returns the number of calls by outcome. It ends the drain again.
+// both and returns the number of calls with each outcome. It also returns palermo
+// to service.
 func (r *rig) freezeRound(round int, rng *rand.Rand) map[string]int {
 	frozen := []*process{r.entries[0], r.agents[0]}
 	for _, p := range frozen {
 		r.signal(p, syscall.SIGSTOP)
 	}
-	cause := ops.ChangeMetadata{Author: "ada", Reason: "test", ChangeID: fmt.Sprintf("out-%d", round)}
-	out, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], true, cause)
+	metadata := ops.ChangeMetadata{Author: "ada", Reason: "test", ChangeID: fmt.Sprintf("out-%d", round)}
+	drained, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], true, metadata)
 	r.must(err)
-	r.awaitInForce(out.Number, propagationTimeout, r.entries[1], r.agents[1], r.agents[2])
+	r.awaitInForce(drained.Number, propagationTimeout, r.entries[1], r.agents[1], r.agents[2])
 	<-time.After(freezeDuration)
 
 	outcomes := make(chan string, concurrentCalls)
@@ -84,11 +85,11 @@
 	for server := range outcomes {
 		counts[server]++
 	}
-	r.awaitInForce(out.Number, propagationTimeout, r.all...)
-	cause.ChangeID = fmt.Sprintf("in-%d", round)
-	in, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], false, cause)
+	r.awaitInForce(drained.Number, propagationTimeout, r.all...)
+	metadata.ChangeID = fmt.Sprintf("in-%d", round)
+	returned, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], false, metadata)
 	r.must(err)
-	r.awaitInForce(in.Number, propagationTimeout, r.all...)
+	r.awaitInForce(returned.Number, propagationTimeout, r.all...)
 	r.awaitResponseFrom(r.entries[0], r.agents[0])
 	return counts
 }
@@ -106,9 +107,9 @@
 	}
 }
 
-// awaitResponseFrom waits until a server serves the calls through an entry
-// instance. Both must be in one data centre, because an entry instance prefers
-// the servers of its own.
+// awaitResponseFrom waits until the server serves a call through the entry instance.
+// Both must be in the same data centre, because an entry instance prefers servers
+// of its own data centre.
 func (r *rig) awaitResponseFrom(entry, server *process) {
 	r.t.Helper()
 	r.eventually(server.id+" serves calls", startTimeout, func() bool {
--- a/test/configuration/leaving_test.go
+++ b/test/configuration/leaving_test.go
@@ -16,12 +16,13 @@
 	// callDuration is how long a call runs. It is long enough that some calls
 	// run when the server is marked as leaving.
 	callDuration = 800 * time.Millisecond
-	// callersPerEntry is how many calls run at once through each entry instance.
+	// callersPerEntry is the number of calls that run at once through each entry
+	// instance.
 	callersPerEntry = 8
 	// maxLeaveDelay is how long a leaving server may still get new calls.
 	maxLeaveDelay = 3 * time.Second
-	// watchDuration is how long the test watches for new calls after the
-	// request.
+	// watchDuration is how long after the request to mark the server as leaving
+	// the test observes the server for new calls.
 	watchDuration = 3 * maxLeaveDelay / 2
 )
 
@@ -29,7 +30,7 @@
 // new calls after 3 s, and no call may be cut off.
 func TestLeavingServer(t *testing.T) {
 	Convey("Given four entry instances and three services under load", t, func() {
-		r := newRig(t, rigConfig{entries: 4, services: 3, delay: callDuration})
+		r := newRig(t, rigConfig{entryCount: 4, serviceCount: 3, serviceDelay: callDuration})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
@@ -37,25 +38,25 @@
 		leaving := r.agents[0]
 		r.awaitResponseFrom(r.entries[0], leaving)
 		load := r.startLoad()
-		r.eventually("the server runs calls", startTimeout, func() bool { return r.executions(0) > callersPerEntry })
+		r.eventually("the server runs calls", startTimeout, func() bool { return r.executionCount(0) > callersPerEntry })
 
 		Convey("a leaving server gets no new calls after 3 s, and no call is cut off", func() {
-			cause := ops.ChangeMetadata{Author: "ada", Reason: "repair", ChangeID: "leave"}
+			metadata := ops.ChangeMetadata{Author: "ada", Reason: "repair", ChangeID: "leave"}
 			requested := time.Now()
-			_, err := r.operatorClient(r.entries[3]).SetBackendServerLeaving(t.Context(), leaving.id, true, cause)
+			_, err := r.operatorClient(r.entries[3]).SetBackendServerLeaving(t.Context(), leaving.id, true, metadata)
 			So(err, ShouldBeNil)
 			last := r.lastExecution(0, requested, watchDuration)
-			whole, failed := load.stop()
-			t.Logf("last new call %s after the request; %d calls whole, %d failed: %v", last, whole, len(failed), failed)
+			wholeCount, failed := load.stop()
+			t.Logf("last new call %s after the request; %d calls whole, %d failed: %v", last, wholeCount, len(failed), failed)
 			So(last, ShouldBeLessThanOrEqualTo, maxLeaveDelay)
 			So(failed, ShouldBeEmpty)
-			So(whole, ShouldBeGreaterThan, 4*callersPerEntry)
+			So(wholeCount, ShouldBeGreaterThan, 4*callersPerEntry)
 		})
 	})
 }
 
-// executions returns how many calls a plain service has run.
-func (r *rig) executions(n int) int {
+// executionCount returns how many calls plain service n has executed.
+func (r *rig) executionCount(n int) int {
 	r.t.Helper()
 	resp, err := http.Get("http://" + r.serviceProcesses[n].addr + "/service/counters")
 	r.must(err)
@@ -69,14 +70,15 @@
 	return sum
 }
 
-// lastExecution polls a plain service until watch after requested and returns
-// when it last started a call, as the time since requested.
-func (r *rig) lastExecution(n int, requested time.Time, watch time.Duration) time.Duration {
+// lastExecution polls the execution count of plain service n until duration has
+// passed since requested. It returns the time from requested to the last increase
+// of the count, or 0 if there was none.
+func (r *rig) lastExecution(n int, requested time.Time, duration time.Duration) time.Duration {
 	r.t.Helper()
-	last, count := time.Duration(0), r.executions(n)
-	for time.Since(requested) < watch {
+	last, count := time.Duration(0), r.executionCount(n)
+	for time.Since(requested) < duration {
 		<-time.After(pollInterval)
-		if now := r.executions(n); now != count {
+		if now := r.executionCount(n); now != count {
 			last, count = time.Since(requested), now
 		}
 	}
@@ -88,9 +90,9 @@
 	stopCh  chan struct{}
 	workers sync.WaitGroup
 
-	mu     sync.Mutex
-	whole  int
-	failed []string
+	mu         sync.Mutex
+	wholeCount int
+	failed     []string
 }
 
 // startLoad starts a load of callersPerEntry workers per entry instance.
@@ -117,7 +119,7 @@
 		_, err := r.call(entry)
 		l.mu.Lock()
 		if err == nil {
-			l.whole++
+			l.wholeCount++
 		} else {
 			l.failed = append(l.failed, err.Error())
 		}
@@ -127,8 +129,8 @@
 
 // stop stops the load and returns the number of whole responses and the errors
 // of the other calls.
-func (l *callLoad) stop() (whole int, failed []string) {
+func (l *callLoad) stop() (wholeCount int, failed []string) {
 	close(l.stopCh)
 	l.workers.Wait()
-	return l.whole, l.failed
+	return l.wholeCount, l.failed
 }
--- a/test/ports/ports.go
+++ b/test/ports/ports.go
@@ -18,7 +18,8 @@
 	minPort = 12000
 	// portLimit is the first port above the range.
 	portLimit = 32000
-	// maxAttempts bounds the random ports that one call of FreeAddrs tries.
+	// maxAttempts is the largest number of random ports that one call of FreeAddrs
+	// tries.
 	maxAttempts = 1000
 )
 
@@ -49,8 +50,8 @@
 	return nil, errors.Errorf("fewer than %d free ports found", n)
 }
 
-// reserve binds the UDP port of addr and reports whether its TCP port is free
-// too.
+// reserve reserves addr by a UDP socket that stays bound. It reports false, and
+// leaves nothing bound, if the UDP port or the TCP port is in use.
 func reserve(addr string) bool {
 	udp, err := net.ListenPacket("udp4", addr)
 	if err != nil {
