--- a/bench/control/agent.go
+++ b/bench/control/agent.go
@@ -32,7 +32,7 @@
 		if err := sleep(ctx, t.opt.SettleTime); err != nil {
 			return err
 		}
-		steady, err := measureWindow(ctx, agentProbe, t.opt.Window, &registrations)
+		steady, err := measureWindow(ctx, agentProbe, t.opt.SteadyWindow, &registrations)
 		if err != nil {
 			return err
 		}
@@ -42,7 +42,7 @@
 		memory.add(homeCount, steady.from.memory()/kib)
 		rss.add(homeCount, steady.to.rssBytes/kib)
 		cpu.add(homeCount, percent*cpuCores(steady.from, steady.to))
-		reportTraffic.add(reportsPerSecond(n, registry.DefaultHeartbeat), steady.traffic[0]/steady.seconds())
+		reportTraffic.add(reportsPerSecond(n, registry.DefaultHeartbeatInterval), steady.traffic[0]/steady.seconds())
 		changeWindow, err := t.measureChanges(ctx, agentProbe, &registrations)
 		if err != nil {
 			return err
--- a/bench/control/bench.go
+++ b/bench/control/bench.go
@@ -15,8 +15,8 @@
 
 // Limits of package homes for which the figures at the target are computed.
 const (
-	defaultMaxLocal  = homes.DefaultMaxLocal
-	defaultPerRemote = homes.DefaultPerRemote
+	defaultMaxLocal  = homes.DefaultMaxLocalHomes
+	defaultPerRemote = homes.DefaultHomesPerRemoteDataCentre
 )
 
 // Options are the settings of a run of the control benchmark.
@@ -45,12 +45,12 @@
 	// DeclaredServers is the number of declared backend servers in the measurements
 	// that do not vary it.
 	DeclaredServers int
-	// Streams is the number of concurrent calls.
-	Streams int
-	// PerToken is the time between two tokens of the engine.
-	PerToken time.Duration
-	// Window is the length of a measurement in steady state.
-	Window time.Duration
+	// ConcurrentCalls is the number of concurrent calls.
+	ConcurrentCalls int
+	// TokenInterval is the time between two tokens of the engine.
+	TokenInterval time.Duration
+	// SteadyWindow is the length of a measurement in steady state.
+	SteadyWindow time.Duration
 	// SettleTime is the time to wait before a measurement.
 	SettleTime time.Duration
 	// ChangeInterval is the time between two configuration changes.
--- a/bench/control/calls.go
+++ b/bench/control/calls.go
@@ -35,7 +35,7 @@
 	entryCPU := newSeries("entry: CPU for a call", sizeUnit, "µs", tokens, 0)
 	agentCPU := newSeries("agent: CPU for a call", sizeUnit, "µs", tokens, 0)
 	r.Series = append(r.Series, entryCPU, agentCPU)
-	idle, err := t.measureBoth(ctx, t.opt.Window)
+	idle, err := t.measureBoth(ctx, t.opt.SteadyWindow)
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 		if err != nil {
 			return err
 		}
-		perCall := 1e6 / float64(t.opt.Streams)
+		perCall := 1e6 / float64(t.opt.ConcurrentCalls)
 		entryCPU.add(float64(n), windows.entry.extraCPU(idle.entry)*perCall)
 		agentCPU.add(float64(n), windows.agent.extraCPU(idle.agent)*perCall)
 	}
@@ -63,9 +63,9 @@
 // tokens run.
 func (t *testbed) measureLoad(ctx context.Context, c *client, n int) (daemonWindows, error) {
 	done := make(chan error, 1)
-	length := time.Duration(n+2)*t.opt.PerToken + t.opt.SettleTime
+	length := time.Duration(n+2)*t.opt.TokenInterval + t.opt.SettleTime
 	go func() {
-		_, err := c.runStreams(ctx, t.opt.EntryAddr, t.opt.Streams, n, 1, 0)
+		_, err := c.runStreams(ctx, t.opt.EntryAddr, t.opt.ConcurrentCalls, n, 1, 0)
 		done <- err
 	}()
 	windows, err := t.measureBoth(ctx, length)
@@ -82,13 +82,13 @@
 	entryMemory := newSeries("entry: live memory, open streams", sizeUnit, "KiB", entryStreamCount, 0)
 	agentMemory := newSeries("agent: live memory, open streams", sizeUnit, "KiB", agentTokensPerSecond*targetSecondsPerToken, 0)
 	r.Series = append(r.Series, entryMemory, agentMemory)
-	for _, n := range []int{0, t.opt.Streams / 4, t.opt.Streams / 2, t.opt.Streams} {
+	for _, n := range []int{0, t.opt.ConcurrentCalls / 4, t.opt.ConcurrentCalls / 2, t.opt.ConcurrentCalls} {
 		done := make(chan error, 1)
 		go func() {
 			_, err := c.runStreams(ctx, t.opt.EntryAddr, n, heldStreamTokens, 1, 0)
 			done <- err
 		}()
-		if err := sleep(ctx, t.opt.PerToken*heldStreamTokens/4); err != nil {
+		if err := sleep(ctx, t.opt.TokenInterval*heldStreamTokens/4); err != nil {
 			return err
 		}
 		if err := t.addMemory(ctx, float64(n), entryMemory, agentMemory); err != nil {
--- a/bench/control/configsize.go
+++ b/bench/control/configsize.go
@@ -91,7 +91,7 @@
 		if err := t.addMemory(ctx, listedCount, entry, agent); err != nil {
 			return err
 		}
-		steady, err := t.measureBoth(ctx, t.opt.Window)
+		steady, err := t.measureBoth(ctx, t.opt.SteadyWindow)
 		if err != nil {
 			return err
 		}
--- a/bench/control/entry.go
+++ b/bench/control/entry.go
@@ -80,7 +80,7 @@
 	if err := sleep(ctx, t.opt.SettleTime); err != nil {
 		return err
 	}
-	steady, err := measureWindow(ctx, entryProbe, t.opt.Window, entryProxy.traffic)
+	steady, err := measureWindow(ctx, entryProbe, t.opt.SteadyWindow, entryProxy.traffic)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 	series.memory.add(x, steady.from.memory()/kib)
 	series.rss.add(x, steady.to.rssBytes/kib)
 	series.cpu.add(x, percent*cpuCores(steady.from, steady.to))
-	series.traffic.add(reportsPerSecond(n, registry.DefaultHeartbeat), steady.traffic[0]/steady.seconds())
+	series.traffic.add(reportsPerSecond(n, registry.DefaultHeartbeatInterval), steady.traffic[0]/steady.seconds())
 
 	changeWindow, err := t.measureChanges(ctx, entryProbe, entryProxy.traffic)
 	if err != nil {
--- a/bench/control/latency.go
+++ b/bench/control/latency.go
@@ -30,9 +30,9 @@
 	Options
 	// EngineAddr is the "ip:port" of the engine, for direct calls.
 	EngineAddr string
-	// Rounds is the number of measured rounds for each route. The rounds of the
+	// RoundCount is the number of measured rounds for each route. The rounds of the
 	// routes alternate.
-	Rounds int
+	RoundCount int
 	// TokensPerCall is the number of tokens of a call.
 	TokensPerCall int
 	// Burst starts all streams of a round at the same time, with one call each.
@@ -79,7 +79,7 @@
 	}
 	direct, proxied, relayed := newRoute(opt.EngineAddr), newRoute(proxyAddr), newRoute(opt.EntryAddr)
 	// The first round of each route opens the connections and is not recorded.
-	for round := range opt.Rounds + 1 {
+	for round := range opt.RoundCount + 1 {
 		for _, r := range []*route{direct, proxied, relayed} {
 			calls, err := opt.runRound(ctx, c, r.addr)
 			if err != nil {
@@ -104,9 +104,9 @@
 // are distributed evenly over the length of a call.
 func (opt LatencyOptions) runRound(ctx context.Context, c *client, addr string) ([]streamTimes, error) {
 	if opt.Burst {
-		return c.runStreams(ctx, addr, opt.Streams, opt.TokensPerCall, 1, 0)
+		return c.runStreams(ctx, addr, opt.ConcurrentCalls, opt.TokensPerCall, 1, 0)
 	}
-	return c.runStreams(ctx, addr, opt.Streams, opt.TokensPerCall, callsPerStream, opt.PerToken*time.Duration(opt.TokensPerCall))
+	return c.runStreams(ctx, addr, opt.ConcurrentCalls, opt.TokensPerCall, callsPerStream, opt.TokenInterval*time.Duration(opt.TokensPerCall))
 }
 
 // record adds the times of the calls to the histograms.
--- a/bench/control/target.go
+++ b/bench/control/target.go
@@ -51,7 +51,7 @@
 // agentCount agents are registered with each entry instance.
 func reportIntervalAtTarget(agentCount int) time.Duration {
 	factor := max(1, float64(agentCount)/homes.MaxFullRateAgents)
-	return time.Duration(float64(registry.DefaultHeartbeat) * factor)
+	return time.Duration(float64(registry.DefaultHeartbeatInterval) * factor)
 }
 
 // reportsPerSecond returns the rate of the reports of n registrations, each of which
--- a/bench/control/testbed.go
+++ b/bench/control/testbed.go
@@ -178,7 +178,7 @@
 		holder := confstore.NewHolder()
 		report := func() frame.Report {
 			return frame.Report{
-				State: frame.StateReady, Limit: 16, Config: holder.Current().Number,
+				State: frame.StateReady, Limit: 16, ConfigNumber: holder.Current().Number,
 				Loaded: []frame.Loaded{{Model: "other", Version: "v1", Digest: core.DigestOf(nil)}},
 			}
 		}
--- a/bench/history/history.go
+++ b/bench/history/history.go
@@ -49,16 +49,16 @@
 	CallID string `json:"call"`
 	// SubmissionID is the request id of the submission.
 	SubmissionID string `json:"submission,omitempty"`
-	// Entry identifies the entry instance that received the submission.
-	Entry string `json:"entry,omitempty"`
-	// Server is the ID of the agent that ran the call.
-	Server string `json:"server,omitempty"`
+	// EntryID identifies the entry instance that received the submission.
+	EntryID string `json:"entry,omitempty"`
+	// AgentID is the ID of the agent that ran the call.
+	AgentID string `json:"server,omitempty"`
 	// Incarnation identifies the run of that agent's process.
 	Incarnation string `json:"incarnation,omitempty"`
 	// Status is the HTTP status of the response, or 0 if the connection broke.
 	Status int `json:"status,omitempty"`
 	// Outcome is the outcome in a refusal; empty for other responses.
-	Outcome core.Refusal `json:"outcome,omitempty"`
+	Outcome core.FailureOutcome `json:"outcome,omitempty"`
 	// BodyDigest is the digest of the body of the response, or of the result of
 	// the execution.
 	BodyDigest core.Digest `json:"body,omitempty"`
@@ -169,7 +169,7 @@
 	switch {
 	case r.Status == 0:
 		result.Broken++
-	case r.Outcome == core.RefusalNotRun:
+	case r.Outcome == core.OutcomeNotRun:
 		result.NotRun++
 	case r.Outcome != "":
 		result.Unknown++
@@ -186,8 +186,8 @@
 	}
 	for _, response := range h.responses {
 		switch {
-		case response.Status == 0 || (response.Outcome != "" && response.Outcome != core.RefusalNotRun):
-		case response.Outcome == core.RefusalNotRun:
+		case response.Status == 0 || (response.Outcome != "" && response.Outcome != core.OutcomeNotRun):
+		case response.Outcome == core.OutcomeNotRun:
 			if len(h.executions) > 0 && (h.executions[0].Timestamp < response.SentAt || h.executions[0].SubmissionID == response.SubmissionID) {
 				violations = append(violations, "submission "+response.SubmissionID+" was refused as not-run although the call had run")
 			}
--- a/bench/requests/caller.go
+++ b/bench/requests/caller.go
@@ -84,8 +84,8 @@
 		}
 	}
 	return &caller{
-		entryAddrs: s.Entries,
-		health:     newHealthChecker(s.Entries, s.Transport),
+		entryAddrs: s.EntryAddrs,
+		health:     newHealthChecker(s.EntryAddrs, s.Transport),
 		timeout:    s.Timeout,
 		client:     &http.Client{Transport: transport},
 	}
@@ -159,8 +159,8 @@
 func (c *caller) checkResponse(call plannedCall, resp *http.Response, arrival time.Time, result *callResult) {
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "application/problem+json") {
 		var problem struct {
-			Outcome core.Refusal `json:"outcome"`
-			Detail  string       `json:"detail"`
+			Outcome core.FailureOutcome `json:"outcome"`
+			Detail  string              `json:"detail"`
 		}
 		if err := json.NewDecoder(resp.Body).Decode(&problem); err != nil {
 			result.outcome, result.detail = OutcomeCut, err.Error()
--- a/bench/requests/plan.go
+++ b/bench/requests/plan.go
@@ -54,7 +54,7 @@
 	var calls []plannedCall
 	arrival := time.Duration(0)
 	for {
-		arrival += time.Duration(rng.ExpFloat64() / a.Rate * float64(time.Second))
+		arrival += time.Duration(rng.ExpFloat64() / a.CallsPerSecond * float64(time.Second))
 		if arrival >= s.Duration {
 			return calls
 		}
@@ -87,7 +87,7 @@
 // account has any, and continues with the call id and random words.
 func (call *plannedCall) prompt(rng *rand.Rand) string {
 	var prompt strings.Builder
-	if n := call.account.Prefixes; n > 0 {
+	if n := call.account.PrefixCount; n > 0 {
 		prompt.WriteString(strings.Repeat(fmt.Sprintf("prefix-%d ", rng.IntN(n)), 32))
 	}
 	fmt.Fprintf(&prompt, "%s ", call.id)
--- a/bench/requests/requests_test.go
+++ b/bench/requests/requests_test.go
@@ -71,8 +71,8 @@
 		for _, c := range cases {
 			server := httptest.NewServer(responseHandler(c.edit, c.done))
 			r, err := Run(context.Background(), &Scenario{
-				Name: "judge", Seed: 5, Duration: 100 * time.Millisecond, Entries: []string{server.Listener.Addr().String()},
-				Accounts: []Account{{Name: "a", Rate: 100, Model: "m", StreamShare: 1, Tokens: Range{Min: 4, Max: 4}}},
+				Name: "judge", Seed: 5, Duration: 100 * time.Millisecond, EntryAddrs: []string{server.Listener.Addr().String()},
+				Accounts: []Account{{Name: "a", CallsPerSecond: 100, Model: "m", StreamShare: 1, Tokens: Range{Min: 4, Max: 4}}},
 			})
 			server.Close()
 			So(err, ShouldBeNil)
--- a/bench/requests/run.go
+++ b/bench/requests/run.go
@@ -35,8 +35,8 @@
 	Calls int `json:"calls"`
 	// Outcomes holds the number of calls with each outcome.
 	Outcomes map[Outcome]int `json:"words"`
-	// Tokens is the number of tokens in whole responses.
-	Tokens int `json:"tokens"`
+	// TokenCount is the number of tokens in whole responses.
+	TokenCount int `json:"tokens"`
 	// GoodputPerSecond is the number of whole responses per second of the run.
 	GoodputPerSecond float64 `json:"goodputPerSecond"`
 	// FirstToken is the time from the planned arrival to the first byte of whole
@@ -63,9 +63,9 @@
 	MaxInFlight int                `json:"maxInFlight"`
 	All         *Counts            `json:"all"`
 	Accounts    map[string]*Counts `json:"accounts"`
-	// Executions is the number of executions that the plain services report
+	// ExecutionCount is the number of executions that the plain services report
 	// for the once-only calls of this run.
-	Executions int `json:"executions"`
+	ExecutionCount int `json:"executions"`
 	// DuplicateExecutions is the number of executions beyond the first one of
 	// each call.
 	DuplicateExecutions int `json:"doubled"`
@@ -174,7 +174,7 @@
 		}
 		return
 	}
-	c.Tokens += result.tokenCount
+	c.TokenCount += result.tokenCount
 	_ = c.total.RecordValue(result.total.Microseconds())
 	if call.stream {
 		_ = c.firstByte.RecordValue(result.firstByte.Microseconds())
@@ -185,7 +185,7 @@
 // them with the outcomes of the once-only calls.
 func (r *benchRun) countExecutions(ctx context.Context) error {
 	executions := map[string]int{}
-	for _, addr := range r.scenario.Services {
+	for _, addr := range r.scenario.ServiceAddrs {
 		counters, err := readCounters(ctx, addr)
 		if err != nil {
 			return err
@@ -196,7 +196,7 @@
 	}
 	for id, outcome := range r.onceOutcomes {
 		n := executions[id]
-		r.result.Executions += n
+		r.result.ExecutionCount += n
 		r.result.DuplicateExecutions += max(0, n-1)
 		if outcome == Outcome("not-run") && n > 0 {
 			r.result.FalseNotRun++
--- a/bench/requests/scenario.go
+++ b/bench/requests/scenario.go
@@ -23,12 +23,12 @@
 	Duration time.Duration `yaml:"duration"`
 	// Timeout is the timeout of one submission; default 60 s.
 	Timeout time.Duration `yaml:"timeout"`
-	// Entries are the addresses ("ip:port") of the entry instances. Calls go
+	// EntryAddrs are the addresses ("ip:port") of the entry instances. Calls go
 	// to them in turn, as from a load balancer.
-	Entries []string `yaml:"entries"`
-	// Services are the addresses ("ip:port") of the stand-ins of plain services.
+	EntryAddrs []string `yaml:"entries"`
+	// ServiceAddrs are the addresses ("ip:port") of the stand-ins of plain services.
 	// They count the executions of each once-only call.
-	Services []string `yaml:"services"`
+	ServiceAddrs []string `yaml:"services"`
 	// Accounts are the client accounts that make calls.
 	Accounts []Account `yaml:"accounts"`
 	// Transport sends the requests to the entry instances; nil means an HTTP
@@ -42,17 +42,17 @@
 	Name string `yaml:"name"`
 	// Key is the account's secret key.
 	Key string `yaml:"key"`
-	// Rate is the mean number of calls per second; arrivals are Poisson.
-	Rate float64 `yaml:"rate"`
+	// CallsPerSecond is the mean number of calls per second; arrivals are Poisson.
+	CallsPerSecond float64 `yaml:"rate"`
 	// Model is the name of the model in model calls.
 	Model string `yaml:"model"`
 	// Tokens is the range of response lengths, in tokens.
 	Tokens Range `yaml:"tokens"`
 	// PromptWords is the range of prompt lengths, in words.
 	PromptWords Range `yaml:"promptWords"`
-	// Prefixes is the number of different prompt prefixes that the calls share;
+	// PrefixCount is the number of different prompt prefixes that the calls share;
 	// 0 for prompts without a shared prefix.
-	Prefixes int `yaml:"prefixes"`
+	PrefixCount int `yaml:"prefixes"`
 	// StreamShare is the share of streamed calls among the model calls, 0 to 1.
 	StreamShare float64 `yaml:"stream"`
 	// OnceShare is the share of once-only calls among all calls, 0 to 1.
@@ -85,10 +85,10 @@
 		return nil, errors.Wrapf(err, "scenario %s", path)
 	}
 	if len(entries) > 0 {
-		s.Entries = entries
+		s.EntryAddrs = entries
 	}
 	if len(services) > 0 {
-		s.Services = services
+		s.ServiceAddrs = services
 	}
 	if err := s.Check(); err != nil {
 		return nil, errors.Wrapf(err, "scenario %s", path)
@@ -102,7 +102,7 @@
 	if s.Duration <= 0 {
 		problems = append(problems, errors.New("duration: want more than 0"))
 	}
-	if len(s.Entries) == 0 {
+	if len(s.EntryAddrs) == 0 {
 		problems = append(problems, errors.New("entries: want at least one"))
 	}
 	if len(s.Accounts) == 0 {
@@ -117,7 +117,7 @@
 // check returns an error that lists every problem of the account.
 func (a *Account) check() error {
 	var problems []error
-	if a.Rate <= 0 {
+	if a.CallsPerSecond <= 0 {
 		problems = append(problems, errors.Errorf("account %s: rate: want more than 0", a.Name))
 	}
 	if a.Tokens.Min < 1 || a.Tokens.Max < a.Tokens.Min {
--- a/bench/requests/table.go
+++ b/bench/requests/table.go
@@ -14,7 +14,7 @@
 // for all accounts.
 func (r *Result) WriteTable(w io.Writer) {
 	fmt.Fprintf(w, "%s: seed %d, %.1f s, at most %d in flight; once-only: %d executions, %d doubled, %d false not-run\n",
-		r.Scenario, r.Seed, r.Seconds, r.MaxInFlight, r.Executions, r.DuplicateExecutions, r.FalseNotRun)
+		r.Scenario, r.Seed, r.Seconds, r.MaxInFlight, r.ExecutionCount, r.DuplicateExecutions, r.FalseNotRun)
 	table := tablewriter.NewWriter(w)
 	table.SetHeader([]string{"account", "calls", "whole", "not-run", "unknown", "incomplete",
 		"wrong", "cut", "lost", "doubled", "first p50 ms", "first p95 ms", "refusal p95 ms", "whole/s"})
--- a/bench/spread/bench.go
+++ b/bench/spread/bench.go
@@ -22,16 +22,16 @@
 	AgentCounts []int
 	// CopyBytes is the size of the version, in bytes.
 	CopyBytes int64
-	// Chunks is the number of chunks of the version.
-	Chunks int
+	// ChunkCount is the number of chunks of the version.
+	ChunkCount int
 	// CopyTime is the time that one copy of the version takes over the link of a
 	// machine. It determines the bandwidth of every link.
 	CopyTime time.Duration
 	// AlternativesCopyTime takes the place of CopyTime in the runs of the
 	// alternative ways of distribution.
 	AlternativesCopyTime time.Duration
-	// DataCentres is the number of data centres in each region.
-	DataCentres int
+	// DataCentresPerRegion is the number of data centres in each region.
+	DataCentresPerRegion int
 	// LongPollTimeout is how long an agent holds a peer's request open. A request
 	// fails if its response takes more than twice as long, or if its transfer
 	// makes no progress for that time.
--- a/bench/spread/testbed.go
+++ b/bench/spread/testbed.go
@@ -95,7 +95,7 @@
 	}
 	fsys := fstest.MapFS{"weights": {Data: content}}
 	var err error
-	t.manifest, t.version, err = manifest.Publish(t.ctx, t.origin, fsys, t.opt.CopyBytes/int64(t.opt.Chunks), "")
+	t.manifest, t.version, err = manifest.Publish(t.ctx, t.origin, fsys, t.opt.CopyBytes/int64(t.opt.ChunkCount), "")
 	return err
 }
 
@@ -106,7 +106,7 @@
 		return err
 	}
 	region := i % regionCount
-	dataCentre := i / regionCount % t.opt.DataCentres
+	dataCentre := i / regionCount % t.opt.DataCentresPerRegion
 	a := &agent{killed: make(chan struct{})}
 	a.self = core.Instance{
 		ID: fmt.Sprintf("agent%03d", i), Role: core.RoleAgent, Addr: listener.Addr().String(),
@@ -127,7 +127,7 @@
 		MaxPeerFetches:         t.opt.MaxPeerFetches,
 		UploadSlots:            t.opt.UploadSlots,
 		Fanout:                 t.opt.Fanout,
-		IdleConnections:        maxIdleConnections,
+		MaxIdleConnections:     maxIdleConnections,
 		LongPollTimeout:        t.opt.LongPollTimeout,
 		ResponseMargin:         t.opt.LongPollTimeout,
 		StallTimeout:           t.opt.LongPollTimeout,
@@ -182,7 +182,7 @@
 // Write implements http.ResponseWriter. A chunk takes several writes, so the
 // corruption probability of a chunk is divided among them.
 func (w *instrumentedWriter) Write(p []byte) (int, error) {
-	writesPerChunk := float64(w.testbed.opt.CopyBytes/int64(w.testbed.opt.Chunks)) / float64(len(p))
+	writesPerChunk := float64(w.testbed.opt.CopyBytes/int64(w.testbed.opt.ChunkCount)) / float64(len(p))
 	n, err := w.ResponseWriter.Write(maybeCorrupt(p, w.testbed.origin.corruptProbability/max(1, writesPerChunk)))
 	w.agent.sentBytes.Add(int64(n))
 	if w.crossesRegions {
--- a/cli/agent.go
+++ b/cli/agent.go
@@ -36,12 +36,12 @@
 func (c *AgentCmd) Run() error {
 	var problems settings.Problems
 	cfg := daemon.AgentConfig{
-		CommonConfig: c.commonConfig(core.RoleAgent, &problems),
-		EngineAddr:   c.Engine,
-		Service:      c.Service,
-		HealthPath:   c.HealthPath,
-		LeaveNotice:  c.LeaveNotice.Value(),
-		StoreBytes:   int64(c.StoreMiB.Value()) * mebibyte,
+		CommonConfig:   c.commonConfig(core.RoleAgent, &problems),
+		EngineAddr:     c.Engine,
+		Service:        c.Service,
+		HealthPath:     c.HealthPath,
+		LeaveNotice:    c.LeaveNotice.Value(),
+		MaxWeightBytes: int64(c.StoreMiB.Value()) * mebibyte,
 		Spread: spread.Config{
 			OriginRegion:           c.OriginRegion,
 			UploadBytesPerSecond:   bytesFromKiB(c.Upload),
@@ -49,7 +49,7 @@
 			RegionBytesPerSecond:   bytesFromKiB(c.RegionLink),
 			OriginBytesPerSecond:   bytesFromKiB(c.Origin),
 		},
-		Homes: homes.Config{MaxLocal: c.MaxLocal.Value(), PerRemote: c.PerRemote.Value()},
+		Homes: homes.Config{MaxLocalHomes: c.MaxLocal.Value(), HomesPerRemoteDataCentre: c.PerRemote.Value()},
 	}
 	c.checkSettings(&problems)
 	log := c.newLogger(&problems)
--- a/cli/bench_control.go
+++ b/cli/bench_control.go
@@ -26,7 +26,7 @@
 	return control.Options{
 		EntryID: d.EntryID, EntryAddr: d.EntryAddr, EntryPlatform: d.EntryPlatform,
 		AgentID: d.AgentID, AgentAddr: d.AgentAddr, AgentPlatform: d.AgentPlatform,
-		PeerToken: d.PeerToken, DeclaredServers: d.Declared, Streams: d.Streams, PerToken: d.PerToken,
+		PeerToken: d.PeerToken, DeclaredServers: d.Declared, ConcurrentCalls: d.Streams, TokenInterval: d.PerToken,
 	}
 }
 
@@ -49,7 +49,7 @@
 func (c *BenchControlCmd) Run(s *streams) error {
 	opt := c.options()
 	opt.AgentCounts, opt.HomeCounts, opt.ServerCounts, opt.ListedCounts, opt.CallLengths = c.Agents, c.Homes, c.Servers, c.Listed, c.Tokens
-	opt.Window, opt.SettleTime, opt.ChangeInterval, opt.JSON = c.Window, c.Settle, c.Spacing, c.JSON
+	opt.SteadyWindow, opt.SettleTime, opt.ChangeInterval, opt.JSON = c.Window, c.Settle, c.Spacing, c.JSON
 	_, err := control.Run(context.Background(), s.Out, opt)
 	return err
 }
@@ -67,6 +67,6 @@
 // Run implements the command.
 func (c *BenchLatencyCmd) Run(s *streams) error {
 	return control.RunLatency(context.Background(), s.Out, control.LatencyOptions{
-		Options: c.options(), EngineAddr: c.EngineAddr, Rounds: c.Rounds, TokensPerCall: c.Length, Burst: c.Burst,
+		Options: c.options(), EngineAddr: c.EngineAddr, RoundCount: c.Rounds, TokensPerCall: c.Length, Burst: c.Burst,
 	})
 }
--- a/cli/daemon_flags.go
+++ b/cli/daemon_flags.go
@@ -60,14 +60,14 @@
 		Self: core.Instance{
 			ID: f.ID, Role: role, Addr: f.Advertise, DataCentre: f.DataCentre, Region: f.Region,
 		},
-		Listen:        f.Listen,
-		PeerToken:     f.PeerToken,
-		PlatformAddr:  f.Platform,
-		PlatformToken: f.PlatformToken,
-		Seeds:         f.parseSeeds(problems),
-		ListInterval:  f.ListInterval.Value(),
-		Heartbeat:     f.Heartbeat.Value(),
-		DrainTimeout:  f.DrainTimeout.Value(),
+		Listen:            f.Listen,
+		PeerToken:         f.PeerToken,
+		PlatformAddr:      f.Platform,
+		PlatformToken:     f.PlatformToken,
+		Seeds:             f.parseSeeds(problems),
+		ListInterval:      f.ListInterval.Value(),
+		HeartbeatInterval: f.Heartbeat.Value(),
+		DrainTimeout:      f.DrainTimeout.Value(),
 	}
 }
 
--- a/cli/history.go
+++ b/cli/history.go
@@ -40,7 +40,7 @@
 			e.Time.Format(time.RFC3339),
 			e.Author,
 			e.Reason,
-			strconv.Itoa(e.Changes),
+			strconv.Itoa(e.ChangeCount),
 			e.ChangeID,
 			e.Digest.Short(),
 		})
--- a/cli/standin_engine.go
+++ b/cli/standin_engine.go
@@ -47,17 +47,17 @@
 // Run implements the command.
 func (c *StandinEngineCmd) Run() error {
 	e := engine.New(engine.Config{
-		Slots:       c.Slots,
-		WarmLimit:   c.WarmLimit,
-		ColdLimit:   c.ColdLimit,
-		WarmPerCall: c.WarmPerCall,
-		WarmAfter:   c.WarmAfter,
-		FirstToken:  c.FirstToken,
-		PerToken:    c.PerToken,
-		LoadTime:    c.LoadTime,
-		ReportLag:   c.ReportLag,
-		Fencing:     c.Fencing,
-		PeerToken:   c.PeerToken,
+		Slots:            c.Slots,
+		WarmLimit:        c.WarmLimit,
+		ColdLimit:        c.ColdLimit,
+		WarmPerCall:      c.WarmPerCall,
+		WarmAfter:        c.WarmAfter,
+		TimeToFirstToken: c.FirstToken,
+		TokenInterval:    c.PerToken,
+		LoadTime:         c.LoadTime,
+		ReportLag:        c.ReportLag,
+		Fencing:          c.Fencing,
+		PeerToken:        c.PeerToken,
 	}, clockwork.NewRealClock())
 	return serveStandin(c.Listen, e.Handler())
 }
--- a/cli/standin_platform.go
+++ b/cli/standin_platform.go
@@ -40,7 +40,7 @@
 	}
 	server := platform.New(platform.Config{
 		Token:                c.Token,
-		Lag:                  c.Lag.Value(),
+		ProbeInterval:        c.Lag.Value(),
 		Instances:            instances,
 		WeightBytesPerSecond: int64(c.WeightBytesPerSecond.Value()),
 	}, clockwork.NewRealClock())
--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -179,8 +179,8 @@
 		if err := f.Decode(&n); err != nil {
 			return true, err
 		}
-		s.applyConfirmation(n.Config, n.Confirmed)
-		return true, s.PullIfNewer(n.Config)
+		s.applyConfirmation(n.ConfigNumber, n.Confirmed)
+		return true, s.PullIfNewer(n.ConfigNumber)
 	case frame.KindPull:
 		var p frame.Pull
 		if err := f.Decode(&p); err != nil {
@@ -230,7 +230,7 @@
 	if number <= s.peerVersion.Load() {
 		return nil
 	}
-	return s.conn.Send(frame.KindNotice, frame.Notice{Config: number})
+	return s.conn.Send(frame.KindNotice, frame.Notice{ConfigNumber: number})
 }
 
 // sendVersion sends the version in force to a peer that holds version peerVersion,
@@ -238,7 +238,7 @@
 func (s *Session) sendVersion(peerVersion uint64) error {
 	if number := s.hub.source.Number(); peerVersion >= number {
 		s.raisePeerVersion(peerVersion)
-		return s.conn.Send(frame.KindNotice, frame.Notice{Config: number, Confirmed: s.hub.mayConfirm()})
+		return s.conn.Send(frame.KindNotice, frame.Notice{ConfigNumber: number, Confirmed: s.hub.mayConfirm()})
 	}
 	c, err := s.hub.source.Encode(peerVersion)
 	if err != nil {
--- a/connection/confsync/replay_test.go
+++ b/connection/confsync/replay_test.go
@@ -27,7 +27,7 @@
 			for range 2 {
 				So(peerEnd.Send(frame.KindConfig, replayed), ShouldBeNil)
 			}
-			So(peerEnd.Send(frame.KindNotice, frame.Notice{Config: 3}), ShouldBeNil)
+			So(peerEnd.Send(frame.KindNotice, frame.Notice{ConfigNumber: 3}), ShouldBeNil)
 			for range 3 {
 				f, err := ownEnd.Receive(time.Now().Add(responseTimeout))
 				So(err, ShouldBeNil)
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -251,7 +251,7 @@
 			return err
 		}
 		for _, t := range request.Tables {
-			s := frame.TableState{Table: t, State: x.follower(t).Content()}
+			s := frame.TableState{Table: t, Content: x.follower(t).Content()}
 			if err := conn.Send(frame.KindTable, s); err != nil {
 				return err
 			}
@@ -314,7 +314,7 @@
 			if err := f.Decode(&t); err != nil {
 				return err
 			}
-			x.follower(t.Table).AdoptIfNewer(t.State, peer)
+			x.follower(t.Table).AdoptIfNewer(t.Content, peer)
 		}
 	}
 }
--- a/connection/fleet/entryconnections.go
+++ b/connection/fleet/entryconnections.go
@@ -31,9 +31,9 @@
 	DeclaredVersions func() []frame.WantedVersion
 	// Token is the peer token sent to entry instances.
 	Token string
-	// Entries are the addresses of the entry instances to dial first. Further
+	// EntryAddrs are the addresses of the entry instances to dial first. Further
 	// addresses are taken from the messages of entry instances.
-	Entries []string
+	EntryAddrs []string
 	// OnFleet is called with the address of an entry instance and each message
 	// from it, and with a nil message when the connection to it has ended.
 	OnFleet func(entry string, f *frame.Fleet)
@@ -121,7 +121,7 @@
 func (c *EntryConnections) Run(ctx context.Context) error {
 	var connections sync.WaitGroup
 	defer connections.Wait()
-	for _, addr := range c.cfg.Entries {
+	for _, addr := range c.cfg.EntryAddrs {
 		c.addEntry(addr)
 	}
 	for {
@@ -194,7 +194,7 @@
 		if err := f.Decode(&fleet); err != nil {
 			return err
 		}
-		for _, entry := range fleet.Entries {
+		for _, entry := range fleet.EntryAddrs {
 			c.addEntry(entry)
 		}
 		c.markConnected(addr, fleet.DataCentre)
@@ -208,7 +208,7 @@
 	for {
 		c.mu.Lock()
 		state, changed := c.state, c.changed
-		state.WantsAgentList = c.listSenders[addr]
+		state.RequestsAgentList = c.listSenders[addr]
 		c.mu.Unlock()
 		if err := conn.Send(frame.KindAgentState, state); err != nil {
 			_ = conn.Close()
--- a/connection/fleet/fleet_test.go
+++ b/connection/fleet/fleet_test.go
@@ -37,7 +37,7 @@
 	e := &testEntry{holder: catalog.NewHolder(eventlog.Discard()), states: map[string]frame.AgentState{}}
 	hub := NewHub(HubConfig{
 		Holder: e.holder, Log: eventlog.Discard(), Clock: clockwork.NewRealClock(),
-		Entries: func() []string { return nil },
+		EntryAddrs: func() []string { return nil },
 		OnAgentState: func(server string, s *frame.AgentState) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
@@ -89,8 +89,8 @@
 	t.Helper()
 	a := &testAgent{}
 	a.EntryConnections = NewEntryConnections(EntryConnectionsConfig{
-		Hello: frame.AgentHello{Instance: core.Instance{ID: name, Role: core.RoleAgent, Addr: name}, Server: "server-" + name},
-		Token: token, Entries: []string{e.server.Listener.Addr().String()}, Log: eventlog.Discard(),
+		Hello: frame.AgentHello{Instance: core.Instance{ID: name, Role: core.RoleAgent, Addr: name}, ServerAddr: "server-" + name},
+		Token: token, EntryAddrs: []string{e.server.Listener.Addr().String()}, Log: eventlog.Discard(),
 		Clock: clockwork.NewRealClock(),
 		DeclaredVersions: func() []frame.WantedVersion {
 			return []frame.WantedVersion{{Model: "herbs", Version: 1, AgeMs: 60_000}}
@@ -129,7 +129,7 @@
 		newTestAgent(t, "b", e)
 		So(wait.Until(func() bool {
 			return a.fleetMeets(func(f frame.Fleet) bool {
-				return len(f.Agents) == 2 && f.Origin == "10.0.0.1:80" && len(f.WantedVersions) == 1 && f.WantedVersions[0].Version == 1
+				return len(f.Agents) == 2 && f.OriginAddr == "10.0.0.1:80" && len(f.WantedVersions) == 1 && f.WantedVersions[0].Version == 1
 			})
 		}), ShouldBeTrue)
 		e.declare(2, nil)
--- a/connection/fleet/hub.go
+++ b/connection/fleet/hub.go
@@ -39,8 +39,8 @@
 	// OnAgentState is called with the address of a backend server and each state
 	// that its agent reports, and with a nil state when the agent has disconnected.
 	OnAgentState func(server string, state *frame.AgentState)
-	// Entries returns the addresses of the known entry instances.
-	Entries func() []string
+	// EntryAddrs returns the addresses of the known entry instances.
+	EntryAddrs func() []string
 	// Log receives an event when an agent connects, disconnects or reports a change.
 	Log *eventlog.Logger
 	// Clock is the time source.
@@ -107,14 +107,14 @@
 // closed and replaced.
 func (h *Hub) addAgent(a *agentConn) {
 	h.mu.Lock()
-	if old := h.agents[a.hello.Server]; old != nil {
+	if old := h.agents[a.hello.ServerAddr]; old != nil {
 		_ = old.conn.Close()
 	}
-	h.agents[a.hello.Server] = a
+	h.agents[a.hello.ServerAddr] = a
 	h.notifyChange()
 	h.mu.Unlock()
 	h.cfg.Log.Event(eventAgent, eventlog.Fields{
-		"agent": a.hello.Instance.ID, "addr": a.hello.Instance.Addr, "server": a.hello.Server,
+		"agent": a.hello.Instance.ID, "addr": a.hello.Instance.Addr, "server": a.hello.ServerAddr,
 	})
 }
 
@@ -122,15 +122,15 @@
 // replaced it, removeAgent does nothing.
 func (h *Hub) removeAgent(a *agentConn, err error) {
 	h.mu.Lock()
-	current := h.agents[a.hello.Server] == a
+	current := h.agents[a.hello.ServerAddr] == a
 	if current {
-		delete(h.agents, a.hello.Server)
+		delete(h.agents, a.hello.ServerAddr)
 		h.notifyChange()
 	}
 	h.mu.Unlock()
 	if current {
-		h.cfg.OnAgentState(a.hello.Server, nil)
-		h.cfg.Log.EventWithError(eventAgentGone, err, eventlog.Fields{"agent": a.hello.Instance.ID, "server": a.hello.Server})
+		h.cfg.OnAgentState(a.hello.ServerAddr, nil)
+		h.cfg.Log.EventWithError(eventAgentGone, err, eventlog.Fields{"agent": a.hello.Instance.ID, "server": a.hello.ServerAddr})
 	}
 }
 
@@ -165,22 +165,22 @@
 func (h *Hub) applyState(a *agentConn, s frame.AgentState) {
 	h.mu.Lock()
 	same := a.state.Loading == s.Loading && maps.Equal(a.state.LoadedVersions, s.LoadedVersions)
-	if a.state.WantsAgentList != s.WantsAgentList {
+	if a.state.RequestsAgentList != s.RequestsAgentList {
 		select {
 		case a.listToggled <- struct{}{}:
 		default:
 		}
 	}
 	a.state = s
-	current := h.agents[a.hello.Server] == a
+	current := h.agents[a.hello.ServerAddr] == a
 	h.mu.Unlock()
 	if !current {
 		return
 	}
-	h.cfg.OnAgentState(a.hello.Server, &s)
+	h.cfg.OnAgentState(a.hello.ServerAddr, &s)
 	if !same {
 		h.cfg.Log.Event(eventAgentState, eventlog.Fields{
-			"agent": a.hello.Instance.ID, "server": a.hello.Server, "weights": s.LoadedVersions, "loading": s.Loading,
+			"agent": a.hello.Instance.ID, "server": a.hello.ServerAddr, "weights": s.LoadedVersions, "loading": s.Loading,
 		})
 	}
 }
@@ -262,7 +262,7 @@
 func (h *Hub) listRequested(a *agentConn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return a.state.WantsAgentList
+	return a.state.RequestsAgentList
 }
 
 // sameVersionsAndOrigin reports whether two snapshots declare the same versions
@@ -296,7 +296,7 @@
 // fleetMessage builds the message for an agent: the wanted versions, their
 // origin, the entry instances and, if the agent requests it, the list of agents.
 func (h *Hub) fleetMessage(s *catalog.Snapshot, recipient *agentConn) frame.Fleet {
-	f := frame.Fleet{Entries: h.cfg.Entries(), DataCentre: h.cfg.DataCentre}
+	f := frame.Fleet{EntryAddrs: h.cfg.EntryAddrs(), DataCentre: h.cfg.DataCentre}
 	now := h.cfg.Clock.Now()
 	wantedVersions := map[string]int{}
 	if s.Config != nil {
@@ -313,16 +313,16 @@
 		}
 	}
 	if o := s.Origin(); o != nil {
-		f.Origin, f.OriginRate = o.Addr, o.BytesPerSecond
+		f.OriginAddr, f.OriginBytesPerSecond = o.Addr, o.BytesPerSecond
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !recipient.state.WantsAgentList {
+	if !recipient.state.RequestsAgentList {
 		return f
 	}
 	for _, a := range h.agents {
 		f.Agents = append(f.Agents, frame.FleetAgent{
-			Instance: a.hello.Instance, Server: a.hello.Server, HasDeclaredVersion: hasLoadedAnyWanted(a.state, wantedVersions),
+			Instance: a.hello.Instance, ServerAddr: a.hello.ServerAddr, HasDeclaredVersion: hasLoadedAnyWanted(a.state, wantedVersions),
 		})
 	}
 	return f
--- a/connection/frame/fleet.go
+++ b/connection/frame/fleet.go
@@ -52,8 +52,8 @@
 type TableState struct {
 	// Table identifies the table.
 	Table catalog.Table `cbor:"1,keyasint"`
-	// State is the content of the table.
-	State catalog.TableContent `cbor:"2,keyasint"`
+	// Content is the content of the table.
+	Content catalog.TableContent `cbor:"2,keyasint"`
 }
 
 // AgentHello is an agent's first message on a connection to an entry instance.
@@ -61,8 +61,8 @@
 	// Instance is the agent. Its Addr is the address from which other agents
 	// fetch weights.
 	Instance core.Instance `cbor:"1,keyasint"`
-	// Server is the address of the agent's backend server.
-	Server string `cbor:"2,keyasint"`
+	// ServerAddr is the address of the agent's backend server.
+	ServerAddr string `cbor:"2,keyasint"`
 	// DeclaredVersions are the declared versions that the agent has received from
 	// entry instances, with their ages.
 	DeclaredVersions []WantedVersion `cbor:"3,keyasint,omitempty"`
@@ -75,9 +75,9 @@
 	LoadedVersions map[string]int `cbor:"1,keyasint,omitempty"`
 	// Loading is true while the server loads a version and accepts no requests.
 	Loading bool `cbor:"2,keyasint,omitempty"`
-	// WantsAgentList is true if the agent requests the list of agents in each Fleet
+	// RequestsAgentList is true if the agent requests the list of agents in each Fleet
 	// message.
-	WantsAgentList bool `cbor:"3,keyasint,omitempty"`
+	RequestsAgentList bool `cbor:"3,keyasint,omitempty"`
 }
 
 // WantedVersion is a declared model version that agents must load into their
@@ -101,8 +101,8 @@
 type FleetAgent struct {
 	// Instance is the agent.
 	Instance core.Instance `cbor:"1,keyasint"`
-	// Server is the address of the agent's backend server.
-	Server string `cbor:"2,keyasint"`
+	// ServerAddr is the address of the agent's backend server.
+	ServerAddr string `cbor:"2,keyasint"`
 	// HasDeclaredVersion is true if the server has loaded the newest declared
 	// version of at least one model.
 	HasDeclaredVersion bool `cbor:"3,keyasint,omitempty"`
@@ -113,17 +113,17 @@
 type Fleet struct {
 	// WantedVersions are the versions to load.
 	WantedVersions []WantedVersion `cbor:"1,keyasint"`
-	// Origin is the address of the store that holds all weights, from which the
+	// OriginAddr is the address of the store that holds all weights, from which the
 	// agents fetch the first copy.
-	Origin string `cbor:"2,keyasint"`
-	// OriginRate is the bandwidth of the origin, in bytes per second.
-	OriginRate int64 `cbor:"3,keyasint"`
+	OriginAddr string `cbor:"2,keyasint"`
+	// OriginBytesPerSecond is the bandwidth of the origin, in bytes per second.
+	OriginBytesPerSecond int64 `cbor:"3,keyasint"`
 	// Agents lists all agents that are connected to the sender. It is only sent
 	// to agents that set AgentState.WantsAgentList.
 	Agents []FleetAgent `cbor:"4,keyasint,omitempty"`
-	// Entries are the addresses of all entry instances that are known at the
+	// EntryAddrs are the addresses of all entry instances that are known at the
 	// sender.
-	Entries []string `cbor:"5,keyasint"`
+	EntryAddrs []string `cbor:"5,keyasint"`
 	// DataCentre is the data centre of the sender.
 	DataCentre string `cbor:"6,keyasint"`
 }
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -82,8 +82,8 @@
 	InFlight int `cbor:"3,keyasint"`
 	// Queued is the number of calls waiting for a slot.
 	Queued int `cbor:"4,keyasint"`
-	// Config is the number of the configuration version in force at the agent.
-	Config uint64 `cbor:"5,keyasint"`
+	// ConfigNumber is the number of the configuration version in force at the agent.
+	ConfigNumber uint64 `cbor:"5,keyasint"`
 	// Loaded lists the versions that the engine reports as loaded. It is only
 	// sent with LoadedChanged set.
 	Loaded []Loaded `cbor:"6,keyasint,omitempty"`
@@ -113,16 +113,16 @@
 type Welcome struct {
 	// Instance is the entry instance.
 	Instance core.Instance `cbor:"1,keyasint"`
-	// Config is the number of the configuration version in force at the entry
+	// ConfigNumber is the number of the configuration version in force at the entry
 	// instance.
-	Config uint64 `cbor:"2,keyasint"`
+	ConfigNumber uint64 `cbor:"2,keyasint"`
 }
 
 // Notice announces the sender's configuration version. It is also the response
 // to a Pull whose sender already has that version.
 type Notice struct {
-	// Config is the number of the configuration version.
-	Config uint64 `cbor:"1,keyasint"`
+	// ConfigNumber is the number of the configuration version.
+	ConfigNumber uint64 `cbor:"1,keyasint"`
 	// Confirmed is only set in a response to Pull. It is true if the sender's
 	// version has been confirmed as the newest since the sender started and
 	// since it was last paused.
@@ -177,9 +177,9 @@
 	// Digest is the manifest digest of the model version that must serve the
 	// call; empty for a plain service.
 	Digest core.Digest `cbor:"10,keyasint,omitempty"`
-	// Config is the number of the configuration version by which the entry
+	// ConfigNumber is the number of the configuration version by which the entry
 	// instance routed the call.
-	Config uint64 `cbor:"11,keyasint"`
+	ConfigNumber uint64 `cbor:"11,keyasint"`
 	// TimeoutMillis is the time remaining until the deadline of the call, in
 	// milliseconds.
 	TimeoutMillis int64 `cbor:"12,keyasint"`
@@ -291,8 +291,8 @@
 type Fail struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
-	// Refusal states whether the call was executed.
-	Refusal core.Refusal `cbor:"2,keyasint"`
+	// FailureOutcome states whether the call was executed.
+	FailureOutcome core.FailureOutcome `cbor:"2,keyasint"`
 	// Detail is the cause of the failure, for logs.
 	Detail string `cbor:"3,keyasint,omitempty"`
 	// Load is the agent's current load.
--- a/connection/homes/budget_test.go
+++ b/connection/homes/budget_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestHeartbeatBudget(t *testing.T) {
-	last := frame.Report{State: frame.StateReady, Limit: 1000, Config: 1 << 20, HeartbeatMillis: 10_000}
+	last := frame.Report{State: frame.StateReady, Limit: 1000, ConfigNumber: 1 << 20, HeartbeatMillis: 10_000}
 	current := last
 	current.InFlight, current.Queued = 1000, 1000
 	raw, err := frame.Encode(frame.KindReport, withoutUnchangedFields(current, last))
@@ -49,8 +49,8 @@
 	for _, agentCount := range []int{600, 1300} {
 		Convey(fmt.Sprintf("With %d agents, heartbeats stay within their share of a process's bandwidth for control messages", agentCount), t, func() {
 			list := instancesAtTargetSize(agentCount)
-			homeCount := len(Select(self, list, DefaultMaxLocal, DefaultPerRemote, defaultMinHomes))
-			reportsPerSecond := 1 / HeartbeatInterval(registry.DefaultHeartbeat, list, homeCount).Seconds()
+			homeCount := len(Select(self, list, DefaultMaxLocalHomes, DefaultHomesPerRemoteDataCentre, defaultMinHomes))
+			reportsPerSecond := 1 / HeartbeatInterval(registry.DefaultHeartbeatInterval, list, homeCount).Seconds()
 			agentBytesPerSecond := float64(homeCount) * reportsPerSecond * reportBytes
 			entryBytesPerSecond := float64(agentCount*homeCount) / 330 * reportsPerSecond * reportBytes
 			So(agentBytesPerSecond, ShouldBeLessThan, maxHeartbeatShare*controlBytesPerSecond)
--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// DefaultMaxLocal is the default of Config.MaxLocal.
-	DefaultMaxLocal = 64
-	// DefaultPerRemote is the default of Config.PerRemote.
-	DefaultPerRemote = 2
+	// DefaultMaxLocalHomes is the default of Config.MaxLocal.
+	DefaultMaxLocalHomes = 64
+	// DefaultHomesPerRemoteDataCentre is the default of Config.PerRemote.
+	DefaultHomesPerRemoteDataCentre = 2
 	// defaultMinHomes is the default of Config.MinHomes.
 	defaultMinHomes = 4
 	// MaxFullRateAgents is the largest number of agents per entry instance at
@@ -59,16 +59,16 @@
 	Service string
 	// PeerToken authenticates this process to entry instances.
 	PeerToken string
-	// Heartbeat is the longest time between two reports if each entry instance has
+	// BaseHeartbeatInterval is the longest time between two reports if each entry instance has
 	// at most MaxFullRateAgents registered agents. With more agents, the function
 	// HeartbeatInterval computes a longer time. Default 5 s.
-	Heartbeat time.Duration
-	// MaxLocal is the largest number of homes in the agent's own data centre,
+	BaseHeartbeatInterval time.Duration
+	// MaxLocalHomes is the largest number of homes in the agent's own data centre,
 	// unless more are needed to reach MinHomes. Default 64.
-	MaxLocal int
-	// PerRemote is the largest number of homes in each other data centre, unless
+	MaxLocalHomes int
+	// HomesPerRemoteDataCentre is the largest number of homes in each other data centre, unless
 	// more are needed to reach MinHomes. Default 2.
-	PerRemote int
+	HomesPerRemoteDataCentre int
 	// MinHomes is the smallest total number of homes, if there are that many entry
 	// instances. Default 4.
 	MinHomes int
@@ -76,9 +76,9 @@
 
 // applyDefaults returns c with its zero fields set to their defaults.
 func (c Config) applyDefaults() Config {
-	core.SetDefault(&c.Heartbeat, registry.DefaultHeartbeat)
-	core.SetDefault(&c.MaxLocal, DefaultMaxLocal)
-	core.SetDefault(&c.PerRemote, DefaultPerRemote)
+	core.SetDefault(&c.BaseHeartbeatInterval, registry.DefaultHeartbeatInterval)
+	core.SetDefault(&c.MaxLocalHomes, DefaultMaxLocalHomes)
+	core.SetDefault(&c.HomesPerRemoteDataCentre, DefaultHomesPerRemoteDataCentre)
 	core.SetDefault(&c.MinHomes, defaultMinHomes)
 	return c
 }
@@ -128,7 +128,7 @@
 		registered:    map[string]bool{},
 		registrations: map[endpoint]*registration{},
 	}
-	h.heartbeatInterval.Store(int64(cfg.Heartbeat))
+	h.heartbeatInterval.Store(int64(cfg.BaseHeartbeatInterval))
 	return h
 }
 
@@ -189,9 +189,9 @@
 	h.markRegistered(home)
 	defer h.markUnregistered(home)
 
-	session := confsync.NewSession(h.configHub, conn, welcome.Config)
+	session := confsync.NewSession(h.configHub, conn, welcome.ConfigNumber)
 	defer session.Close()
-	if err := session.PullIfNewer(welcome.Config); err != nil {
+	if err := session.PullIfNewer(welcome.ConfigNumber); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -301,7 +301,7 @@
 		limitChange = -limitChange
 	}
 	return current.State != last.State ||
-		current.Config != last.Config ||
+		current.ConfigNumber != last.ConfigNumber ||
 		limitChange*limitChangeDivisor > last.Limit
 }
 
--- a/connection/homes/homes_test.go
+++ b/connection/homes/homes_test.go
@@ -142,7 +142,7 @@
 		reg := registry.New()
 		entrySource, agentSource := newFakeSource(5), newFakeSource(0)
 		listener := registry.NewListener(registry.ListenerConfig{
-			Self: core.Instance{ID: "entry-1", Role: core.RoleEntry}, Heartbeat: 100 * time.Millisecond,
+			Self: core.Instance{ID: "entry-1", Role: core.RoleEntry}, HeartbeatInterval: 100 * time.Millisecond,
 		}, reg, confsync.NewHub(entrySource, eventlog.Discard()), entrySource, nil, eventlog.Discard())
 		server := httptest.NewServer(listener)
 		defer server.Close()
@@ -153,16 +153,16 @@
 		buildReport := func() frame.Report {
 			mu.Lock()
 			defer mu.Unlock()
-			report.Config = agentSource.Number()
+			report.ConfigNumber = agentSource.Number()
 			return report
 		}
 		members := &fakeMembers{changed: make(chan struct{}), list: []core.Instance{{
 			ID: "entry-1", Role: core.RoleEntry, Addr: strings.TrimPrefix(server.URL, "http://"),
 		}}}
 		h := New(Config{
-			Self:        core.Instance{ID: "gpu-1", Role: core.RoleAgent},
-			Incarnation: "i1",
-			Heartbeat:   100 * time.Millisecond,
+			Self:                  core.Instance{ID: "gpu-1", Role: core.RoleAgent},
+			Incarnation:           "i1",
+			BaseHeartbeatInterval: 100 * time.Millisecond,
 		}, members, confsync.NewHub(agentSource, eventlog.Discard()), buildReport, eventlog.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -180,7 +180,7 @@
 			mu.Unlock()
 			So(waitUntil(func() bool {
 				srv, _ := reg.Get("gpu-1")
-				return srv.HasLoaded("herbs", "d1") && srv.Report.Config == 5
+				return srv.HasLoaded("herbs", "d1") && srv.Report.ConfigNumber == 5
 			}), ShouldBeTrue)
 
 			So(entrySource.Offer(frame.Config{Number: 6}), ShouldBeNil)
--- a/connection/homes/reconcile.go
+++ b/connection/homes/reconcile.go
@@ -50,8 +50,8 @@
 // the entry instance as not leaving and Select no longer chooses it.
 func (h *Homes) reconcile(ctx context.Context) []*registration {
 	members := h.members.All()
-	chosen := Select(h.cfg.Self, members, h.cfg.MaxLocal, h.cfg.PerRemote, h.cfg.MinHomes)
-	h.heartbeatInterval.Store(int64(HeartbeatInterval(h.cfg.Heartbeat, members, len(chosen))))
+	chosen := Select(h.cfg.Self, members, h.cfg.MaxLocalHomes, h.cfg.HomesPerRemoteDataCentre, h.cfg.MinHomes)
+	h.heartbeatInterval.Store(int64(HeartbeatInterval(h.cfg.BaseHeartbeatInterval, members, len(chosen))))
 	active := map[endpoint]bool{}
 	for _, in := range members {
 		active[endpointOf(in)] = !in.Leaving
--- a/connection/registry/listener.go
+++ b/connection/registry/listener.go
@@ -19,8 +19,8 @@
 
 // Heartbeat and timeout settings of a Listener.
 const (
-	// DefaultHeartbeat is the default for the longest time between two reports.
-	DefaultHeartbeat = 5 * time.Second
+	// DefaultHeartbeatInterval is the default for the longest time between two reports.
+	DefaultHeartbeatInterval = 5 * time.Second
 	// helloTimeout is how long a Listener waits for the first frame.
 	helloTimeout = 5 * time.Second
 	// suspectAfterHeartbeats is the number of heartbeat intervals without a report
@@ -52,14 +52,14 @@
 type ListenerConfig struct {
 	// Self is this entry instance.
 	Self core.Instance
-	// Heartbeat is the longest time between two reports of an agent that announces
+	// HeartbeatInterval is the longest time between two reports of an agent that announces
 	// no heartbeat interval. Default 5 s.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 }
 
 // applyDefaults returns c with its zero fields set to their defaults.
 func (c ListenerConfig) applyDefaults() ListenerConfig {
-	core.SetDefault(&c.Heartbeat, DefaultHeartbeat)
+	core.SetDefault(&c.HeartbeatInterval, DefaultHeartbeatInterval)
 	return c
 }
 
@@ -142,19 +142,19 @@
 		return err
 	}
 	conn.SetPeer(hello.Instance.ID)
-	welcome := frame.Welcome{Instance: l.cfg.Self, Config: l.configSource.Number()}
+	welcome := frame.Welcome{Instance: l.cfg.Self, ConfigNumber: l.configSource.Number()}
 	if err := conn.Send(frame.KindWelcome, welcome); err != nil {
 		return err
 	}
 	l.register(hello, registration)
 	defer l.unregister(hello, registration)
 
-	session := confsync.NewSession(l.configHub, conn, hello.Report.Config)
+	session := confsync.NewSession(l.configHub, conn, hello.Report.ConfigNumber)
 	defer session.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = session.Announce(ctx, 0) }()
-	if err := session.PullIfNewer(hello.Report.Config); err != nil {
+	if err := session.PullIfNewer(hello.Report.ConfigNumber); err != nil {
 		return err
 	}
 	return l.receiveFrames(conn, session, hello, registration)
@@ -164,7 +164,7 @@
 // arrives for goneAfterHeartbeats heartbeat intervals. It returns nil in both
 // cases, and an error for a frame that it cannot handle.
 func (l *Listener) receiveFrames(conn *frame.Conn, session *confsync.Session, hello frame.Hello, registration uint64) error {
-	heartbeatInterval := l.announcedHeartbeatInterval(hello.Report, l.cfg.Heartbeat)
+	heartbeatInterval := l.announcedHeartbeatInterval(hello.Report, l.cfg.HeartbeatInterval)
 	monitor := l.monitorHeartbeats(hello.Instance.ID, registration, heartbeatInterval)
 	defer monitor.stop()
 	for {
@@ -189,7 +189,7 @@
 		heartbeatInterval = l.announcedHeartbeatInterval(report, heartbeatInterval)
 		l.applyReport(hello, report)
 		monitor.setHeartbeatInterval(heartbeatInterval)
-		if err := session.PullIfNewer(report.Config); err != nil {
+		if err := session.PullIfNewer(report.ConfigNumber); err != nil {
 			return err
 		}
 	}
--- a/connection/registry/listener_test.go
+++ b/connection/registry/listener_test.go
@@ -32,7 +32,7 @@
 		registry := New()
 		source := confsync.HolderSource{Holder: confstore.NewHolder()}
 		hub := confsync.NewHub(source, eventlog.Discard())
-		listener := NewListener(ListenerConfig{Heartbeat: time.Hour}, registry, hub, source, nil, eventlog.Discard())
+		listener := NewListener(ListenerConfig{HeartbeatInterval: time.Hour}, registry, hub, source, nil, eventlog.Discard())
 		server := httptest.NewServer(listener)
 		defer server.Close()
 		defer listener.Close()
--- a/core/instance.go
+++ b/core/instance.go
@@ -27,18 +27,18 @@
 	Leaving bool `json:"leaving,omitempty" cbor:"6,keyasint,omitempty"`
 }
 
-// Refusal states in a problem document whether a failed call was executed.
-type Refusal string
+// FailureOutcome states in a problem document whether a failed call was executed.
+type FailureOutcome string
 
 // Values of Refusal in problem documents.
 const (
-	// RefusalNotRun means that no part of the call was executed.
-	RefusalNotRun Refusal = "not-run"
-	// RefusalUnknown means that the call may or may not have been executed.
-	RefusalUnknown Refusal = "unknown"
-	// RefusalIncomplete means that the response ended early, after its start
+	// OutcomeNotRun means that no part of the call was executed.
+	OutcomeNotRun FailureOutcome = "not-run"
+	// OutcomeUnknown means that the call may or may not have been executed.
+	OutcomeUnknown FailureOutcome = "unknown"
+	// OutcomeIncomplete means that the response ended early, after its start
 	// had been sent.
-	RefusalIncomplete Refusal = "incomplete"
+	OutcomeIncomplete FailureOutcome = "incomplete"
 )
 
 // Names of HTTP headers between the processes of this system, callers and
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -45,8 +45,8 @@
 	// the start of the drain. It must suffice for the entry instances to receive
 	// the announcement.
 	LeaveNotice time.Duration
-	// StoreBytes is the maximum size of the weights kept in memory, in bytes.
-	StoreBytes int64
+	// MaxWeightBytes is the maximum size of the weights kept in memory, in bytes.
+	MaxWeightBytes int64
 	// Spread holds the settings of the distribution of weights among agents.
 	// RunAgent sets Self, Token and Peers.
 	Spread spread.Config
@@ -158,7 +158,7 @@
 	cfg.Incarnation = a.incarnation
 	cfg.Service = a.cfg.Service
 	cfg.PeerToken = a.cfg.PeerToken
-	cfg.Heartbeat = a.cfg.Heartbeat
+	cfg.BaseHeartbeatInterval = a.cfg.HeartbeatInterval
 	return homes.New(cfg, a.watcher, configHub, a.report, a.log)
 }
 
@@ -168,7 +168,7 @@
 	cfg.Self = a.cfg.Self
 	cfg.Token = a.cfg.PeerToken
 	cfg.Peers = func(d core.Digest) []spread.Peer { return a.orders.AssignedAgents(d) }
-	return spread.NewSwarm(cfg, spread.NewMemStore(a.cfg.StoreBytes), platformClient.WeightStore, a.log, clock)
+	return spread.NewSwarm(cfg, spread.NewMemStore(a.cfg.MaxWeightBytes), platformClient.WeightStore, a.log, clock)
 }
 
 // newOrders returns the controller that orders the engine to load and unload
@@ -278,11 +278,11 @@
 func (a *agent) report() frame.Report {
 	load := a.limiter.Load()
 	r := frame.Report{
-		State:    a.limiter.State(),
-		Limit:    load.Limit,
-		InFlight: load.InFlight,
-		Queued:   load.Queued,
-		Config:   a.configHolder.Current().Number,
+		State:        a.limiter.State(),
+		Limit:        load.Limit,
+		InFlight:     load.InFlight,
+		Queued:       load.Queued,
+		ConfigNumber: a.configHolder.Current().Number,
 	}
 	status, ok := a.engineStatus()
 	if ok {
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -111,13 +111,13 @@
 		instances.Config{Interval: cfg.ListInterval, Seeds: cfg.Seeds},
 		platformClient.Instances, members.NewPeerFallback(entries, cfg.Self, cfg.PeerToken), log)
 	e.configFollower = confstore.NewFollower(confstore.FollowerConfig{}, platformClient.Table, platformClient.ObjectStore, e.configHolder, log, clock)
-	e.onceRecords = once.New(once.Config{Entry: cfg.Self.ID}, platformClient.Table, platformClient.ObjectStore, log, clock)
+	e.onceRecords = once.New(once.Config{EntryInstanceID: cfg.Self.ID}, platformClient.Table, platformClient.ObjectStore, log, clock)
 	picker := routing.New(cfg.Routing, e.agentRegistry, e.configHolder, log, clock)
 	e.relay = relay.New(cfg.Relay, e.configHolder, picker, e.workPool, e.onceRecords, log, clock)
 
 	source := confsync.HolderSource{Holder: e.configHolder}
 	configHub := confsync.NewHub(source, log)
-	listenerConfig := registry.ListenerConfig{Self: cfg.Self, Heartbeat: cfg.Heartbeat}
+	listenerConfig := registry.ListenerConfig{Self: cfg.Self, HeartbeatInterval: cfg.HeartbeatInterval}
 	e.agentListener = registry.NewListener(listenerConfig, e.agentRegistry, configHub, source, e.workPool.CloseIdle, log)
 	e.freshnessGate = freshness.New(e.pauseDetector, e.configHolder.ConfirmationAge, configHub.PullFromPeers)
 	configHub.ConfirmPeersWhen(e.freshnessGate.MayConfirmPeers)
--- a/daemon/hosted/agent.go
+++ b/daemon/hosted/agent.go
@@ -112,8 +112,8 @@
 		Peers: func(core.Digest) []spread.Peer { return a.loader.ChunkSources() },
 	}, spread.NewMemStore(maxWeightBytes), originChunks, log, clock)
 	a.entryConnections = fleet.NewEntryConnections(fleet.EntryConnectionsConfig{
-		Hello: frame.AgentHello{Instance: self, Server: s.ServerAddr}, Token: o.Token,
-		DeclaredVersions: a.declaredVersions, Entries: s.EntryAddrs, OnFleet: a.onFleet, Log: log, Clock: clock,
+		Hello: frame.AgentHello{Instance: self, ServerAddr: s.ServerAddr}, Token: o.Token,
+		DeclaredVersions: a.declaredVersions, EntryAddrs: s.EntryAddrs, OnFleet: a.onFleet, Log: log, Clock: clock,
 	})
 	a.loader = loading.New(loading.Config{
 		Self: s.Name, Token: o.Token, Server: platform.NewModelServer(s.ServerAddr), Origin: origin, OriginChunks: originChunks,
@@ -202,8 +202,8 @@
 		}
 	}
 	for _, f := range a.lastFleets {
-		if f.Origin != "" {
-			t.Origin = f.Origin
+		if f.OriginAddr != "" {
+			t.Origin = f.OriginAddr
 		}
 		hasNewestVersion := false
 		for _, w := range f.WantedVersions {
--- a/daemon/hosted/entry.go
+++ b/daemon/hosted/entry.go
@@ -111,7 +111,7 @@
 		Token: o.Token, Holder: e.catalogHolder, DeclaredFollower: e.declaredFollower, ServersFollower: e.serversFollower, LoadTracker: e.scheduler, Log: log, Clock: clock,
 	})
 	e.fleetHub = fleet.NewHub(fleet.HubConfig{
-		DataCentre: s.DataCentre, Holder: e.catalogHolder, OnAgentState: e.scheduler.SetAgentState, Entries: e.exchange.KnownAddrs, Log: log, Clock: clock,
+		DataCentre: s.DataCentre, Holder: e.catalogHolder, OnAgentState: e.scheduler.SetAgentState, EntryAddrs: e.exchange.KnownAddrs, Log: log, Clock: clock,
 	})
 	e.handler = forward.New(forward.Config{
 		Headers: platform.HeaderNames(), Holder: e.catalogHolder, Scheduler: e.scheduler, Pool: e.connPool,
@@ -172,7 +172,7 @@
 		e.exchange.AddPeer(addr)
 	}
 	err = g.Run()
-	e.log.Event(eventStopped, eventlog.Fields{"running": e.handler.Active()})
+	e.log.Event(eventStopped, eventlog.Fields{"running": e.handler.ActiveCount()})
 	return err
 }
 
@@ -298,6 +298,6 @@
 	e.stopping.Store(true)
 	err := shutDownClients(e.clock, e.handler, e.clientServer, stopGrace(&e.settings))
 	if err != nil {
-		e.log.EventWithError(eventStopped, err, eventlog.Fields{"running": e.handler.Active()})
+		e.log.EventWithError(eventStopped, err, eventlog.Fields{"running": e.handler.ActiveCount()})
 	}
 }
--- a/request/admission/adapt.go
+++ b/request/admission/adapt.go
@@ -89,7 +89,7 @@
 		l.pendingDecrease = pendingDecrease{}
 		return
 	}
-	if o.Cancelled || !nearLimit || l.clock.Now().Before(l.growthPausedUntil) {
+	if o.Ignored || !nearLimit || l.clock.Now().Before(l.growthPausedUntil) {
 		return
 	}
 	l.finishedCallCount++
@@ -143,11 +143,11 @@
 	if now.Before(l.cooldownEnd) {
 		return
 	}
-	if s.FirstToken > 0 {
-		l.firstToken.add(s.FirstToken)
+	if s.TimeToFirstToken > 0 {
+		l.firstToken.add(s.TimeToFirstToken)
 	}
-	if s.PerToken > 0 {
-		l.window.add(now, s.PerToken, l.inFlight())
+	if s.TimePerToken > 0 {
+		l.window.add(now, s.TimePerToken, l.inFlight())
 	}
 	if l.firstToken.exceeds(firstTokenJumpRatio) {
 		l.resetToCold("first token")
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -31,26 +31,26 @@
 
 // Sample holds what was measured on a running call since its last sample.
 type Sample struct {
-	// FirstToken is the time to the first byte; 0 when it is not part of this
+	// TimeToFirstToken is the time to the first byte; 0 when it is not part of this
 	// sample.
-	FirstToken time.Duration
-	// PerToken is the mean time between tokens; 0 when it is not part of this
+	TimeToFirstToken time.Duration
+	// TimePerToken is the mean time between tokens; 0 when it is not part of this
 	// sample.
-	PerToken time.Duration
+	TimePerToken time.Duration
 }
 
 // Outcome describes how an admitted call ended.
 type Outcome struct {
-	// FirstToken is the time to the first byte; 0 when there was none.
-	FirstToken time.Duration
-	// PerToken is the mean time between tokens; 0 when unknown.
-	PerToken time.Duration
+	// TimeToFirstToken is the time to the first byte; 0 when there was none.
+	TimeToFirstToken time.Duration
+	// TimePerToken is the mean time between tokens; 0 when unknown.
+	TimePerToken time.Duration
 	// Overloaded is true when the engine refused the call because of overload, or
 	// sent no data in time.
 	Overloaded bool
-	// Cancelled is true when the limiter must not adapt to this call, because it
+	// Ignored is true when the limiter must not adapt to this call, because it
 	// was cancelled or failed for another reason than overload.
-	Cancelled bool
+	Ignored bool
 }
 
 // Limiter limits the number of calls that run at once at a backend server.
--- a/request/admission/limiter.go
+++ b/request/admission/limiter.go
@@ -305,7 +305,7 @@
 		defer l.mu.Unlock()
 		nearLimit := l.isNearLimit(l.inFlight())
 		l.freeSlot(call)
-		if !o.Cancelled && !call.shed {
+		if !o.Ignored && !call.shed {
 			l.meanSlotTime.add(l.clock.Since(call.start))
 		}
 		l.adaptToOutcome(o, nearLimit && !call.shed)
--- a/request/admission/limiter_test.go
+++ b/request/admission/limiter_test.go
@@ -141,9 +141,9 @@
 		// passes samples with this time per token to the limiter.
 		passWindow := func(timePerToken time.Duration) {
 			clock.Advance(settleTime)
-			l.Observe(Sample{PerToken: timePerToken})
+			l.Observe(Sample{TimePerToken: timePerToken})
 			clock.Advance(windowTime)
-			l.Observe(Sample{PerToken: timePerToken})
+			l.Observe(Sample{TimePerToken: timePerToken})
 		}
 		finishCalls := func() {
 			for range 8 {
@@ -155,7 +155,7 @@
 
 		Convey("the limit does not grow on finished calls before their time per token was evaluated", func() {
 			fillSlots()
-			l.Observe(Sample{PerToken: 5 * time.Millisecond})
+			l.Observe(Sample{TimePerToken: 5 * time.Millisecond})
 			for range 4 {
 				l.mu.Lock()
 				l.adaptToOutcome(Outcome{}, true)
@@ -237,9 +237,9 @@
 			for range 2 {
 				release, _ := l.Acquire(context.Background(), SlotRequest{Account: "a"})
 				clock.Advance(settleTime)
-				l.Observe(Sample{PerToken: time.Millisecond})
+				l.Observe(Sample{TimePerToken: time.Millisecond})
 				clock.Advance(windowTime)
-				l.Observe(Sample{PerToken: time.Millisecond})
+				l.Observe(Sample{TimePerToken: time.Millisecond})
 				release(Outcome{})
 			}
 			So(l.Load().Limit, ShouldEqual, 2)
@@ -271,9 +271,9 @@
 			calls := l.Load().InFlight
 			for range 2 {
 				clock.Advance(settleTime)
-				l.Observe(Sample{PerToken: timePerToken(calls)})
+				l.Observe(Sample{TimePerToken: timePerToken(calls)})
 				clock.Advance(windowTime)
-				l.Observe(Sample{PerToken: timePerToken(calls)})
+				l.Observe(Sample{TimePerToken: timePerToken(calls)})
 			}
 			for _, release := range releases[:calls/2] {
 				release(Outcome{})
@@ -313,9 +313,9 @@
 		// which no call ends.
 		passWindow := func() {
 			clock.Advance(settleTime)
-			l.Observe(Sample{PerToken: timePerToken(l.Load().InFlight)})
+			l.Observe(Sample{TimePerToken: timePerToken(l.Load().InFlight)})
 			clock.Advance(windowTime)
-			l.Observe(Sample{PerToken: timePerToken(l.Load().InFlight)})
+			l.Observe(Sample{TimePerToken: timePerToken(l.Load().InFlight)})
 		}
 		finishCalls := func() {
 			for range 4 {
--- a/request/dispatch/decisions_test.go
+++ b/request/dispatch/decisions_test.go
@@ -12,7 +12,7 @@
 // candidate returns a candidate with this number of running requests and a limit
 // of 16.
 func candidate(id string, running int, remote bool) Candidate {
-	return Candidate{Slot: Slot{Server: &catalog.Server{ID: id}, Running: running, Remote: remote}, Limit: 16}
+	return Candidate{Slot: Slot{Server: &catalog.Server{ID: id}, RunningCount: running, Remote: remote}, Limit: 16}
 }
 
 func TestChooseCandidate(t *testing.T) {
@@ -178,7 +178,7 @@
 	})
 	Convey("A client that leaves does not count against the server", t, func() {
 		var h PassiveHealth
-		h.Record(Ended, now)
+		h.Record(Cancelled, now)
 		So(h.InBackoff(now), ShouldBeFalse)
 		So(h.Penalty(), ShouldEqual, 0)
 	})
--- a/request/dispatch/move.go
+++ b/request/dispatch/move.go
@@ -17,21 +17,21 @@
 // of that slot is loading weights.
 const movePriority = -1
 
-// Move is the search for a slot at another server for a running stream, which
+// MoveSearch is the search for a slot at another server for a running stream, which
 // continues at its present server in the meantime. A server that loads new weights
 // serves no other requests until its longest stream has ended. Under full load the
 // last few streams are therefore moved to servers that accept requests.
-type Move struct {
+type MoveSearch struct {
 	scheduler *Scheduler
 	waiter    *waiter
 }
 
-// StartMove starts the search for a slot at another server for the stream of req,
+// StartMoveSearch starts the search for a slot at another server for the stream of req,
 // which runs at from, and counts the move as an optional retry. It returns nil,
 // and the stream must stay, if the server of from has not been loading new
 // weights for moveDelay or if the retry budget does not allow the move. The
 // caller must call Cancel unless Take has returned a slot.
-func (s *Scheduler) StartMove(req *Request, from Slot) *Move {
+func (s *Scheduler) StartMoveSearch(req *Request, from Slot) *MoveSearch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
@@ -41,18 +41,18 @@
 		return nil
 	}
 	moveReq := *req
-	moveReq.Priority, moveReq.Tried = movePriority, maps.Clone(req.Tried)
-	moveReq.Tried[from.Server.ID] = true
+	moveReq.Priority, moveReq.TriedServers = movePriority, maps.Clone(req.TriedServers)
+	moveReq.TriedServers[from.Server.ID] = true
 	w := &waiter{request: &moveReq, slot: make(chan Slot, 1)}
 	s.enqueue(w)
 	s.assignWaiting()
-	return &Move{s, w}
+	return &MoveSearch{s, w}
 }
 
 // Take returns the slot that was assigned to the stream, or false if none has
 // been assigned yet. The search ends when Take returns a slot, which the caller
 // must then release.
-func (m *Move) Take() (Slot, bool) {
+func (m *MoveSearch) Take() (Slot, bool) {
 	select {
 	case slot := <-m.waiter.slot:
 		return slot, true
@@ -62,7 +62,7 @@
 }
 
 // Cancel ends the search. It must not be called after Take has returned a slot.
-func (m *Move) Cancel() {
+func (m *MoveSearch) Cancel() {
 	m.scheduler.mu.Lock()
 	defer m.scheduler.mu.Unlock()
 	m.scheduler.cancelWait(m.waiter)
--- a/request/dispatch/move_test.go
+++ b/request/dispatch/move_test.go
@@ -18,7 +18,7 @@
 	So(err, ShouldBeNil)
 	So(from.Server.ID, ShouldEqual, "a")
 	f.scheduler.SetAgentState("a", &frame.AgentState{LoadedVersions: map[string]int{"herbs": 1}, Loading: true})
-	So(f.scheduler.StartMove(f.request(), from), ShouldBeNil)
+	So(f.scheduler.StartMoveSearch(f.request(), from), ShouldBeNil)
 	f.clock.Advance(moveDelay)
 	return f, from
 }
@@ -26,7 +26,7 @@
 func TestMoveWhileServerLoadsWeights(t *testing.T) {
 	Convey("A stream at a server that loads weights gets a free slot at another server", t, func() {
 		f, from := newMoveFixture()
-		m := f.scheduler.StartMove(f.request(), from)
+		m := f.scheduler.StartMoveSearch(f.request(), from)
 		So(m, ShouldNotBeNil)
 		to, ok := m.Take()
 		So(ok, ShouldBeTrue)
@@ -45,12 +45,12 @@
 		waited := make(chan error, 1)
 		go func() {
 			req := f.request()
-			req.Objective = time.Second
+			req.FirstByteObjective = time.Second
 			_, err := f.scheduler.Acquire(context.Background(), req)
 			waited <- err
 		}()
 		So(f.clock.BlockUntilContext(t.Context(), 1), ShouldBeNil)
-		m := f.scheduler.StartMove(f.request(), from)
+		m := f.scheduler.StartMoveSearch(f.request(), from)
 		_, ok := m.Take()
 		So(ok, ShouldBeFalse)
 		f.scheduler.Release(slots[0], Served)
@@ -62,7 +62,7 @@
 
 	Convey("Cancel releases the new slot of a stream that ends before the move", t, func() {
 		f, from := newMoveFixture()
-		f.scheduler.StartMove(f.request(), from).Cancel()
+		f.scheduler.StartMoveSearch(f.request(), from).Cancel()
 		So(f.scheduler.RunningByServer(), ShouldResemble, map[string]int{"a": 1, "b": 0})
 	})
 
@@ -70,7 +70,7 @@
 		f, from := newMoveFixture()
 		movedCount := 0
 		for {
-			m := f.scheduler.StartMove(f.request(), from)
+			m := f.scheduler.StartMoveSearch(f.request(), from)
 			if m == nil {
 				break
 			}
--- a/request/dispatch/passivehealth.go
+++ b/request/dispatch/passivehealth.go
@@ -8,9 +8,9 @@
 const (
 	// Served means that the complete response was received and forwarded.
 	Served Outcome = iota
-	// Ended means that the client left or the deadline passed before the response
+	// Cancelled means that the client left or the deadline passed before the response
 	// was complete; this does not count against the server.
-	Ended
+	Cancelled
 	// Full means that the server refused the request for lack of capacity.
 	Full
 	// Misdirected means that the server is not the expected instance, or does
@@ -83,7 +83,7 @@
 		h.consecutiveFailures++
 	case Broken:
 		h.raiseFailureRate()
-	case Ended, Moved:
+	case Cancelled, Moved:
 	}
 }
 
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -30,11 +30,11 @@
 // scaledLoad returns the load, including the penalty, that a server with a limit
 // of referenceLimit would have at the same ratio of load to limit.
 func (c *Candidate) scaledLoad() float64 {
-	return (float64(c.Slot.Running) + c.Penalty) * referenceLimit / float64(max(1, c.Limit))
+	return (float64(c.Slot.RunningCount) + c.Penalty) * referenceLimit / float64(max(1, c.Limit))
 }
 
 // hasFreeSlot reports whether the server runs fewer requests than its limit.
-func (c *Candidate) hasFreeSlot() bool { return c.Slot.Running < c.Limit }
+func (c *Candidate) hasFreeSlot() bool { return c.Slot.RunningCount < c.Limit }
 
 // ChooseCandidate returns the index of a candidate with a free slot, or -1 if
 // there is none. It chooses the least loaded candidate in the own data centre,
--- a/request/dispatch/request.go
+++ b/request/dispatch/request.go
@@ -26,17 +26,17 @@
 	Work float64
 	// Priority orders waiting requests: the lowest value goes first.
 	Priority int
-	// Arrived is the time at which the request arrived, and Deadline the latest
+	// ArrivedAt is the time at which the request arrived, and Deadline the latest
 	// time at which the response may end.
-	Arrived, Deadline time.Time
-	// Objective is the target for the time to the first byte.
-	Objective time.Duration
-	// RetryWait is the time that the request may wait for a slot at another server
+	ArrivedAt, Deadline time.Time
+	// FirstByteObjective is the target for the time to the first byte.
+	FirstByteObjective time.Duration
+	// MaxRetryWait is the time that the request may wait for a slot at another server
 	// after a failed attempt, even if the objective allows a shorter wait only; 0
 	// if the request has not run anywhere.
-	RetryWait time.Duration
-	// Tried holds the IDs of the servers that must not receive the request again.
-	Tried map[string]bool
+	MaxRetryWait time.Duration
+	// TriedServers holds the IDs of the servers that must not receive the request again.
+	TriedServers map[string]bool
 }
 
 // Slot is a server's capacity for one request, assigned to a request.
@@ -46,9 +46,9 @@
 	// Version is the version of the weights that the server holds according to
 	// the latest report; 0 at a plain service.
 	Version int
-	// Running is the number of requests at the server when the server was chosen,
+	// RunningCount is the number of requests at the server when the server was chosen,
 	// excluding this request.
-	Running int
+	RunningCount int
 	// Remote is true if the server is in another data centre than this entry
 	// instance.
 	Remote bool
--- a/request/dispatch/scheduler.go
+++ b/request/dispatch/scheduler.go
@@ -222,8 +222,8 @@
 // that is longer, but not beyond the deadline.
 func (s *Scheduler) maxWait(req *Request) time.Duration {
 	now := s.clock.Now()
-	objectiveWait := time.Duration(s.cfg.MaxWaitShare*float64(req.Objective)) - now.Sub(req.Arrived)
-	return min(max(objectiveWait, req.RetryWait), req.Deadline.Sub(now))
+	objectiveWait := time.Duration(s.cfg.MaxWaitShare*float64(req.FirstByteObjective)) - now.Sub(req.ArrivedAt)
+	return min(max(objectiveWait, req.MaxRetryWait), req.Deadline.Sub(now))
 }
 
 // HasFreeSlot reports whether a server that can run the request, and at which the
@@ -320,7 +320,7 @@
 	all := make([]Candidate, 0, len(listed))
 	for _, server := range listed {
 		region := s.cfg.Regions[server.DataCentre]
-		if server.Leaving || snapshot.DataCentresOut[server.DataCentre] || req.Tried[server.ID] ||
+		if server.Leaving || snapshot.DataCentresOut[server.DataCentre] || req.TriedServers[server.ID] ||
 			!catalog.RegionAllowed(req.RouteRegions, region) || !catalog.RegionAllowed(req.AccountRegions, region) {
 			continue
 		}
@@ -331,14 +331,14 @@
 		st, limit := s.stateOf(server.ID), server.Slots+maxServerQueueLength
 		c := Candidate{
 			Slot: Slot{
-				Server: server, Version: version, Running: s.totalRunning(server.ID, st, now),
+				Server: server, Version: version, RunningCount: s.totalRunning(server.ID, st, now),
 				Remote: server.DataCentre != s.cfg.DataCentre,
 			},
 			Limit:   limit,
 			Penalty: st.health.Penalty(),
 		}
-		blocked := st.health.InBackoff(now) || st.stall.Stalled(now, st.runningCount, req.Objective) ||
-			!st.burst.Allows(now, limit-c.Slot.Running, s.activeEntryInstanceCount(now))
+		blocked := st.health.InBackoff(now) || st.stall.Stalled(now, st.runningCount, req.FirstByteObjective) ||
+			!st.burst.Allows(now, limit-c.Slot.RunningCount, s.activeEntryInstanceCount(now))
 		if service != nil && service.ColdRequestsPerSecond > 0 && server.Cold(now) {
 			blocked = blocked || !st.coldRate.Allows(now, service.ColdRequestsPerSecond, s.knownEntryInstanceCount())
 		}
--- a/request/dispatch/scheduler_test.go
+++ b/request/dispatch/scheduler_test.go
@@ -58,7 +58,7 @@
 func (f *schedulerFixture) request() *Request {
 	now := f.clock.Now()
 	return &Request{
-		Service: "label", Model: "herbs", Arrived: now, Deadline: now.Add(time.Second), Tried: map[string]bool{},
+		Service: "label", Model: "herbs", ArrivedAt: now, Deadline: now.Add(time.Second), TriedServers: map[string]bool{},
 	}
 }
 
@@ -111,7 +111,7 @@
 		results := make(chan result, 2)
 		for _, priority := range []int{2, 1} {
 			req := f.request()
-			req.Priority, req.Objective = priority, time.Second
+			req.Priority, req.FirstByteObjective = priority, time.Second
 			go func() {
 				_, err := f.scheduler.Acquire(context.Background(), req)
 				results <- result{priority, err}
--- a/request/dispatch/stall_test.go
+++ b/request/dispatch/stall_test.go
@@ -19,8 +19,8 @@
 	}
 	newRequest := func(f *schedulerFixture) *Request {
 		req := f.request()
-		req.Objective = 400 * time.Millisecond
-		req.Arrived = req.Arrived.Add(-time.Second) // so long ago that the request may not wait for a slot
+		req.FirstByteObjective = 400 * time.Millisecond
+		req.ArrivedAt = req.ArrivedAt.Add(-time.Second) // so long ago that the request may not wait for a slot
 		return req
 	}
 	const quietTime = 601 * time.Millisecond // more than stallObjectives times the objective
@@ -42,7 +42,7 @@
 		first, err := f.scheduler.Acquire(t.Context(), newRequest(f))
 		So(err, ShouldBeNil)
 		f.clock.Advance(quietTime)
-		f.scheduler.Release(first, Ended)
+		f.scheduler.Release(first, Cancelled)
 		_, err = f.acquire(newRequest(f))
 		So(err, ShouldBeNil)
 	})
@@ -51,8 +51,8 @@
 		f := newFixture()
 		newLongRequest := func() *Request {
 			req := newRequest(f)
-			req.Objective = 3 * time.Second
-			req.Arrived = req.Arrived.Add(-10 * time.Second)
+			req.FirstByteObjective = 3 * time.Second
+			req.ArrivedAt = req.ArrivedAt.Add(-10 * time.Second)
 			return req
 		}
 		_, err := f.acquire(newLongRequest())
--- a/request/forward/handler.go
+++ b/request/forward/handler.go
@@ -53,8 +53,8 @@
 // on that connection.
 func (h *Handler) Drain() { h.draining.Store(true) }
 
-// Active returns the number of requests in progress.
-func (h *Handler) Active() int64 { return h.activeCount.Load() }
+// ActiveCount returns the number of requests in progress.
+func (h *Handler) ActiveCount() int64 { return h.activeCount.Load() }
 
 // ServeHTTP implements [http.Handler].
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -73,7 +73,7 @@
 		c.refuse(refusal)
 		return
 	}
-	c.setWriteTimeout(c.dispatchReq.Deadline.Sub(c.dispatchReq.Arrived) + writeMargin)
+	c.setWriteTimeout(c.dispatchReq.Deadline.Sub(c.dispatchReq.ArrivedAt) + writeMargin)
 	ctx, cancel := context.WithDeadline(r.Context(), c.dispatchReq.Deadline)
 	defer cancel()
 	c.run(ctx)
@@ -132,7 +132,7 @@
 		Handler: h, w: w, httpReq: r, requestID: r.Header.Get(h.cfg.Headers.RequestID),
 		snapshot: h.cfg.Holder.Current(), mayHaveRunAt: map[string]bool{},
 	}
-	c.dispatchReq = dispatch.Request{ID: c.requestID, Arrived: h.cfg.Clock.Now(), Tried: map[string]bool{}}
+	c.dispatchReq = dispatch.Request{ID: c.requestID, ArrivedAt: h.cfg.Clock.Now(), TriedServers: map[string]bool{}}
 	c.lastEventID = r.Header.Get(h.cfg.Headers.LastEvent)
 	return c
 }
@@ -190,7 +190,7 @@
 	req.RouteRegions = c.route.Regions
 	req.Priority = c.route.Priority
 	req.Work = c.estimateWork()
-	req.Objective = c.route.FirstByteObjective
+	req.FirstByteObjective = c.route.FirstByteObjective
 	if c.account != nil {
 		req.AccountRegions = c.account.Regions
 		if c.account.Priority != nil {
@@ -201,7 +201,7 @@
 	if ms, err := strconv.ParseFloat(c.httpReq.Header.Get(c.cfg.Headers.Deadline), 64); err == nil && ms > 0 {
 		remaining = min(remaining, time.Duration(ms*float64(time.Millisecond)))
 	}
-	req.Deadline = req.Arrived.Add(remaining)
+	req.Deadline = req.ArrivedAt.Add(remaining)
 }
 
 // estimateWork estimates the cost of the request for a server from the token
@@ -248,7 +248,7 @@
 // readBody reads the complete body, so that the request can be sent more than
 // once, or returns a refusal.
 func (c *call) readBody() *refusal {
-	limit := c.snapshot.Config.Limits.BodyBytes
+	limit := c.snapshot.Config.Limits.MaxBodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
 	}
@@ -291,7 +291,7 @@
 // logEvent logs an event with the fields of the request.
 func (c *call) logEvent(e eventlog.Event, f eventlog.Fields) {
 	f["request"] = c.requestID
-	f["ms"] = c.cfg.Clock.Now().Sub(c.dispatchReq.Arrived).Milliseconds()
+	f["ms"] = c.cfg.Clock.Now().Sub(c.dispatchReq.ArrivedAt).Milliseconds()
 	if c.snapshot.Config != nil {
 		f["config"] = c.snapshot.Config.Version
 	}
--- a/request/forward/move.go
+++ b/request/forward/move.go
@@ -13,7 +13,7 @@
 	// from is the slot at which the stream runs.
 	from dispatch.Slot
 	// search is nil while no search for another slot is in progress.
-	search *dispatch.Move
+	search *dispatch.MoveSearch
 }
 
 // tryMove is called after each event of the stream. If a slot at another server
@@ -26,7 +26,7 @@
 		return false
 	}
 	if m.search == nil {
-		m.search = c.cfg.Scheduler.StartMove(&c.dispatchReq, m.from)
+		m.search = c.cfg.Scheduler.StartMoveSearch(&c.dispatchReq, m.from)
 	}
 	if m.search == nil {
 		return false
--- a/request/forward/run.go
+++ b/request/forward/run.go
@@ -27,9 +27,9 @@
 			c.recordAnswered(slot)
 			return
 		}
-		c.dispatchReq.Tried[slot.Server.ID] = true
+		c.dispatchReq.TriedServers[slot.Server.ID] = true
 		if result.mayHaveRun {
-			c.dispatchReq.RetryWait = retryWait
+			c.dispatchReq.MaxRetryWait = retryWait
 		}
 		if err := c.decideRetry(ctx, slot, &result); err != nil {
 			c.giveUp(ctx, err)
@@ -52,7 +52,7 @@
 // request ended before the move, for example because the client left.
 func (c *call) releaseUnusedSlot() {
 	if c.movedTo != nil {
-		c.cfg.Scheduler.Release(*c.movedTo, dispatch.Ended)
+		c.cfg.Scheduler.Release(*c.movedTo, dispatch.Cancelled)
 	}
 }
 
@@ -60,11 +60,11 @@
 func (c *call) recordAnswered(slot dispatch.Slot) {
 	now := c.cfg.Clock.Now()
 	c.stats.answered.Inc(1)
-	c.stats.lastByte.Update(now.Sub(c.dispatchReq.Arrived))
-	f := eventlog.Fields{"running": slot.Running, "version": slot.Version, "remote": slot.Remote}
+	c.stats.lastByte.Update(now.Sub(c.dispatchReq.ArrivedAt))
+	f := eventlog.Fields{"running": slot.RunningCount, "version": slot.Version, "remote": slot.Remote}
 	if !c.firstByteAt.IsZero() {
-		c.stats.firstByte.Update(c.firstByteAt.Sub(c.dispatchReq.Arrived))
-		f["firstMs"] = c.firstByteAt.Sub(c.dispatchReq.Arrived).Milliseconds()
+		c.stats.firstByte.Update(c.firstByteAt.Sub(c.dispatchReq.ArrivedAt))
+		f["firstMs"] = c.firstByteAt.Sub(c.dispatchReq.ArrivedAt).Milliseconds()
 	}
 	c.logEvent(eventAnswered, f)
 }
@@ -84,7 +84,7 @@
 	}
 	c.logEvent(eventAttemptFailed, eventlog.Fields{
 		"server": slot.Server.ID, "addr": slot.Server.Addr, "outcome": r.outcome.String(), "mayHaveRun": r.mayHaveRun,
-		"cause": cause, "status": r.status, "follows": follows, "version": slot.Version, "running": slot.Running,
+		"cause": cause, "status": r.status, "follows": follows, "version": slot.Version, "running": slot.RunningCount,
 	})
 	return err
 }
@@ -97,7 +97,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
-	case r.outcome == dispatch.Ended:
+	case r.outcome == dispatch.Cancelled:
 		return errors.Wrap(errNoRetry, "ended")
 	case c.dispatchReq.Deadline.Sub(c.cfg.Clock.Now()) < minRetryTime:
 		return errors.Wrap(errNoRetry, "no time left")
@@ -153,7 +153,7 @@
 // [dispatch.ErrFull] if a server was tried, because there are then servers that
 // can run the request, and otherwise cause.
 func (c *call) slotError(cause error) error {
-	if len(c.dispatchReq.Tried) > 0 {
+	if len(c.dispatchReq.TriedServers) > 0 {
 		return dispatch.ErrFull
 	}
 	return cause
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -70,11 +70,11 @@
 	}
 }
 
-// markEnded returns r, with the outcome [dispatch.Ended] if ctx has ended because
+// markEnded returns r, with the outcome [dispatch.Cancelled] if ctx has ended because
 // the client left or the deadline passed.
 func (c *call) markEnded(ctx context.Context, r attemptResult) attemptResult {
 	if ctx.Err() != nil {
-		r.outcome = dispatch.Ended
+		r.outcome = dispatch.Cancelled
 	}
 	return r
 }
@@ -155,7 +155,7 @@
 	}
 	r.outcome = dispatch.Served
 	if err := c.writeResponse(complete); err != nil {
-		r.outcome, r.err = dispatch.Ended, err
+		r.outcome, r.err = dispatch.Cancelled, err
 	}
 	return r
 }
@@ -313,8 +313,8 @@
 // cannot be sent to another server, the returned watch does nothing.
 func (c *call) newStallWatch(ctx context.Context, conn *backend.Conn, slot dispatch.Slot) *stallWatch {
 	w := &stallWatch{call: c, ctx: ctx, conn: conn, retryReq: c.dispatchReq}
-	w.retryReq.Tried = maps.Clone(c.dispatchReq.Tried)
-	w.retryReq.Tried[slot.Server.ID] = true
+	w.retryReq.TriedServers = maps.Clone(c.dispatchReq.TriedServers)
+	w.retryReq.TriedServers[slot.Server.ID] = true
 	if !c.route.Repeatable() || len(c.mayHaveRunAt)+1 >= c.route.MaxServers {
 		return w
 	}
--- a/request/forward/stream.go
+++ b/request/forward/stream.go
@@ -59,7 +59,7 @@
 		c.cfg.Scheduler.RecordActivity(slot)
 		if r.err = c.forwardEvent(resp, event); r.err != nil {
 			if c.clientGone {
-				r.outcome = dispatch.Ended
+				r.outcome = dispatch.Cancelled
 			}
 			return r
 		}
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -111,7 +111,7 @@
 		clock:    clockwork.NewFakeClock(),
 		call:     Call{Account: "toa", Service: "booking", Key: "k", RequestDigest: RequestDigest("POST", "/deposits", []byte("1"))},
 	}
-	f.store = New(Config{Entry: "entry-1", MaxRowBodyBytes: 16}, f.platform, fakeObjects{f.platform}, eventlog.Discard(), f.clock)
+	f.store = New(Config{EntryInstanceID: "entry-1", MaxRowBodyBytes: 16}, f.platform, fakeObjects{f.platform}, eventlog.Discard(), f.clock)
 	return f
 }
 
--- a/request/once/store.go
+++ b/request/once/store.go
@@ -67,8 +67,8 @@
 
 // Config holds the settings of a RecordStore. Zero values take the defaults.
 type Config struct {
-	// Entry is the ID of the entry instance.
-	Entry string
+	// EntryInstanceID is the ID of the entry instance.
+	EntryInstanceID string
 	// TableTimeout limits the time to read or write one record; default 2 s.
 	TableTimeout time.Duration
 	// PollInterval is the interval at which the record of a running call is read,
@@ -149,7 +149,7 @@
 		State:         stateRunning,
 		ClaimID:       uuid.NewString(),
 		Attempt:       next.Attempt,
-		EntryInstance: s.config.Entry,
+		EntryInstance: s.config.EntryInstanceID,
 		Agent:         agent,
 		Incarnation:   incarnation,
 		ExpiresAt:     s.clock.Now().Add(s.config.TTL).UTC(),
--- a/request/ops/ops.go
+++ b/request/ops/ops.go
@@ -366,7 +366,7 @@
 		Suspect:    server.Suspect,
 		InFlight:   server.Report.InFlight,
 		Limit:      server.Report.Limit,
-		Config:     server.Report.Config,
+		Config:     server.Report.ConfigNumber,
 	}
 	for _, version := range server.Report.Loaded {
 		status.Loaded = append(status.Loaded, version.Model+" "+version.Version+" "+version.Digest.Short())
--- a/request/relay/attempt.go
+++ b/request/relay/attempt.go
@@ -41,7 +41,7 @@
 	// call.
 	refusal *frame.Refuse
 	// failOutcome is the outcome in the agent's Fail frame; "" if there was none.
-	failOutcome core.Refusal
+	failOutcome core.FailureOutcome
 	err         error
 }
 
@@ -138,7 +138,7 @@
 			return attemptResult{result: routing.ResultRefused, load: &m.Load, refusal: m}
 		case *frame.Fail:
 			err := fmt.Errorf("%w: %s", errResponseFailed, m.Detail)
-			return attemptResult{result: routing.ResultFailed, load: &m.Load, failOutcome: m.Refusal, err: err}
+			return attemptResult{result: routing.ResultFailed, load: &m.Load, failOutcome: m.FailureOutcome, err: err}
 		case *frame.Head:
 			if m.Digest != rd.digest {
 				return failedAttempt(fmt.Errorf("%w: %s", errWrongDigest, m.Digest.Short()))
--- a/request/relay/call.go
+++ b/request/relay/call.go
@@ -54,12 +54,12 @@
 // the ids of the servers that earlier attempts used.
 func (c *call) routingQuery(tried map[string]bool) routing.Query {
 	return routing.Query{
-		RequestID: c.id,
-		Model:     c.request.Model,
-		Digest:    c.request.Digest,
-		Service:   c.service,
-		Prefix:    c.prefixHash,
-		Tried:     tried,
+		RequestID:    c.id,
+		Model:        c.request.Model,
+		Digest:       c.request.Digest,
+		Service:      c.service,
+		Prefix:       c.prefixHash,
+		TriedServers: tried,
 	}
 }
 
@@ -121,29 +121,29 @@
 	req := c.Request()
 	account, err := r.accounts.Authenticate(req.Header.Get(echo.HeaderAuthorization))
 	if err != nil {
-		return nil, newProblem(http.StatusUnauthorized, core.RefusalNotRun, err.Error())
+		return nil, newProblem(http.StatusUnauthorized, core.OutcomeNotRun, err.Error())
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), req.Body, r.config.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, newProblem(http.StatusRequestEntityTooLarge, core.RefusalNotRun, err.Error())
+		return nil, newProblem(http.StatusRequestEntityTooLarge, core.OutcomeNotRun, err.Error())
 	}
 	if err != nil {
-		return nil, newProblem(http.StatusBadRequest, core.RefusalNotRun, "read body: "+err.Error())
+		return nil, newProblem(http.StatusBadRequest, core.OutcomeNotRun, "read body: "+err.Error())
 	}
 	return &call{
 		id:        id,
 		account:   account,
 		arrivedAt: r.clock.Now(),
 		request: frame.Request{
-			ID:       id,
-			Account:  account.Name,
-			Share:    accounts.Share(account),
-			Priority: requestPriority(req.Header, account),
-			Method:   req.Method,
-			Header:   forwardedHeader(req.Header),
-			Body:     body,
-			Config:   r.configStore.Current().Number,
+			ID:           id,
+			Account:      account.Name,
+			Share:        accounts.Share(account),
+			Priority:     requestPriority(req.Header, account),
+			Method:       req.Method,
+			Header:       forwardedHeader(req.Header),
+			Body:         body,
+			ConfigNumber: r.configStore.Current().Number,
 		},
 	}, nil
 }
--- a/request/relay/handlers.go
+++ b/request/relay/handlers.go
@@ -58,7 +58,7 @@
 func (r *Relay) handleModels(c echo.Context) error {
 	id := assignRequestID(c)
 	if _, err := r.accounts.Authenticate(c.Request().Header.Get(echo.HeaderAuthorization)); err != nil {
-		return r.refuseCall(c, id, newProblem(http.StatusUnauthorized, core.RefusalNotRun, err.Error()))
+		return r.refuseCall(c, id, newProblem(http.StatusUnauthorized, core.OutcomeNotRun, err.Error()))
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for name := range r.configStore.Current().Set.Models {
@@ -73,14 +73,14 @@
 	return r.serveCall(c, func(call *call) (bool, *Problem) {
 		var body completionBody
 		if err := json.Unmarshal(call.request.Body, &body); err != nil {
-			return false, newProblem(http.StatusBadRequest, core.RefusalNotRun, "body: "+err.Error())
+			return false, newProblem(http.StatusBadRequest, core.OutcomeNotRun, "body: "+err.Error())
 		}
 		if r.configStore.Current().Set.Models[body.Model] == nil {
-			return false, newProblem(http.StatusNotFound, core.RefusalNotRun, "no model "+body.Model)
+			return false, newProblem(http.StatusNotFound, core.OutcomeNotRun, "no model "+body.Model)
 		}
 		digest, ok := r.picker.PinnedDigest(body.Model)
 		if !ok {
-			p := newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, "no server can answer for model "+body.Model)
+			p := newProblem(http.StatusServiceUnavailable, core.OutcomeNotRun, "no server can answer for model "+body.Model)
 			return false, p.withRetryAfter(r.config.RetryAfter)
 		}
 		call.request.Path = c.Request().URL.RequestURI()
@@ -100,12 +100,12 @@
 		name := c.Param("service")
 		service := r.configStore.Current().Set.Services[name]
 		if service == nil {
-			return false, newProblem(http.StatusNotFound, core.RefusalNotRun, "no service "+name)
+			return false, newProblem(http.StatusNotFound, core.OutcomeNotRun, "no service "+name)
 		}
 		subpath := strings.TrimPrefix(url.Path, servicesPrefix+name)
 		route, ok := findRoute(service, c.Request().Method, subpath)
 		if !ok {
-			return false, newProblem(http.StatusNotFound, core.RefusalNotRun, "no such route of service "+name)
+			return false, newProblem(http.StatusNotFound, core.OutcomeNotRun, "no such route of service "+name)
 		}
 		call.request.Path = strings.TrimPrefix(url.RequestURI(), servicesPrefix+name)
 		call.service = name
@@ -124,7 +124,7 @@
 	defer release()
 	if !r.beginCall() {
 		c.Response().Header().Set("Connection", "close")
-		p := newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, "this entry instance is stopping")
+		p := newProblem(http.StatusServiceUnavailable, core.OutcomeNotRun, "this entry instance is stopping")
 		return r.refuseCall(c, id, p.withRetryAfter(r.config.RetryAfter))
 	}
 	defer r.endWork()
@@ -158,5 +158,5 @@
 	if errors.Is(err, accounts.ErrFairShare) {
 		status = http.StatusServiceUnavailable
 	}
-	return newProblem(status, core.RefusalNotRun, err.Error()).withRetryAfter(r.config.RetryAfter)
+	return newProblem(status, core.OutcomeNotRun, err.Error()).withRetryAfter(r.config.RetryAfter)
 }
--- a/request/relay/metrics.go
+++ b/request/relay/metrics.go
@@ -24,7 +24,9 @@
 }
 
 // countRefusal counts a refused call by its outcome.
-func countRefusal(outcome core.Refusal) { incrementCounter(metricCallsRefusedPrefix + string(outcome)) }
+func countRefusal(outcome core.FailureOutcome) {
+	incrementCounter(metricCallsRefusedPrefix + string(outcome))
+}
 
 // observeFirstByte records the time from the arrival of a call to the first byte
 // of its response.
--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -198,7 +198,7 @@
 	s.runCount++
 	result = s.id + "/" + incarnation + "/" + strconv.Itoa(s.runCount)
 	s.history.Add(history.Record{
-		Kind: history.KindExecution, CallID: string(req.Body), SubmissionID: req.ID, Server: s.id,
+		Kind: history.KindExecution, CallID: string(req.Body), SubmissionID: req.ID, AgentID: s.id,
 		Incarnation: incarnation, BodyDigest: core.DigestOf([]byte(result)),
 	})
 	return result, true
--- a/request/relay/once_test.go
+++ b/request/relay/once_test.go
@@ -126,7 +126,7 @@
 	fx.mu.Lock()
 	entryInstance := fx.entryInstances[i]
 	fx.mu.Unlock()
-	record := history.Record{Kind: history.KindResponse, CallID: id, Entry: strconv.Itoa(i), SentAt: fx.history.Elapsed()}
+	record := history.Record{Kind: history.KindResponse, CallID: id, EntryID: strconv.Itoa(i), SentAt: fx.history.Elapsed()}
 	req, err := http.NewRequest(http.MethodPost, entryInstance.http.URL+"/services/booking/deposits", strings.NewReader(id))
 	if err != nil {
 		return record
--- a/request/relay/onceonly.go
+++ b/request/relay/onceonly.go
@@ -57,7 +57,7 @@
 		return runOutcome, p
 	}
 	if r.onceRecords == nil {
-		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, once.ErrTableUnavailable.Error())
+		return nil, newProblem(http.StatusServiceUnavailable, core.OutcomeNotRun, once.ErrTableUnavailable.Error())
 	}
 	keyed := &keyedCall{Call: once.Call{
 		RequestID:     call.id,
@@ -80,7 +80,7 @@
 		if errors.Is(err, once.ErrAlreadyClaimed) {
 			continue
 		}
-		if p != nil && p.Outcome == core.RefusalNotRun && r.onceRecords.ChangedSince(ctx, keyed.Call, next, keyed.claim) {
+		if p != nil && p.Outcome == core.OutcomeNotRun && r.onceRecords.ChangedSince(ctx, keyed.Call, next, keyed.claim) {
 			continue
 		}
 		return runOutcome, p
@@ -103,13 +103,13 @@
 // may have run.
 func (r *Relay) problemFromResolveError(err error) *Problem {
 	if errors.Is(err, once.ErrKeyReused) {
-		return newProblem(http.StatusUnprocessableEntity, core.RefusalNotRun, once.ErrKeyReused.Error())
+		return newProblem(http.StatusUnprocessableEntity, core.OutcomeNotRun, once.ErrKeyReused.Error())
 	}
 	status, detail := http.StatusBadGateway, once.ErrOutcomeUnknown.Error()
 	if errors.Is(err, once.ErrTableUnavailable) {
 		status, detail = http.StatusServiceUnavailable, once.ErrTableUnavailable.Error()
 	}
-	return newProblem(status, core.RefusalUnknown, detail).withRetryAfter(r.config.RetryAfter)
+	return newProblem(status, core.OutcomeUnknown, detail).withRetryAfter(r.config.RetryAfter)
 }
 
 // offerToServers offers the call to one server after another until an agent
@@ -142,7 +142,7 @@
 			break
 		}
 	}
-	return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter), nil
+	return nil, newProblem(http.StatusServiceUnavailable, core.OutcomeNotRun, detail).withRetryAfter(retryAfter), nil
 }
 
 // queryAttempt sends an attempt query to an agent and returns the response. An
@@ -346,14 +346,14 @@
 	if res.refusal != nil {
 		oa.recordInBackground(ctx, (*once.Claim).RecordNotRun)
 		detail := "the server did not run the call: " + string(res.refusal.Reason)
-		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter), nil
+		return nil, newProblem(http.StatusServiceUnavailable, core.OutcomeNotRun, detail).withRetryAfter(retryAfter), nil
 	}
-	if res.failOutcome == core.RefusalNotRun {
+	if res.failOutcome == core.OutcomeNotRun {
 		oa.recordInBackground(ctx, (*once.Claim).RecordNotRun)
-		return nil, newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, "the server did not run the call").withRetryAfter(retryAfter), nil
+		return nil, newProblem(http.StatusServiceUnavailable, core.OutcomeNotRun, "the server did not run the call").withRetryAfter(retryAfter), nil
 	}
 	oa.recordInBackground(ctx, (*once.Claim).RecordLost)
-	return nil, newProblem(http.StatusBadGateway, core.RefusalUnknown, "the server was lost after it was told to run the call").withRetryAfter(retryAfter), nil
+	return nil, newProblem(http.StatusBadGateway, core.OutcomeUnknown, "the server was lost after it was told to run the call").withRetryAfter(retryAfter), nil
 }
 
 // recordInBackground records the result of a claimed attempt in the background,
--- a/request/relay/problem.go
+++ b/request/relay/problem.go
@@ -28,7 +28,7 @@
 	// Detail is the reason for the refusal.
 	Detail string `json:"detail"`
 	// Outcome shows whether any part of the call ran or may have run.
-	Outcome core.Refusal `json:"outcome"`
+	Outcome core.FailureOutcome `json:"outcome"`
 	// RequestID is the id of the call, for inquiries to the operators.
 	RequestID string `json:"requestId"`
 	// RetryAfter is the value of the Retry-After header, which is sent in whole
@@ -37,7 +37,7 @@
 }
 
 // newProblem returns a Problem with the standard title of status.
-func newProblem(status int, outcome core.Refusal, detail string) *Problem {
+func newProblem(status int, outcome core.FailureOutcome, detail string) *Problem {
 	return &Problem{
 		Type:    "about:blank",
 		Title:   http.StatusText(status),
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -25,7 +25,7 @@
 }
 
 // refusalOutcome returns the outcome in the problem document of a response.
-func refusalOutcome(resp *http.Response) core.Refusal {
+func refusalOutcome(resp *http.Response) core.FailureOutcome {
 	var p Problem
 	raw, _ := readBody(resp)
 	_ = json.Unmarshal([]byte(raw), &p)
@@ -89,14 +89,14 @@
 			resp, err := fx.post("/v1/completions", streamBody)
 			So(err, ShouldBeNil)
 			So(resp.StatusCode, ShouldEqual, http.StatusBadGateway)
-			So(refusalOutcome(resp), ShouldEqual, core.RefusalUnknown)
+			So(refusalOutcome(resp), ShouldEqual, core.OutcomeUnknown)
 		})
 		Convey("a caller without a valid key is refused", func() {
 			fx := newFixture(t, Config{}, nil, map[string]fakeAgent{"a": streamingAgent(5, 0)})
 			resp, err := fx.post("/v1/completions", streamBody, "Authorization", "Bearer wrong")
 			So(err, ShouldBeNil)
 			So(resp.StatusCode, ShouldEqual, http.StatusUnauthorized)
-			So(refusalOutcome(resp), ShouldEqual, core.RefusalNotRun)
+			So(refusalOutcome(resp), ShouldEqual, core.OutcomeNotRun)
 		})
 	})
 }
--- a/request/relay/repeatable.go
+++ b/request/relay/repeatable.go
@@ -71,7 +71,7 @@
 		return r.refuseCall(c, call.id, p)
 	}
 	p.RequestID = call.id
-	p.Outcome = core.RefusalIncomplete
+	p.Outcome = core.OutcomeIncomplete
 	incrementCounter(metricCallsAborted)
 	r.log.Event(eventResponseAborted, eventlog.Fields{"request": call.id, "tokens": rc.response.tokensSent, "detail": p.Detail})
 	rc.response.abort(p)
@@ -223,7 +223,7 @@
 	config := rc.relay.config
 	rc.failedAt = rc.relay.clock.Now()
 	rc.failed[server.Instance.ID] = true
-	rc.mayHaveRun = rc.mayHaveRun || res.failOutcome != core.RefusalNotRun
+	rc.mayHaveRun = rc.mayHaveRun || res.failOutcome != core.OutcomeNotRun
 	if rc.attemptCount-rc.refusalsSinceSwitch >= config.MaxAttempts {
 		return rc.finalProblem("every attempt failed")
 	}
@@ -254,9 +254,9 @@
 		retryAfter = time.Duration(rc.lastRefusal.RetryAfterMillis) * time.Millisecond
 	}
 	if rc.mayHaveRun {
-		return newProblem(http.StatusBadGateway, core.RefusalUnknown, detail).withRetryAfter(retryAfter)
+		return newProblem(http.StatusBadGateway, core.OutcomeUnknown, detail).withRetryAfter(retryAfter)
 	}
-	return newProblem(http.StatusServiceUnavailable, core.RefusalNotRun, detail).withRetryAfter(retryAfter)
+	return newProblem(http.StatusServiceUnavailable, core.OutcomeNotRun, detail).withRetryAfter(retryAfter)
 }
 
 // runAttempt makes one attempt to run the call on server.
--- a/request/routing/candidates.go
+++ b/request/routing/candidates.go
@@ -80,7 +80,7 @@
 		"config":     s.configNumber,
 		"candidates": len(s.candidates),
 		"skipped":    s.skippedCounts,
-		"attempt":    len(q.Tried) + 1,
+		"attempt":    len(q.TriedServers) + 1,
 	}
 	if q.Service != "" {
 		f["service"] = q.Service
@@ -138,7 +138,7 @@
 	if reason := unavailableReason(set, s); reason != "" {
 		return reason
 	}
-	if q.Tried[s.Instance.ID] {
+	if q.TriedServers[s.Instance.ID] {
 		return skipTried
 	}
 	if q.Service != "" && s.Service == q.Service {
@@ -195,7 +195,7 @@
 	if len(found.candidates) == 0 {
 		return candidate{}, "no candidate", false
 	}
-	for d := sameDataCentre; d < distanceCount && len(q.Tried) == 0; d++ {
+	for d := sameDataCentre; d < distanceCount && len(q.TriedServers) == 0; d++ {
 		atDistance := filter(found.candidates, func(c candidate) bool { return c.distance == d && c.loadRatio() < nearlyFullRatio })
 		if len(atDistance) > 0 {
 			c, reason := r.applyPolicy(q, atDistance)
--- a/request/routing/router_test.go
+++ b/request/routing/router_test.go
@@ -74,9 +74,9 @@
 // pickID returns the ID of the server that is chosen for a call on the old version
 // after attempts at the servers tried; "" if none is chosen.
 func (f *fixture) pickID(tried ...string) string {
-	q := Query{Model: "herbs", Digest: oldDigest, Tried: map[string]bool{}}
+	q := Query{Model: "herbs", Digest: oldDigest, TriedServers: map[string]bool{}}
 	for _, id := range tried {
-		q.Tried[id] = true
+		q.TriedServers[id] = true
 	}
 	s, _ := f.router.Pick(q)
 	return s.Instance.ID
--- a/request/routing/routing.go
+++ b/request/routing/routing.go
@@ -20,8 +20,8 @@
 	Service string
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
-	// Tried holds the IDs of the servers that earlier attempts used.
-	Tried map[string]bool
+	// TriedServers holds the IDs of the servers that earlier attempts used.
+	TriedServers map[string]bool
 }
 
 // Picker chooses the backend server for each attempt, using the results of
--- a/request/serve/check.go
+++ b/request/serve/check.go
@@ -23,7 +23,7 @@
 	// newer version would be taken for that of the older one.
 	unconfirmed := h.configUnconfirmed()
 	current := h.holder.Current()
-	if unconfirmed || req.Config > current.Number {
+	if unconfirmed || req.ConfigNumber > current.Number {
 		return frame.ReasonStaleConfig
 	}
 	if h.Leaving() {
--- a/request/serve/faults_test.go
+++ b/request/serve/faults_test.go
@@ -18,7 +18,7 @@
 func TestEngineFaults(t *testing.T) {
 	Convey("Given an agent in front of an engine", t, func() {
 		h := newHarness(t, options{
-			engine: standin.Config{PerToken: time.Millisecond, FirstToken: time.Millisecond},
+			engine: standin.Config{TokenInterval: time.Millisecond, TimeToFirstToken: time.Millisecond},
 			serve:  Config{StallTimeout: 200 * time.Millisecond, FirstByteTimeout: 300 * time.Millisecond},
 		})
 		req := completionRequest("r1", "20")
@@ -105,7 +105,7 @@
 		req := completionRequest("r1", "1")
 
 		Convey("a call that was routed with a newer configuration is refused", func() {
-			req.Config = 2
+			req.ConfigNumber = 2
 			So(h.do(frame.KindRequest, req).summary(), ShouldEqual, "refused stale")
 		})
 		Convey("a call is refused when the configuration has not been confirmed recently", func() {
--- a/request/serve/load_test.go
+++ b/request/serve/load_test.go
@@ -142,7 +142,7 @@
 func loadTestEngineConfig(warmPerCall float64) standin.Config {
 	return standin.Config{
 		Slots: 128, WarmLimit: warmCapacity, ColdLimit: coldCapacity, WarmPerCall: warmPerCall,
-		FirstToken: 2 * perToken, PerToken: perToken,
+		TimeToFirstToken: 2 * perToken, TokenInterval: perToken,
 	}
 }
 
--- a/request/serve/once.go
+++ b/request/serve/once.go
@@ -62,7 +62,7 @@
 		return h.sendRefusal(exchange, &req, reason)
 	}
 	slot := &heldSlot{release: release}
-	defer slot.free(admission.Outcome{Cancelled: true})
+	defer slot.free(admission.Outcome{Ignored: true})
 	heldSince := h.clock.Now()
 	h.logCall(eventSlotHeld, &req, eventlog.Fields{"hold_ms": h.cfg.HoldTimeout.Milliseconds()})
 	admit := frame.Admit{ID: req.ID, Incarnation: h.cfg.Incarnation, HoldMillis: h.cfg.HoldTimeout.Milliseconds()}
@@ -112,7 +112,7 @@
 	defer cancel()
 	f, err := exchange.Receive(holdCtx)
 	if err != nil && ctx.Err() == nil {
-		slot.free(admission.Outcome{Cancelled: true})
+		slot.free(admission.Outcome{Ignored: true})
 		f, err = exchange.Receive(ctx)
 	}
 	if err != nil {
@@ -149,7 +149,7 @@
 	go func() {
 		defer h.removeActive()
 		r := h.executeOnce(context.WithoutCancel(ctx), req)
-		release(admission.Outcome{Cancelled: r.err != nil})
+		release(admission.Outcome{Ignored: r.err != nil})
 		done <- r
 	}()
 	var deadline <-chan time.Time
@@ -163,7 +163,7 @@
 	case r := <-done:
 		return h.sendOnceResult(req, exchange, r)
 	case <-deadline:
-		return h.sendFailure(exchange, req, core.RefusalUnknown, errStillRunning)
+		return h.sendFailure(exchange, req, core.OutcomeUnknown, errStillRunning)
 	case <-ctx.Done():
 		return core.WrapStep("serve offer", exchange.Peer(), ctx.Err())
 	}
@@ -217,7 +217,7 @@
 	case errors.Is(r.err, engine.ErrNotSent):
 		return h.sendRefusal(exchange, req, frame.ReasonDown)
 	case r.err != nil:
-		return h.sendFailure(exchange, req, core.RefusalUnknown, r.err)
+		return h.sendFailure(exchange, req, core.OutcomeUnknown, r.err)
 	}
 	head := frame.Head{ID: req.ID, Status: r.outcome.Status, Header: r.outcome.Header}
 	if err := exchange.Send(frame.KindHead, head); err != nil {
--- a/request/serve/once_test.go
+++ b/request/serve/once_test.go
@@ -20,7 +20,7 @@
 // makes a call without an Idempotency-Key.
 func lotRequest(id, key string, attempt int) frame.Request {
 	r := frame.Request{
-		ID: id, Account: "a", Share: 1, Method: http.MethodPost, Path: "/lots", Config: 1,
+		ID: id, Account: "a", Share: 1, Method: http.MethodPost, Path: "/lots", ConfigNumber: 1,
 		Body: []byte(`{"lot":"` + id + `"}`), Key: key, Attempt: attempt,
 	}
 	if key != "" {
@@ -126,7 +126,7 @@
 			So(status.Outcome.Status, ShouldEqual, http.StatusOK)
 		})
 		Convey("when the connection to the service is lost during the call, the outcome is unknown and the attempt counts as run", func() {
-			h.service.SetFaults(service.Faults{DropAfter: true})
+			h.service.SetFaults(service.Faults{DropAfterExecution: true})
 			exchange, _ := h.openOffer(lotRequest("r1", "k1", 1))
 			So(sendGo(exchange, "r1").summary(), ShouldEqual, "failed unknown")
 			So(h.service.Executions()["k1"], ShouldEqual, 1)
--- a/request/serve/run.go
+++ b/request/serve/run.go
@@ -89,7 +89,7 @@
 	case errors.Is(err, errOverloaded), errors.Is(err, errFirstByteTimeout), errors.Is(err, errStalled):
 		return admission.Outcome{Overloaded: true}
 	default:
-		return admission.Outcome{Cancelled: true}
+		return admission.Outcome{Ignored: true}
 	}
 }
 
@@ -108,7 +108,7 @@
 		f.handler.log.EventWithError(eventCallFailed, err, eventlog.Fields{"request": f.req.ID, "account": f.req.Account, "why": "entry instance disconnected"})
 		return err
 	case f.headSent:
-		return f.handler.sendFailure(f.exchange, f.req, core.RefusalIncomplete, err)
+		return f.handler.sendFailure(f.exchange, f.req, core.OutcomeIncomplete, err)
 	case errors.Is(err, errOverloaded):
 		return f.handler.sendRefusal(f.exchange, f.req, frame.ReasonFull)
 	case errors.Is(err, errNotLoaded):
@@ -116,7 +116,7 @@
 	case errors.Is(err, engine.ErrNotSent):
 		return f.handler.sendRefusal(f.exchange, f.req, frame.ReasonDown)
 	default:
-		return f.handler.sendFailure(f.exchange, f.req, core.RefusalIncomplete, err)
+		return f.handler.sendFailure(f.exchange, f.req, core.OutcomeIncomplete, err)
 	}
 }
 
@@ -261,7 +261,7 @@
 // and reports the time to the first token to the limiter.
 func (f *responseForwarder) recordArrival(tokens int) {
 	if tokens > 0 && f.call.tokenCount.Load() == 0 {
-		f.handler.limiter.Observe(admission.Sample{FirstToken: f.handler.clock.Since(f.call.startedAt)})
+		f.handler.limiter.Observe(admission.Sample{TimeToFirstToken: f.handler.clock.Since(f.call.startedAt)})
 	}
 	f.call.recordArrival(f.handler.clock, tokens)
 }
--- a/request/serve/serve.go
+++ b/request/serve/serve.go
@@ -287,9 +287,9 @@
 // sendFailure sends a Fail frame for a call without a complete response. outcome
 // is the outcome for the caller; cause is the reason, for the log and for the
 // detail of the Fail frame.
-func (h *Handler) sendFailure(exchange work.AgentExchange, req *frame.Request, outcome core.Refusal, cause error) error {
+func (h *Handler) sendFailure(exchange work.AgentExchange, req *frame.Request, outcome core.FailureOutcome, cause error) error {
 	h.log.EventWithError(eventCallFailed, cause, eventlog.Fields{"request": req.ID, "account": req.Account, "word": outcome})
-	return exchange.Send(frame.KindFail, frame.Fail{ID: req.ID, Refusal: outcome, Detail: cause.Error(), Load: h.limiter.Load()})
+	return exchange.Send(frame.KindFail, frame.Fail{ID: req.ID, FailureOutcome: outcome, Detail: cause.Error(), Load: h.limiter.Load()})
 }
 
 // logCall logs an event about req, with the fields that identify the call.
--- a/request/serve/serve_test.go
+++ b/request/serve/serve_test.go
@@ -162,7 +162,7 @@
 // given number of tokens.
 func completionRequest(id string, tokens string) frame.Request {
 	return frame.Request{
-		ID: id, Account: "a", Share: 1, Method: http.MethodPost, Path: chatPath, Model: testModel, Digest: testDigest, Config: 1,
+		ID: id, Account: "a", Share: 1, Method: http.MethodPost, Path: chatPath, Model: testModel, Digest: testDigest, ConfigNumber: 1,
 		Body: []byte(`{"model":"` + testModel + `","stream":true,"max_tokens":` + tokens +
 			`,"messages":[{"role":"user","content":"label ` + id + `"}]}`),
 	}
@@ -187,7 +187,7 @@
 	case r.refuse != nil:
 		return "refused " + string(r.refuse.Reason)
 	case r.fail != nil:
-		return "failed " + string(r.fail.Refusal)
+		return "failed " + string(r.fail.FailureOutcome)
 	}
 	return "broken"
 }
@@ -265,7 +265,7 @@
 
 func TestRepeatableCall(t *testing.T) {
 	Convey("Given an agent in front of an engine", t, func() {
-		h := newHarness(t, options{engine: standin.Config{PerToken: time.Millisecond, FirstToken: time.Millisecond}})
+		h := newHarness(t, options{engine: standin.Config{TokenInterval: time.Millisecond, TimeToFirstToken: time.Millisecond}})
 
 		Convey("a stream is forwarded completely, with its tokens counted", func() {
 			req := completionRequest("r1", "20")
--- a/request/serve/watch.go
+++ b/request/serve/watch.go
@@ -166,11 +166,11 @@
 	if count := c.tokenCount.Load() - c.sampledTokenCount; count > 0 {
 		c.reportedTimePerToken = time.Duration(lastArrival-c.sampledAt) / time.Duration(count)
 		c.sampledAt, c.sampledTokenCount = lastArrival, c.sampledTokenCount+count
-		w.limiter.Observe(admission.Sample{PerToken: c.reportedTimePerToken})
+		w.limiter.Observe(admission.Sample{TimePerToken: c.reportedTimePerToken})
 		return
 	}
 	if gap := time.Duration(now - lastArrival); gap > c.reportedTimePerToken {
 		c.reportedTimePerToken = gap
-		w.limiter.Observe(admission.Sample{PerToken: gap})
+		w.limiter.Observe(admission.Sample{TimePerToken: gap})
 	}
 }
--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -183,9 +183,9 @@
 		<-ctx.Done()
 		return false
 	}
-	pause := e.cfg.PerToken
+	pause := e.cfg.TokenInterval
 	if i == r.receivedTokenCount {
-		pause = e.cfg.FirstToken
+		pause = e.cfg.TimeToFirstToken
 		if r.prefixCached {
 			pause = time.Duration(float64(pause) * cachedTimeShare)
 		}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -26,15 +26,15 @@
 	// DefaultColdLimit is the number of requests that run at full speed just
 	// after a start.
 	DefaultColdLimit = 4
-	// DefaultFirstToken is the time to the first token.
-	DefaultFirstToken = 50 * time.Millisecond
-	// DefaultPerToken is the time between tokens.
-	DefaultPerToken = 5 * time.Millisecond
+	// DefaultTimeToFirstToken is the time to the first token.
+	DefaultTimeToFirstToken = 50 * time.Millisecond
+	// DefaultTokenInterval is the time between tokens.
+	DefaultTokenInterval = 5 * time.Millisecond
 	// DefaultWarmPerCall is the number by which each finished request
 	// increases the capacity.
 	DefaultWarmPerCall = 1.0
-	// DefaultCacheEntries is the largest number of cached prefixes.
-	DefaultCacheEntries = 1024
+	// DefaultMaxCacheEntries is the largest number of cached prefixes.
+	DefaultMaxCacheEntries = 1024
 )
 
 // Config holds the settings of an Engine. A zero value means the default.
@@ -53,17 +53,17 @@
 	// WarmAfter is the time after which an engine without requests is warm; 0
 	// means never.
 	WarmAfter time.Duration
-	// FirstToken is the time to the first token.
-	FirstToken time.Duration
-	// PerToken is the time between tokens.
-	PerToken time.Duration
+	// TimeToFirstToken is the time to the first token.
+	TimeToFirstToken time.Duration
+	// TokenInterval is the time between tokens.
+	TokenInterval time.Duration
 	// LoadTime is the time that loading takes after all chunks are read.
 	LoadTime time.Duration
 	// ReportLag is the minimum age of the status that the engine reports, unless
 	// every recorded status is younger.
 	ReportLag time.Duration
-	// CacheEntries is the largest number of cached prefixes.
-	CacheEntries int
+	// MaxCacheEntries is the largest number of cached prefixes.
+	MaxCacheEntries int
 	// Fencing makes the engine refuse orders with an outdated fencing number.
 	Fencing bool
 	// PeerToken is the token that the engine sends to read chunks from an
@@ -77,9 +77,9 @@
 	core.SetDefault(&c.WarmLimit, c.Slots)
 	core.SetDefault(&c.ColdLimit, min(DefaultColdLimit, c.WarmLimit))
 	core.SetDefault(&c.WarmPerCall, DefaultWarmPerCall)
-	core.SetDefault(&c.FirstToken, DefaultFirstToken)
-	core.SetDefault(&c.PerToken, DefaultPerToken)
-	core.SetDefault(&c.CacheEntries, DefaultCacheEntries)
+	core.SetDefault(&c.TimeToFirstToken, DefaultTimeToFirstToken)
+	core.SetDefault(&c.TokenInterval, DefaultTokenInterval)
+	core.SetDefault(&c.MaxCacheEntries, DefaultMaxCacheEntries)
 }
 
 // Counters are the counters of an Engine since its start.
@@ -147,7 +147,7 @@
 			coldLimit: cfg.ColdLimit, warmLimit: cfg.WarmLimit, gainPerRequest: cfg.WarmPerCall,
 			warmAfter: cfg.WarmAfter, coldSince: clock.Now(),
 		},
-		cache:  newPrefixCache(cfg.CacheEntries),
+		cache:  newPrefixCache(cfg.MaxCacheEntries),
 		bootID: uuid.NewString(),
 	}
 }
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -37,10 +37,10 @@
 type CorruptFault struct {
 	// Store is "objects" or "weights"; empty means "weights".
 	Store string `json:"store,omitempty"`
-	// Name is a prefix of the names of the objects; empty means all objects.
-	Name string `json:"name,omitempty"`
-	// Times is the number of responses that are corrupted.
-	Times int `json:"times"`
+	// NamePrefix is a prefix of the names of the objects; empty means all objects.
+	NamePrefix string `json:"name,omitempty"`
+	// ResponseCount is the number of responses that are corrupted.
+	ResponseCount int `json:"times"`
 }
 
 // faults holds the active faults. It is safe for concurrent use.
@@ -152,13 +152,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := &f.corruption
-	if c.Times == 0 || !strings.HasPrefix(name, c.Name) {
+	if c.ResponseCount == 0 || !strings.HasPrefix(name, c.NamePrefix) {
 		return false
 	}
 	if c.Store != store && (c.Store != "" || store != "weights") {
 		return false
 	}
-	c.Times--
+	c.ResponseCount--
 	return true
 }
 
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -160,7 +160,7 @@
 			So(p.WeightStore.Put(ctx, "chunks/a", []byte("x")), ShouldWrap, platform.ErrConflict)
 		})
 		Convey("as many responses are corrupted as requested", func() {
-			setFaults(web, FaultRequest{Corrupt: &CorruptFault{Name: "chunks/", Times: 1}})
+			setFaults(web, FaultRequest{Corrupt: &CorruptFault{NamePrefix: "chunks/", ResponseCount: 1}})
 			first, err := p.WeightStore.Get(ctx, "chunks/a", 0, -1)
 			So(err, ShouldBeNil)
 			So(first, ShouldNotResemble, body)
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -31,10 +31,10 @@
 	// Token is the bearer token that clients must send; empty means that no
 	// token is required.
 	Token string
-	// Lag is the time between two health checks of an instance. A change of its
+	// ProbeInterval is the time between two health checks of an instance. A change of its
 	// health appears in the instance list after at most about this time. The
 	// default is 500 ms.
-	Lag time.Duration
+	ProbeInterval time.Duration
 	// Instances are the instances registered at the start.
 	Instances []core.Instance
 	// WeightBytesPerSecond is the bandwidth of the weight store at the start;
@@ -44,7 +44,7 @@
 
 // applyDefaults sets the fields that have a default and are not set.
 func (c *Config) applyDefaults() {
-	core.SetDefault(&c.Lag, defaultLag)
+	core.SetDefault(&c.ProbeInterval, defaultLag)
 }
 
 // Server is a stand-in for the platform. It implements http.Handler.
@@ -78,10 +78,10 @@
 
 // Run checks the health of the instances once per Config.Lag until ctx is done.
 func (s *Server) Run(ctx context.Context) error {
-	ticker := s.clock.NewTicker(s.config.Lag)
+	ticker := s.clock.NewTicker(s.config.ProbeInterval)
 	defer ticker.Stop()
 	for {
-		s.instances.probe(ctx, s.config.Lag)
+		s.instances.probe(ctx, s.config.ProbeInterval)
 		select {
 		case <-ctx.Done():
 			return nil
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -33,13 +33,13 @@
 type Faults struct {
 	// DelayMillis is a time in milliseconds that is added to Config.Delay.
 	DelayMillis int64 `json:"delayMillis,omitempty"`
-	// FailAfter makes the service execute requests and respond with status 500.
-	FailAfter bool `json:"failAfter,omitempty"`
-	// DropAfter makes the service execute requests and close the connection
+	// FailAfterExecution makes the service execute requests and respond with status 500.
+	FailAfterExecution bool `json:"failAfter,omitempty"`
+	// DropAfterExecution makes the service execute requests and close the connection
 	// without a response.
-	DropAfter bool `json:"dropAfter,omitempty"`
-	// StallAfter makes the service execute requests and never respond.
-	StallAfter bool `json:"stallAfter,omitempty"`
+	DropAfterExecution bool `json:"dropAfter,omitempty"`
+	// StallAfterExecution makes the service execute requests and never respond.
+	StallAfterExecution bool `json:"stallAfter,omitempty"`
 	// Refuse makes the service respond with status 503 without executing
 	// requests.
 	Refuse bool `json:"refuse,omitempty"`
@@ -154,11 +154,11 @@
 	result := s.execute(requestKey(r, body), r)
 	s.clock.Sleep(s.cfg.Delay + time.Duration(f.DelayMillis)*time.Millisecond)
 	switch {
-	case f.FailAfter:
+	case f.FailAfterExecution:
 		return echo.NewHTTPError(http.StatusInternalServerError, "failed after executing")
-	case f.DropAfter:
+	case f.DropAfterExecution:
 		panic(http.ErrAbortHandler)
-	case f.StallAfter:
+	case f.StallAfterExecution:
 		<-r.Context().Done()
 		return r.Context().Err()
 	}
--- a/test/faults/entry_cluster_test.go
+++ b/test/faults/entry_cluster_test.go
@@ -341,9 +341,9 @@
 // streamed.
 func (c *cluster) scenario(name string, d time.Duration, rate float64, tokens int, entries ...string) *requests.Scenario {
 	return &requests.Scenario{
-		Name: name, Seed: 5, Duration: d, Entries: entries,
+		Name: name, Seed: 5, Duration: d, EntryAddrs: entries,
 		Accounts: []requests.Account{{
-			Name: "erbe", Key: accountKey, Rate: rate, Model: "herbs", StreamShare: 0.9,
+			Name: "erbe", Key: accountKey, CallsPerSecond: rate, Model: "herbs", StreamShare: 0.9,
 			Tokens: requests.Range{Min: tokens, Max: tokens}, PromptWords: requests.Range{Min: 5, Max: 50},
 		}},
 	}
--- a/test/faults/entry_freeze_test.go
+++ b/test/faults/entry_freeze_test.go
@@ -24,9 +24,9 @@
 // withOnceOnlyCalls adds once-only calls to a scenario, half of them with an
 // idempotency key.
 func (c *cluster) withOnceOnlyCalls(s *requests.Scenario) *requests.Scenario {
-	s.Services = c.serviceAddrs()
+	s.ServiceAddrs = c.serviceAddrs()
 	s.Accounts = append(s.Accounts, requests.Account{
-		Name: "lots", Key: accountKey, Rate: 20, OnceShare: 1, KeyedShare: 0.5, OncePath: "/services/lots/lots",
+		Name: "lots", Key: accountKey, CallsPerSecond: 20, OnceShare: 1, KeyedShare: 0.5, OncePath: "/services/lots/lots",
 		Tokens: requests.Range{Min: 1, Max: 1},
 	})
 	return s
@@ -35,7 +35,7 @@
 // assertAtMostOnce asserts that once-only calls ran, that none ran twice, and that
 // no call with the last outcome not-run was executed.
 func assertAtMostOnce(r *requests.Result) {
-	So(r.Executions, ShouldBeGreaterThan, 0)
+	So(r.ExecutionCount, ShouldBeGreaterThan, 0)
 	So(r.DuplicateExecutions, ShouldEqual, 0)
 	So(r.FalseNotRun, ShouldEqual, 0)
 }
--- a/test/faults/entry_once_test.go
+++ b/test/faults/entry_once_test.go
@@ -62,7 +62,7 @@
 	Convey("Given once-only calls under kills, freezes, lost responses and an outage", t, func() {
 		c := warmCluster(t)
 		s := c.scenario("once", onceCallCount*time.Second/onceRate, onceRate, 1, c.entryAddrs()...)
-		s.Services = c.serviceAddrs()
+		s.ServiceAddrs = c.serviceAddrs()
 		s.Accounts[0].OnceShare = 1
 		s.Accounts[0].KeyedShare = 0.5
 		s.Accounts[0].OncePath = "/services/lots/lots"
--- a/test/faults/entry_overload_test.go
+++ b/test/faults/entry_overload_test.go
@@ -28,7 +28,7 @@
 	s.Accounts[0].Tokens = requests.Range{Min: streamTokens / 2, Max: streamTokens * 3 / 2}
 	for _, small := range []string{"small-1", "small-2", "small-3"} {
 		a := s.Accounts[0]
-		a.Name, a.Key, a.Rate = small, small+"-key", smallAccountRate
+		a.Name, a.Key, a.CallsPerSecond = small, small+"-key", smallAccountRate
 		s.Accounts = append(s.Accounts, a)
 	}
 	return s
--- a/test/inprocess/cluster_test.go
+++ b/test/inprocess/cluster_test.go
@@ -192,7 +192,7 @@
 		Instance:    core.Instance{ID: s.id, Role: core.RoleAgent, DataCentre: s.dataCentre, Region: s.region},
 		Incarnation: "i1",
 		Report: frame.Report{
-			State: s.limiter.State(), Limit: load.Limit, InFlight: load.InFlight, Queued: load.Queued, Config: 1,
+			State: s.limiter.State(), Limit: load.Limit, InFlight: load.InFlight, Queued: load.Queued, ConfigNumber: 1,
 			Loaded: s.loadedVersions(),
 		},
 		LastSeen: time.Now(),
@@ -204,12 +204,12 @@
 	s := &requests.Scenario{
 		Name: name, Seed: 5, Duration: d, Transport: c.transport,
 		Accounts: []requests.Account{{
-			Name: "erbe", Key: "erbe-key", Rate: rate, Model: testModel, StreamShare: 1,
+			Name: "erbe", Key: "erbe-key", CallsPerSecond: rate, Model: testModel, StreamShare: 1,
 			Tokens: tokens, PromptWords: requests.Range{Min: 5, Max: 50},
 		}},
 	}
 	for n := range entryCount {
-		s.Entries = append(s.Entries, fmt.Sprintf("entry-%d", n+1))
+		s.EntryAddrs = append(s.EntryAddrs, fmt.Sprintf("entry-%d", n+1))
 	}
 	return s
 }
--- a/test/inprocess/overload_test.go
+++ b/test/inprocess/overload_test.go
@@ -37,7 +37,7 @@
 func engineConfig(coldLimit int, warmPerCall float64) standin.Config {
 	return standin.Config{
 		Slots: 64, WarmLimit: engineLimit, ColdLimit: coldLimit, WarmPerCall: warmPerCall,
-		FirstToken: tokenTime, PerToken: tokenTime,
+		TimeToFirstToken: tokenTime, TokenInterval: tokenTime,
 	}
 }
 
@@ -58,7 +58,7 @@
 			s := c.scenario("twice", fillTime+countTime, 2*callsPerSecond(slots)-3*smallAccountRate, lengthsAround(streamTokens))
 			for _, small := range []string{"small-1", "small-2", "small-3"} {
 				a := s.Accounts[0]
-				a.Name, a.Key, a.Rate = small, small+"-key", smallAccountRate
+				a.Name, a.Key, a.CallsPerSecond = small, small+"-key", smallAccountRate
 				s.Accounts = append(s.Accounts, a)
 			}
 			r, goodput := c.runScenario(s, slots, fillTime, nil)
--- a/version/catalog/types.go
+++ b/version/catalog/types.go
@@ -104,8 +104,8 @@
 	// StepsPerPass is the number of token steps in one pass of the engine.
 	StepsPerPass int
 	// MeanPromptTokens is the mean number of tokens in a prompt, and
-	// MeanAnswerTokens the mean number in a response.
-	MeanPromptTokens, MeanAnswerTokens int
+	// MeanResponseTokens the mean number in a response.
+	MeanPromptTokens, MeanResponseTokens int
 	// LayerCount is the number of layers of the model.
 	LayerCount int
 	// ChunkCount is the number of chunks of a model's weights.
@@ -141,9 +141,9 @@
 
 // Limits are the limits on what clients may send.
 type Limits struct {
-	// HeaderBytes is the maximum size of a request's header, and BodyBytes the
+	// MaxHeaderBytes is the maximum size of a request's header, and MaxBodyBytes the
 	// maximum size of its body.
-	HeaderBytes, BodyBytes int64
+	MaxHeaderBytes, MaxBodyBytes int64
 	// HeaderTimeout is the maximum time for reading a request's header.
 	HeaderTimeout time.Duration
 	// IdleTimeout is the maximum time for which a connection may stay unused.
--- a/version/confstore/confstore_test.go
+++ b/version/confstore/confstore_test.go
@@ -113,7 +113,7 @@
 			So(err, ShouldBeNil)
 			So(len(entries), ShouldEqual, 2)
 			So(entries[0].ChangeID, ShouldEqual, "c2")
-			So(entries[0].Changes, ShouldEqual, 1)
+			So(entries[0].ChangeCount, ShouldEqual, 1)
 		})
 		Convey("a change on an older version fails with the winning version and the differences", func() {
 			_, err := pub.Apply(ctx, changeToRegions(0, "c2", "z"))
--- a/version/confstore/publisher.go
+++ b/version/confstore/publisher.go
@@ -314,14 +314,14 @@
 	}
 	return record{
 		HistoryEntry: HistoryEntry{
-			Number:   previous.Number + 1,
-			Digest:   e.digest,
-			Parent:   previous.Digest,
-			Author:   e.change.Author,
-			Reason:   e.change.Reason,
-			ChangeID: e.change.ChangeID,
-			Time:     e.publisher.clock.Now().UTC(),
-			Changes:  len(declare.Diff(previous.Set, e.change.Set)),
+			Number:      previous.Number + 1,
+			Digest:      e.digest,
+			Parent:      previous.Digest,
+			Author:      e.change.Author,
+			Reason:      e.change.Reason,
+			ChangeID:    e.change.ChangeID,
+			Time:        e.publisher.clock.Now().UTC(),
+			ChangeCount: len(declare.Diff(previous.Set, e.change.Set)),
 		},
 		Delta: delta,
 	}, nil
--- a/version/confstore/records.go
+++ b/version/confstore/records.go
@@ -57,8 +57,8 @@
 	ChangeID string `json:"changeId"`
 	// Time is when the version was accepted, in UTC.
 	Time time.Time `json:"time"`
-	// Changes is the number of objects that differ from the previous version.
-	Changes int `json:"changes"`
+	// ChangeCount is the number of objects that differ from the previous version.
+	ChangeCount int `json:"changes"`
 }
 
 // record is the stored form of a HistoryEntry, with a delta and a checksum.
--- a/version/loading/loader.go
+++ b/version/loading/loader.go
@@ -166,7 +166,7 @@
 	same := maps.Equal(l.state.Weights, r.Weights)
 	l.mu.Unlock()
 	if restarted || !same {
-		l.cfg.Log.Event(eventServerChanged, eventlog.Fields{"weights": r.Weights, "startedAnew": restarted, "orders": r.AcceptedOrders})
+		l.cfg.Log.Event(eventServerChanged, eventlog.Fields{"weights": r.Weights, "startedAnew": restarted, "orders": r.AcceptedOrderCount})
 	}
 	l.publish(ServerState{Weights: r.Weights, Loading: loading && r.Busy})
 }
--- a/version/loading/loader_test.go
+++ b/version/loading/loader_test.go
@@ -45,7 +45,7 @@
 func (f *fakeServer) Report(context.Context) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := Report{Weights: map[string]int{}, AcceptedOrders: f.acceptedOrders, StartUnixMs: f.startUnixMs}
+	r := Report{Weights: map[string]int{}, AcceptedOrderCount: f.acceptedOrders, StartUnixMs: f.startUnixMs}
 	if f.heldVersion > 0 {
 		r.Weights[model] = f.heldVersion
 	}
--- a/version/loading/loading.go
+++ b/version/loading/loading.go
@@ -15,12 +15,12 @@
 	Weights map[string]int
 	// Busy reports whether the server is carrying out a load order.
 	Busy bool
-	// AcceptedOrders counts the load orders that the server has accepted since
+	// AcceptedOrderCount counts the load orders that the server has accepted since
 	// its start.
-	AcceptedOrders int64
-	// Running counts the requests that the server is executing. Queued counts
+	AcceptedOrderCount int64
+	// RunningCount counts the requests that the server is executing. QueuedCount counts
 	// the requests that wait in the server's queue.
-	Running, Queued int
+	RunningCount, QueuedCount int
 	// StartUnixMs is the Unix time in milliseconds at which the server started.
 	StartUnixMs int64
 }
--- a/version/loading/loadorder.go
+++ b/version/loading/loadorder.go
@@ -15,7 +15,7 @@
 		return err
 	}
 	l.cfg.Log.Event(eventOrdered, eventlog.Fields{
-		"model": w.Model, "version": w.Version, "held": r.Weights[w.Model], "running": r.Running,
+		"model": w.Model, "version": w.Version, "held": r.Weights[w.Model], "running": r.RunningCount,
 		"ageMs": l.cfg.Clock.Now().Sub(w.DeclaredAt).Milliseconds(),
 	})
 	return l.awaitLoaded(ctx, versionKey{w.Model, w.Version})
@@ -32,7 +32,7 @@
 		l.publish(ServerState{Weights: r.Weights, Loading: true})
 		l.cfg.Clock.Sleep(loadNoticeTime)
 	}
-	err := l.cfg.Server.Load(ctx, w.Model, w.Version, r.AcceptedOrders)
+	err := l.cfg.Server.Load(ctx, w.Model, w.Version, r.AcceptedOrderCount)
 	if err != nil {
 		l.publish(ServerState{Weights: r.Weights})
 	}
--- a/version/spread/fetcher.go
+++ b/version/spread/fetcher.go
@@ -20,18 +20,18 @@
 
 // Default values of the fields of Config.
 const (
-	DefaultMaxPeerFetches  = 16
-	DefaultMaxOwnedFetches = 2
-	DefaultIdleConnections = 64
-	DefaultUploadSlots     = 4
-	DefaultFanout          = 3
-	DefaultMaxOwners       = 3
-	DefaultLongPollTimeout = time.Second
-	DefaultResponseMargin  = time.Second
-	DefaultStallTimeout    = 2 * time.Second
-	DefaultSuspectPeriod   = 15 * time.Second
-	DefaultFetchTimeout    = 5 * time.Minute
-	DefaultRetryPause      = 250 * time.Millisecond
+	DefaultMaxPeerFetches     = 16
+	DefaultMaxOwnedFetches    = 2
+	DefaultMaxIdleConnections = 64
+	DefaultUploadSlots        = 4
+	DefaultFanout             = 3
+	DefaultMaxOwners          = 3
+	DefaultLongPollTimeout    = time.Second
+	DefaultResponseMargin     = time.Second
+	DefaultStallTimeout       = 2 * time.Second
+	DefaultSuspectPeriod      = 15 * time.Second
+	DefaultFetchTimeout       = 5 * time.Minute
+	DefaultRetryPause         = 250 * time.Millisecond
 )
 
 // Config holds the settings of a Swarm.
@@ -70,9 +70,9 @@
 	// MaxOwnedFetches is the maximum number of chunks owned by this agent that
 	// are fetched at once.
 	MaxOwnedFetches int
-	// IdleConnections is the maximum number of unused connections that are
+	// MaxIdleConnections is the maximum number of unused connections that are
 	// kept open to all peers together.
-	IdleConnections int
+	MaxIdleConnections int
 	// UploadSlots is the maximum number of chunks sent to peers at once.
 	UploadSlots int
 	// Fanout is the number of peers to which an agent sends one chunk. An agent
@@ -111,7 +111,7 @@
 func (c *Config) applyDefaults() {
 	core.SetDefault(&c.MaxPeerFetches, DefaultMaxPeerFetches)
 	core.SetDefault(&c.MaxOwnedFetches, DefaultMaxOwnedFetches)
-	core.SetDefault(&c.IdleConnections, DefaultIdleConnections)
+	core.SetDefault(&c.MaxIdleConnections, DefaultMaxIdleConnections)
 	core.SetDefault(&c.UploadSlots, DefaultUploadSlots)
 	core.SetDefault(&c.Fanout, DefaultFanout)
 	core.SetDefault(&c.MaxOwners, DefaultMaxOwners)
@@ -202,7 +202,7 @@
 		origin:          weights,
 		log:             log,
 		clock:           clock,
-		client:          newHTTPClient(cfg.IdleConnections),
+		client:          newHTTPClient(cfg.MaxIdleConnections),
 		uploadSlots:     make(chan struct{}, cfg.UploadSlots),
 		ctx:             ctx,
 		cancel:          cancel,
