--- a/connection/frame/fleet.go
+++ b/connection/frame/fleet.go
@@ -119,7 +119,7 @@
 	// OriginBytesPerSecond is the bandwidth of the origin, in bytes per second.
 	OriginBytesPerSecond int64 `cbor:"3,keyasint"`
 	// Agents lists all agents that are connected to the sender. It is only sent
-	// to agents that set AgentState.WantsAgentList.
+	// to agents that set AgentState.RequestsAgentList.
 	Agents []FleetAgent `cbor:"4,keyasint,omitempty"`
 	// EntryAddrs are the addresses of all entry instances that are known at the
 	// sender.
--- a/request/dispatch/scheduler.go
+++ b/request/dispatch/scheduler.go
@@ -218,7 +218,7 @@
 }
 
 // maxWait returns how long a request may wait for a slot from now on: until
-// MaxWaitShare of the objective has passed since the arrival, or for RetryWait if
+// MaxWaitShare of the objective has passed since the arrival, or for MaxRetryWait if
 // that is longer, but not beyond the deadline.
 func (s *Scheduler) maxWait(req *Request) time.Duration {
 	now := s.clock.Now()
