--- a/request/dispatch/burst.go
+++ b/request/dispatch/burst.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// burstWindow is the longest time between the start of a request at another
-// entry instance and the arrival of a load report that includes the request: one
-// report interval plus the network latency.
+// burstWindow is the longest time from the start of a request of another entry
+// instance until a load report that includes the request arrives here: one report
+// interval plus the network latency.
 const burstWindow = 60 * time.Millisecond
 
 // BurstLimiter limits how many requests one entry instance sends within
@@ -16,14 +16,16 @@
 	sends slidingWindow
 }
 
-// Allows reports whether this entry instance, one of entryInstanceCount, may send
-// one more request to a server. freeSlotCount is the number of slots that no
-// request uses, neither of this entry instance nor, according to their load
-// reports, of the others. Each entry instance may send at least one request.
+// Allows reports whether this entry instance may send one more request to the
+// server at time now. freeSlotCount is the number of free slots at the server, as
+// far as this entry instance knows from its own requests and from the load
+// reports of the others. entryInstanceCount is the number of entry instances that
+// share these slots, including this one. Each may send at least one request per
+// burstWindow.
 func (b *BurstLimiter) Allows(now time.Time, freeSlotCount, entryInstanceCount int) bool {
 	recentOwnCount := b.sends.count(now, burstWindow)
 	return recentOwnCount < max(1, (freeSlotCount+recentOwnCount)/max(1, entryInstanceCount))
 }
 
-// RecordSend records that a request was sent at now.
+// RecordSend records that a request was sent at time now.
 func (b *BurstLimiter) RecordSend(now time.Time) { b.sends.add(now, burstWindow) }
--- a/request/dispatch/decisions_test.go
+++ b/request/dispatch/decisions_test.go
@@ -9,8 +9,8 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// candidate returns a candidate with this number of running requests and a limit
-// of 16.
+// candidate returns a candidate with a limit of 16 requests. remote is true for a
+// server in another data centre.
 func candidate(id string, running int, remote bool) Candidate {
 	return Candidate{Slot: Slot{Server: &catalog.Server{ID: id}, RunningCount: running, Remote: remote}, Limit: 16}
 }
@@ -67,12 +67,13 @@
 			}
 		}
 		So(maxCountWithin(sendTimes, time.Second), ShouldBeLessThanOrEqualTo, int(ratePerSecond))
-		// The rate is fully used.
+		// The limiters do not waste any of the rate.
 		So(len(sendTimes), ShouldEqual, 5*int(ratePerSecond))
 	})
 }
 
-// maxCountWithin returns the largest number of times within any period of length span.
+// maxCountWithin returns the largest number of the given times that lie within
+// one period of length span. times must be in ascending order.
 func maxCountWithin(times []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i := range times {
@@ -125,7 +126,8 @@
 		ownCounts := make([]int, entryInstanceCount)
 		for range 100 {
 			for i := range limiters {
-				// Each entry instance counts only its own requests.
+				// No load report has arrived, so each entry instance knows only its own
+				// requests.
 				if limiters[i].Allows(now, slotCount-ownCounts[i], entryInstanceCount) {
 					limiters[i].RecordSend(now)
 					ownCounts[i]++
--- a/request/dispatch/move.go
+++ b/request/dispatch/move.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// moveDelay is the time from the start of loading new weights until the streams
-// at that server may be moved. Most streams end within this time; the longest
-// take 3 s.
+// moveDelay is how long a server must have been loading new weights before its
+// streams may be moved to other servers. Most streams end within this time; the
+// longest take 3 s.
 const moveDelay = 700 * time.Millisecond
 
-// movePriority puts a stream that is to be moved before all waiting requests,
-// for two reasons: a pause between events would make the stream late, and the
-// slot that the stream leaves is of no use to other requests, because the server
-// of that slot is loading weights.
+// movePriority puts a stream that is to be moved before all waiting requests, for
+// two reasons. A pause between events would make the stream late. And the slot
+// that the stream leaves is of no use to other requests, because the server of
+// that slot is loading weights.
 const movePriority = -1
 
-// MoveSearch is the search for a slot at another server for a running stream, which
-// continues at its present server in the meantime. A server that loads new weights
-// serves no other requests until its longest stream has ended. Under full load the
-// last few streams are therefore moved to servers that accept requests.
+// MoveSearch is the search for a slot at another server for a running stream.
+// Meanwhile, the stream continues at its present server. A server that loads new
+// weights serves no other requests until its longest stream has ended. Under full
+// load the last few streams are therefore moved to servers that accept requests.
 type MoveSearch struct {
 	scheduler *Scheduler
 	waiter    *waiter
 }
 
-// StartMoveSearch starts the search for a slot at another server for the stream of req,
-// which runs at from, and counts the move as an optional retry. It returns nil,
-// and the stream must stay, if the server of from has not been loading new
-// weights for moveDelay or if the retry budget does not allow the move. The
-// caller must call Cancel unless Take has returned a slot.
+// StartMoveSearch starts the search for a slot at another server for the stream of
+// req, which runs at from, and counts the move as an optional retry. It returns nil
+// if the server of from has not been loading new weights for at least moveDelay,
+// or if the retry budget does not allow the move; the stream must then stay. If it
+// returns a search, the caller must call Cancel, unless Take has returned a slot.
 func (s *Scheduler) StartMoveSearch(req *Request, from Slot) *MoveSearch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/request/dispatch/order_test.go
+++ b/request/dispatch/order_test.go
@@ -10,8 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// overloadResult holds the number of requests in a simulated overload, how many of
-// them were served, and the same two numbers for the large requests alone.
+// overloadResult holds the number of requests in a simulated overload and the
+// number of those that were served, and the same two numbers for the large
+// requests alone.
 type overloadResult struct {
 	requestCount, servedCount, servedLargeCount, largeCount int
 }
@@ -27,7 +28,7 @@
 		timePerWork = 400 * time.Microsecond // time that one unit of work takes in a slot
 		maxWait     = 44 * time.Millisecond
 		loadFactor  = 1.7
-		largeWork   = 2.0 * meanWork // a tenth of the requests have more work
+		largeWork   = 2.0 * meanWork // a tenth of the requests are large: their work is above this
 	)
 	random := rand.New(rand.NewPCG(1, 2))
 	interval := time.Duration(math.Round(meanWork * float64(timePerWork) / slotCount / loadFactor))
--- a/request/dispatch/passivehealth.go
+++ b/request/dispatch/passivehealth.go
@@ -33,7 +33,7 @@
 }
 
 // Durations of the backoff, in which a server gets no requests. The first three
-// are about as long as a server's response time; maxBackoff limits how long a
+// are about as long as a server's response time. maxBackoff limits how long a
 // server that has recovered stays unused.
 const (
 	backoffFull        = 60 * time.Millisecond
@@ -42,13 +42,15 @@
 	maxBackoff         = 2 * time.Second
 )
 
-// Parameters of the failure rate, an exponentially weighted moving average.
+// Parameters of the failure rate, an exponentially weighted moving average of the
+// share of failed requests.
 const (
-	// failureWeight is the weight of the newest outcome.
-	failureWeight = 0.15
-	// failurePenalty is the number of requests added to the load of a server
-	// whose requests all fail.
-	failurePenalty = 24
+	// failureSmoothingFactor is the share of the newest outcome in the average.
+	failureSmoothingFactor = 0.15
+	// maxFailurePenalty is the number of requests added to the load of a server
+	// whose requests all fail. With a lower failure rate, proportionally fewer are
+	// added.
+	maxFailurePenalty = 24
 )
 
 // PassiveHealth tracks the outcomes of the requests at one server, to detect that
@@ -64,15 +66,16 @@
 	// consecutiveFailures is the number of failed connections and stalls since
 	// the last served request.
 	consecutiveFailures int
-	// failureRate is the moving average of the share of failed requests.
+	// failureRate is the moving average of the share of failed requests, from 0 to
+	// 1.
 	failureRate float64
 }
 
-// Record updates the health with the outcome of a request that ended at now.
+// Record updates the health with the outcome of a request that ended at time now.
 func (h *PassiveHealth) Record(o Outcome, now time.Time) {
 	switch o {
 	case Served:
-		h.consecutiveFailures, h.failureRate = 0, h.failureRate*(1-failureWeight)
+		h.consecutiveFailures, h.failureRate = 0, h.failureRate*(1-failureSmoothingFactor)
 	case Full:
 		h.backoffUntil = later(h.backoffUntil, now.Add(backoffFull))
 	case Misdirected:
@@ -87,17 +90,18 @@
 	}
 }
 
-func (h *PassiveHealth) raiseFailureRate() { h.failureRate += (1 - h.failureRate) * failureWeight }
+func (h *PassiveHealth) raiseFailureRate() {
+	h.failureRate += (1 - h.failureRate) * failureSmoothingFactor
+}
 
-// InBackoff reports whether the server is in backoff at now and must not get
+// InBackoff reports whether the server is in backoff at time now and must not get
 // requests.
 func (h *PassiveHealth) InBackoff(now time.Time) bool { return now.Before(h.backoffUntil) }
 
 // Penalty returns the number of requests by which the server's load is to be
 // raised because of the failure rate.
-func (h *PassiveHealth) Penalty() float64 { return h.failureRate * failurePenalty }
+func (h *PassiveHealth) Penalty() float64 { return h.failureRate * maxFailurePenalty }
 
-// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -3,19 +3,18 @@
 import "time"
 
 const (
-	// localPreference is the difference of load, in requests at a server with a
-	// limit of referenceLimit, up to which a server of the own data centre is
-	// chosen although one in another data centre has a lower load. A request to
-	// another data centre uses bandwidth between regions; one more request in a
-	// batch costs about 0.1 ms per token.
+	// localPreference is the largest difference between the scaled loads of two
+	// servers (see scaledLoad) at which a server in the own data centre is preferred
+	// to a less loaded one in another data centre. A request to another data centre
+	// uses bandwidth between regions; one more request in a batch costs about 0.1 ms
+	// per token.
 	localPreference = 4
-	// referenceLimit is the limit to which the loads of servers with other
-	// limits are scaled, so that localPreference has the same meaning for all
-	// servers.
+	// referenceLimit is the limit to which the loads of all servers are scaled, so
+	// that localPreference has the same meaning for servers with different limits.
 	referenceLimit = 16
 )
 
-// Candidate is a server that could run a request, with its load.
+// Candidate is a server that could run a request, and the load of that server.
 type Candidate struct {
 	// Slot is the slot that the request gets if this candidate is chosen.
 	Slot Slot
@@ -27,8 +26,8 @@
 	Penalty float64
 }
 
-// scaledLoad returns the load, including the penalty, that a server with a limit
-// of referenceLimit would have at the same ratio of load to limit.
+// scaledLoad returns the load, including the penalty, scaled in proportion from
+// the server's limit to referenceLimit.
 func (c *Candidate) scaledLoad() float64 {
 	return (float64(c.Slot.RunningCount) + c.Penalty) * referenceLimit / float64(max(1, c.Limit))
 }
@@ -40,9 +39,8 @@
 // there is none. It chooses the least loaded candidate in the own data centre,
 // unless the load of a candidate in another data centre is lower by more than
 // localPreference. This evens out the load when clients are distributed unevenly
-// over the data centres. The search starts at index start and continues from the
-// beginning after the last index; the first of equally loaded candidates is
-// chosen.
+// over the data centres. Of equally loaded candidates, it chooses the first one
+// from index start on, where index 0 follows the last index.
 func ChooseCandidate(all []Candidate, start int) int {
 	local, remote := -1, -1
 	for k := range all {
@@ -74,22 +72,22 @@
 	// covers a wait of 40 ms for a slot, this pause and about 180 ms at a full
 	// server.
 	minRetryAfterFull = 30 * time.Millisecond
-	// retryAfterJitter is the range of the random part, which spreads the next
-	// attempts of clients that were refused at the same time.
+	// retryAfterJitter is the upper limit of the random time that is added. It
+	// spreads the next attempts of clients that were refused at the same time.
 	retryAfterJitter = 50 * time.Millisecond
 	// minRetryAfterUnavailable applies when no server can run the request: fetching
 	// and loading weights takes at least this long.
 	minRetryAfterUnavailable = 2 * time.Second
 )
 
-// RetryAfterFull returns the Retry-After of a refusal because all slots were
-// taken. random is a random number in [0, 1).
+// RetryAfterFull returns the Retry-After value for a request that was refused
+// because all slots were taken. random is a random number in [0, 1).
 func RetryAfterFull(random float64) time.Duration {
 	return minRetryAfterFull + time.Duration(random*float64(retryAfterJitter))
 }
 
-// RetryAfterUnavailable returns the Retry-After of a refusal because no server
-// can run the request. random is a random number in [0, 1).
+// RetryAfterUnavailable returns the Retry-After value for a request that was
+// refused because no server can run it. random is a random number in [0, 1).
 func RetryAfterUnavailable(random float64) time.Duration {
 	return minRetryAfterUnavailable + time.Duration(random*float64(retryAfterJitter))
 }
--- a/request/dispatch/request.go
+++ b/request/dispatch/request.go
@@ -14,12 +14,12 @@
 	Service string
 	// Model is the name of the required model; empty for a plain service.
 	Model string
-	// Version is the required version of the model's weights; 0 allows every
-	// version in force.
+	// Version is the required version of the model's weights. 0 allows every version
+	// that is not below the model's minimum version.
 	Version int
-	// RouteRegions and AccountRegions list the regions that the route and the
-	// client account allow. A server may run the request if both lists allow its
-	// region; an empty list allows all regions.
+	// RouteRegions and AccountRegions list the regions that the route and the client
+	// account allow. A server may run the request if both lists allow the region of
+	// the server; an empty list allows all regions.
 	RouteRegions, AccountRegions []string
 	// Work is the estimated cost of the request for a server, in prompt tokens;
 	// 0 when unknown.
@@ -29,11 +29,12 @@
 	// ArrivedAt is the time at which the request arrived, and Deadline the latest
 	// time at which the response may end.
 	ArrivedAt, Deadline time.Time
-	// FirstByteObjective is the target for the time to the first byte.
+	// FirstByteObjective is the target for the time from the arrival to the first
+	// byte of the response; 0 if there is none.
 	FirstByteObjective time.Duration
-	// MaxRetryWait is the time that the request may wait for a slot at another server
-	// after a failed attempt, even if the objective allows a shorter wait only; 0
-	// if the request has not run anywhere.
+	// MaxRetryWait is how long the request may wait for a slot after an attempt that
+	// may have run. It applies if the objective allows only a shorter wait. It is 0
+	// before such an attempt.
 	MaxRetryWait time.Duration
 	// TriedServers holds the IDs of the servers that must not receive the request again.
 	TriedServers map[string]bool
@@ -41,13 +42,13 @@
 
 // Slot is a server's capacity for one request, assigned to a request.
 type Slot struct {
-	// Server is the assigned server.
+	// Server is the server that runs the request.
 	Server *catalog.Server
-	// Version is the version of the weights that the server holds according to
-	// the latest report; 0 at a plain service.
+	// Version is the version of the weights that the server holds according to the
+	// latest report; 0 for a plain service.
 	Version int
-	// RunningCount is the number of requests at the server when the server was chosen,
-	// excluding this request.
+	// RunningCount is the number of requests of all entry instances, as far as
+	// known, at the server when the server was chosen. It excludes this request.
 	RunningCount int
 	// Remote is true if the server is in another data centre than this entry
 	// instance.
--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -7,15 +7,16 @@
 	// Ratio is the allowed number of retries as a fraction of the number of
 	// requests.
 	Ratio float64
-	// Slack is the number of retries that are allowed within a window in addition
-	// to those that Ratio allows, for all entry instances together.
+	// Slack is the number of retries that are allowed within a window beyond those
+	// that Ratio allows. It applies to all entry instances together.
 	Slack float64
 	// Window is the period over which requests and retries are counted.
 	Window time.Duration
 }
 
-// usableBudgetShare is the fraction of the limits that is used. The rest allows
-// for windows that begin at different times at the entry instances.
+// usableBudgetShare is the fraction of the limits that is used. The rest is a
+// margin, because the windows of different entry instances begin at different
+// times.
 const usableBudgetShare = 0.8
 
 // optionalRetryShare is the fraction of the retry budget that optional retries
@@ -33,7 +34,8 @@
 	limits   RetryLimits
 	requests [retryBucketCount]int
 	retries  [retryBucketCount]int
-	// newestBucket is the number of the newest bucket, counted from the Unix epoch.
+	// newestBucket is the number of the newest bucket, counted in bucket widths from
+	// the Unix epoch.
 	newestBucket int64
 }
 
@@ -55,25 +57,26 @@
 	return int(current % retryBucketCount)
 }
 
-// CountRequest counts a request that arrived at now. Retries are counted by
+// CountRequest counts a request that arrived at time now. Retries are counted by
 // TakeRetry and TakeOptionalRetry.
 func (b *RetryBudget) CountRequest(now time.Time) { b.requests[b.advance(now)]++ }
 
-// TakeRetry reports whether the budget of this entry instance, one of
-// entryInstanceCount, allows a retry at now, and if so counts the retry.
+// TakeRetry reports whether the budget allows a retry at time now, and if so
+// counts the retry. entryInstanceCount is the number of entry instances that
+// share the slack, including this one.
 func (b *RetryBudget) TakeRetry(now time.Time, entryInstanceCount int) bool {
 	return b.take(now, entryInstanceCount, 1)
 }
 
-// TakeOptionalRetry is like [RetryBudget.TakeRetry] for a retry that the request
-// does not need in order to succeed. It leaves a part of the budget to requests
-// that fail.
+// TakeOptionalRetry is like [RetryBudget.TakeRetry], for a retry that the request
+// does not need in order to succeed. Optional retries may use only a part of the
+// budget, so that the rest is left to requests that fail.
 func (b *RetryBudget) TakeOptionalRetry(now time.Time, entryInstanceCount int) bool {
 	return b.take(now, entryInstanceCount, optionalRetryShare)
 }
 
-// take reports whether the retries, including one more, stay within a share of
-// the budget, and if so counts the retry.
+// take reports whether the retries in the window, including one more, are at most
+// share times the budget. If so, it counts the retry.
 func (b *RetryBudget) take(now time.Time, entryInstanceCount int, share float64) bool {
 	i := b.advance(now)
 	var requests, retries int
--- a/request/dispatch/scheduler.go
+++ b/request/dispatch/scheduler.go
@@ -32,11 +32,11 @@
 	DataCentre string
 	// Regions maps each data centre to its region.
 	Regions map[string]string
-	// RetryLimits limits the retries of requests.
+	// RetryLimits limits the retries of the requests to each service.
 	RetryLimits RetryLimits
-	// WeightsDueAfter is the time after its declaration from which a version of
-	// the weights is mandatory: requests then run on this version or a newer one
-	// only.
+	// WeightsDueAfter is the time from the declaration of a version of the weights
+	// until this version becomes mandatory. From then on, requests run only on this
+	// version or a newer one.
 	WeightsDueAfter time.Duration
 	// MaxWaitShare is the fraction of a request's objective for which the request
 	// may wait for a slot.
@@ -45,13 +45,14 @@
 
 // maxServerQueueLength is the maximum number of requests in a server's own queue.
 // A server fills its slots at the start of each pass of its engine. With one
-// request in the queue, it can use a slot that becomes free in its next pass;
-// without one, the slot stays empty for one pass more. Further queued requests
-// delay the first token by more than they gain (docs/design/load.md).
+// request in the queue, the server can use a slot that becomes free in the next
+// pass; without one, the slot stays empty for one pass more. Further queued
+// requests delay the first token by more than they gain (docs/design/load.md).
 const maxServerQueueLength = 1
 
-// peerTimeout is the time for which the load reported by another entry instance is
-// used after the last message from there. Heartbeats arrive twice a second.
+// peerTimeout is the time since the last message of another entry instance after
+// which the load reported by that instance no longer counts. Heartbeats arrive
+// twice a second.
 const peerTimeout = 2 * time.Second
 
 // Scheduler assigns slots at servers to requests and keeps a queue of the
@@ -68,8 +69,8 @@
 	retryBudgets map[string]*RetryBudget // by service name
 	// waiting is the queue, ordered by priority and then by arrival.
 	waiting []*waiter
-	// choiceCount is the number of choices of a server so far. It makes
-	// consecutive choices begin their search at different servers, so that
+	// choiceCount is the number of choices of a server so far. Each choice begins its
+	// search at the index choiceCount, modulo the number of candidates, so that
 	// equally loaded servers are chosen in turn.
 	choiceCount int
 	// assignedCount is the number of slots assigned to waiting requests so far.
@@ -98,8 +99,9 @@
 // agentReport is the latest report of an agent about its server.
 type agentReport struct {
 	state frame.AgentState
-	// loadingSince is the time of the first of the consecutive reports that the
-	// server is loading weights. It has no meaning while the server is not loading.
+	// loadingSince is the time of the first report that the server is loading
+	// weights, if all reports since then have said the same. It has no meaning while
+	// the server is not loading.
 	loadingSince time.Time
 }
 
@@ -108,7 +110,7 @@
 	request *Request
 	// slot receives the slot that is assigned to the request.
 	slot chan Slot
-	// assigned is true once a slot has been sent to the channel.
+	// assigned is true once a slot has been sent to the channel slot.
 	assigned bool
 }
 
@@ -153,8 +155,9 @@
 // last message is older than peerTimeout. The caller holds s.mu.
 func (s *Scheduler) knownEntryInstanceCount() int { return len(s.peers) + 1 }
 
-// activeEntryInstanceCount returns the number of entry instances, including this
-// one, that have sent a message within peerTimeout. The caller holds s.mu.
+// activeEntryInstanceCount returns the number of other entry instances that have
+// sent a message within peerTimeout, plus one for this entry instance. The caller
+// holds s.mu.
 func (s *Scheduler) activeEntryInstanceCount(now time.Time) int {
 	n := 1
 	for _, p := range s.peers {
@@ -166,7 +169,7 @@
 }
 
 // assignInterval is the time between two attempts of Run to assign slots to
-// waiting requests. A server can become usable without a released slot, for
+// waiting requests. A server can become usable without the release of a slot, for
 // example at the end of its backoff.
 const assignInterval = 20 * time.Millisecond
 
@@ -186,9 +189,9 @@
 	}
 }
 
-// Acquire returns a slot for a request. If none is free, it waits for at most
-// maxWait. The caller must give the slot back with Release. The error is
-// [ErrFull], [ErrNoServer] or that of ctx.
+// Acquire returns a slot for a request. If none is free, it waits for at most the
+// time that the method maxWait returns. The caller must give the slot back with
+// Release. The error is [ErrFull], [ErrNoServer] or the error of ctx.
 func (s *Scheduler) Acquire(ctx context.Context, req *Request) (Slot, error) {
 	s.mu.Lock()
 	slot, err := s.assign(req)
@@ -217,17 +220,19 @@
 	return Slot{}, err
 }
 
-// maxWait returns how long a request may wait for a slot from now on: until
-// MaxWaitShare of the objective has passed since the arrival, or for MaxRetryWait if
-// that is longer, but not beyond the deadline.
+// maxWait returns how long a request may wait for a slot from now on. The request
+// may wait until MaxWaitShare of the objective has passed since the arrival, or
+// for MaxRetryWait, whichever ends later. In both cases the wait ends at the
+// deadline at the latest. A result that is not positive means that the request
+// may not wait.
 func (s *Scheduler) maxWait(req *Request) time.Duration {
 	now := s.clock.Now()
 	objectiveWait := time.Duration(s.cfg.MaxWaitShare*float64(req.FirstByteObjective)) - now.Sub(req.ArrivedAt)
 	return min(max(objectiveWait, req.MaxRetryWait), req.Deadline.Sub(now))
 }
 
-// HasFreeSlot reports whether a server that can run the request, and at which the
-// request has not been tried yet, has a free slot.
+// HasFreeSlot reports whether a server that can run the request, other than those in
+// req.TriedServers, has a free slot.
 func (s *Scheduler) HasFreeSlot(req *Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -310,8 +315,8 @@
 	return slot, nil
 }
 
-// candidates returns the servers that could run a request. Servers that could run
-// the request but must not get one now have a limit of 0. The caller holds s.mu.
+// candidates returns the servers that could run a request. Those that must not
+// get any request now have a limit of 0. The caller holds s.mu.
 func (s *Scheduler) candidates(req *Request) []Candidate {
 	snapshot := s.holder.Current()
 	now := s.clock.Now()
@@ -351,8 +356,8 @@
 }
 
 // usableVersion returns the version of the request's model that a server holds,
-// 0 for a plain service, and whether the request may run on this server. The
-// caller holds s.mu.
+// and whether the request may run on this server. For a plain service the version
+// is 0. The caller holds s.mu.
 func (s *Scheduler) usableVersion(server *catalog.Server, req *Request, snapshot *catalog.Snapshot, now time.Time) (int, bool) {
 	if req.Model == "" {
 		return 0, true
@@ -371,9 +376,9 @@
 	return version, version >= snapshot.Weights[req.Model].MinVersion(now, s.cfg.WeightsDueAfter)
 }
 
-// totalRunning returns the number of requests at a server that were sent by this
-// entry instance, with the state st of the server, or by those that sent a message
-// within peerTimeout. The caller holds s.mu.
+// totalRunning returns the number of requests at the server with an ID. st holds
+// the number of those that this entry instance sent. Other entry instances count
+// only if they sent a message within peerTimeout. The caller holds s.mu.
 func (s *Scheduler) totalRunning(id string, st *serverState, now time.Time) int {
 	n := st.runningCount
 	for _, p := range s.peers {
@@ -384,8 +389,8 @@
 	return n
 }
 
-// stateOf returns the state of the server with an ID, and creates the state if
-// there is none. The caller holds s.mu.
+// stateOf returns the state of the server with the given ID, and creates the
+// state if there is none. The caller holds s.mu.
 func (s *Scheduler) stateOf(id string) *serverState {
 	st, ok := s.servers[id]
 	if !ok {
--- a/request/dispatch/scheduler_test.go
+++ b/request/dispatch/scheduler_test.go
@@ -53,8 +53,7 @@
 	f.holder.Apply(all, true, true, f.clock.Now())
 }
 
-// request returns a request without an objective, which may therefore not wait
-// for a slot.
+// request returns a request without an objective. It may not wait for a slot.
 func (f *schedulerFixture) request() *Request {
 	now := f.clock.Now()
 	return &Request{
--- a/request/dispatch/stall_test.go
+++ b/request/dispatch/stall_test.go
@@ -23,7 +23,7 @@
 		req.ArrivedAt = req.ArrivedAt.Add(-time.Second) // so long ago that the request may not wait for a slot
 		return req
 	}
-	const quietTime = 601 * time.Millisecond // more than stallObjectives times the objective
+	const quietTime = 601 * time.Millisecond // more than stallObjectiveFactor times the objective
 
 	Convey("A server that sends nothing while requests run there gets no more requests until it sends something", t, func() {
 		f := newFixture()
--- a/request/dispatch/window.go
+++ b/request/dispatch/window.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// slidingWindow counts the events within a time span that ends now.
+// slidingWindow counts the events within a time span that ends at the present.
 type slidingWindow struct {
 	// times holds the times of the events, in ascending order.
 	times []time.Time
 }
 
-// add records an event at now and drops the events that are at least span old.
+// add records an event at time now and drops the events that are at least span
+// old.
 func (w *slidingWindow) add(now time.Time, span time.Duration) {
 	w.times = append(w.recent(now, span), now)
 }
--- a/request/forward/config.go
+++ b/request/forward/config.go
@@ -15,10 +15,11 @@
 // Headers holds the names of the HTTP headers that the deployment uses. The
 // comment on a field describes the value of the header with this name.
 type Headers struct {
-	// RequestID identifies one attempt of a client.
+	// RequestID identifies one attempt of a client. Attempts of the handler at
+	// several servers have the same value.
 	RequestID string
-	// Deadline is the remaining time for which the sender waits for the response,
-	// in milliseconds.
+	// Deadline is the time for which the sender of the request still waits for the
+	// response, in milliseconds.
 	Deadline string
 	// Receipt is set by a server on each response to a request that it ran.
 	Receipt string
@@ -32,15 +33,15 @@
 	Account string
 	// Model is the name of the model.
 	Model string
-	// Tokens is the number of prompt tokens and the maximum number of answer
-	// tokens, separated by a comma. AnswerTokens is the number of answer tokens
-	// that the client expects.
+	// Tokens is the number of prompt tokens and the maximum number of answer tokens,
+	// separated by a comma. AnswerTokens is the number of answer tokens that the
+	// client expects.
 	Tokens, AnswerTokens string
 	// LastEvent is the ID of the last event of the stream that the sender of the
-	// request has received.
+	// request already has.
 	LastEvent string
-	// KeyScheme is not a header name but the scheme before a client's key in the
-	// Authorization header, with the space that follows.
+	// KeyScheme is not the name of a header. It is the scheme before a client's key
+	// in the Authorization header, with the space that follows.
 	KeyScheme string
 	// Reserved lists further headers that clients must not set.
 	Reserved []string
@@ -59,9 +60,9 @@
 	// Log receives an event for each failed attempt and for the end of each
 	// request.
 	Log *eventlog.Logger
-	// Clock provides the time.
+	// Clock provides the current time.
 	Clock clockwork.Clock
-	// Metrics receives counters and latencies.
+	// Metrics is the registry for the counters and timers of the handler.
 	Metrics metrics.Registry
 }
 
@@ -72,8 +73,8 @@
 	// defaultMaxBodyBytes limits the size of a request body if the configuration
 	// has no limit.
 	defaultMaxBodyBytes = 4 << 20
-	// initialWriteTimeout is the time limit for writing a response while the
-	// deadline of the request is not known yet. Once it is known, the limit is the
+	// initialWriteTimeout limits the time for writing a response while the deadline
+	// of the request is not known yet. Once the deadline is known, the limit is the
 	// time from the arrival to the deadline plus writeMargin.
 	initialWriteTimeout = 10 * time.Second
 	writeMargin         = 400 * time.Millisecond
@@ -84,27 +85,27 @@
 	// maxAttempts limits how often one request is sent, including attempts at
 	// servers that did not run the request.
 	maxAttempts = 5
-	// minRetryTime is the time that must be left until the deadline for a request
-	// to be retried.
+	// minRetryTime is the shortest time before the deadline at which a request is
+	// still sent again.
 	minRetryTime = 40 * time.Millisecond
 	// retryAfterUnready is the Retry-After value while the configuration is not
 	// known yet.
 	retryAfterUnready = 300 * time.Millisecond
-	// A resumable stream without an event for firstEventTimeout before its first
-	// event, or for eventTimeout after an event, is continued at another server if
-	// there is one with a free slot. Clients give up after 2 s or more; an event is
-	// due every 50 ms.
+	// firstEventTimeout and eventTimeout apply to a stream that can be continued at
+	// another server. The stream is continued there if no event has arrived for
+	// firstEventTimeout before its first event, or for eventTimeout after an event,
+	// and if another server has a free slot. Clients give up after 2 s or more; an
+	// event is due every 50 ms.
 	firstEventTimeout = 1200 * time.Millisecond
 	eventTimeout      = 900 * time.Millisecond
-	// stallRecheckInterval is the time between two searches for another server for
-	// a request whose server sends nothing.
+	// stallRecheckInterval is the time between two searches for another server for a
+	// request whose present server sends nothing.
 	stallRecheckInterval = 200 * time.Millisecond
 	// retryWait is how long a request that may have run may wait for a slot at
-	// another server, even if its objective allows a shorter wait only. Clients
-	// give up a stream after 2 s without an event.
+	// another server. It applies even if the objective of the request allows only a
+	// shorter wait. Clients give up a stream after 2 s without an event.
 	retryWait = time.Second
-	// responseTimeoutObjectives is the number of objectives after which a
-	// repeatable request that is not a stream and has no response is sent to
-	// another server.
-	responseTimeoutObjectives = 2
+	// responseTimeoutFactor times the objective is the time without a response after
+	// which a repeatable request that is not a stream is sent to another server.
+	responseTimeoutFactor = 2
 )
--- a/request/forward/fixture_test.go
+++ b/request/forward/fixture_test.go
@@ -23,7 +23,7 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// testHeaders are the header names used by the tests.
+// testHeaders holds the header names used by the tests.
 var testHeaders = Headers{
 	RequestID: "X-Id", Deadline: "X-Deadline", Receipt: "X-Receipt", NotRun: "X-Not-Run",
 	ExpectServer: "X-Expect-Server", ExpectVersion: "X-Expect-Version", Account: "X-Account", Model: "X-Model",
@@ -39,8 +39,7 @@
 	conn net.Conn
 }
 
-// fakeServer is a backend server whose responses are returned by the function
-// respond.
+// fakeServer is a backend server whose responses come from the function respond.
 type fakeServer struct {
 	id         string
 	listener   net.Listener
@@ -51,9 +50,9 @@
 	goroutines sync.WaitGroup
 }
 
-// newServer starts a server. respond returns the bytes of the response to request
-// number n, counted from 1. If respond returns an empty string, the server closes
-// the connection without a response.
+// newServer starts a server. respond returns the bytes of the response to the
+// request with number n, counted from 1. If it returns an empty string, the
+// server closes the connection without a response.
 func newServer(t *testing.T, id string, respond func(r receivedRequest, n int) string) *fakeServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -132,7 +131,7 @@
 }
 
 // closeMarker at the end of a response makes the server close the connection
-// after sending the response, including the marker.
+// after it has sent the response with the marker.
 const closeMarker = "\x00cut"
 
 // fullResponse returns a complete response to a request.
@@ -158,7 +157,7 @@
 // event returns one event of a stream.
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// lastChunk is the end of a chunked body.
+// lastChunk is the empty chunk that ends a chunked body.
 const lastChunk = "0\r\n\r\n"
 
 // handlerFixture holds a [Handler], the HTTP server that runs it, and the catalog,
@@ -172,8 +171,8 @@
 }
 
 // newFixture returns a fixture whose handler forwards requests to the given
-// servers, which belong to one service. change, unless nil, changes the
-// configuration before the start.
+// servers, which belong to one service. If change is not nil, it changes the
+// configuration before the handler starts.
 func newFixture(t *testing.T, change func(*catalog.Config), servers ...*fakeServer) *handlerFixture {
 	t.Helper()
 	clock := clockwork.NewRealClock()
@@ -236,8 +235,8 @@
 	err error
 }
 
-// send sends one request on a new connection. header lists the name and the value
-// of each additional header, one after the other.
+// send sends one request on a new connection and returns the response. header
+// lists additional headers: a name, then the value, then the next name.
 func (f *handlerFixture) send(t *testing.T, method, path, body string, header ...string) clientResponse {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, f.httpServer.URL+path, strings.NewReader(body))
--- a/request/forward/forward_test.go
+++ b/request/forward/forward_test.go
@@ -171,8 +171,8 @@
 		}
 		return all
 	}
-	// breakAfter returns a function for newServer whose response consists of n
-	// events and a part of another one; then the connection is closed.
+	// breakAfter returns a respond function for newServer. Its response consists of
+	// n events and a part of another event; then the server closes the connection.
 	breakAfter := func(n int) func(r receivedRequest, _ int) string {
 		return func(r receivedRequest, _ int) string {
 			return streamHeader(r) + chunk(events(1, n)) + chunk("id: 9") + closeMarker
@@ -229,7 +229,7 @@
 func TestStalledServer(t *testing.T) {
 	Convey("Without another server, the late response of a stalled server is still forwarded", t, func() {
 		a := newServer(t, "s1", func(r receivedRequest, _ int) string {
-			<-time.After(responseTimeoutObjectives*300*time.Millisecond + 2*stallRecheckInterval)
+			<-time.After(responseTimeoutFactor*300*time.Millisecond + 2*stallRecheckInterval)
 			return fullResponse(r, http.StatusOK, "late")
 		})
 		f := newFixture(t, nil, a)
@@ -265,7 +265,8 @@
 		}
 		a, b := newServer(t, "s1", resume), newServer(t, "s2", resume)
 		f := newFixture(t, nil, a, b)
-		// Server s2 is full until the other entry instance reports free slots.
+		// Server s2 counts as full until the other entry instance reports that s2 has
+		// free slots.
 		peerLoads := map[string]int{"s1": 0, "s2": 9}
 		f.scheduler.UpdatePeerLoads("other", peerLoads)
 		time.AfterFunc(300*time.Millisecond, func() { f.scheduler.UpdatePeerLoads("other", map[string]int{"s2": 0}) })
--- a/request/forward/handler.go
+++ b/request/forward/handler.go
@@ -28,11 +28,12 @@
 
 // stats holds the metrics of a [Handler].
 type stats struct {
-	// answered, refused, failed and clientLeft count the requests by how they
-	// ended. attempts counts how often requests were sent to servers.
+	// answered, refused, failed and clientLeft count the requests by how they ended.
+	// attempts counts the attempts at servers.
 	answered, refused, failed, clientLeft, attempts metrics.Counter
-	// firstByte and lastByte are the times from the arrival of a request to the
-	// first and to the last byte of the complete response.
+	// firstByte measures the time from the arrival of a request to the first byte of
+	// the response, and lastByte the time to the last byte. Only requests with a
+	// complete response are measured.
 	firstByte, lastByte metrics.Timer
 }
 
@@ -84,7 +85,7 @@
 	*Handler
 	w       http.ResponseWriter
 	httpReq *http.Request
-	// requestID is the request ID that the client has set; it may be empty.
+	// requestID is the request ID that the client has set; empty if there is none.
 	requestID string
 	snapshot  *catalog.Snapshot
 	route     *catalog.Route
@@ -93,32 +94,33 @@
 	// dispatchReq is the description of the request for the scheduler.
 	dispatchReq dispatch.Request
 
-	// attemptCount is the number of times that the request was sent.
+	// attemptCount is the number of attempts at servers so far.
 	attemptCount int
 	// mayHaveRunAt holds the IDs of the servers that may have run the request.
 	mayHaveRunAt map[string]bool
-	// movedTo is the slot to which a stream is to be moved. It is nil if there is
-	// none, and again once the move has begun.
+	// movedTo is the slot to which the stream is to be moved. It is nil if there is
+	// no such slot or the move has begun.
 	movedTo *dispatch.Slot
-	// headerSent is true once the response header was written to the client.
+	// headerSent is true once the response header has been written to the client.
 	headerSent bool
-	// clientGone is true once writing to the client, or setting the time limit for
-	// this, has failed.
+	// clientGone is true once a write to the client has failed, or setting the time
+	// limit for writes has failed.
 	clientGone bool
-	// lastEventID is the ID of the last event that the client has received, at first
-	// according to the client's request; empty if there is none.
+	// lastEventID is the ID of the last event that the client has received; empty if
+	// there is none. It begins with the ID in the client's request.
 	lastEventID string
 	// serverError is the last response with a 5xx status to a repeatable request;
 	// nil if there was none. It is forwarded if no other server gives a better
 	// response.
 	serverError *response
-	// firstByteAt is when the response header was written to the client.
+	// firstByteAt is when the response header was written to the client; zero before
+	// that.
 	firstByteAt time.Time
 	// attemptServers lists the ID of the server of each attempt, for the log.
 	attemptServers []string
 }
 
-// refusal is the response to a request that was not run.
+// refusal is the response to a request that no server has run.
 type refusal struct {
 	status int
 	// reason is the text in the body.
@@ -146,7 +148,8 @@
 }
 
 // resolve determines the route, the client account and the scheduling
-// requirements of the request, or returns a refusal.
+// requirements of the request. It returns a refusal if the request must not be
+// forwarded, and otherwise nil.
 func (c *call) resolve() *refusal {
 	if !c.snapshot.Complete() {
 		return &refusal{http.StatusServiceUnavailable, "configuration not known yet", retryAfterUnready}
@@ -164,8 +167,8 @@
 }
 
 // authenticate sets c.account to the client account with the key of the request.
-// It returns a refusal if no account has this key and the route does not allow
-// anonymous requests. It does nothing if no accounts are declared.
+// If no account has this key, it returns a refusal, unless the route allows
+// anonymous requests. It does nothing if the configuration declares no accounts.
 func (c *call) authenticate() *refusal {
 	if !c.snapshot.Config.AccountsDeclared {
 		return nil
@@ -204,9 +207,9 @@
 	req.Deadline = req.ArrivedAt.Add(remaining)
 }
 
-// estimateWork estimates the cost of the request for a server from the token
-// counts in the request's headers. The estimate is used only to order waiting
-// requests; it is 0 without token counts.
+// estimateWork estimates the cost of the request for a server, in prompt tokens,
+// from the token counts in the request's headers. It returns 0 if there are no
+// token counts. The estimate is used only to order waiting requests.
 func (c *call) estimateWork() float64 {
 	prompt, maxAnswer, _ := strings.Cut(c.httpReq.Header.Get(c.cfg.Headers.Tokens), ",")
 	answer := c.httpReq.Header.Get(c.cfg.Headers.AnswerTokens)
@@ -226,8 +229,8 @@
 	return n
 }
 
-// chooseService chooses one of the route's services at random, with a probability
-// proportional to its weight.
+// chooseService chooses one of the route's services at random. The probability of
+// a service is proportional to its weight in the route.
 func (c *call) chooseService() string {
 	total := 0
 	for _, t := range c.route.Targets {
@@ -245,8 +248,8 @@
 	return c.route.Targets[0].Service
 }
 
-// readBody reads the complete body, so that the request can be sent more than
-// once, or returns a refusal.
+// readBody reads the complete body into c.body, so that the request can be sent
+// more than once. It returns a refusal if this fails.
 func (c *call) readBody() *refusal {
 	limit := c.snapshot.Config.Limits.MaxBodyBytes
 	if limit <= 0 {
@@ -269,7 +272,8 @@
 	return nil
 }
 
-// refuse sends, counts and logs the response to a request that has not run.
+// refuse sends the response to a request that no server has run, and counts and
+// logs it.
 func (c *call) refuse(r *refusal) {
 	header := c.w.Header()
 	if c.requestID != "" {
@@ -307,6 +311,6 @@
 	c.cfg.Log.Event(e, f)
 }
 
-// errNoRetry is returned, wrapped with the reason, when the request must not be
-// sent again.
+// errNoRetry means that the request must not be sent again. It is returned
+// wrapped with the reason.
 var errNoRetry = errors.New("no further sending")
--- a/request/forward/move.go
+++ b/request/forward/move.go
@@ -6,11 +6,11 @@
 	"github.com/rattanway/rattanway/request/dispatch"
 )
 
-// streamMover finds a slot at another server for a stream whose server loads new
-// weights.
+// streamMover searches for a slot at another server for a stream whose present
+// server loads new weights.
 type streamMover struct {
 	call *call
-	// from is the slot at which the stream runs.
+	// from is the slot in which the stream runs at present.
 	from dispatch.Slot
 	// search is nil while no search for another slot is in progress.
 	search *dispatch.MoveSearch
--- a/request/forward/run.go
+++ b/request/forward/run.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/request/dispatch"
 )
 
-// run sends the request to servers until a complete response has been forwarded
-// or no further attempt is allowed.
+// run makes attempts at servers until a complete response has been forwarded or
+// no further attempt is allowed.
 func (c *call) run(ctx context.Context) {
 	c.cfg.Scheduler.CountRequest(c.dispatchReq.Service)
 	defer c.releaseUnusedSlot()
@@ -21,7 +21,7 @@
 			c.giveUp(ctx, err)
 			return
 		}
-		result := c.send(ctx, slot)
+		result := c.makeAttempt(ctx, slot)
 		c.cfg.Scheduler.Release(slot, result.outcome)
 		if result.outcome == dispatch.Served {
 			c.recordAnswered(slot)
@@ -38,7 +38,8 @@
 	}
 }
 
-// acquireSlot returns the slot to which the stream was moved, or acquires one.
+// acquireSlot returns the slot c.movedTo if a stream is to be moved, and
+// otherwise acquires one.
 func (c *call) acquireSlot(ctx context.Context) (dispatch.Slot, error) {
 	if c.movedTo != nil {
 		slot := *c.movedTo
@@ -69,9 +70,9 @@
 	c.logEvent(eventAnswered, f)
 }
 
-// decideRetry returns nil if the request is to be sent again after an attempt
-// whose outcome is not [dispatch.Served], and otherwise the reason why not. It
-// logs the attempt and this decision.
+// decideRetry returns nil if the request is to be sent again, and otherwise the
+// reason why not. It is called after an attempt whose outcome is not
+// [dispatch.Served], and logs the attempt and this decision.
 func (c *call) decideRetry(ctx context.Context, slot dispatch.Slot, r *attemptResult) error {
 	err := c.checkRetry(ctx, r)
 	follows := "sent again"
@@ -89,10 +90,10 @@
 	return err
 }
 
-// checkRetry returns nil if the request may be sent again after the attempt with
-// result r, and otherwise the reason why not. If the server may have received the
-// request, the next attempt is a retry: checkRetry counts it in the retry budget,
-// unless r.retryCounted is set.
+// checkRetry returns nil if the request may be sent again after an attempt with
+// result r, and otherwise the reason why not. If the request may have arrived at
+// the server, the next attempt is a retry: checkRetry counts it in the retry
+// budget, unless r.retryCounted is set.
 func (c *call) checkRetry(ctx context.Context, r *attemptResult) error {
 	switch {
 	case ctx.Err() != nil:
@@ -115,9 +116,9 @@
 	return nil
 }
 
-// giveUp ends a request for which no complete response was forwarded. It aborts
-// the client connection if the client has left or the response has begun.
-// Otherwise it sends c.serverError, or an error response if there is none.
+// giveUp ends a request for which no complete response was forwarded. If the
+// client has left or the response has begun, it aborts the client connection.
+// Otherwise it sends c.serverError or, if this is nil, an error response.
 func (c *call) giveUp(ctx context.Context, cause error) {
 	if c.clientGone || c.httpReq.Context().Err() != nil {
 		c.stats.clientLeft.Inc(1)
@@ -149,9 +150,9 @@
 	}
 }
 
-// slotError returns the error that determines the Retry-After value:
-// [dispatch.ErrFull] if a server was tried, because there are then servers that
-// can run the request, and otherwise cause.
+// slotError returns the error that determines the Retry-After value. If a server
+// was tried, there are servers that can run the request, so the error is
+// [dispatch.ErrFull]. Otherwise it is cause.
 func (c *call) slotError(cause error) error {
 	if len(c.dispatchReq.TriedServers) > 0 {
 		return dispatch.ErrFull
@@ -159,7 +160,8 @@
 	return cause
 }
 
-// fail sends, counts and logs an error response to a request that may have run.
+// fail sends an error response to a request that may have run, and counts and
+// logs it.
 func (c *call) fail(status int, reason string) {
 	c.w.Header().Set(c.cfg.Headers.RequestID, c.requestID)
 	http.Error(c.w, reason, status)
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -18,7 +18,7 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// attemptResult is the result of sending the request to a server once.
+// attemptResult is the result of one attempt at a server.
 type attemptResult struct {
 	outcome dispatch.Outcome
 	err     error
@@ -27,7 +27,7 @@
 	// mayHaveArrived is true if the request may have arrived at the server, and
 	// mayHaveRun if the server may also have begun to run the request.
 	mayHaveArrived, mayHaveRun bool
-	// retryCounted is true if an attempt after this one is already counted in the
+	// retryCounted is true if the next attempt, if any, is already counted in the
 	// retry budget.
 	retryCounted bool
 }
@@ -47,9 +47,9 @@
 	errStalled         = errors.New("server sent nothing for too long")
 )
 
-// send makes one attempt: it sends the request to the server of a slot, and
-// forwards the response if it is valid.
-func (c *call) send(ctx context.Context, slot dispatch.Slot) attemptResult {
+// makeAttempt makes one attempt at the server of a slot: it gets a connection,
+// sends the request, and forwards the response if it is valid.
+func (c *call) makeAttempt(ctx context.Context, slot dispatch.Slot) attemptResult {
 	c.attemptCount++
 	c.stats.attempts.Inc(1)
 	c.attemptServers = append(c.attemptServers, slot.Server.ID)
@@ -65,13 +65,14 @@
 		if !errors.Is(r.err, backend.ErrNotSent) {
 			return r
 		}
-		// The idle connection was no longer usable, and nothing was sent.
+		// The idle connection was no longer usable, and nothing was sent. Try a new
+		// one.
 		useNewConn = true
 	}
 }
 
-// markEnded returns r, with the outcome [dispatch.Cancelled] if ctx has ended because
-// the client left or the deadline passed.
+// markEnded returns r. If ctx has ended, because the client left or the deadline
+// passed, it first sets the outcome to [dispatch.Cancelled].
 func (c *call) markEnded(ctx context.Context, r attemptResult) attemptResult {
 	if ctx.Err() != nil {
 		r.outcome = dispatch.Cancelled
@@ -110,8 +111,9 @@
 	return r
 }
 
-// isFinalResponse reports whether resp is a final response to this request: the
-// status is not 1xx, and the request ID is that of this request or missing.
+// isFinalResponse reports whether resp is a final response to this request. The
+// status of such a response is not 1xx, and its request ID is missing or equal to
+// the ID of this request.
 func (c *call) isFinalResponse(resp *http.Response) bool {
 	if resp.StatusCode < http.StatusOK {
 		return false
@@ -120,8 +122,8 @@
 	return id == "" || id == c.requestID
 }
 
-// handleResponse checks a response and forwards it if it is valid. A 5xx response
-// to a repeatable request is kept in c.serverError instead.
+// handleResponse checks a response and forwards it if it is valid. It does not
+// forward a 5xx response to a repeatable request, but keeps it in c.serverError.
 func (c *call) handleResponse(ctx context.Context, resp *http.Response, slot dispatch.Slot, watch *stallWatch) attemptResult {
 	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(c.cfg.Headers.NotRun) != "" {
 		return c.handleNotRun(resp)
@@ -161,7 +163,8 @@
 }
 
 // handleNotRun returns the result of an attempt at a server that did not run the
-// request. It reads the response, so that the connection can be used again.
+// request. It reads the response completely, so that the connection can be used
+// again.
 func (c *call) handleNotRun(resp *http.Response) attemptResult {
 	r := attemptResult{outcome: dispatch.Full, mayHaveArrived: true}
 	if resp.StatusCode == http.StatusMisdirectedRequest {
@@ -171,7 +174,7 @@
 	return r
 }
 
-// readResponse reads a complete response of at most maxResponseBytes.
+// readResponse reads a complete response with a body of at most maxResponseBytes.
 func readResponse(resp *http.Response) (*response, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
@@ -183,7 +186,8 @@
 	return &response{status: resp.StatusCode, header: resp.Header, body: body}, nil
 }
 
-// writeResponse writes a complete response to the client.
+// writeResponse writes a complete response to the client. For a HEAD request it
+// writes no body.
 func (c *call) writeResponse(resp *response) error {
 	header := c.w.Header()
 	copyHeader(header, resp.header)
@@ -202,8 +206,8 @@
 }
 
 // hopByHopHeaders lists the headers that are not forwarded: those that apply to
-// one connection only, and Content-Length, which is set again from the length of
-// the body that was read.
+// one connection only, and Content-Length, which is written anew from the length
+// of the body that was read.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
@@ -278,8 +282,8 @@
 	return b.String()
 }
 
-// isReserved reports whether the header name must not be forwarded as the client
-// set it, because the handler sets or removes this header.
+// isReserved reports whether the client's value of the header name must not be
+// forwarded, because the handler sets or removes this header.
 func (c *call) isReserved(name string) bool {
 	names := &c.cfg.Headers
 	switch name {
@@ -295,10 +299,11 @@
 }
 
 // stallWatch closes the connection to a server that sends nothing for too long,
-// if the request can be sent to another server.
+// if another server can run the request.
 type stallWatch struct {
 	call *call
-	// retryReq is the description of the request for the search for another server.
+	// retryReq describes the request for the search for another server: the present
+	// server counts as tried.
 	retryReq dispatch.Request
 	ctx      context.Context
 	conn     *backend.Conn
@@ -309,8 +314,8 @@
 	stalled atomic.Bool
 }
 
-// newStallWatch starts to watch for the first byte of a response. If the request
-// cannot be sent to another server, the returned watch does nothing.
+// newStallWatch returns a watch that waits for the first byte of a response. If
+// the request must not be sent to another server, the watch does nothing.
 func (c *call) newStallWatch(ctx context.Context, conn *backend.Conn, slot dispatch.Slot) *stallWatch {
 	w := &stallWatch{call: c, ctx: ctx, conn: conn, retryReq: c.dispatchReq}
 	w.retryReq.TriedServers = maps.Clone(c.dispatchReq.TriedServers)
@@ -320,7 +325,7 @@
 	}
 	timeout := firstEventTimeout
 	if c.route.Kind != catalog.KindStream {
-		timeout = responseTimeoutObjectives * c.route.FirstByteObjective
+		timeout = responseTimeoutFactor * c.route.FirstByteObjective
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -330,9 +335,9 @@
 
 // onTimeout closes the connection if another server has a free slot and the retry
 // budget allows a retry. Otherwise the connection stays open, because the server
-// may still respond: without a free slot, onTimeout is called again after
-// stallRecheckInterval; without retry budget, it is not called again before the
-// server has sent an event.
+// may still respond. Without a free slot, onTimeout is called again after
+// stallRecheckInterval. If the retry budget does not allow a retry, it is called
+// again only after the server has sent an event.
 func (w *stallWatch) onTimeout() {
 	scheduler := w.call.cfg.Scheduler
 	switch {
@@ -356,7 +361,7 @@
 	}
 }
 
-// resetTimer sets the time until the next call of onTimeout. It does nothing if
+// resetTimer makes the next call of onTimeout happen after d. It does nothing if
 // the connection is not watched.
 func (w *stallWatch) resetTimer(d time.Duration) {
 	w.mu.Lock()
@@ -376,8 +381,8 @@
 	}
 }
 
-// markStalled returns r, with the outcome [dispatch.Stalled] if the watch has
-// closed the connection.
+// markStalled returns r. If the watch has closed the connection, it first sets
+// the outcome to [dispatch.Stalled].
 func (w *stallWatch) markStalled(r attemptResult) attemptResult {
 	if w.stalled.Load() {
 		r.outcome, r.err, r.retryCounted = dispatch.Stalled, errStalled, true
--- a/request/forward/stream.go
+++ b/request/forward/stream.go
@@ -36,8 +36,8 @@
 		strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType)
 }
 
-// forwardStream forwards each event as soon as the event has arrived completely.
-// If the stream is to be moved to another server, it returns after an event with
+// forwardStream forwards each event once the event has arrived completely. If the
+// stream is to be moved to another server, it returns between two events, with
 // the outcome [dispatch.Moved].
 func (c *call) forwardStream(ctx context.Context, resp *http.Response, slot dispatch.Slot, watch *stallWatch) attemptResult {
 	r := attemptResult{outcome: dispatch.Broken, mayHaveArrived: true, mayHaveRun: true}
@@ -95,9 +95,10 @@
 	}
 }
 
-// forwardEvent forwards one event, unless its numeric ID is not above that of the
-// last event that the client has received. It returns errEventGap if the stream to
-// the client has begun and at least one ID is missing between these two events.
+// forwardEvent forwards one event, unless the client already has it: then the
+// numeric ID of the event is not above c.lastEventID. It returns errEventGap if
+// the stream to the client has begun and at least one ID is missing between these
+// two.
 func (c *call) forwardEvent(resp *http.Response, event []byte) error {
 	id := eventID(event)
 	if id != "" {
@@ -128,7 +129,7 @@
 }
 
 // startStream writes the header of resp to the client, unless a response header
-// has been written already.
+// was written before.
 func (c *call) startStream(resp *http.Response) {
 	if c.headerSent {
 		return
--- a/request/forward/stream_test.go
+++ b/request/forward/stream_test.go
@@ -11,8 +11,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// readEvents reads events until the first error, and returns the events and the
-// error.
+// readEvents calls readEvent until the first error, and returns the events and
+// this error.
 func readEvents(stream []byte) ([][]byte, error) {
 	reader := bufio.NewReaderSize(bytes.NewReader(stream), 1<<10)
 	var events [][]byte
@@ -40,8 +40,8 @@
 }
 
 // FuzzReadEvent checks that the events, joined, are the beginning of the stream,
-// or all of it if the reading ended with [io.EOF], and that each event ends at its
-// first empty line.
+// or the whole stream if the reading ended with [io.EOF]. It also checks that
+// each event ends at its first empty line.
 func FuzzReadEvent(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: x\n\nid: 2\ndata: y\n\n"))
 	f.Add([]byte("id: 1\r\ndata: x\r\n\r\n"))
