--- a/request/admission/adapt.go
+++ b/request/admission/adapt.go
@@ -12,7 +12,8 @@
 	// maxStepRatio is the largest growth of the limit in one step, as a
 	// fraction of the limit. A step is always at least one call.
 	maxStepRatio = 0.1
-	// overloadFactor multiplies the limit when a call ends because of overload.
+	// overloadFactor times the limit is the new limit after a call that ended
+	// because of overload.
 	overloadFactor = 0.7
 	// settleTime is the time after a change of the limit in which samples do not
 	// enter the rate curve, because they still cover the time before the change.
@@ -20,54 +21,59 @@
 	// coldCooldown is the time after a reset to the cold limit in which the limit
 	// is not decreased and samples are ignored.
 	coldCooldown = 400 * time.Millisecond
-	// minGrowthPause and maxGrowthPause bound the time after a decrease in which
-	// the limit does not grow. The pause doubles after each decrease that did not
-	// lower the token rate.
+	// minGrowthPause and maxGrowthPause are the bounds of the time after a decrease
+	// in which the limit does not grow. The time doubles after each decrease that
+	// did not lower the token rate.
 	minGrowthPause = 2 * time.Second
 	maxGrowthPause = 30 * time.Second
-	// minGrowthTrial is the shortest time for which a growth step is on trial, which
-	// means that the step counts as the likely cause of a lower token rate.
+	// minGrowthTrial is the shortest time for which a growth step is on trial. A
+	// step on trial counts as the likely cause of a lower token rate.
 	minGrowthTrial = time.Second
-	// failedStepPauseFactor is the shortest growth pause after a failed growth
-	// step, which is one that led to a decrease; in mean slot times. The calls
-	// that the step admitted overload the server until they end, which takes one
-	// mean slot time. With a factor of 4, at most 1/(1+4) of the time, a fifth, is
-	// spent on failed steps.
+	// failedStepPauseFactor times the mean slot time, the mean time for which a call
+	// holds its slot, is the shortest growth pause after a failed growth step. A
+	// growth step has failed if it led to a decrease. The calls that the step
+	// admitted overload the server until they end, which takes one mean slot time.
+	// With a factor of 4, at most 1/(1+4) of the time, a fifth, is spent on failed
+	// steps.
 	failedStepPauseFactor = 4
-	// pauseResetRatio times the limit after the last decrease is the limit above
-	// which the growth pause returns to minGrowthPause.
+	// pauseResetRatio times the limit after the last decrease is a threshold: once
+	// the limit is above it, the growth pause returns to minGrowthPause.
 	pauseResetRatio = 1.25
-	// perTokenJumpRatio times the baseline of the time per token is the recent time
-	// per token above which the server counts as having turned cold.
+	// perTokenJumpRatio times the baseline of the time per token is a threshold: if
+	// the recent time per token is above it, the server counts as having turned
+	// cold.
 	perTokenJumpRatio = 3.0
 	// keepDecreaseRatio times the token rate before a decrease is the lowest rate
-	// after the decrease at which the decrease is kept.
+	// after the decrease at which the decrease is not undone.
 	keepDecreaseRatio = 1.0
-	// trialDecreaseWindows is the number of consecutive windows with too many
-	// calls (see countOverloadedWindow) after which the limit is decreased while a
-	// growth step is on trial.
+	// trialDecreaseWindows applies while a growth step is on trial: after this
+	// number of consecutive windows with too many calls (see countOverloadedWindow)
+	// the limit is decreased.
 	trialDecreaseWindows = 2
-	// stableDecreaseWindows replaces trialDecreaseWindows while no growth step is
-	// on trial. It is larger so that a short stall of the machine does not
-	// decrease the limit.
+	// stableDecreaseWindows replaces trialDecreaseWindows while no growth step is on
+	// trial. It is larger, so that a short stall of the machine does not decrease
+	// the limit.
 	stableDecreaseWindows = 4
 	// collapseWindows is the number of consecutive windows with a collapsed token
-	// rate after which the server counts as having turned cold.
+	// rate (see rateCurve.collapsed) after which the server counts as having turned
+	// cold.
 	collapseWindows = 2
-	// firstTokenJumpRatio times the baseline of the time to the first token is the
-	// recent time above which the server counts as having turned cold. The ratio is
-	// larger than perTokenJumpRatio because the time to the first token depends on
-	// the length of the prompt and on prefix cache hits.
+	// firstTokenJumpRatio times the baseline of the time to the first token is a
+	// threshold: if the recent time to the first token is above it, the server
+	// counts as having turned cold. The ratio is larger than perTokenJumpRatio,
+	// because the time to the first token depends on the length of the prompt and on
+	// prefix cache hits.
 	firstTokenJumpRatio = 10.0
 )
 
 // Reasons for decreasing the limit.
 const (
-	// reasonTokenRate means that the token rate is higher with fewer calls.
+	// reasonTokenRate means that the token rate was higher with fewer calls, or is
+	// estimated to be.
 	reasonTokenRate = "token rate"
-	// reasonLessCapacity means that the token rate is lower than an earlier one
-	// with the same number of calls, so the rates measured with other numbers of
-	// calls are outdated too.
+	// reasonLessCapacity means that the token rate is lower than an earlier rate at
+	// the same number of calls. The earlier rates at other numbers of calls are then
+	// outdated too.
 	reasonLessCapacity = "less capacity"
 )
 
@@ -79,9 +85,10 @@
 	eventCallsShed       = eventlog.Define(414, "calls-shed", logrus.WarnLevel, "Running calls were ended early because the server had turned cold.")
 )
 
-// adaptToOutcome adapts the limit to a finished call: it decreases the limit after
-// an overload, and otherwise lets it grow within the present growth step.
-// nearLimit is true when the number of calls in flight was near the limit. The
+// adaptToOutcome adapts the limit to a finished call. After an overload it
+// decreases the limit. Otherwise it lets the limit grow within the present growth
+// step, unless the call is ignored, growth is paused or nearLimit is false.
+// nearLimit is true if the number of calls in flight was near the limit. The
 // caller holds l.mu.
 func (l *AdaptiveLimiter) adaptToOutcome(o Outcome, nearLimit bool) {
 	if o.Overloaded {
@@ -104,9 +111,10 @@
 	}
 }
 
-// startStepIfDue starts the next growth step once the token rate at the present
-// limit has been evaluated, or when the calls of this server yield no samples.
-// Earlier, it does nothing. The caller holds l.mu.
+// startStepIfDue starts the next growth step if the token rate at the present
+// limit has been evaluated, or if more calls than the limit have finished without
+// a sample. A step lasts at least settleTime and windowTime together. The caller
+// holds l.mu.
 func (l *AdaptiveLimiter) startStepIfDue(now time.Time) {
 	noSamples := float64(l.finishedCallCount) > l.limit
 	if now.Sub(l.stepStart) < settleTime+windowTime || !l.stepEvaluated && !noSamples {
@@ -117,15 +125,15 @@
 }
 
 // growthOnTrial reports whether the last growth step is so recent that it is the
-// likely cause of a lower token rate: the calls that the step admitted are probably
-// still running. The caller holds l.mu.
+// likely cause of a lower token rate, because the calls that it admitted are
+// probably still running. The caller holds l.mu.
 func (l *AdaptiveLimiter) growthOnTrial() bool {
 	return l.limit < float64(l.cfg.Limit) && l.clock.Since(l.stepStart) <= max(l.meanSlotTime.value, minGrowthTrial)
 }
 
-// maxStep returns the largest growth in one step. While the limit is below
-// overloadCallCount, a step covers at most half of the distance to that number.
-// The caller holds l.mu.
+// maxStep returns the largest growth of the limit in one step, in calls. While
+// the limit is below overloadCallCount, a step covers at most half of the
+// distance to that number, but at least one call. The caller holds l.mu.
 func (l *AdaptiveLimiter) maxStep() float64 {
 	largest := l.limit * maxStepRatio
 	if gap := float64(l.overloadCallCount) - l.limit; gap > 0 {
@@ -157,7 +165,7 @@
 	}
 }
 
-// evaluateWindow adapts the limit to the mean time per token of the full window
+// evaluateWindow adapts the limit to the mean time per token in the full window,
 // and starts a new window. The caller holds l.mu.
 func (l *AdaptiveLimiter) evaluateWindow(now time.Time) {
 	w := l.window
@@ -207,8 +215,8 @@
 
 // countOverloadedWindow counts a window in which inFlight calls were too many for
 // the server. After several such windows in a row it decreases the limit to
-// suitableCount, the number of calls that suits the server, but not below the
-// cold limit. rate is the token rate of the window. The caller holds l.mu.
+// suitableCount, the number of calls that the server can handle, but not below
+// the cold limit. rate is the token rate in the window. The caller holds l.mu.
 func (l *AdaptiveLimiter) countOverloadedWindow(inFlight, suitableCount int, rate float64, reason string) {
 	l.overloadedWindowCount++
 	if l.overloadedWindowCount < trialDecreaseWindows || !l.growthOnTrial() && l.overloadedWindowCount < stableDecreaseWindows {
@@ -224,20 +232,20 @@
 }
 
 // pendingDecrease is a decrease of the limit whose effect on the token rate has
-// not been measured yet.
+// not been evaluated yet.
 type pendingDecrease struct {
-	// limitBefore is the limit before the decrease; 0 when no decrease is
-	// pending.
+	// limitBefore is the limit before the decrease; 0 if no decrease is pending.
 	limitBefore float64
 	// rateBefore is the token rate before the decrease.
 	rateBefore float64
 }
 
-// checkPendingDecrease returns true if the token rate is now lower than before
-// the pending decrease. In that case the number of calls did not make the server
-// slow, and the caller undoes the decrease. If the rate is not lower, the decrease
-// is no longer pending, and the next growth pause is doubled. Nothing happens
-// until as many calls have ended as the decrease requires. The caller holds l.mu.
+// checkPendingDecrease reports whether the caller must undo the pending decrease.
+// It returns false if none is pending or while more calls are in flight than the
+// limit allows. After that, it returns true if the token rate is below
+// keepDecreaseRatio times the rate before the decrease: then the number of calls
+// was not what made the server slow. Otherwise it confirms the decrease and
+// doubles the next growth pause. The caller holds l.mu.
 func (l *AdaptiveLimiter) checkPendingDecrease(inFlight int, rate float64) bool {
 	if l.pendingDecrease.limitBefore <= l.limit || inFlight > int(l.limit) {
 		return false
@@ -250,9 +258,9 @@
 	return false
 }
 
-// undoDecrease restores the limit that preceded the pending decrease, and discards
-// the rate curve, which was measured under other conditions. The caller holds
-// l.mu.
+// undoDecrease restores the limit from before the pending decrease. It also
+// discards the rate curve and overloadCallCount, which were measured under other
+// conditions. The caller holds l.mu.
 func (l *AdaptiveLimiter) undoDecrease() {
 	previousLimit := int(l.limit)
 	l.setLimit(l.pendingDecrease.limitBefore)
@@ -263,10 +271,11 @@
 	l.cfg.Log.Event(eventLimitFallUndone, eventlog.Fields{"was": previousLimit, "limit": int(l.limit)})
 }
 
-// decrease lowers the limit to the given one, but to at least 1, and pauses its
-// growth. It does nothing if the limiter is fixed, if the given limit is not
-// lower, within settleTime after the limit last changed, and within coldCooldown
-// after a reset to the cold limit. The caller holds l.mu.
+// decrease lowers the limit to the given value, but to at least 1, and pauses the
+// growth of the limit. It does nothing if the limiter is fixed or the given value
+// is not lower. It also does nothing before l.settledAt and before l.cooldownEnd,
+// that is, shortly after a change of the limit or a reset to the cold limit. The
+// caller holds l.mu.
 func (l *AdaptiveLimiter) decrease(limit float64, reason string) {
 	now := l.clock.Now()
 	if l.cfg.Fixed || now.Before(l.settledAt) || now.Before(l.cooldownEnd) || limit >= l.limit {
@@ -288,15 +297,15 @@
 	})
 }
 
-// forgetCapacity discards all that was measured about the capacity of the server:
-// the rate curve and overloadCallCount. The caller holds l.mu.
+// forgetCapacity discards everything that was measured about the capacity of the
+// server: the rate curve and overloadCallCount. The caller holds l.mu.
 func (l *AdaptiveLimiter) forgetCapacity() {
 	l.curve.clear()
 	l.overloadCallCount = 0
 }
 
 // startSettling keeps samples out of the rate curve until settleTime after from,
-// and discards those of the present window. The caller holds l.mu.
+// and discards the samples of the present window. The caller holds l.mu.
 func (l *AdaptiveLimiter) startSettling(from time.Time) {
 	l.settledAt = from.Add(settleTime)
 	l.window = window{}
@@ -309,9 +318,9 @@
 	l.resetToCold("restart")
 }
 
-// resetToCold lowers the limit to the cold limit and sheds the calls above it, as
-// far as they are repeatable. It does nothing if the limiter is fixed. The caller
-// holds l.mu.
+// resetToCold lowers the limit to the cold limit. It ends as many calls early as
+// are above that limit, but only repeatable ones. It does nothing if the limiter
+// is fixed. The caller holds l.mu.
 func (l *AdaptiveLimiter) resetToCold(reason string) {
 	if l.cfg.Fixed {
 		return
@@ -332,8 +341,9 @@
 	l.shedCalls(l.inFlight() - int(l.limit))
 }
 
-// shedCalls ends up to n repeatable calls early: those with the lowest priority
-// first and, within a priority, the newest first. The caller holds l.mu.
+// shedCalls ends up to n repeatable calls early. It begins with the lowest
+// priority; within a priority it begins with the newest call. The caller holds
+// l.mu.
 func (l *AdaptiveLimiter) shedCalls(n int) {
 	ended := 0
 	for priority := 0; priority <= maxPriority && ended < n; priority++ {
@@ -352,5 +362,5 @@
 	}
 }
 
-// maxPriority is the highest priority of a call.
+// maxPriority is the highest priority that a call can have.
 const maxPriority = 9
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -1,8 +1,8 @@
-// Package admission limits, at the agent, how many calls run at once at the
-// engine or service behind it, and queues the calls above that limit. Only the
-// agent sees the calls of all entry instances, so only its limit is
-// authoritative. The limit of a cold server, one that has just started or has
-// lost its warm state, begins low and grows.
+// Package admission runs at the agent, the process in front of a backend server.
+// It limits how many calls run at once at that server, and queues further calls.
+// Only the agent sees the calls of all entry instances, so only its limit is
+// authoritative. A server is cold if it has just started or has lost its warm
+// state. The limit of a cold server begins low and grows.
 package admission
 
 import (
@@ -16,39 +16,41 @@
 type SlotRequest struct {
 	// Account is the name of the client account.
 	Account string
-	// Share is the account's weight when slots are scarce; values below 1 count
-	// as 1.
+	// Share is the account's relative share of the slots when slots are scarce;
+	// values below 1 count as 1.
 	Share int
-	// Priority is 0 (lowest) to 9.
+	// Priority is a number from 0 (lowest) to 9 (highest).
 	Priority int
-	// Deadline is the time at which the caller gives up; zero means never.
+	// Deadline is the time at which the caller gives up; zero if it never does.
 	Deadline time.Time
-	// Shed, if set, is called at most once, to end the call early because the
-	// server has turned cold. It is nil for once-only calls, which must run to
-	// their end.
+	// Shed, if set, ends the call early because the server has turned cold. It is
+	// called at most once. It is nil for once-only calls, which must not be ended
+	// early.
 	Shed func()
 }
 
-// Sample holds what was measured on a running call since its last sample.
+// Sample holds what was measured on a running call since the previous sample of
+// the call.
 type Sample struct {
-	// TimeToFirstToken is the time to the first byte; 0 when it is not part of this
-	// sample.
+	// TimeToFirstToken is the time to the first byte of the response; 0 if it is not
+	// part of this sample.
 	TimeToFirstToken time.Duration
-	// TimePerToken is the mean time between tokens; 0 when it is not part of this
+	// TimePerToken is the mean time between tokens; 0 if it is not part of this
 	// sample.
 	TimePerToken time.Duration
 }
 
 // Outcome describes how an admitted call ended.
 type Outcome struct {
-	// TimeToFirstToken is the time to the first byte; 0 when there was none.
+	// TimeToFirstToken is the time to the first byte of the response; 0 if there was
+	// none.
 	TimeToFirstToken time.Duration
-	// TimePerToken is the mean time between tokens; 0 when unknown.
+	// TimePerToken is the mean time between tokens; 0 if unknown.
 	TimePerToken time.Duration
-	// Overloaded is true when the engine refused the call because of overload, or
-	// sent no data in time.
+	// Overloaded is true if the engine refused the call because of overload, or sent
+	// no data in time.
 	Overloaded bool
-	// Ignored is true when the limiter must not adapt to this call, because it
+	// Ignored is true if the limiter must not adapt to this call, because the call
 	// was cancelled or failed for another reason than overload.
 	Ignored bool
 }
@@ -60,15 +62,15 @@
 	// refusal.
 	Acquire(ctx context.Context, req SlotRequest) (release func(Outcome), refusalReason frame.Reason)
 	// Observe adapts the limit to a sample of a running call. Samples show that a
-	// server has turned cold before its calls end.
+	// server has turned cold before the running calls end.
 	Observe(s Sample)
-	// Load returns the current load.
+	// Load returns the current limit and the numbers of running and queued calls.
 	Load() frame.Load
 	// State returns frame.StateReady at the declared limit, frame.StateCold at the
 	// cold limit, and frame.StateWarming in between.
 	State() frame.State
-	// Reset lowers the limit to the cold limit. It is called when the server has
-	// restarted or turned cold.
+	// Reset lowers the limit to the cold limit. The caller calls it when the server
+	// has restarted or turned cold.
 	Reset()
 	// Configure sets the declared limits of the backend server.
 	Configure(limit, coldLimit int)
--- a/request/admission/limiter.go
+++ b/request/admission/limiter.go
@@ -17,17 +17,16 @@
 
 // Defaults of a Config, and other parameters of an AdaptiveLimiter.
 const (
-	// DefaultMaxQueueWait is the longest wait in the queue.
+	// DefaultMaxQueueWait is the default of Config.MaxQueueWait.
 	DefaultMaxQueueWait = 40 * time.Millisecond
-	// DefaultQueueRatio is the maximum length of the queue, as a fraction of the
-	// limit.
+	// DefaultQueueRatio is the default of Config.QueueRatio.
 	DefaultQueueRatio = 0.5
-	// DefaultGrowthPerCall is the growth of the limit per finished call.
+	// DefaultGrowthPerCall is the default of Config.GrowthPerCall.
 	DefaultGrowthPerCall = 0.5
-	// minQueueLength is the lower bound of the maximum queue length.
+	// minQueueLength is the lowest value of the maximum queue length.
 	minQueueLength = 4
-	// nearLimitRatio is the smallest fraction of the limit in use at which a
-	// finished call raises the limit.
+	// nearLimitRatio is the fraction of the limit that must be in use for a finished
+	// call to raise the limit.
 	nearLimitRatio = 0.75
 )
 
@@ -37,23 +36,27 @@
 
 // Config holds the settings of a limiter. Zero values take the defaults.
 type Config struct {
-	// Limit is the largest number of concurrent calls of a warm server.
+	// Limit is the declared limit: the maximum number of concurrent calls of a warm
+	// server; at least 1.
 	Limit int
-	// ColdLimit is the largest number of concurrent calls of a cold server.
+	// ColdLimit is the cold limit: the maximum number of concurrent calls of a cold
+	// server; from 1 to Limit.
 	ColdLimit int
-	// MaxQueueWait is the longest wait in the queue.
+	// MaxQueueWait is the longest time for which a call waits in the queue.
 	MaxQueueWait time.Duration
-	// QueueRatio is the maximum length of the queue, as a fraction of the limit.
+	// QueueRatio is the maximum length of the queue, as a fraction of the current
+	// limit; it is never below minQueueLength calls.
 	QueueRatio float64
-	// GrowthPerCall is added to the limit by each finished call while at least
-	// nearLimitRatio of the limit is in use and growth is not paused.
+	// GrowthPerCall is the number of calls by which a finished call raises the
+	// limit. Calls raise the limit only while at least nearLimitRatio of the limit
+	// is in use and growth is not paused.
 	GrowthPerCall float64
-	// Fixed keeps the limit constant at Limit: no cold limit, no growth and no
-	// decreases.
+	// Fixed keeps the limit at the value of Limit: there is no cold limit, no growth
+	// and no decrease.
 	Fixed bool
 	// Log receives the events; nil discards them.
 	Log *eventlog.Logger
-	// Metrics receives the gauges; nil means metrics.DefaultRegistry.
+	// Metrics receives the gauge of the limit; nil means metrics.DefaultRegistry.
 	Metrics metrics.Registry
 }
 
@@ -81,14 +84,15 @@
 type runningCall struct {
 	request SlotRequest
 	start   time.Time
-	// shed is true once the call has been ended early.
+	// shed is true once Shed was called to end the call early.
 	shed bool
 }
 
-// AdaptiveLimiter is a Limiter for the calls of one backend server that adapts
-// its limit. The limit grows while more calls give a higher token rate, and is
-// decreased when fewer calls give a higher one. The token rate is the number of
-// tokens per second of all calls together.
+// AdaptiveLimiter is a Limiter for the calls of one backend server. It adapts the
+// limit to the token rate, the number of tokens per second of all calls together.
+// The limit grows while more calls give a higher token rate, and is decreased
+// when fewer calls give a higher token rate. The limit grows in steps; the token
+// rate is evaluated in each step.
 type AdaptiveLimiter struct {
 	cfg        Config
 	clock      clockwork.Clock
@@ -97,50 +101,54 @@
 	mu           sync.Mutex
 	limit        float64
 	runningCalls []*runningCall
-	// runningByAccount maps accounts to the number of slots that they use. It
-	// counts a slot from the time at which the slot is given to a waiter, before
-	// the call is in runningCalls.
+	// runningByAccount holds the number of slots in use by account. A slot that is
+	// given to a waiter counts at once, before the call is in runningCalls.
 	runningByAccount map[string]int
 	queue            queue
-	// window holds the samples of the time per token since the last evaluation.
+	// window holds the samples of the time per token that have not been evaluated
+	// yet.
 	window window
 	// firstToken tracks the time to the first token.
 	firstToken latencyTracker
 	// perToken tracks the time per token.
 	perToken latencyTracker
 	curve    rateCurve
-	// finishedCallCount counts the calls that finished since the last sample.
+	// finishedCallCount is the number of calls since the last sample that finished
+	// while the limit could grow.
 	finishedCallCount int
-	// stepEvaluated is true once a window has been evaluated in the present
-	// growth step.
+	// stepEvaluated is true once the token rate near the limit has been evaluated in
+	// the present growth step.
 	stepEvaluated bool
-	// collapsedWindowCount counts the consecutive windows in which the token rate
-	// had collapsed (see rateCurve.collapsed).
+	// collapsedWindowCount is the number of consecutive windows up to now with a
+	// collapsed token rate (see rateCurve.collapsed).
 	collapsedWindowCount int
-	// pendingDecrease is the last decrease while its effect has not been measured.
+	// pendingDecrease is the last decrease, until its effect on the token rate has
+	// been evaluated.
 	pendingDecrease pendingDecrease
-	// overloadedWindowCount counts the consecutive windows with too many calls.
+	// overloadedWindowCount is the number of consecutive windows up to now with too
+	// many calls.
 	overloadedWindowCount int
 	// overloadCallCount is the number of calls in flight when the limit was last
-	// decreased after overloaded windows; 0 when it never was, or when the server
-	// has handled that many calls since.
+	// decreased after overloaded windows. It is 0 if there was no such decrease, or
+	// if the server has handled that many calls since.
 	overloadCallCount int
 	// settledAt is the time from which samples enter the rate curve again.
 	settledAt time.Time
 	// cooldownEnd is the time from which the limit may be decreased again after a
 	// reset to the cold limit.
 	cooldownEnd time.Time
-	// stepStart is the start of the present growth step. Steps keep the effects
-	// of successive increases on the token rate apart.
+	// stepStart is the start of the present growth step. The steps separate the
+	// effects of successive increases on the token rate.
 	stepStart time.Time
-	// stepLimit is the limit that the present growth step may reach.
+	// stepLimit is the highest limit in the present growth step.
 	stepLimit float64
 	// decreasedTo is the limit after the last decrease.
 	decreasedTo float64
-	// growthPausedUntil is the time from which the limit may grow again.
+	// growthPausedUntil is the end of the growth pause; the limit may grow from then
+	// on.
 	growthPausedUntil time.Time
-	// growthPause is the length of the pause after the next decrease, unless a
-	// failed growth step requires a longer one.
+	// growthPause is the length of the next growth pause, unless a failed growth
+	// step requires a longer one.
 	growthPause time.Duration
 	// meanSlotTime is the mean time for which a call holds its slot.
 	meanSlotTime movingAverage
@@ -163,8 +171,9 @@
 	return l
 }
 
-// setLimit sets the limit, to at most the declared limit, and its gauge. The caller
-// holds l.mu.
+// setLimit sets the limit and the gauge of the limit. A value above the declared
+// limit counts as the declared limit; so does any value if the limiter is fixed.
+// The caller holds l.mu.
 func (l *AdaptiveLimiter) setLimit(limit float64) {
 	if l.cfg.Fixed {
 		limit = float64(l.cfg.Limit)
@@ -207,8 +216,9 @@
 	return l.wait(ctx, w)
 }
 
-// enqueue adds w to the queue. If the queue is full, w displaces another waiter
-// (see queue.displace), or else enqueue returns false. The caller holds l.mu.
+// enqueue adds w to the queue. If the queue is full, w must displace another
+// waiter (see queue.displace); if w cannot, enqueue returns false. The caller
+// holds l.mu.
 func (l *AdaptiveLimiter) enqueue(w *waiter) bool {
 	maxLength := max(minQueueLength, int(l.limit*l.cfg.QueueRatio))
 	if l.queue.len() >= maxLength {
@@ -222,7 +232,8 @@
 	return true
 }
 
-// wait waits until w gets a slot or is refused.
+// wait waits until w gets a slot or is refused. It returns the results of
+// Acquire.
 func (l *AdaptiveLimiter) wait(ctx context.Context, w *waiter) (func(Outcome), frame.Reason) {
 	maxWait, reason := l.cfg.MaxQueueWait, frame.ReasonFull
 	if remaining := w.request.Deadline.Sub(l.clock.Now()); !w.request.Deadline.IsZero() && remaining < maxWait {
@@ -246,8 +257,8 @@
 	return l.finishAcquire(w, <-w.result)
 }
 
-// finishAcquire adds the call of w to the running calls if w was given a slot, and
-// returns the results of Acquire. refusalReason is empty if w was given a slot.
+// finishAcquire returns the results of Acquire for w. If refusalReason is empty,
+// w was given a slot, and finishAcquire adds the call to the running calls.
 func (l *AdaptiveLimiter) finishAcquire(w *waiter, refusalReason frame.Reason) (func(Outcome), frame.Reason) {
 	if refusalReason != "" {
 		return nil, refusalReason
@@ -276,8 +287,8 @@
 	return l.track(req)
 }
 
-// track adds a new call to the running calls and returns the call. Its slot must
-// already be counted in runningByAccount. The caller holds l.mu.
+// track adds a new call to the running calls and returns the call. The slot of
+// the call must already be counted in runningByAccount. The caller holds l.mu.
 func (l *AdaptiveLimiter) track(req SlotRequest) *runningCall {
 	call := &runningCall{request: req, start: l.clock.Now()}
 	l.runningCalls = append(l.runningCalls, call)
@@ -297,8 +308,8 @@
 	}
 }
 
-// releaseFunc returns the function that frees the slot of call and adapts the
-// limit to the outcome.
+// releaseFunc returns the release function for call, which frees the slot of call
+// and adapts the limit to the outcome.
 func (l *AdaptiveLimiter) releaseFunc(call *runningCall) func(Outcome) {
 	return func(o Outcome) {
 		l.mu.Lock()
@@ -319,8 +330,8 @@
 	return float64(callCount) >= nearLimitRatio*math.Floor(l.limit)
 }
 
-// freeSlot frees the slot of call, or does nothing if call holds none. The caller
-// holds l.mu.
+// freeSlot frees the slot of call. It does nothing if the slot is already free.
+// The caller holds l.mu.
 func (l *AdaptiveLimiter) freeSlot(call *runningCall) {
 	i := slices.Index(l.runningCalls, call)
 	if i < 0 {
--- a/request/admission/limiter_test.go
+++ b/request/admission/limiter_test.go
@@ -115,7 +115,7 @@
 	return ctx
 }
 
-// runOneCall acquires a slot and releases it with the outcome, or does nothing if
+// runOneCall acquires a slot and releases it with the outcome. It does nothing if
 // Acquire refuses the call.
 func runOneCall(l *AdaptiveLimiter, o Outcome) {
 	release, reason := l.Acquire(context.Background(), SlotRequest{Account: "a"})
@@ -138,7 +138,7 @@
 		So(l.Load().Limit, ShouldEqual, 4)
 		So(l.State(), ShouldEqual, frame.StateCold)
 		// passWindow advances the clock past settleTime and then by one window, and
-		// passes samples with this time per token to the limiter.
+		// passes two samples with this time per token to the limiter.
 		passWindow := func(timePerToken time.Duration) {
 			clock.Advance(settleTime)
 			l.Observe(Sample{TimePerToken: timePerToken})
@@ -260,8 +260,9 @@
 		}
 		l, clock := newLimiter(Config{Limit: 4 * capacity, ColdLimit: capacity})
 		var releases []func(Outcome)
-		// cycle takes all slots, passes two windows of samples at the speed of
-		// the server, and then ends half of the calls.
+		// cycle takes all slots and passes two windows of samples to the limiter, with
+		// the time per token of the server at this number of calls. Then it ends half
+		// of the calls.
 		cycle := func() {
 			for l.Load().InFlight < l.Load().Limit {
 				release, reason := l.Acquire(context.Background(), SlotRequest{Account: "a"})
@@ -309,8 +310,8 @@
 				So(reason, ShouldBeEmpty)
 			}
 		}
-		// passWindow advances the clock past settleTime and then by one window, in
-		// which no call ends.
+		// passWindow advances the clock past settleTime and then by one window. No call
+		// ends in this time.
 		passWindow := func() {
 			clock.Advance(settleTime)
 			l.Observe(Sample{TimePerToken: timePerToken(l.Load().InFlight)})
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -9,14 +9,15 @@
 // waiter is a slot request in the queue.
 type waiter struct {
 	request SlotRequest
-	// result receives the empty reason when the waiter gets a slot, or else the
-	// reason for the refusal. The channel buffers one value.
+	// result receives the reason for the refusal, or an empty reason when the waiter
+	// gets a slot. The channel buffers one value, so that the sender does not block.
 	result chan frame.Reason
 }
 
-// queue holds the waiting slot requests. They get slots by priority, highest
-// first; within a priority by the number of running calls of their account divided
-// by the account's share, lowest first; then by arrival.
+// queue holds the waiting slot requests. The request with the highest priority
+// gets the next slot. Within a priority it is the request whose account has the
+// fewest running calls, divided by the share of the account. Among equal requests
+// the one that arrived first gets the slot.
 type queue struct {
 	// waiting holds the waiters in the order of their arrival.
 	waiting []*waiter
@@ -53,7 +54,8 @@
 	return w
 }
 
-// goesBefore reports whether a gets a slot before b, which arrived earlier.
+// goesBefore reports whether a gets a slot before b. b must have arrived before
+// a.
 func goesBefore(a, b SlotRequest, runningByAccount map[string]int) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
@@ -61,17 +63,18 @@
 	return callsPerShare(runningByAccount[a.Account], a) < callsPerShare(runningByAccount[b.Account], b)
 }
 
-// callsPerShare returns the number of calls of the account of req, divided by the
-// account's share.
+// callsPerShare returns callCount, the number of calls of the account of req,
+// divided by the account's share.
 func callsPerShare(callCount int, req SlotRequest) float64 {
 	return float64(callCount) / float64(max(req.Share, 1))
 }
 
-// displace makes room for the new request req in a full queue: it removes and
-// returns the waiter that would get a slot last, or returns nil if req must not
-// displace that waiter. req displaces a waiter of lower priority, and one of the
-// same priority whose account has more calls per share than the account of req
-// would have. Waiting calls count like running ones.
+// displace makes room for the new request req in a full queue. It removes and
+// returns the waiter that would get a slot last, if req may displace it, and
+// otherwise returns nil. req may displace a waiter of lower priority. It may also
+// displace a waiter of the same priority if the account of that waiter has more
+// calls per share than the account of req would have with req. Waiting calls
+// count like running ones.
 func (q *queue) displace(req SlotRequest, runningByAccount map[string]int) *waiter {
 	calls := q.callsByAccount(runningByAccount)
 	lastIndex := -1
--- a/request/admission/ratecurve.go
+++ b/request/admission/ratecurve.go
@@ -3,57 +3,60 @@
 import "time"
 
 const (
-	// pointWeight is the weight of a new rate when it is averaged with the earlier
-	// rate of a point.
-	pointWeight = 0.3
-	// maxPointAge is the age from which a point is ignored.
+	// pointSmoothingFactor is the share of the newest rate in the averaged rate of a
+	// point.
+	pointSmoothingFactor = 0.3
+	// maxPointAge is the age at which a point is no longer used.
 	maxPointAge = time.Minute
-	// betterRatio times the present token rate is the rate that fewer calls must
-	// exceed for the present number of calls to count as too high.
+	// betterRatio times the present token rate is a threshold: the present number of
+	// calls counts as too high if the rate with fewer calls is above it.
 	betterRatio = 1.03
-	// estimatedBetterRatio replaces betterRatio when the rate was not measured
-	// but estimated from the baseline. It is larger because cached prompts make
-	// the baseline slightly too fast.
+	// estimatedBetterRatio replaces betterRatio if the rate with fewer calls was not
+	// measured but estimated from the baseline of the time per token. It is larger
+	// because cached prompts make the baseline slightly too short.
 	estimatedBetterRatio = 1.1
-	// collapsedRatio times an earlier token rate, measured with as many or
-	// slightly fewer calls, is the rate below which the server counts as having
-	// turned cold.
+	// collapsedRatio times an earlier token rate is a threshold: if the present rate
+	// is below it, the server counts as having turned cold. The earlier rate was
+	// measured with as many calls or slightly fewer.
 	collapsedRatio = 0.5
-	// droppedRatio times an earlier token rate with the same number of calls is
-	// the rate below which the server's capacity has dropped. For comparison, a
-	// growth step that is a tenth too large still gives 0.83 of the best rate.
+	// droppedRatio times an earlier token rate at the same number of calls is a
+	// threshold: if the present rate is below it, the server's capacity has dropped.
+	// The ratio does not apply to rates at different numbers of calls: a growth step
+	// that exceeds the capacity by a tenth lowers the rate to 0.83 of the best rate
+	// without a drop of the capacity.
 	droppedRatio = 0.85
-	// minNearRatio times the present number of calls is the lowest earlier number
-	// of calls whose token rate is compared with the present rate. If the server
-	// only has capacity for the earlier number, the present rate is minNearRatio
-	// squared times the earlier rate, because the time per token grows with the
-	// third power of the overload. That is well above collapsedRatio, so an
+	// minNearRatio times the present number of calls is the lowest number of calls
+	// whose earlier token rate is compared with the present rate. Suppose that the
+	// server has capacity only for that lowest number. The present rate is then
+	// minNearRatio squared times the earlier rate, because the time per token grows
+	// with the third power of the overload. This is well above collapsedRatio, so an
 	// overload alone does not count as a collapse.
 	minNearRatio = 0.8
 )
 
-// ratePoint is the token rate at one number of calls in flight.
+// ratePoint is the token rate measured at one number of calls in flight.
 type ratePoint struct {
-	// rate is in tokens per second over all calls.
+	// rate is in tokens per second of all calls together.
 	rate       float64
 	measuredAt time.Time
 }
 
-// rateCurve holds the token rate, in tokens per second over all calls, for each
-// number of calls in flight. Below the server's capacity the rate grows with the
-// number of calls; above it the rate falls, even if each call slows down only a
-// little.
+// rateCurve holds the token rate, in tokens per second of all calls together, for
+// each number of calls in flight. Below the server's capacity the rate grows with
+// the number of calls. Above the capacity the rate falls, even if each call slows
+// down only a little.
 type rateCurve struct {
-	// points maps a number of calls in flight to its token rate.
+	// points holds the points by number of calls in flight.
 	points map[int]ratePoint
 }
 
-// add records a token rate measured with this number of calls in flight. It is
-// averaged with an earlier rate that is not older than maxPointAge.
+// add records a token rate measured with inFlight calls in flight. The new rate
+// is averaged with the earlier rate at this number of calls if that is not older
+// than maxPointAge.
 func (c *rateCurve) add(now time.Time, rate float64, inFlight int) {
 	p, ok := c.points[inFlight]
 	if ok && now.Sub(p.measuredAt) < maxPointAge {
-		rate = p.rate + pointWeight*(rate-p.rate)
+		rate = p.rate + pointSmoothingFactor*(rate-p.rate)
 	}
 	if c.points == nil {
 		c.points = map[int]ratePoint{}
@@ -62,7 +65,8 @@
 }
 
 // collapsed reports whether the present token rate is below collapsedRatio times
-// one measured before with as many calls or, down to minNearRatio, fewer.
+// an earlier token rate. It compares the rates at numbers of calls from
+// minNearRatio times inFlight up to inFlight.
 func (c *rateCurve) collapsed(now time.Time, perToken time.Duration, inFlight int) bool {
 	rate := float64(inFlight) / perToken.Seconds()
 	for calls, p := range c.points {
@@ -74,8 +78,9 @@
 	return false
 }
 
-// relativeRate returns the ratio of rate to the token rate measured before with
-// the same number of calls; 1 when there is none or it is older than maxPointAge.
+// relativeRate returns the ratio of rate to the earlier token rate at the same
+// number of calls. It returns 1 if there is no earlier rate or it is older than
+// maxPointAge.
 func (c *rateCurve) relativeRate(now time.Time, rate float64, inFlight int) float64 {
 	p, ok := c.points[inFlight]
 	if !ok || now.Sub(p.measuredAt) >= maxPointAge {
@@ -84,12 +89,12 @@
 	return rate / p.rate
 }
 
-// betterCallCount returns the number of calls below inFlight with the highest
-// measured token rate, if that rate is above betterRatio times the rate at
-// inFlight. Otherwise, if no rate was measured with one call less, it estimates
-// that rate from baseline, the time per token in nanoseconds, and returns that
-// number if the rate is above estimatedBetterRatio times the rate at inFlight. It
-// returns false if no lower number of calls is better.
+// betterCallCount returns a number of calls below inFlight with a better token
+// rate, or false if there is none. First it looks for the highest measured rate:
+// that rate must be above betterRatio times the rate at inFlight. If there is
+// none, and no rate was measured with one call less, it estimates the rate with
+// one call less from baseline, the time per token in nanoseconds. The estimate
+// must be above estimatedBetterRatio times the rate at inFlight.
 func (c *rateCurve) betterCallCount(now time.Time, inFlight int, baseline float64) (int, bool) {
 	best, rate := 0, c.points[inFlight].rate*betterRatio
 	for calls, p := range c.points {
--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -31,9 +31,9 @@
 // retries do not overload the servers when many servers fail together. All entry
 // instances share the slack equally.
 type RetryBudget struct {
-	limits   RetryLimits
-	requests [retryBucketCount]int
-	retries  [retryBucketCount]int
+	limits        RetryLimits
+	requestCounts [retryBucketCount]int
+	retryCounts   [retryBucketCount]int
 	// newestBucket is the number of the newest bucket, counted in bucket widths from
 	// the Unix epoch.
 	newestBucket int64
@@ -52,14 +52,14 @@
 	}
 	for b.newestBucket < current {
 		b.newestBucket++
-		b.requests[b.newestBucket%retryBucketCount], b.retries[b.newestBucket%retryBucketCount] = 0, 0
+		b.requestCounts[b.newestBucket%retryBucketCount], b.retryCounts[b.newestBucket%retryBucketCount] = 0, 0
 	}
 	return int(current % retryBucketCount)
 }
 
 // CountRequest counts a request that arrived at time now. Retries are counted by
 // TakeRetry and TakeOptionalRetry.
-func (b *RetryBudget) CountRequest(now time.Time) { b.requests[b.advance(now)]++ }
+func (b *RetryBudget) CountRequest(now time.Time) { b.requestCounts[b.advance(now)]++ }
 
 // TakeRetry reports whether the budget allows a retry at time now, and if so
 // counts the retry. entryInstanceCount is the number of entry instances that
@@ -79,15 +79,15 @@
 // share times the budget. If so, it counts the retry.
 func (b *RetryBudget) take(now time.Time, entryInstanceCount int, share float64) bool {
 	i := b.advance(now)
-	var requests, retries int
+	var requestCount, retryCount int
 	for k := range retryBucketCount {
-		requests += b.requests[k]
-		retries += b.retries[k]
+		requestCount += b.requestCounts[k]
+		retryCount += b.retryCounts[k]
 	}
-	allowed := usableBudgetShare * (b.limits.Ratio*float64(requests) + b.limits.Slack/float64(max(1, entryInstanceCount)))
-	if float64(retries)+1 > share*allowed {
+	allowed := usableBudgetShare * (b.limits.Ratio*float64(requestCount) + b.limits.Slack/float64(max(1, entryInstanceCount)))
+	if float64(retryCount)+1 > share*allowed {
 		return false
 	}
-	b.retries[i]++
+	b.retryCounts[i]++
 	return true
 }
--- a/request/dispatch/scheduler.go
+++ b/request/dispatch/scheduler.go
@@ -80,11 +80,11 @@
 // serverState holds what this entry instance has recorded about a server.
 type serverState struct {
 	// runningCount is the number of this entry instance's requests at the server.
-	runningCount int
-	coldRate     ColdRateLimiter
-	burst        BurstLimiter
-	health       PassiveHealth
-	stall        StallDetector
+	runningCount    int
+	coldRateLimiter ColdRateLimiter
+	burstLimiter    BurstLimiter
+	health          PassiveHealth
+	stallDetector   StallDetector
 }
 
 // peerLoad is the load reported by another entry instance.
@@ -92,8 +92,8 @@
 	// runningByServer is the number of that entry instance's requests at each
 	// server, by server ID.
 	runningByServer map[string]int
-	// lastMessage is when the last message from that entry instance arrived.
-	lastMessage time.Time
+	// lastMessageAt is when the last message from that entry instance arrived.
+	lastMessageAt time.Time
 }
 
 // agentReport is the latest report of an agent about its server.
@@ -161,7 +161,7 @@
 func (s *Scheduler) activeEntryInstanceCount(now time.Time) int {
 	n := 1
 	for _, p := range s.peers {
-		if now.Sub(p.lastMessage) < peerTimeout {
+		if now.Sub(p.lastMessageAt) < peerTimeout {
 			n++
 		}
 	}
@@ -265,7 +265,7 @@
 func (s *Scheduler) RecordActivity(slot Slot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stateOf(slot.Server.ID).stall.RecordActivity(s.clock.Now())
+	s.stateOf(slot.Server.ID).stallDetector.RecordActivity(s.clock.Now())
 }
 
 // assignWaiting assigns free slots to waiting requests until no more can be
@@ -307,11 +307,11 @@
 	slot := all[i].Slot
 	st := s.stateOf(slot.Server.ID)
 	if st.runningCount == 0 {
-		st.stall.RecordActivity(s.clock.Now())
+		st.stallDetector.RecordActivity(s.clock.Now())
 	}
 	st.runningCount++
-	st.coldRate.RecordSend(s.clock.Now())
-	st.burst.RecordSend(s.clock.Now())
+	st.coldRateLimiter.RecordSend(s.clock.Now())
+	st.burstLimiter.RecordSend(s.clock.Now())
 	return slot, nil
 }
 
@@ -342,10 +342,10 @@
 			Limit:   limit,
 			Penalty: st.health.Penalty(),
 		}
-		blocked := st.health.InBackoff(now) || st.stall.Stalled(now, st.runningCount, req.FirstByteObjective) ||
-			!st.burst.Allows(now, limit-c.Slot.RunningCount, s.activeEntryInstanceCount(now))
+		blocked := st.health.InBackoff(now) || st.stallDetector.Stalled(now, st.runningCount, req.FirstByteObjective) ||
+			!st.burstLimiter.Allows(now, limit-c.Slot.RunningCount, s.activeEntryInstanceCount(now))
 		if service != nil && service.ColdRequestsPerSecond > 0 && server.Cold(now) {
-			blocked = blocked || !st.coldRate.Allows(now, service.ColdRequestsPerSecond, s.knownEntryInstanceCount())
+			blocked = blocked || !st.coldRateLimiter.Allows(now, service.ColdRequestsPerSecond, s.knownEntryInstanceCount())
 		}
 		if blocked {
 			c.Limit = 0
@@ -382,7 +382,7 @@
 func (s *Scheduler) totalRunning(id string, st *serverState, now time.Time) int {
 	n := st.runningCount
 	for _, p := range s.peers {
-		if now.Sub(p.lastMessage) < peerTimeout {
+		if now.Sub(p.lastMessageAt) < peerTimeout {
 			n += p.runningByServer[id]
 		}
 	}
@@ -424,7 +424,7 @@
 		p = &peerLoad{runningByServer: map[string]int{}}
 		s.peers[peer] = p
 	}
-	p.lastMessage = s.clock.Now()
+	p.lastMessageAt = s.clock.Now()
 	for id, n := range runningByServer {
 		p.runningByServer[id] = n
 	}
@@ -436,7 +436,7 @@
 func (s *Scheduler) ResetPeerLoads(peer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.peers[peer] = &peerLoad{runningByServer: map[string]int{}, lastMessage: s.clock.Now()}
+	s.peers[peer] = &peerLoad{runningByServer: map[string]int{}, lastMessageAt: s.clock.Now()}
 }
 
 // SetAgentState records the state that an agent reports for the server at addr;
--- a/request/forward/config.go
+++ b/request/forward/config.go
@@ -67,12 +67,12 @@
 }
 
 const (
-	// maxResponseBytes limits the size of a response body that is read completely
+	// maxResponseBodyBytes limits the size of a response body that is read completely
 	// before it is forwarded; the responses of the services are about 1 KB.
-	maxResponseBytes = 16 << 20
-	// defaultMaxBodyBytes limits the size of a request body if the configuration
+	maxResponseBodyBytes = 16 << 20
+	// defaultMaxRequestBodyBytes limits the size of a request body if the configuration
 	// has no limit.
-	defaultMaxBodyBytes = 4 << 20
+	defaultMaxRequestBodyBytes = 4 << 20
 	// initialWriteTimeout limits the time for writing a response while the deadline
 	// of the request is not known yet. Once the deadline is known, the limit is the
 	// time from the arrival to the deadline plus writeMargin.
--- a/request/forward/handler.go
+++ b/request/forward/handler.go
@@ -253,7 +253,7 @@
 func (c *call) readBody() *refusal {
 	limit := c.snapshot.Config.Limits.MaxBodyBytes
 	if limit <= 0 {
-		limit = defaultMaxBodyBytes
+		limit = defaultMaxRequestBodyBytes
 	}
 	if c.httpReq.ContentLength > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body too large"}
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -174,13 +174,13 @@
 	return r
 }
 
-// readResponse reads a complete response with a body of at most maxResponseBytes.
+// readResponse reads a complete response with a body of at most maxResponseBodyBytes.
 func readResponse(resp *http.Response) (*response, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxResponseBytes {
+	if len(body) > maxResponseBodyBytes {
 		return nil, errResponseTooLong
 	}
 	return &response{status: resp.StatusCode, header: resp.Header, body: body}, nil
--- a/request/routing/affinity.go
+++ b/request/routing/affinity.go
@@ -6,13 +6,14 @@
 
 const (
 	// affinityRelativeMargin and affinityAbsoluteMargin determine the highest load
-	// ratio at which a server still receives calls because of the prompt's prefix:
-	// mean ratio * (1 + affinityRelativeMargin) + affinityAbsoluteMargin.
+	// ratio (load divided by limit) at which a server is still chosen because of the
+	// prompt's prefix: mean load ratio of the candidates * (1 +
+	// affinityRelativeMargin) + affinityAbsoluteMargin.
 	affinityRelativeMargin = 0.1
 	affinityAbsoluteMargin = 0.05
 )
 
-// pickByPrefix returns the candidate with the highest rendezvous weight for the
+// pickByPrefix returns the candidate with the highest rendezvous score for the
 // prefix among those whose load ratio is not far above the mean (consistent
 // hashing with bounded loads). It returns false if there are no candidates.
 func pickByPrefix(prefix uint64, candidates []candidate) (candidate, bool) {
@@ -22,22 +23,22 @@
 	}
 	maxRatio := sum/float64(len(candidates))*(1+affinityRelativeMargin) + affinityAbsoluteMargin
 	var best candidate
-	var bestWeight uint64
+	var bestScore uint64
 	for _, c := range candidates {
 		if c.loadRatio() > maxRatio {
 			continue
 		}
-		if w := rendezvousWeight(prefix, c.server.Instance.ID); best.server == nil || w > bestWeight {
+		if w := rendezvousScore(prefix, c.server.Instance.ID); best.server == nil || w > bestScore {
 			best = c
-			bestWeight = w
+			bestScore = w
 		}
 	}
 	return best, best.server != nil
 }
 
-// rendezvousWeight returns the weight of a server for a prefix in rendezvous
-// hashing.
-func rendezvousWeight(prefix uint64, id string) uint64 {
+// rendezvousScore returns the score of the server with this ID for a prefix in
+// rendezvous hashing; the server with the highest score is chosen.
+func rendezvousScore(prefix uint64, id string) uint64 {
 	h := xxhash.NewWithSeed(prefix)
 	_, _ = h.WriteString(id)
 	return h.Sum64()
--- a/request/routing/candidates.go
+++ b/request/routing/candidates.go
@@ -21,8 +21,8 @@
 	skipEjected       = "ejected"
 )
 
-// nearlyFullRatio is the load ratio from which a server counts as nearly full, so
-// that calls go to more distant servers.
+// nearlyFullRatio is the lowest load ratio (load divided by limit) at which a
+// server counts as nearly full, so that calls go to more distant servers.
 const nearlyFullRatio = 0.9
 
 // distance classifies a server by its location relative to the entry instance.
@@ -58,8 +58,8 @@
 	return float64(c.load) / float64(max(1, c.server.Report.Limit))
 }
 
-// isColdOrWarming reports whether the server has started recently and does not have
-// its full limit yet.
+// isColdOrWarming reports whether the server started recently or turned cold, and
+// does not have its full limit again.
 func (c candidate) isColdOrWarming() bool {
 	return c.server.Report.State == frame.StateCold || c.server.Report.State == frame.StateWarming
 }
@@ -69,11 +69,12 @@
 	// configNumber is the number of the configuration that was used.
 	configNumber uint64
 	candidates   []candidate
-	// skippedCounts holds the number of skipped servers by reason.
+	// skippedCounts holds the number of skipped servers by the reason for skipping
+	// them.
 	skippedCounts map[string]int
 }
 
-// fields returns log fields that describe the query and the candidates.
+// fields returns the log fields that describe the query and the candidates.
 func (s candidateSet) fields(q Query) eventlog.Fields {
 	f := eventlog.Fields{
 		"request":    q.RequestID,
@@ -92,8 +93,8 @@
 }
 
 // findCandidates divides the registered servers into candidates and skipped
-// servers. If there are no candidates other than ejected servers, the ejected
-// servers are the candidates. The caller holds r.mu.
+// servers. Ejected servers are skipped, but if there is no other candidate, they
+// are the candidates. The caller holds r.mu.
 func (r *Router) findCandidates(q Query) candidateSet {
 	snapshot := r.configHolder.Current()
 	found := candidateSet{configNumber: snapshot.Number, skippedCounts: map[string]int{}}
@@ -123,17 +124,17 @@
 	return found
 }
 
-// estimatedLoad returns the estimated number of calls at s: the number that s
-// last reported, plus the attempts that this entry instance has started since
-// then, minus those that have ended since then. It is at least the number of
-// running attempts of this entry instance.
+// estimatedLoad returns the estimated number of calls at s. This is the number
+// that s last reported, plus the attempts that this entry instance has started
+// since the report, minus those that have ended since the report. The result is
+// at least the number of running attempts of this entry instance.
 func (state *serverState) estimatedLoad(s *registry.Server) int {
 	estimate := s.Report.InFlight + s.Report.Queued + state.inFlight - state.inFlightAtReport
 	return max(estimate, state.inFlight)
 }
 
 // skipReason returns the reason for which s is not a candidate for q, or "" if
-// there is none. It does not consider ejection.
+// there is none. It does not consider whether s is ejected.
 func skipReason(set *declare.Set, s *registry.Server, q Query) string {
 	if reason := unavailableReason(set, s); reason != "" {
 		return reason
@@ -151,7 +152,7 @@
 }
 
 // unavailableReason returns the reason for which s must not get any new call, or
-// "" if there is none.
+// "" if there is none. It does not consider whether s is ejected.
 func unavailableReason(set *declare.Set, s *registry.Server) string {
 	declared, ok := set.BackendServers[s.Instance.ID]
 	if !ok {
@@ -184,13 +185,13 @@
 
 // choose picks a candidate and returns the reason for the choice, or false if
 // there is no candidate. It prefers the nearest servers that are not nearly full,
-// then any server with a free slot. From the second attempt on, near servers are
-// not preferred: the reported loads lag behind the calls of other entry
-// instances, so that near servers may have less free capacity than was reported.
-// If no server has a free slot, choose picks among the servers that are neither
-// cold nor warming, whose agents may queue the call. Cold and warming servers
-// receive more calls than their limit only when there are no others. The caller
-// holds r.mu.
+// then any server with a free slot. If no server has a free slot, it picks among
+// the servers that are neither cold nor warming, because the agent of such a
+// server may queue the call. If all servers are cold or warming, it picks among
+// these. For the second and further attempts of a call, near servers are not
+// preferred: the reported loads do not yet include the latest calls of other
+// entry instances, so that near servers may have less free capacity than was
+// reported. The caller holds r.mu.
 func (r *Router) choose(q Query, found candidateSet) (candidate, string, bool) {
 	if len(found.candidates) == 0 {
 		return candidate{}, "no candidate", false
@@ -215,8 +216,9 @@
 	return c, "none has a free slot, " + reason, true
 }
 
-// applyPolicy chooses among equally preferred candidates, by prefix affinity or by
-// the configured policy, and returns the reason for the choice.
+// applyPolicy chooses among equally preferred candidates, by prefix affinity if
+// possible and otherwise by the configured policy. It returns the reason for the
+// choice, too.
 func (r *Router) applyPolicy(q Query, candidates []candidate) (candidate, string) {
 	n := len(candidates)
 	if n == 1 {
@@ -256,8 +258,7 @@
 }
 
 // nextRoundRobin returns the candidate for the round-robin choice with the number
-// choiceCount. The candidates are taken in the order of the servers' IDs, again
-// and again.
+// choiceCount. The candidates take turns in the order of the servers' IDs.
 func nextRoundRobin(candidates []candidate, choiceCount int) candidate {
 	position := choiceCount % len(candidates)
 	for _, c := range candidates {
--- a/request/routing/ejection.go
+++ b/request/routing/ejection.go
@@ -4,7 +4,8 @@
 
 // ejection is the outlier detection state of one server. A server that fails or
 // stalls repeatedly is ejected: it gets no calls for a while. After that, it gets
-// one call at a time as a probe, until a probe succeeds.
+// one call at a time as a probe, until a probe succeeds or the server is ejected
+// again.
 type ejection struct {
 	// consecutiveFailures counts the failures since the last success.
 	consecutiveFailures int
@@ -17,8 +18,8 @@
 	probing bool
 }
 
-// excludes reports whether the server must not be chosen at now, because its
-// ejection has not ended or a probe is running.
+// excludes reports whether the server must not be chosen at time now, because the
+// server is ejected until later or a probe is running.
 func (e *ejection) excludes(now time.Time) bool {
 	if e.ejectedUntil.IsZero() {
 		return false
@@ -34,16 +35,15 @@
 	}
 }
 
-// recordSuccess clears the state and reports whether the server was ejected until
-// now.
+// recordSuccess clears the state. It reports whether this ends an ejection.
 func (e *ejection) recordSuccess() bool {
 	wasEjected := !e.ejectedUntil.IsZero()
 	*e = ejection{}
 	return wasEjected
 }
 
-// recordFailure counts a failure. It returns the duration of the new ejection if
-// this failure ejects the server, and otherwise 0.
+// recordFailure counts a failure at time now. It returns the duration of the new
+// ejection if this failure ejects the server, and otherwise 0.
 func (e *ejection) recordFailure(now time.Time, c Config) time.Duration {
 	e.consecutiveFailures++
 	wasProbe := e.probing
--- a/request/routing/pinning.go
+++ b/request/routing/pinning.go
@@ -8,8 +8,8 @@
 
 // PinnedDigest implements Picker. It returns the digest of the declared version
 // if at least half of the replicas have loaded this version. Otherwise it returns
-// that of the version that most servers have loaded, so that the model stays
-// available during a rollout.
+// the digest of the version that most servers have loaded, so that the model
+// stays available during a rollout.
 func (r *Router) PinnedDigest(model string) (core.Digest, bool) {
 	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
@@ -33,10 +33,10 @@
 }
 
 // AlternativeDigest implements Picker. During a rollout over servers that cannot
-// hold two versions at once, some servers have the declared version and others
-// still have the version that it replaces. Until every replica has loaded the
-// declared version, AlternativeDigest returns the digest of the version that is
-// not pinned.
+// hold two versions at once, some servers have the declared version, and others
+// still have the previous version. Until every replica has loaded the declared
+// version, AlternativeDigest returns the digest of the version that is not
+// pinned.
 func (r *Router) AlternativeDigest(model string, pinned core.Digest) (core.Digest, bool) {
 	snapshot := r.configHolder.Current()
 	m, ok := snapshot.Set.Models[model]
@@ -56,8 +56,8 @@
 	return alternative, alternative != ""
 }
 
-// countServersByDigest returns, for the digest of each version of model, the
-// number of available servers that have loaded this version.
+// countServersByDigest returns the number of available servers that have loaded
+// each version of model, by the digest of the version.
 func (r *Router) countServersByDigest(set *declare.Set, model string) map[core.Digest]int {
 	counts := map[core.Digest]int{}
 	servers := r.reg.All()
@@ -75,9 +75,9 @@
 	return counts
 }
 
-// canTakeOver reports whether new calls may run on a version that serverCount
-// servers have loaded: there must be at least one, and at least half as many as
-// the model has replicas.
+// canTakeOver reports whether new calls may run on a version. serverCount is the
+// number of servers that have loaded it; there must be at least one, and at least
+// half as many as the model has replicas.
 func canTakeOver(serverCount, replicaCount int) bool {
 	return serverCount > 0 && 2*serverCount >= replicaCount
 }
@@ -101,8 +101,9 @@
 	return best.Manifest
 }
 
-// isPreferred reports whether v comes before best in mostLoadedVersion: by the
-// number of servers, then the version that m declares as current, then by name.
+// isPreferred reports whether mostLoadedVersion takes v rather than best. The
+// version on more servers is preferred, then the version that m declares as
+// current, then the first by name.
 func isPreferred(m *declare.Model, v, best *declare.Version, serverCounts map[core.Digest]int) bool {
 	if serverCounts[v.Manifest] != serverCounts[best.Manifest] {
 		return serverCounts[v.Manifest] > serverCounts[best.Manifest]
@@ -113,9 +114,9 @@
 	return v.Name < best.Name
 }
 
-// recordPinnedDigest records the digest of the version on which new calls to model
-// run. If the digest has changed and is not that of the declared version, it logs
-// the change.
+// recordPinnedDigest records pinned, the digest of the version on which new calls
+// to model run. If it has changed and is not declared, the digest of the declared
+// version, the change is logged.
 func (r *Router) recordPinnedDigest(model string, pinned, declared core.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/request/routing/router.go
+++ b/request/routing/router.go
@@ -41,8 +41,8 @@
 
 // The policies. Those other than PolicyTwoChoices exist for comparison with it.
 const (
-	// PolicyTwoChoices takes the server with the lower ratio of load to limit of
-	// two random servers (power of two choices).
+	// PolicyTwoChoices takes two random servers and chooses the one with the lower
+	// ratio of load to limit (power of two choices).
 	PolicyTwoChoices Policy = "two-choices"
 	// PolicyRandom takes a random server.
 	PolicyRandom Policy = "random"
@@ -60,18 +60,18 @@
 	// Policy is the load balancing policy; default PolicyTwoChoices.
 	Policy Policy
 	// PrefixAffinity sends calls whose prompts have the same prefix to the same
-	// server, unless the load of that server is far above the mean.
+	// server, unless the load ratio of that server is far above the mean.
 	PrefixAffinity bool
 	// EjectionThreshold is the number of consecutive failures after which a server is
 	// ejected; default 3.
 	EjectionThreshold int
-	// BaseEjectionTime is the duration of the first ejection; default 1 s. Each
-	// further ejection without a success in between lasts twice as long as the one
-	// before, up to MaxEjectionTime.
+	// BaseEjectionTime is the duration of the first ejection; default 1 s. The
+	// duration doubles with each further ejection since the last success, up to
+	// MaxEjectionTime.
 	BaseEjectionTime time.Duration
-	// MaxEjectionTime is the longest duration of an ejection; default 30 s.
+	// MaxEjectionTime is the maximum duration of an ejection; default 30 s.
 	MaxEjectionTime time.Duration
-	// Seed makes choices reproducible in tests; 0 takes a random seed.
+	// Seed makes choices reproducible in tests; 0 means a random seed.
 	Seed uint64
 }
 
@@ -97,8 +97,8 @@
 	rng *rand.Rand
 	// roundRobinCount is the number of choices by PolicyRoundRobin so far.
 	roundRobinCount int
-	// servers holds the states by server ID, and pinnedDigests the last pinned
-	// digests by the name of the model.
+	// servers holds the states of the servers, by server ID. pinnedDigests holds the
+	// digest that was last pinned for each model, by the name of the model.
 	servers       map[string]*serverState
 	pinnedDigests map[string]core.Digest
 }
@@ -106,12 +106,13 @@
 // serverState is the state that a Router keeps for one server.
 type serverState struct {
 	// incarnation is the incarnation of the server's agent. The ejection state is
-	// cleared when it changes.
+	// cleared when the incarnation changes.
 	incarnation string
-	// inFlight counts the running attempts of this entry instance at the server.
+	// inFlight is the number of running attempts of this entry instance at the
+	// server.
 	inFlight int
 	// reportedAt is the time of the newest load report of the agent, and
-	// inFlightAtReport the value of inFlight at that time.
+	// inFlightAtReport is the value of inFlight at that time.
 	reportedAt       time.Time
 	inFlightAtReport int
 	ejection         ejection
--- a/request/routing/router_test.go
+++ b/request/routing/router_test.go
@@ -33,8 +33,8 @@
 	clock        *clockwork.FakeClock
 }
 
-// newFixture returns a fixture whose Router uses p. limits holds the limit of each
-// server by ID; all servers have loaded the old version.
+// newFixture returns a fixture whose Router uses policy p. limits holds the
+// limits of the servers by server ID; all servers have loaded the old version.
 func newFixture(p Policy, limits map[string]int) *fixture {
 	f := &fixture{reg: registry.New(), configHolder: confstore.NewHolder(), set: declare.NewSet(), clock: clockwork.NewFakeClock()}
 	for _, dc := range []string{"palermo", "trapani", "catania"} {
@@ -52,8 +52,8 @@
 	return f
 }
 
-// putServer declares a server and registers it with report, to which it adds that
-// the server has loaded the weights with digest d.
+// putServer declares a server and registers it with the given report. It adds to
+// the report that the server has loaded the weights with digest d.
 func (f *fixture) putServer(id string, d core.Digest, report frame.Report) {
 	dc, region := id[:7], "west"
 	if dc == "catania" {
@@ -64,15 +64,16 @@
 	f.reg.Put(registry.Server{Instance: core.Instance{ID: id, DataCentre: dc, Region: region}, Incarnation: "1", Report: report})
 }
 
-// publish puts a copy of f.set into force as the next configuration. The copy is
+// publish makes a copy of f.set the next configuration in force. The copy is
 // needed because a set in force must not be changed.
 func (f *fixture) publish() {
 	set := *f.set
 	f.configHolder.Offer(&declare.Snapshot{Number: f.configHolder.Current().Number + 1, Set: &set})
 }
 
-// pickID returns the ID of the server that is chosen for a call on the old version
-// after attempts at the servers tried; "" if none is chosen.
+// pickID returns the ID of the server that is chosen for a call on the old
+// version, or "" if none is chosen. tried holds the IDs of the servers at which
+// earlier attempts were made.
 func (f *fixture) pickID(tried ...string) string {
 	q := Query{Model: "herbs", Digest: oldDigest, TriedServers: map[string]bool{}}
 	for _, id := range tried {
@@ -187,10 +188,10 @@
 	})
 }
 
-// TestPoliciesCompared runs each policy with the same rate of calls and the same
-// servers, whose limits differ, and compares how many choices find a full server:
-// with four entry instances, the present number, and with 55, the number for which
-// a data centre is designed.
+// TestPoliciesCompared runs each policy with the same rate of calls and with the
+// same servers, whose limits differ from one another. It compares how many
+// choices find a full server: with 4 entry instances, the present number, and
+// with 55, the number for which a data centre is designed.
 func TestPoliciesCompared(t *testing.T) {
 	Convey("Given servers with different limits and reports up to a second old", t, func() {
 		policies := []Policy{PolicyRandom, PolicyRoundRobin, PolicyLeastLoaded, PolicyTwoChoices}
@@ -207,10 +208,11 @@
 	})
 }
 
-// simulate runs entry instances that choose servers by policy p, each by its own
-// copy of the servers' reports, which is up to a second old. It returns the
-// percentage of choices that found the server full, and the percentage of the
-// other choices for which the prompt's prefix was in the server's cache.
+// simulate runs entry instances that choose servers by policy p. Each uses its
+// own copy of the servers' reports, which is up to a second old. simulate returns
+// the percentage of choices that found the server full. Of the remaining choices,
+// it returns the percentage for which the prompt's prefix was in the server's
+// cache.
 func simulate(p Policy, entryInstanceCount int, affinity bool) (refusedPercent, hitPercent float64) {
 	limits := map[string]int{}
 	for i := range 12 {
@@ -273,8 +275,8 @@
 	prefixCacheSize = 64
 )
 
-// prefixCache is a server's cache of prompt prefixes, the most recently used
-// last.
+// prefixCache is a server's cache of prompt prefixes. The most recently used
+// prefix is the last.
 type prefixCache struct{ prefixes []uint64 }
 
 // access moves the prefix p to the end of the cache, or adds it there, and reports
@@ -312,8 +314,8 @@
 	}
 }
 
-// BenchmarkPick measures one call of Pick and Done with 120 servers, the number for
-// which an entry instance is designed.
+// BenchmarkPick measures one call of Pick and Done with 120 servers. An entry
+// instance is designed for this number of servers.
 func BenchmarkPick(b *testing.B) {
 	limits := map[string]int{}
 	for i := range 120 {
--- a/request/routing/routing.go
+++ b/request/routing/routing.go
@@ -1,6 +1,6 @@
 // Package routing chooses the backend server for each attempt at a call. It runs
-// at an entry instance, balances the load with preference for near servers, and
-// ejects servers that fail repeatedly.
+// at an entry instance, balances the load with a preference for near servers, and
+// ejects servers that fail repeatedly, that is, sends them no calls for a while.
 package routing
 
 import (
@@ -9,44 +9,46 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Query describes an attempt for which a server is to be chosen.
+// Query describes an attempt for which a backend server is to be chosen.
 type Query struct {
 	// RequestID is the ID of the request, for log lines.
 	RequestID string
-	// Model and Digest are set for model calls.
+	// Model and Digest are set for model calls: the name of the model and the
+	// manifest digest of the version on which the call must run.
 	Model  string
 	Digest core.Digest
 	// Service is set for calls to a plain service.
 	Service string
-	// Prefix is the hash of the prompt's prefix; 0 for none.
+	// Prefix is the hash of the prefix of the prompt; 0 if there is none.
 	Prefix uint64
-	// TriedServers holds the IDs of the servers that earlier attempts used.
+	// TriedServers holds the IDs of the servers at which earlier attempts of this
+	// call were made.
 	TriedServers map[string]bool
 }
 
 // Picker chooses the backend server for each attempt, using the results of
 // earlier attempts.
 type Picker interface {
-	// PinnedDigest returns the manifest digest of the version on which new
-	// calls to model run, or false if no available server has loaded one.
+	// PinnedDigest returns the manifest digest of the version on which new calls to
+	// model run, or false if no available server has loaded any version of model.
 	PinnedDigest(model string) (core.Digest, bool)
-	// AlternativeDigest returns the manifest digest of another version of
-	// model, for a call that finds no free slot at the servers with the pinned
-	// version. It returns false unless a rollout is in progress, during which
-	// each version is loaded on a part of the servers.
+	// AlternativeDigest returns the manifest digest of another version of model than
+	// the pinned one. It is for a call that finds no free slot at the servers with
+	// the pinned version. It returns false unless a rollout is in progress, during
+	// which each of the two versions is loaded on a part of the servers.
 	AlternativeDigest(model string, pinned core.Digest) (core.Digest, bool)
-	// NoFreeSlot reports whether, according to the estimated loads, none of the
-	// servers that could run the call has a free slot. It returns true if there is
-	// no such server.
+	// NoFreeSlot reports whether no server that could run the call has a free slot,
+	// according to the estimated loads. It returns true if no server could run the
+	// call.
 	NoFreeSlot(q Query) bool
 	// Suspended reports whether the server with this ID is registered but gets no
-	// calls, because its agent has missed heartbeats or the server is ejected.
+	// calls, because the server is ejected or its agent has missed heartbeats.
 	Suspended(id string) bool
-	// Pick returns a server for an attempt, or false if none is available. For each
-	// Pick that returned true, Done must be called once.
+	// Pick returns a server for an attempt, or false if none is available. After
+	// each Pick that returned true, Done must be called exactly once.
 	Pick(q Query) (registry.Server, bool)
 	// Done records the end of an attempt at the server with this ID. load is the
-	// load in the agent's last frame, or nil if there was none.
+	// load in the last frame that the agent sent, or nil if there was none.
 	Done(id string, r Result, load *frame.Load)
 }
 
