--- a/request/accounts/accounts.go
+++ b/request/accounts/accounts.go
@@ -1,5 +1,5 @@
-// Package accounts authenticates client accounts by their keys and limits the
-// number of calls that each account has in flight at one entry instance.
+// Package accounts authenticates client accounts by their keys. It also limits
+// how many calls each account has in flight at one entry instance.
 package accounts
 
 import (
@@ -20,13 +20,13 @@
 
 // Errors of [Controller.Admit] and [Controller.Authenticate].
 var (
-	// ErrUnauthorized is returned when no client account has the given key.
+	// ErrUnauthorized is returned if no client account has the given key.
 	ErrUnauthorized = errors.New("no client account has this key")
-	// ErrTooManyInFlight is returned when the client account already has as many
-	// calls in flight as its MaxInFlight allows.
+	// ErrTooManyInFlight is returned if the client account already has as many calls
+	// in flight as its MaxInFlight allows.
 	ErrTooManyInFlight = errors.New("the client account has too many calls in flight")
-	// ErrFairShare is returned when capacity is short and the client account
-	// already has its fair share of the calls in flight.
+	// ErrFairShare is returned if capacity is short and the client account already
+	// has its fair share of the calls in flight.
 	ErrFairShare = errors.New("capacity is short and the client account has its share")
 )
 
@@ -37,8 +37,8 @@
 	holder *confstore.Holder
 
 	mu sync.Mutex
-	// inFlight holds the number of calls in flight by account name, without
-	// accounts that have none. totalInFlight is the sum of these numbers.
+	// inFlight holds the number of calls in flight by account name; accounts without
+	// calls in flight are not in it. totalInFlight is the sum of these numbers.
 	inFlight      map[string]int
 	totalInFlight int
 }
@@ -49,9 +49,9 @@
 	return &Controller{holder: holder, inFlight: map[string]int{}}
 }
 
-// Authenticate returns the client account that has the key in authorization, the
-// value of an Authorization header. If there is none, the error is
-// [ErrUnauthorized].
+// Authenticate returns the client account whose key is in authorization, the
+// value of an Authorization header. If no account has this key, or the header
+// holds no key, the error is [ErrUnauthorized].
 func (c *Controller) Authenticate(authorization string) (*declare.ClientAccount, error) {
 	key, ok := strings.CutPrefix(authorization, bearerScheme)
 	if !ok || key == "" {
@@ -70,23 +70,23 @@
 	return found, nil
 }
 
-// Share returns the declared share of an account, or 1 if that is higher. Capacity
-// that is short is divided among the accounts in proportion to their shares.
+// Share returns the declared share of an account, but at least 1. Scarce capacity
+// is divided among the accounts in proportion to their shares.
 func Share(a *declare.ClientAccount) int { return max(1, a.Share) }
 
 // Admission is the result of admitting one call.
 type Admission struct {
 	// WithinFairShare is true if the call is within the fair share of the account
-	// and other accounts have calls in flight too.
+	// and other accounts also have calls in flight.
 	WithinFairShare bool
 	// Release removes the call from the calls in flight. It must be called exactly
-	// once, when the call has ended.
+	// once, after the call has ended.
 	Release func()
 }
 
-// Admit counts one more call of an account as in flight, or refuses the call. The
-// caller sets capacityShort if no server has a free slot for the call; only then
-// is the account limited to its fair share. The error is [ErrTooManyInFlight] or
+// Admit counts one more call of an account as in flight, or refuses the call.
+// capacityShort means that no server has a free slot for the call; only then is
+// the account limited to its fair share. The error is [ErrTooManyInFlight] or
 // [ErrFairShare].
 func (c *Controller) Admit(a *declare.ClientAccount, capacityShort bool) (Admission, error) {
 	c.mu.Lock()
@@ -105,10 +105,10 @@
 	return Admission{WithinFairShare: withinFairShare, Release: func() { c.release(a.Name) }}, nil
 }
 
-// fairShare returns the fair share of an account as a number of calls, at least 1.
-// The calls in flight and one more are divided among this account and the others
-// that have calls in flight, in proportion to their shares; the result is rounded
-// up. The caller holds c.mu.
+// fairShare returns the fair share of an account as a number of calls, at least
+// 1. The calls in flight and the new call are divided among this account and the
+// other accounts that have calls in flight, in proportion to the shares of these
+// accounts. The result is rounded up. The caller holds c.mu.
 func (c *Controller) fairShare(a *declare.ClientAccount) int {
 	totalShares := 0
 	declared := c.holder.Current().Set.ClientAccounts
@@ -122,7 +122,7 @@
 	return ((c.totalInFlight+1)*ownShare + totalShares - 1) / totalShares
 }
 
-// release removes one call of an account from the counts.
+// release removes one call of the account with this name from the counts.
 func (c *Controller) release(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/request/accounts/accounts_test.go
+++ b/request/accounts/accounts_test.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// newTestController returns a [Controller] for the given accounts. The key of each
-// account is the account's name followed by "-key".
+// newTestController returns a [Controller] for the given accounts. The key of
+// each account is the name of the account followed by "-key".
 func newTestController(accounts ...*declare.ClientAccount) *Controller {
 	set := declare.NewSet()
 	for _, a := range accounts {
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -17,16 +17,16 @@
 	"github.com/rattanway/rattanway/process/platform"
 )
 
-// fakePlatform is a table in memory. It also holds the objects of fakeObjects.
+// fakePlatform is an in-memory table that also holds the objects of fakeObjects.
 type fakePlatform struct {
 	rows    map[string]platform.Row
 	objects map[string][]byte
-	// getErr is returned by the next Get, and commitErr by the next Commit, which
-	// then set them to nil.
+	// getErr is returned by the next Get, which then sets it to nil. commitErr is
+	// the same for the next Commit.
 	getErr    error
 	commitErr error
 	// loseResponse makes the next successful Commit return
-	// platform.ErrUnknownOutcome although the write has taken effect.
+	// platform.ErrUnknownOutcome, although the write has taken effect.
 	loseResponse bool
 }
 
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// fixture holds a RecordStore that uses a fakePlatform, a Call to record, and the
-// response to attempt queries.
+// fixture holds a RecordStore that uses a fakePlatform, a Call to record, and
+// what agents respond to attempt queries.
 type fixture struct {
 	platform *fakePlatform
 	clock    *clockwork.FakeClock
@@ -100,7 +100,7 @@
 	call     Call
 	// queryCount is the number of attempt queries so far.
 	queryCount int
-	// status and queryErr are returned by attempt queries.
+	// status and queryErr are the results of the attempt queries.
 	status   frame.AttemptStatus
 	queryErr error
 }
@@ -115,14 +115,14 @@
 	return f
 }
 
-// query is the AttemptQueryFunc of the tests.
+// query is the AttemptQueryFunc that the tests pass to Resolve.
 func (f *fixture) query(context.Context, core.Instance, string, int) (frame.AttemptStatus, error) {
 	f.queryCount++
 	return f.status, f.queryErr
 }
 
-// resolve returns the result of Resolve, and advances the fake clock while Resolve
-// runs.
+// resolve returns the results of Resolve. It advances the fake clock while
+// Resolve runs.
 func (f *fixture) resolve() (*Outcome, NextAttempt, error) {
 	done := make(chan struct{})
 	defer close(done)
@@ -139,7 +139,7 @@
 	return f.store.Resolve(context.Background(), f.call, f.query)
 }
 
-// claim runs Resolve and claims the attempt that it returns.
+// claim calls Resolve and claims the attempt that Resolve returns.
 func (f *fixture) claim() *Claim {
 	_, next, err := f.resolve()
 	So(err, ShouldBeNil)
--- a/request/once/record.go
+++ b/request/once/record.go
@@ -9,8 +9,8 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// rowPrefix is the prefix of the keys of all rows, and of the names of all
-// objects, that a RecordStore writes.
+// rowPrefix is the prefix of the keys of all rows that a RecordStore writes, and
+// of the names of all objects that it writes.
 const rowPrefix = "once/"
 
 // Call describes one submission of a call with an idempotency key.
@@ -23,41 +23,44 @@
 	Service string
 	// Key is the value of the caller's Idempotency-Key header.
 	Key string
-	// RequestDigest is the digest of the request's method, path and body, as the
-	// function RequestDigest returns it. A resubmission must have the same digest.
+	// RequestDigest is the digest that the function RequestDigest returns for the
+	// request's method, path and body. All submissions of a call must have the same
+	// digest.
 	RequestDigest core.Digest
 }
 
-// RowKey returns the key of the call's row. The same key identifies the call in
-// messages to agents.
+// RowKey returns the key of the call's row. In messages to agents, this key
+// identifies the call.
 func (c Call) RowKey() string {
 	return rowPrefix + c.Account + "/" + c.Service + "/" + string(core.DigestOf([]byte(c.Key)))
 }
 
-// RequestDigest returns the value of Call.RequestDigest for a request.
+// RequestDigest returns the digest of a request for Call.RequestDigest.
 func RequestDigest(method, path string, body []byte) core.Digest {
 	all := append([]byte(method+"\n"+path+"\n"), body...)
 	return core.DigestOf(all)
 }
 
-// Outcome is the complete response to a call, as it is recorded.
+// Outcome is the complete response to a call, in the form in which it is
+// recorded.
 type Outcome struct {
 	// Status is the HTTP status code.
 	Status int `json:"status"`
 	// Header holds the HTTP header fields of the response.
 	Header map[string][]string `json:"header,omitempty"`
-	// Body is the body of the response; empty in a row whose body is in an object.
+	// Body is the body of the response. In a row, it is empty if the body is stored
+	// in an object.
 	Body []byte `json:"body,omitempty"`
-	// Object is the name of the object that holds the body if the body is too large
-	// for the row; otherwise empty.
+	// Object is the name of the object that holds the body, if the body is too large
+	// for the row; otherwise it is empty.
 	Object string `json:"object,omitempty"`
 }
 
-// state is the state of a recorded attempt.
+// state is the recorded state of an attempt.
 type state string
 
 const (
-	// stateRunning means that the attempt was claimed and may be running.
+	// stateRunning means that the attempt has been claimed and may be running.
 	stateRunning state = "running"
 	// stateDone means that the outcome is recorded.
 	stateDone state = "done"
@@ -70,13 +73,14 @@
 
 // record is the content of a row.
 type record struct {
-	// RequestDigest is Call.RequestDigest of the submission that made the claim.
+	// RequestDigest is Call.RequestDigest of the submission that claimed the
+	// attempt.
 	RequestDigest core.Digest `json:"request"`
 	// State is the state of the attempt.
 	State state `json:"state"`
-	// ClaimID is a unique ID of the claim. An entry instance that did not receive
-	// the table's response to a write reads the row and compares this ID to find
-	// out whether the row holds its own claim.
+	// ClaimID is a unique ID of the claim. If an entry instance does not receive the
+	// table's response to a write, it reads the row and compares the ClaimID there
+	// with its own, to find out whether the write has taken effect.
 	ClaimID string `json:"claim"`
 	// Attempt is the number of the attempt, from 1.
 	Attempt int `json:"attempt"`
@@ -87,7 +91,7 @@
 	Incarnation string        `json:"incarnation"`
 	// ExpiresAt is the time from which Sweep may remove the row.
 	ExpiresAt time.Time `json:"expires"`
-	// Outcome is nil unless State is stateDone.
+	// Outcome is the recorded outcome; nil unless State is stateDone.
 	Outcome *Outcome `json:"outcome,omitempty"`
 }
 
--- a/request/once/resolve.go
+++ b/request/once/resolve.go
@@ -12,29 +12,31 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// AttemptQueryFunc queries an agent for the status of an attempt at the call that
-// key identifies. If the agent has not started the attempt when it receives the
-// query, it never starts the attempt.
+// AttemptQueryFunc queries an agent for the status of an attempt. key is the row
+// key of the call, which identifies the call. If the agent has not started the
+// attempt when it receives the query, it never starts the attempt.
 type AttemptQueryFunc func(ctx context.Context, agent core.Instance, key string, attempt int) (frame.AttemptStatus, error)
 
-// waitState is the state of a resubmission that waits for the outcome of an
-// attempt.
+// waitState is the state of a resubmission, which waits for the outcome of an
+// earlier attempt.
 type waitState struct {
-	// attempt is the number of the attempt that the times below belong to.
+	// attempt is the number of the attempt to which the times below belong.
 	attempt int
 	// firstSeen is when this resubmission first found the attempt running.
 	firstSeen time.Time
-	// unconfirmedSince is the time of the first of the latest consecutive queries
-	// by which the agent did not confirm that the attempt is running. It is zero if
-	// the last query confirmed this or there was no query.
+	// unconfirmedSince is the time of the first query by which the agent did not
+	// confirm that the attempt is running. It is zero before such a query, and again
+	// once the agent has confirmed it.
 	unconfirmedSince time.Time
 }
 
-// Resolve determines what to do with a submission. It returns the recorded outcome
-// if there is one, or a NextAttempt to claim if no earlier attempt has run or can
-// still run. While an earlier attempt is running, Resolve waits for the outcome of
-// that attempt. The error is ErrKeyReused, ErrTableUnavailable if the record could
-// not be read the first time, or ErrOutcomeUnknown, also if ctx ends first.
+// Resolve determines what to do with a submission. If an outcome is recorded,
+// Resolve returns this outcome. If no earlier attempt has run or can still run,
+// it returns a NextAttempt to claim. While an earlier attempt is running, Resolve
+// waits for the outcome of that attempt. The error is ErrKeyReused,
+// ErrOutcomeUnknown or ErrTableUnavailable. ErrTableUnavailable means that the
+// first read of the record failed. If ctx ends during the wait, the error is
+// ErrOutcomeUnknown.
 func (s *RecordStore) Resolve(ctx context.Context, call Call, query AttemptQueryFunc) (*Outcome, NextAttempt, error) {
 	w := waitState{}
 	for pollCount := 0; ; pollCount++ {
@@ -57,9 +59,10 @@
 }
 
 // ChangedSince reports whether another submission has changed the record since
-// Resolve returned next, so that an attempt may have run meanwhile. claim is
-// the claim made with next, or nil. If the record cannot be read, ChangedSince
-// returns false, because no attempt had run when Resolve returned next.
+// Resolve returned next, so that an attempt may have run since then. claim is the
+// claim made with next, or nil if there is none. If the record cannot be read,
+// ChangedSince returns false, because no attempt had run when Resolve returned
+// next.
 func (s *RecordStore) ChangedSince(ctx context.Context, call Call, next NextAttempt, claim *Claim) bool {
 	rec, revision, err := s.readRecord(ctx, call)
 	if err != nil || revision == next.revision || rec == nil {
@@ -68,9 +71,9 @@
 	return claim == nil || rec.ClaimID != claim.record.ClaimID
 }
 
-// decide determines the result of Resolve from one read of the record. rec is nil
-// if there is no record. If done is false, there is no result yet, and the record
-// must be read again.
+// decide determines the results of Resolve from one read of the record. rec is
+// nil if there is no record. If done is false, there are no results yet, and the
+// caller must read the record again.
 func (s *RecordStore) decide(ctx context.Context, call Call, rec *record, revision uint64, w *waitState, query AttemptQueryFunc) (done bool, o *Outcome, next NextAttempt, err error) {
 	if rec == nil {
 		return true, nil, NextAttempt{Attempt: 1}, nil
@@ -100,23 +103,24 @@
 // probeResult is the result of querying an agent about an attempt without a
 // recorded outcome.
 type probeResult struct {
-	// neverRuns is true if the attempt did not run and never will.
+	// neverRuns is true if the attempt has not run and never will.
 	neverRuns bool
-	// outcomeUnknown is true if no outcome is expected any more.
+	// outcomeUnknown is true if the outcome must be given up as unknown.
 	outcomeUnknown bool
-	// outcome is the outcome that the agent has kept; nil if there is none.
+	// outcome is the outcome that the agent has kept; nil if the agent has kept
+	// none.
 	outcome *Outcome
 }
 
-// probeAgent queries the agent about an attempt without a recorded outcome: at
-// once if the attempt is lost, and otherwise only after the attempt has been found
-// running for QueryAfter. A zero result means that the resubmission must keep
-// waiting. The agent's status is used only if it is from the incarnation that may
-// run the attempt; another incarnation has no record of the attempts of earlier
-// ones. If the agent has not kept the outcome, the outcome is given up as unknown
-// after RecordGrace without confirmation that the attempt is running; that of a
-// lost attempt is given up as soon as the agent has responded without this
-// confirmation.
+// probeAgent queries the agent about an attempt without a recorded outcome. If
+// the attempt is lost, it does so at once, otherwise only after the attempt has
+// been found running for QueryAfter. A zero result means that the resubmission
+// must keep waiting. The agent's status is used only if it comes from the
+// incarnation that may run the attempt, because another incarnation has no record
+// of that attempt. If the agent has not kept the outcome, the outcome is given up
+// as unknown after RecordGrace without confirmation that the attempt is running.
+// For a lost attempt, it is given up as soon as the agent has responded without
+// this confirmation.
 func (s *RecordStore) probeAgent(ctx context.Context, call Call, rec *record, w *waitState, query AttemptQueryFunc) probeResult {
 	now := s.clock.Now()
 	if w.attempt != rec.Attempt {
@@ -149,8 +153,8 @@
 }
 
 // recordAgentOutcome records o, the outcome that the agent has kept, because the
-// entry instance that claimed the attempt has not recorded the outcome. It makes
-// one try to write the row; after an error the caller reads the record again.
+// entry instance that claimed the attempt has not recorded any. It tries only
+// once to write the row; after an error the caller reads the record again.
 func (s *RecordStore) recordAgentOutcome(ctx context.Context, call Call, rec record, revision uint64, o Outcome) error {
 	if len(o.Body) > s.config.MaxRowBodyBytes {
 		stored, err := s.storeBody(ctx, o)
@@ -178,9 +182,9 @@
 	return err.Error()
 }
 
-// replayOutcome returns the recorded outcome with the body, which it reads from the
-// object store if the body is in an object. The error is ErrOutcomeUnknown if the
-// body cannot be read or does not match the digest in the object's name.
+// replayOutcome returns the recorded outcome with the body. If the body is in an
+// object, it reads the body from the object store. The error is ErrOutcomeUnknown
+// if the body cannot be read or does not match the digest in the object's name.
 func (s *RecordStore) replayOutcome(ctx context.Context, call Call, rec *record) (*Outcome, error) {
 	o := *rec.Outcome
 	if o.Object != "" {
--- a/request/once/store.go
+++ b/request/once/store.go
@@ -1,8 +1,9 @@
-// Package once records, in rows of the platform's table, the once-only calls
-// with an idempotency key. Such a call must run at most once. The row of a call
-// holds the number of the attempt that may run and the incarnation of the agent
-// that may run this attempt, and later the outcome, which is the response to every
-// resubmission of the call.
+// Package once keeps the records of once-only calls with an idempotency key. Such
+// a call must run at most once, even if a client submits it again. The records
+// are rows of the platform's table, one for each call. A row holds the number of
+// the attempt that may run, and the incarnation (the process) of the agent that
+// may run this attempt. Later it also holds the outcome, which is the response to
+// every resubmission of the call.
 package once
 
 import (
@@ -33,16 +34,15 @@
 
 // Errors of a RecordStore.
 var (
-	// ErrKeyReused is returned when the key was used before for another request.
+	// ErrKeyReused is returned if the key was used before for another request.
 	ErrKeyReused = errors.New("the key was used before for another request")
-	// ErrOutcomeUnknown is returned when an earlier attempt may have run and the
+	// ErrOutcomeUnknown is returned if an earlier attempt may have run and the
 	// outcome of that attempt cannot be determined.
 	ErrOutcomeUnknown = errors.New("an earlier attempt may have run; its outcome is not known")
-	// ErrTableUnavailable is returned when the record could not be read or
-	// written. No attempt was started.
+	// ErrTableUnavailable is returned if the record could not be read or written. No
+	// attempt was started.
 	ErrTableUnavailable = errors.New("the record of once-only calls cannot be reached")
-	// ErrAlreadyClaimed is returned when another submission claimed the call
-	// first.
+	// ErrAlreadyClaimed is returned if another submission claimed the call first.
 	ErrAlreadyClaimed = errors.New("another submission claimed the call")
 )
 
@@ -69,27 +69,28 @@
 type Config struct {
 	// EntryInstanceID is the ID of the entry instance.
 	EntryInstanceID string
-	// TableTimeout limits the time to read or write one record; default 2 s.
+	// TableTimeout limits the time of each read or write of a record; default 2 s.
 	TableTimeout time.Duration
-	// PollInterval is the interval at which the record of a running call is read,
-	// and the pause between tries to record an outcome; default 200 ms.
+	// PollInterval is the pause between two reads of the record of a running call,
+	// and between two tries to record an outcome; default 200 ms.
 	PollInterval time.Duration
-	// QueryAfter is the time for which a resubmission must have found the attempt
-	// running before it queries the agent about the attempt; default 1 s.
+	// QueryAfter is how long a resubmission finds an attempt running before it
+	// queries the agent about the attempt; default 1 s.
 	QueryAfter time.Duration
-	// RecordGrace is the time allowed for recording an outcome after the attempt
-	// has ended; default 5 s.
+	// RecordGrace is the time that is allowed for recording the outcome of an
+	// attempt that has ended; default 5 s.
 	RecordGrace time.Duration
-	// TTL is the time from the claim for which a record is kept. A resubmission
-	// after that time can run the call again. Default 48 h.
+	// TTL is how long a record is kept after the claim. A resubmission after that
+	// time can run the call again. Default 48 h.
 	TTL time.Duration
-	// MaxRowBodyBytes is the maximum size of a body that is stored in a row. Larger
-	// bodies are stored in the object store. Default 32 KiB.
+	// MaxRowBodyBytes is the maximum size of a response body that is stored in a
+	// row. Larger bodies are stored in the object store. Default 32 KiB.
 	MaxRowBodyBytes int
-	// MaxRecordTries is the maximum number of tries to write the row with an
-	// outcome, and likewise to write a body to the object store; default 20.
+	// MaxRecordTries is the maximum number of tries to write a row with an outcome.
+	// It is also the maximum number of tries to write a body to the object store.
+	// Default 20.
 	MaxRecordTries int
-	// SweepInterval is the mean interval between removals of expired records;
+	// SweepInterval is the mean time between two removals of expired records;
 	// default 10 min.
 	SweepInterval time.Duration
 }
@@ -105,8 +106,8 @@
 	core.SetDefault(&c.SweepInterval, defaultSweepInterval)
 }
 
-// RecordStore reads and writes the records of once-only calls with a key. It is
-// safe for concurrent use.
+// RecordStore reads and writes the records of once-only calls with an idempotency
+// key. It is safe for concurrent use.
 type RecordStore struct {
 	config  Config
 	table   platform.Table
@@ -135,14 +136,15 @@
 	store  *RecordStore
 	call   Call
 	record record
-	// revision is the revision that the row is expected to have.
+	// revision is the revision of the row that the next write expects.
 	revision uint64
 }
 
-// Claim records that this incarnation of the agent may run the attempt next. The
-// error is ErrAlreadyClaimed if another submission claimed the call first, and
-// ErrTableUnavailable if it is not certain that the claim was recorded. After an
-// error the attempt must not be run.
+// Claim records that this incarnation of the agent may run the attempt next, so
+// that no other submission may run it. If another submission claimed the call
+// first, the error is ErrAlreadyClaimed. If it is not certain that the claim was
+// recorded, the error is ErrTableUnavailable. After an error the attempt must not
+// be run.
 func (s *RecordStore) Claim(ctx context.Context, call Call, next NextAttempt, agent core.Instance, incarnation string) (*Claim, error) {
 	c := &Claim{store: s, call: call, revision: next.revision + 1, record: record{
 		RequestDigest: call.RequestDigest,
@@ -169,9 +171,9 @@
 	return nil, errors.Wrap(ErrTableUnavailable, err.Error())
 }
 
-// confirm reads the record to find out whether the claim was stored, after the
-// table's response was lost. The error is platform.ErrConflict if the claim was
-// not stored.
+// confirm finds out whether the claim was stored, after the table's response to
+// the write was lost. It returns nil if the claim was stored and
+// platform.ErrConflict if not.
 func (c *Claim) confirm(ctx context.Context) error {
 	rec, revision, err := c.store.readRecord(ctx, c.call)
 	if err != nil {
@@ -184,10 +186,11 @@
 	return nil
 }
 
-// RecordOutcome records the outcome of the claimed attempt. It makes up to
-// Config.MaxRecordTries tries to write a large body to the object store, and then
-// as many to write the row, but stops when ctx ends. The error is
-// ErrAlreadyClaimed if another submission has claimed the call since.
+// RecordOutcome records the outcome of the claimed attempt. A large body is
+// written to the object store first, with up to Config.MaxRecordTries tries. The
+// row is written next, again with up to Config.MaxRecordTries tries.
+// RecordOutcome stops when ctx ends. The error is ErrAlreadyClaimed if another
+// submission has claimed the call since.
 func (c *Claim) RecordOutcome(ctx context.Context, o Outcome) error {
 	if len(o.Body) > c.store.config.MaxRowBodyBytes {
 		stored, err := c.store.storeBody(ctx, o)
@@ -201,10 +204,10 @@
 	return c.writeFinalState(ctx, stateDone)
 }
 
-// RecordNotRun records that the attempt did not run and never will.
+// RecordNotRun records that the attempt has not run and never will.
 func (c *Claim) RecordNotRun(ctx context.Context) error { return c.writeFinalState(ctx, stateNotRun) }
 
-// RecordLost records that the attempt may have run and that its response was
+// RecordLost records that the attempt may have run and that the response was
 // lost.
 func (c *Claim) RecordLost(ctx context.Context) error { return c.writeFinalState(ctx, stateLost) }
 
@@ -226,11 +229,11 @@
 	return err
 }
 
-// tryWriteFinalState makes one try to write the record. If the row has another
-// revision than expected or the table's response was lost, it reads the row: the
-// result is nil if the row holds this claim in the final state already, and
-// ErrAlreadyClaimed if it does not hold this claim. Otherwise it returns another
-// error, and the next try expects the revision that was read.
+// tryWriteFinalState tries once to write the record. If the row has another
+// revision than expected, or the table's response was lost, it reads the row. It
+// then returns nil if the row holds this claim in the final state already, and
+// ErrAlreadyClaimed if the row does not hold this claim. Otherwise it returns
+// another error; the next try expects the revision that was read.
 func (c *Claim) tryWriteFinalState(ctx context.Context) error {
 	err := c.store.writeRecord(ctx, c.call, &c.record, c.revision)
 	if !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrUnknownOutcome) {
@@ -280,9 +283,9 @@
 	return rec, row.Revision, err
 }
 
-// writeRecord writes the row of the call if the row still has the given revision,
-// or if there is no row and revision is 0. Otherwise the error is
-// platform.ErrConflict.
+// writeRecord writes the row of the call if the revision of the row is the given
+// one. revision 0 means that there must be no row. If the row has another
+// revision, the error is platform.ErrConflict.
 func (s *RecordStore) writeRecord(ctx context.Context, call Call, r *record, revision uint64) error {
 	value, err := r.encode()
 	if err != nil {
@@ -314,7 +317,7 @@
 	return o, core.WrapStep("store once-only body", "objects", err)
 }
 
-// sleep waits for d. If ctx ends first, it returns the error of ctx.
+// sleep waits for d. If ctx ends first, it returns the error of ctx at once.
 func (s *RecordStore) sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/request/once/sweep.go
+++ b/request/once/sweep.go
@@ -12,8 +12,9 @@
 // sweepPageSize is the maximum number of rows that Sweep lists at once.
 const sweepPageSize = 200
 
-// Run removes expired records at random intervals until ctx ends. Because the
-// intervals are random, several entry instances seldom do this at the same time.
+// Run removes expired records at random intervals until ctx ends. Random
+// intervals make it rare that several entry instances remove records at the same
+// time.
 func (s *RecordStore) Run(ctx context.Context) error {
 	for {
 		pause := s.config.SweepInterval/2 + rand.N(s.config.SweepInterval)
@@ -31,8 +32,8 @@
 	}
 }
 
-// Sweep removes the expired records and returns the number of records that it
-// removed, also if there is an error.
+// Sweep removes the expired records. It returns the number of records removed,
+// even if there is an error.
 func (s *RecordStore) Sweep(ctx context.Context) (int, error) {
 	removedCount := 0
 	for after := ""; ; {
@@ -56,8 +57,8 @@
 	}
 }
 
-// removeIfExpired removes row if the record in it has expired, and reports whether
-// the row was removed.
+// removeIfExpired removes row if the record in the row has expired, and reports
+// whether the row was removed.
 func (s *RecordStore) removeIfExpired(ctx context.Context, row platform.Row) (bool, error) {
 	rec, err := decodeRecord(row.Value)
 	if err != nil {
