--- a/request/accounts/accounts.go
+++ b/request/accounts/accounts.go
@@ -57,10 +57,10 @@
 	if !ok || key == "" {
 		return nil, ErrUnauthorized
 	}
-	hash := []byte(core.DigestOf([]byte(key)))
+	keyHash := []byte(core.DigestOf([]byte(key)))
 	var found *declare.ClientAccount
 	for _, a := range c.holder.Current().Set.ClientAccounts {
-		if subtle.ConstantTimeCompare(hash, []byte(a.KeyHash)) == 1 {
+		if subtle.ConstantTimeCompare(keyHash, []byte(a.KeyHash)) == 1 {
 			found = a
 		}
 	}
--- a/request/admission/adapt.go
+++ b/request/admission/adapt.go
@@ -21,20 +21,20 @@
 	// coldCooldown is the time after a reset to the cold limit in which the limit
 	// is not decreased and samples are ignored.
 	coldCooldown = 400 * time.Millisecond
-	// minGrowthPause and maxGrowthPause are the bounds of the time after a decrease
-	// in which the limit does not grow. The time doubles after each decrease that
-	// did not lower the token rate.
+	// minGrowthPause and maxGrowthPause limit the length of the growth pause, the
+	// time after a decrease in which the limit does not grow. The length doubles
+	// after each decrease that did not lower the token rate.
 	minGrowthPause = 2 * time.Second
 	maxGrowthPause = 30 * time.Second
 	// minGrowthTrial is the shortest time for which a growth step is on trial. A
 	// step on trial counts as the likely cause of a lower token rate.
 	minGrowthTrial = time.Second
-	// failedStepPauseFactor times the mean slot time, the mean time for which a call
-	// holds its slot, is the shortest growth pause after a failed growth step. A
-	// growth step has failed if it led to a decrease. The calls that the step
-	// admitted overload the server until they end, which takes one mean slot time.
-	// With a factor of 4, at most 1/(1+4) of the time, a fifth, is spent on failed
-	// steps.
+	// failedStepPauseFactor applies to the growth pause after a failed growth step,
+	// one that led to a decrease. The pause is at least failedStepPauseFactor times
+	// the mean slot time, the mean time for which a call holds its slot. The calls
+	// that the step admitted overload the server until they end, which takes one
+	// mean slot time. With a factor of 4, at most 1/(1+4) of the time, a fifth, is
+	// spent on failed steps.
 	failedStepPauseFactor = 4
 	// pauseResetRatio times the limit after the last decrease is a threshold: once
 	// the limit is above it, the growth pause returns to minGrowthPause.
@@ -104,7 +104,7 @@
 	previousLimit := l.limit
 	l.setLimit(max(l.limit, min(l.limit+l.cfg.GrowthPerCall, l.stepLimit)))
 	if l.limit > l.decreasedTo*pauseResetRatio {
-		l.growthPause = minGrowthPause
+		l.nextGrowthPause = minGrowthPause
 	}
 	if previousLimit < float64(l.cfg.Limit) && l.limit >= float64(l.cfg.Limit) {
 		l.cfg.Log.Event(eventLimitFull, eventlog.Fields{"limit": int(l.limit)})
@@ -152,12 +152,12 @@
 		return
 	}
 	if s.TimeToFirstToken > 0 {
-		l.firstToken.add(s.TimeToFirstToken)
+		l.firstTokenTracker.add(s.TimeToFirstToken)
 	}
 	if s.TimePerToken > 0 {
 		l.window.add(now, s.TimePerToken, l.inFlight())
 	}
-	if l.firstToken.exceeds(firstTokenJumpRatio) {
+	if l.firstTokenTracker.exceeds(firstTokenJumpRatio) {
 		l.resetToCold("first token")
 	}
 	if l.window.isFull(now) {
@@ -170,8 +170,8 @@
 func (l *AdaptiveLimiter) evaluateWindow(now time.Time) {
 	w := l.window
 	l.window = window{}
-	l.perToken.add(w.mean())
-	if l.perToken.exceeds(perTokenJumpRatio) {
+	l.perTokenTracker.add(w.mean())
+	if l.perTokenTracker.exceeds(perTokenJumpRatio) {
 		l.resetToCold("token pace")
 		return
 	}
@@ -201,7 +201,7 @@
 	}
 	l.curve.add(now, rate, inFlight)
 	l.stepEvaluated = l.isNearLimit(inFlight)
-	best, ok := l.curve.betterCallCount(now, inFlight, l.perToken.baseline)
+	best, ok := l.curve.betterCallCount(now, inFlight, l.perTokenTracker.baseline)
 	if !ok {
 		l.overloadedWindowCount = 0
 		if inFlight >= l.overloadCallCount {
@@ -254,7 +254,7 @@
 		return true
 	}
 	l.pendingDecrease = pendingDecrease{}
-	l.growthPause = min(2*l.growthPause, maxGrowthPause)
+	l.nextGrowthPause = min(2*l.nextGrowthPause, maxGrowthPause)
 	return false
 }
 
@@ -285,7 +285,7 @@
 	l.setLimit(max(limit, 1))
 	l.stepLimit = l.limit
 	l.decreasedTo = l.limit
-	pause := l.growthPause
+	pause := l.nextGrowthPause
 	if l.growthOnTrial() {
 		pause = min(max(pause, failedStepPauseFactor*l.meanSlotTime.value), maxGrowthPause)
 	}
@@ -333,10 +333,10 @@
 	l.collapsedWindowCount = 0
 	now := l.clock.Now()
 	l.cooldownEnd = now.Add(coldCooldown)
-	l.decreasedTo, l.growthPause, l.growthPausedUntil = l.limit, minGrowthPause, now.Add(minGrowthPause)
+	l.decreasedTo, l.nextGrowthPause, l.growthPausedUntil = l.limit, minGrowthPause, now.Add(minGrowthPause)
 	l.startSettling(l.cooldownEnd)
-	l.firstToken.resetRecent()
-	l.perToken.resetRecent()
+	l.firstTokenTracker.resetRecent()
+	l.perTokenTracker.resetRecent()
 	l.cfg.Log.Event(eventTurnedCold, eventlog.Fields{"why": reason, "was": previousLimit, "limit": int(l.limit), "in_flight": l.inFlight()})
 	l.shedCalls(l.inFlight() - int(l.limit))
 }
@@ -345,20 +345,20 @@
 // priority; within a priority it begins with the newest call. The caller holds
 // l.mu.
 func (l *AdaptiveLimiter) shedCalls(n int) {
-	ended := 0
-	for priority := 0; priority <= maxPriority && ended < n; priority++ {
-		for i := len(l.runningCalls) - 1; i >= 0 && ended < n; i-- {
+	endedCount := 0
+	for priority := 0; priority <= maxPriority && endedCount < n; priority++ {
+		for i := len(l.runningCalls) - 1; i >= 0 && endedCount < n; i-- {
 			call := l.runningCalls[i]
 			if call.shed || call.request.Shed == nil || call.request.Priority != priority {
 				continue
 			}
 			call.shed = true
-			ended++
+			endedCount++
 			go call.request.Shed()
 		}
 	}
-	if ended > 0 {
-		l.cfg.Log.Event(eventCallsShed, eventlog.Fields{"calls": ended})
+	if endedCount > 0 {
+		l.cfg.Log.Event(eventCallsShed, eventlog.Fields{"calls": endedCount})
 	}
 }
 
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -61,8 +61,8 @@
 	// function, which must be called exactly once, or the reason for the
 	// refusal.
 	Acquire(ctx context.Context, req SlotRequest) (release func(Outcome), refusalReason frame.Reason)
-	// Observe adapts the limit to a sample of a running call. Samples show that a
-	// server has turned cold before the running calls end.
+	// Observe adapts the limit to a sample of a running call. Samples show earlier
+	// than finished calls that a server has turned cold.
 	Observe(s Sample)
 	// Load returns the current limit and the numbers of running and queued calls.
 	Load() frame.Load
--- a/request/admission/latency.go
+++ b/request/admission/latency.go
@@ -19,13 +19,13 @@
 	// baselineRiseFactor is the smoothing factor of the baseline for a value above
 	// it: the fraction of the difference by which the baseline rises.
 	baselineRiseFactor = 0.005
-	// recentFactor is the smoothing factor of the recent mean.
-	recentFactor = 0.5
+	// recentMeanFactor is the smoothing factor of the recent mean.
+	recentMeanFactor = 0.5
 	// movingAverageFactor is the smoothing factor of a movingAverage.
 	movingAverageFactor = 0.1
-	// minBaselineMeans is the number of values that a latencyTracker needs before it
+	// minValueCount is the number of values that a latencyTracker needs before it
 	// detects jumps.
-	minBaselineMeans = 5
+	minValueCount = 5
 	// maxBaselineRatio limits the influence of a high value on the baseline: a value
 	// above maxBaselineRatio times the baseline counts as that product.
 	maxBaselineRatio = 1.5
@@ -76,21 +76,21 @@
 // latencyTracker compares the recent mean of one kind of latency with the
 // baseline, which is the mean while the server was healthy.
 type latencyTracker struct {
-	// baseline and recent are in nanoseconds.
-	baseline  float64
-	recent    float64
-	meanCount int
+	// baseline and recent are means, in nanoseconds.
+	baseline   float64
+	recent     float64
+	valueCount int
 }
 
 // add takes one more value into account: for the time per token the mean of a
 // window, for the time to the first token one sample.
 func (l *latencyTracker) add(d time.Duration) {
 	mean := float64(d)
-	if l.meanCount == 0 {
+	if l.valueCount == 0 {
 		l.baseline, l.recent = mean, mean
 	}
-	l.meanCount++
-	l.recent += recentFactor * (mean - l.recent)
+	l.valueCount++
+	l.recent += recentMeanFactor * (mean - l.recent)
 	l.baseline += baselineChange(l.baseline, mean)
 }
 
@@ -105,10 +105,10 @@
 }
 
 // exceeds reports whether the recent mean is above ratio times the baseline and
-// above the baseline by more than minJump. With fewer than minBaselineMeans
+// above the baseline by more than minJump. With fewer than minValueCount
 // values it returns false.
 func (l *latencyTracker) exceeds(ratio float64) bool {
-	if l.meanCount < minBaselineMeans {
+	if l.valueCount < minValueCount {
 		return false
 	}
 	return l.recent > ratio*l.baseline && l.recent-l.baseline > float64(minJump)
@@ -121,7 +121,8 @@
 // movingAverage is an exponentially weighted moving average of durations.
 type movingAverage struct{ value time.Duration }
 
-// add takes one more duration into account. The first one becomes the average.
+// add takes one more duration into account. The first duration becomes the
+// average.
 func (m *movingAverage) add(d time.Duration) {
 	if m.value == 0 {
 		m.value = d
--- a/request/admission/limiter.go
+++ b/request/admission/limiter.go
@@ -19,8 +19,8 @@
 const (
 	// DefaultMaxQueueWait is the default of Config.MaxQueueWait.
 	DefaultMaxQueueWait = 40 * time.Millisecond
-	// DefaultQueueRatio is the default of Config.QueueRatio.
-	DefaultQueueRatio = 0.5
+	// DefaultMaxQueueRatio is the default of Config.MaxQueueRatio.
+	DefaultMaxQueueRatio = 0.5
 	// DefaultGrowthPerCall is the default of Config.GrowthPerCall.
 	DefaultGrowthPerCall = 0.5
 	// minQueueLength is the lowest value of the maximum queue length.
@@ -44,9 +44,9 @@
 	ColdLimit int
 	// MaxQueueWait is the longest time for which a call waits in the queue.
 	MaxQueueWait time.Duration
-	// QueueRatio is the maximum length of the queue, as a fraction of the current
+	// MaxQueueRatio is the maximum length of the queue, as a fraction of the current
 	// limit; it is never below minQueueLength calls.
-	QueueRatio float64
+	MaxQueueRatio float64
 	// GrowthPerCall is the number of calls by which a finished call raises the
 	// limit. Calls raise the limit only while at least nearLimitRatio of the limit
 	// is in use and growth is not paused.
@@ -66,8 +66,8 @@
 	if c.MaxQueueWait <= 0 {
 		c.MaxQueueWait = DefaultMaxQueueWait
 	}
-	if c.QueueRatio <= 0 {
-		c.QueueRatio = DefaultQueueRatio
+	if c.MaxQueueRatio <= 0 {
+		c.MaxQueueRatio = DefaultMaxQueueRatio
 	}
 	if c.GrowthPerCall <= 0 {
 		c.GrowthPerCall = DefaultGrowthPerCall
@@ -108,11 +108,11 @@
 	// window holds the samples of the time per token that have not been evaluated
 	// yet.
 	window window
-	// firstToken tracks the time to the first token.
-	firstToken latencyTracker
-	// perToken tracks the time per token.
-	perToken latencyTracker
-	curve    rateCurve
+	// firstTokenTracker tracks the time to the first token.
+	firstTokenTracker latencyTracker
+	// perTokenTracker tracks the time per token.
+	perTokenTracker latencyTracker
+	curve           rateCurve
 	// finishedCallCount is the number of calls since the last sample that finished
 	// while the limit could grow.
 	finishedCallCount int
@@ -140,16 +140,17 @@
 	// stepStart is the start of the present growth step. The steps separate the
 	// effects of successive increases on the token rate.
 	stepStart time.Time
-	// stepLimit is the highest limit in the present growth step.
+	// stepLimit is the highest value that the limit may reach in the present growth
+	// step.
 	stepLimit float64
 	// decreasedTo is the limit after the last decrease.
 	decreasedTo float64
 	// growthPausedUntil is the end of the growth pause; the limit may grow from then
 	// on.
 	growthPausedUntil time.Time
-	// growthPause is the length of the next growth pause, unless a failed growth
+	// nextGrowthPause is the length of the next growth pause, unless a failed growth
 	// step requires a longer one.
-	growthPause time.Duration
+	nextGrowthPause time.Duration
 	// meanSlotTime is the mean time for which a call holds its slot.
 	meanSlotTime movingAverage
 }
@@ -165,7 +166,7 @@
 		limitGauge:       metrics.GetOrRegisterGauge("agent.limit", cfg.Metrics),
 		runningByAccount: map[string]int{},
 	}
-	l.growthPause = minGrowthPause
+	l.nextGrowthPause = minGrowthPause
 	l.setLimit(float64(cfg.ColdLimit))
 	l.stepLimit = l.limit
 	return l
@@ -220,7 +221,7 @@
 // waiter (see queue.displace); if w cannot, enqueue returns false. The caller
 // holds l.mu.
 func (l *AdaptiveLimiter) enqueue(w *waiter) bool {
-	maxLength := max(minQueueLength, int(l.limit*l.cfg.QueueRatio))
+	maxLength := max(minQueueLength, int(l.limit*l.cfg.MaxQueueRatio))
 	if l.queue.len() >= maxLength {
 		displaced := l.queue.displace(w.request, l.runningByAccount)
 		if displaced == nil {
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -16,8 +16,8 @@
 
 // queue holds the waiting slot requests. The request with the highest priority
 // gets the next slot. Within a priority it is the request whose account has the
-// fewest running calls, divided by the share of the account. Among equal requests
-// the one that arrived first gets the slot.
+// lowest number of running calls divided by the share of the account. Among equal
+// requests the one that arrived first gets the slot.
 type queue struct {
 	// waiting holds the waiters in the order of their arrival.
 	waiting []*waiter
@@ -76,10 +76,10 @@
 // calls per share than the account of req would have with req. Waiting calls
 // count like running ones.
 func (q *queue) displace(req SlotRequest, runningByAccount map[string]int) *waiter {
-	calls := q.callsByAccount(runningByAccount)
+	callCounts := q.callsByAccount(runningByAccount)
 	lastIndex := -1
 	for i, w := range q.waiting {
-		if lastIndex < 0 || !goesBefore(w.request, q.waiting[lastIndex].request, calls) {
+		if lastIndex < 0 || !goesBefore(w.request, q.waiting[lastIndex].request, callCounts) {
 			lastIndex = i
 		}
 	}
@@ -90,7 +90,7 @@
 	if w.request.Priority > req.Priority {
 		return nil
 	}
-	if w.request.Priority == req.Priority && callsPerShare(calls[w.request.Account], w.request) <= callsPerShare(calls[req.Account]+1, req) {
+	if w.request.Priority == req.Priority && callsPerShare(callCounts[w.request.Account], w.request) <= callsPerShare(callCounts[req.Account]+1, req) {
 		return nil
 	}
 	q.waiting = slices.Delete(q.waiting, lastIndex, lastIndex+1)
--- a/request/admission/ratecurve.go
+++ b/request/admission/ratecurve.go
@@ -69,8 +69,8 @@
 // minNearRatio times inFlight up to inFlight.
 func (c *rateCurve) collapsed(now time.Time, perToken time.Duration, inFlight int) bool {
 	rate := float64(inFlight) / perToken.Seconds()
-	for calls, p := range c.points {
-		near := calls <= inFlight && float64(calls) >= minNearRatio*float64(inFlight)
+	for callCount, p := range c.points {
+		near := callCount <= inFlight && float64(callCount) >= minNearRatio*float64(inFlight)
 		if near && now.Sub(p.measuredAt) < maxPointAge && rate < collapsedRatio*p.rate {
 			return true
 		}
@@ -97,17 +97,17 @@
 // must be above estimatedBetterRatio times the rate at inFlight.
 func (c *rateCurve) betterCallCount(now time.Time, inFlight int, baseline float64) (int, bool) {
 	best, rate := 0, c.points[inFlight].rate*betterRatio
-	for calls, p := range c.points {
-		if calls < inFlight && p.rate > rate && now.Sub(p.measuredAt) < maxPointAge {
-			best, rate = calls, p.rate
+	for callCount, p := range c.points {
+		if callCount < inFlight && p.rate > rate && now.Sub(p.measuredAt) < maxPointAge {
+			best, rate = callCount, p.rate
 		}
 	}
 	if best > 0 {
 		return best, true
 	}
 	oneLess := inFlight - 1
-	estimate := float64(oneLess) / time.Duration(baseline).Seconds()
-	if _, measured := c.points[oneLess]; !measured && estimate > c.points[inFlight].rate*estimatedBetterRatio {
+	estimatedRate := float64(oneLess) / time.Duration(baseline).Seconds()
+	if _, measured := c.points[oneLess]; !measured && estimatedRate > c.points[inFlight].rate*estimatedBetterRatio {
 		best = oneLess
 	}
 	return best, best > 0
--- a/request/dispatch/decisions_test.go
+++ b/request/dispatch/decisions_test.go
@@ -11,8 +11,8 @@
 
 // candidate returns a candidate with a limit of 16 requests. remote is true for a
 // server in another data centre.
-func candidate(id string, running int, remote bool) Candidate {
-	return Candidate{Slot: Slot{Server: &catalog.Server{ID: id}, RunningCount: running, Remote: remote}, Limit: 16}
+func candidate(id string, runningCount int, remote bool) Candidate {
+	return Candidate{Slot: Slot{Server: &catalog.Server{ID: id}, RunningCount: runningCount, Remote: remote}, Limit: 16}
 }
 
 func TestChooseCandidate(t *testing.T) {
--- a/request/dispatch/passivehealth.go
+++ b/request/dispatch/passivehealth.go
@@ -8,8 +8,8 @@
 const (
 	// Served means that the complete response was received and forwarded.
 	Served Outcome = iota
-	// Cancelled means that the client left or the deadline passed before the response
-	// was complete; this does not count against the server.
+	// Cancelled means that the client left or the deadline passed before the
+	// response was complete. This does not count against the server.
 	Cancelled
 	// Full means that the server refused the request for lack of capacity.
 	Full
@@ -18,12 +18,12 @@
 	Misdirected
 	// Unreachable means that no connection could be opened.
 	Unreachable
-	// Broken means that the response was an error, incomplete or invalid.
+	// Broken means that the response was an error response, incomplete or invalid.
 	Broken
 	// Stalled means that the server sent nothing for too long.
 	Stalled
-	// Moved means that the stream continues at another server because this one
-	// loads new weights; this does not count against the server.
+	// Moved means that the stream continues at another server because the server of
+	// this attempt loads new weights. This does not count against the server.
 	Moved
 )
 
--- a/request/dispatch/request.go
+++ b/request/dispatch/request.go
@@ -26,7 +26,7 @@
 	Work float64
 	// Priority orders waiting requests: the lowest value goes first.
 	Priority int
-	// ArrivedAt is the time at which the request arrived, and Deadline the latest
+	// ArrivedAt is the time at which the request arrived. Deadline is the latest
 	// time at which the response may end.
 	ArrivedAt, Deadline time.Time
 	// FirstByteObjective is the target for the time from the arrival to the first
--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -20,7 +20,8 @@
 const usableBudgetShare = 0.8
 
 // optionalRetryShare is the fraction of the retry budget that optional retries
-// may use; the rest is reserved for requests that fail.
+// may use. An optional retry is one that the request does not need in order to
+// succeed. The rest of the budget is reserved for requests that fail.
 const optionalRetryShare = 0.5
 
 // retryBucketCount is the number of buckets into which the window is divided. A
@@ -68,9 +69,8 @@
 	return b.take(now, entryInstanceCount, 1)
 }
 
-// TakeOptionalRetry is like [RetryBudget.TakeRetry], for a retry that the request
-// does not need in order to succeed. Optional retries may use only a part of the
-// budget, so that the rest is left to requests that fail.
+// TakeOptionalRetry is like [RetryBudget.TakeRetry], for an optional retry. It
+// allows fewer retries; see optionalRetryShare.
 func (b *RetryBudget) TakeOptionalRetry(now time.Time, entryInstanceCount int) bool {
 	return b.take(now, entryInstanceCount, optionalRetryShare)
 }
--- a/request/forward/config.go
+++ b/request/forward/config.go
@@ -31,7 +31,7 @@
 	ExpectVersion string
 	// Account is the name of the client account, sent to the server.
 	Account string
-	// Model is the name of the model.
+	// Model is the name of the model that the request requires.
 	Model string
 	// Tokens is the number of prompt tokens and the maximum number of answer tokens,
 	// separated by a comma. AnswerTokens is the number of answer tokens that the
--- a/request/forward/forward_test.go
+++ b/request/forward/forward_test.go
@@ -171,8 +171,8 @@
 		}
 		return all
 	}
-	// breakAfter returns a respond function for newServer. Its response consists of
-	// n events and a part of another event; then the server closes the connection.
+	// breakAfter returns a respond function for newServer. The server sends n events
+	// and a part of another event, and then closes the connection.
 	breakAfter := func(n int) func(r receivedRequest, _ int) string {
 		return func(r receivedRequest, _ int) string {
 			return streamHeader(r) + chunk(events(1, n)) + chunk("id: 9") + closeMarker
--- a/request/forward/handler.go
+++ b/request/forward/handler.go
@@ -98,20 +98,20 @@
 	attemptCount int
 	// mayHaveRunAt holds the IDs of the servers that may have run the request.
 	mayHaveRunAt map[string]bool
-	// movedTo is the slot to which the stream is to be moved. It is nil if there is
+	// moveTarget is the slot to which the stream is to be moved. It is nil if there is
 	// no such slot or the move has begun.
-	movedTo *dispatch.Slot
+	moveTarget *dispatch.Slot
 	// headerSent is true once the response header has been written to the client.
 	headerSent bool
 	// clientGone is true once a write to the client has failed, or setting the time
 	// limit for writes has failed.
 	clientGone bool
 	// lastEventID is the ID of the last event that the client has received; empty if
-	// there is none. It begins with the ID in the client's request.
+	// there is none. Initially it is the ID in the client's request.
 	lastEventID string
 	// serverError is the last response with a 5xx status to a repeatable request;
-	// nil if there was none. It is forwarded if no other server gives a better
-	// response.
+	// nil if there was none. It is forwarded if no server gives a response without a
+	// 5xx status.
 	serverError *response
 	// firstByteAt is when the response header was written to the client; zero before
 	// that.
@@ -123,7 +123,7 @@
 // refusal is the response to a request that no server has run.
 type refusal struct {
 	status int
-	// reason is the text in the body.
+	// reason is the text in the body of the response.
 	reason string
 	// retryAfter is the Retry-After value; 0 if there is none.
 	retryAfter time.Duration
--- a/request/forward/move.go
+++ b/request/forward/move.go
@@ -17,7 +17,7 @@
 }
 
 // tryMove is called after each event of the stream. If a slot at another server
-// has been assigned to the stream, it sets call.movedTo to this slot and returns
+// has been assigned to the stream, it sets call.moveTarget to this slot and returns
 // true; the stream must then continue there. Otherwise it starts a search for a
 // slot if none is in progress and a move is allowed, and returns false.
 func (m *streamMover) tryMove(ctx context.Context) bool {
@@ -36,7 +36,7 @@
 		return false
 	}
 	m.search = nil
-	c.movedTo = &slot
+	c.moveTarget = &slot
 	return true
 }
 
--- a/request/forward/run.go
+++ b/request/forward/run.go
@@ -38,12 +38,12 @@
 	}
 }
 
-// acquireSlot returns the slot c.movedTo if a stream is to be moved, and
+// acquireSlot returns the slot c.moveTarget if a stream is to be moved, and
 // otherwise acquires one.
 func (c *call) acquireSlot(ctx context.Context) (dispatch.Slot, error) {
-	if c.movedTo != nil {
-		slot := *c.movedTo
-		c.movedTo = nil
+	if c.moveTarget != nil {
+		slot := *c.moveTarget
+		c.moveTarget = nil
 		return slot, nil
 	}
 	return c.cfg.Scheduler.Acquire(ctx, &c.dispatchReq)
@@ -52,8 +52,8 @@
 // releaseUnusedSlot releases the slot to which the stream was to be moved, if the
 // request ended before the move, for example because the client left.
 func (c *call) releaseUnusedSlot() {
-	if c.movedTo != nil {
-		c.cfg.Scheduler.Release(*c.movedTo, dispatch.Cancelled)
+	if c.moveTarget != nil {
+		c.cfg.Scheduler.Release(*c.moveTarget, dispatch.Cancelled)
 	}
 }
 
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -174,7 +174,8 @@
 	return r
 }
 
-// readResponse reads a complete response with a body of at most maxResponseBodyBytes.
+// readResponse reads a complete response. A body of more than
+// maxResponseBodyBytes is an error.
 func readResponse(resp *http.Response) (*response, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBodyBytes+1))
 	if err != nil {
--- a/request/forward/stream.go
+++ b/request/forward/stream.go
@@ -95,10 +95,10 @@
 	}
 }
 
-// forwardEvent forwards one event, unless the client already has it: then the
-// numeric ID of the event is not above c.lastEventID. It returns errEventGap if
-// the stream to the client has begun and at least one ID is missing between these
-// two.
+// forwardEvent forwards one event. It skips an event that the client already has,
+// that is, one whose numeric ID is not above c.lastEventID. If the stream to the
+// client has begun and IDs are missing between c.lastEventID and the ID of this
+// event, it returns errEventGap.
 func (c *call) forwardEvent(resp *http.Response, event []byte) error {
 	id := eventID(event)
 	if id != "" {
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -21,8 +21,8 @@
 type fakePlatform struct {
 	rows    map[string]platform.Row
 	objects map[string][]byte
-	// getErr is returned by the next Get, which then sets it to nil. commitErr is
-	// the same for the next Commit.
+	// getErr is returned by the next Get, which then sets it to nil. The next Commit
+	// does the same with commitErr.
 	getErr    error
 	commitErr error
 	// loseResponse makes the next successful Commit return
--- a/request/routing/candidates.go
+++ b/request/routing/candidates.go
@@ -59,7 +59,7 @@
 }
 
 // isColdOrWarming reports whether the server started recently or turned cold, and
-// does not have its full limit again.
+// does not have its full limit yet.
 func (c candidate) isColdOrWarming() bool {
 	return c.server.Report.State == frame.StateCold || c.server.Report.State == frame.StateWarming
 }
--- a/request/routing/pinning.go
+++ b/request/routing/pinning.go
@@ -115,8 +115,8 @@
 }
 
 // recordPinnedDigest records pinned, the digest of the version on which new calls
-// to model run. If it has changed and is not declared, the digest of the declared
-// version, the change is logged.
+// to model run. declared is the digest of the declared version. If the recorded
+// digest changes and pinned differs from declared, the change is logged.
 func (r *Router) recordPinnedDigest(model string, pinned, declared core.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/request/routing/router.go
+++ b/request/routing/router.go
@@ -39,7 +39,7 @@
 // preferred servers.
 type Policy string
 
-// The policies. Those other than PolicyTwoChoices exist for comparison with it.
+// The policies. PolicyTwoChoices is the default; the others exist for comparison.
 const (
 	// PolicyTwoChoices takes two random servers and chooses the one with the lower
 	// ratio of load to limit (power of two choices).
--- a/request/routing/routing.go
+++ b/request/routing/routing.go
@@ -52,7 +52,7 @@
 	Done(id string, r Result, load *frame.Load)
 }
 
-// Result is the result of an attempt.
+// Result says how an attempt ended.
 type Result uint8
 
 // The results of an attempt.
