--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -7,19 +7,21 @@
 	// Ratio is the allowed number of retries as a fraction of the number of
 	// requests.
 	Ratio float64
-	// Slack is the number of retries that are allowed within a window in addition
-	// to those that Ratio allows, for all entry instances together.
+	// Slack is the number of retries that are allowed within a window beyond those
+	// that Ratio allows. It applies to all entry instances together.
 	Slack float64
 	// Window is the period over which requests and retries are counted.
 	Window time.Duration
 }
 
-// usableBudgetShare is the fraction of the limits that is used. The rest allows
-// for windows that begin at different times at the entry instances.
+// usableBudgetShare is the fraction of the limits that is used. The rest is a
+// margin, because the windows of different entry instances begin at different
+// times.
 const usableBudgetShare = 0.8
 
 // optionalRetryShare is the fraction of the retry budget that optional retries
-// may use; the rest is reserved for requests that fail.
+// may use. An optional retry is one that the request does not need in order to
+// succeed. The rest of the budget is reserved for requests that fail.
 const optionalRetryShare = 0.5
 
 // retryBucketCount is the number of buckets into which the window is divided. A
@@ -30,10 +32,11 @@
 // retries do not overload the servers when many servers fail together. All entry
 // instances share the slack equally.
 type RetryBudget struct {
-	limits   RetryLimits
-	requests [retryBucketCount]int
-	retries  [retryBucketCount]int
-	// newestBucket is the number of the newest bucket, counted from the Unix epoch.
+	limits        RetryLimits
+	requestCounts [retryBucketCount]int
+	retryCounts   [retryBucketCount]int
+	// newestBucket is the number of the newest bucket, counted in bucket widths from
+	// the Unix epoch.
 	newestBucket int64
 }
 
@@ -50,41 +53,41 @@
 	}
 	for b.newestBucket < current {
 		b.newestBucket++
-		b.requests[b.newestBucket%retryBucketCount], b.retries[b.newestBucket%retryBucketCount] = 0, 0
+		b.requestCounts[b.newestBucket%retryBucketCount], b.retryCounts[b.newestBucket%retryBucketCount] = 0, 0
 	}
 	return int(current % retryBucketCount)
 }
 
-// CountRequest counts a request that arrived at now. Retries are counted by
+// CountRequest counts a request that arrived at time now. Retries are counted by
 // TakeRetry and TakeOptionalRetry.
-func (b *RetryBudget) CountRequest(now time.Time) { b.requests[b.advance(now)]++ }
+func (b *RetryBudget) CountRequest(now time.Time) { b.requestCounts[b.advance(now)]++ }
 
-// TakeRetry reports whether the budget of this entry instance, one of
-// entryInstanceCount, allows a retry at now, and if so counts the retry.
+// TakeRetry reports whether the budget allows a retry at time now, and if so
+// counts the retry. entryInstanceCount is the number of entry instances that
+// share the slack, including this one.
 func (b *RetryBudget) TakeRetry(now time.Time, entryInstanceCount int) bool {
 	return b.take(now, entryInstanceCount, 1)
 }
 
-// TakeOptionalRetry is like [RetryBudget.TakeRetry] for a retry that the request
-// does not need in order to succeed. It leaves a part of the budget to requests
-// that fail.
+// TakeOptionalRetry is like [RetryBudget.TakeRetry], for an optional retry. It
+// allows fewer retries; see optionalRetryShare.
 func (b *RetryBudget) TakeOptionalRetry(now time.Time, entryInstanceCount int) bool {
 	return b.take(now, entryInstanceCount, optionalRetryShare)
 }
 
-// take reports whether the retries, including one more, stay within a share of
-// the budget, and if so counts the retry.
+// take reports whether the retries in the window, including one more, are at most
+// share times the budget. If so, it counts the retry.
 func (b *RetryBudget) take(now time.Time, entryInstanceCount int, share float64) bool {
 	i := b.advance(now)
-	var requests, retries int
+	var requestCount, retryCount int
 	for k := range retryBucketCount {
-		requests += b.requests[k]
-		retries += b.retries[k]
+		requestCount += b.requestCounts[k]
+		retryCount += b.retryCounts[k]
 	}
-	allowed := usableBudgetShare * (b.limits.Ratio*float64(requests) + b.limits.Slack/float64(max(1, entryInstanceCount)))
-	if float64(retries)+1 > share*allowed {
+	allowed := usableBudgetShare * (b.limits.Ratio*float64(requestCount) + b.limits.Slack/float64(max(1, entryInstanceCount)))
+	if float64(retryCount)+1 > share*allowed {
 		return false
 	}
-	b.retries[i]++
+	b.retryCounts[i]++
 	return true
 }
--- a/request/forward/move.go
+++ b/request/forward/move.go
@@ -6,18 +6,18 @@
 	"github.com/rattanway/rattanway/request/dispatch"
 )
 
-// streamMover finds a slot at another server for a stream whose server loads new
-// weights.
+// streamMover searches for a slot at another server for a stream whose present
+// server loads new weights.
 type streamMover struct {
 	call *call
-	// from is the slot at which the stream runs.
+	// from is the slot in which the stream runs at present.
 	from dispatch.Slot
 	// search is nil while no search for another slot is in progress.
 	search *dispatch.MoveSearch
 }
 
 // tryMove is called after each event of the stream. If a slot at another server
-// has been assigned to the stream, it sets call.movedTo to this slot and returns
+// has been assigned to the stream, it sets call.moveTarget to this slot and returns
 // true; the stream must then continue there. Otherwise it starts a search for a
 // slot if none is in progress and a move is allowed, and returns false.
 func (m *streamMover) tryMove(ctx context.Context) bool {
@@ -36,7 +36,7 @@
 		return false
 	}
 	m.search = nil
-	c.movedTo = &slot
+	c.moveTarget = &slot
 	return true
 }
 
--- a/request/forward/stream.go
+++ b/request/forward/stream.go
@@ -36,8 +36,8 @@
 		strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType)
 }
 
-// forwardStream forwards each event as soon as the event has arrived completely.
-// If the stream is to be moved to another server, it returns after an event with
+// forwardStream forwards each event once the event has arrived completely. If the
+// stream is to be moved to another server, it returns between two events, with
 // the outcome [dispatch.Moved].
 func (c *call) forwardStream(ctx context.Context, resp *http.Response, slot dispatch.Slot, watch *stallWatch) attemptResult {
 	r := attemptResult{outcome: dispatch.Broken, mayHaveArrived: true, mayHaveRun: true}
@@ -95,9 +95,10 @@
 	}
 }
 
-// forwardEvent forwards one event, unless its numeric ID is not above that of the
-// last event that the client has received. It returns errEventGap if the stream to
-// the client has begun and at least one ID is missing between these two events.
+// forwardEvent forwards one event. It skips an event that the client already has,
+// that is, one whose numeric ID is not above c.lastEventID. If the stream to the
+// client has begun and IDs are missing between c.lastEventID and the ID of this
+// event, it returns errEventGap.
 func (c *call) forwardEvent(resp *http.Response, event []byte) error {
 	id := eventID(event)
 	if id != "" {
@@ -128,7 +129,7 @@
 }
 
 // startStream writes the header of resp to the client, unless a response header
-// has been written already.
+// was written before.
 func (c *call) startStream(resp *http.Response) {
 	if c.headerSent {
 		return
