--- a/request/relay/attempt.go
+++ b/request/relay/attempt.go
@@ -57,7 +57,7 @@
 }
 
 // receive returns the next frame of an exchange, or errWrongRequestID when the
-// frame does not carry the request id.
+// request id in the frame is not id.
 func receive(ctx context.Context, x work.Exchange, id string) (any, error) {
 	msg, err := x.Receive(ctx)
 	if err != nil {
@@ -94,25 +94,25 @@
 // bodyChecksum computes the length and hash of a response body, to be compared
 // with those in the agent's End frame.
 type bodyChecksum struct {
-	bytes int64
-	sum   *xxhash.Digest
+	byteCount int64
+	sum       *xxhash.Digest
 }
 
 func newBodyChecksum() *bodyChecksum { return &bodyChecksum{sum: xxhash.New()} }
 
 func (c *bodyChecksum) add(body []byte) {
-	c.bytes += int64(len(body))
+	c.byteCount += int64(len(body))
 	c.sum.Write(body)
 }
 
 func (c *bodyChecksum) matches(end frame.End) bool {
-	return c.bytes == end.Bytes && c.sum.Sum64() == end.Sum
+	return c.byteCount == end.Bytes && c.sum.Sum64() == end.Sum
 }
 
 // responseReader reads one response from an exchange.
 type responseReader struct {
 	id string
-	// digest is the weights digest that the response must carry; empty for
+	// digest is the manifest digest that the response must carry; empty for
 	// calls to plain services.
 	digest core.Digest
 	// onProgress is called for each Data frame, before onData.
--- a/request/relay/budget.go
+++ b/request/relay/budget.go
@@ -9,14 +9,15 @@
 // that retries cannot amplify an overload. A retry is counted until the first byte
 // of its response arrives.
 type retryBudget struct {
-	// ratio is the share of the calls in flight; negative for no limit.
+	// ratio is the limit as a share of the calls in flight; negative for no
+	// limit.
 	ratio float64
-	// minConcurrentRetries is the limit while that share is smaller.
+	// minConcurrentRetries is the limit while ratio gives a lower limit.
 	minConcurrentRetries int
 
 	mu            sync.Mutex
 	callsInFlight int
-	// retryCount is the number of retries that the budget counts.
+	// retryCount is the number of retries that were admitted and not released.
 	retryCount int
 	// retryReleased is closed, and replaced, when a retry is released.
 	retryReleased chan struct{}
@@ -32,9 +33,9 @@
 	return func() { b.adjust(-1, 0) }
 }
 
-// acquire waits until the budget admits one more retry and counts that retry, or
-// returns false when ctx ends first. The first call of release ends the counting;
-// further calls do nothing.
+// acquire waits until the budget admits one more retry and counts the retry, or
+// returns false when ctx ends first. The first call of release removes the
+// retry from the count; further calls do nothing.
 func (b *retryBudget) acquire(ctx context.Context) (release func(), ok bool) {
 	for {
 		b.mu.Lock()
--- a/request/relay/call.go
+++ b/request/relay/call.go
@@ -21,11 +21,12 @@
 )
 
 // maxRequestIDBytes is the greatest length of a request id that a caller may
-// send; a longer one is replaced.
+// send; a longer id is replaced.
 const maxRequestIDBytes = 128
 
-// resumePriority is the priority of a call whose response has begun: such a
-// call takes precedence over calls that have not started.
+// resumePriority is the highest priority. It is the priority of a call whose
+// response has begun: such a call takes precedence over calls that have not
+// started.
 const resumePriority = 9
 
 // call is one HTTP call received from a client account.
@@ -63,9 +64,9 @@
 	}
 }
 
-// attemptRequest returns the request for one attempt. The timeout of the request
-// is the time left until the deadline of ctx. resumeTokens is the number of tokens
-// that the caller has already received; if there are any, the request has
+// attemptRequest returns the request for one attempt. The request's timeout is
+// the time left until the deadline of ctx. resumeTokens is the number of tokens
+// that the caller has already received; if it is not 0, the request has
 // resumePriority.
 func (c *call) attemptRequest(ctx context.Context, resumeTokens int) frame.Request {
 	req := c.request
@@ -91,10 +92,10 @@
 	return id
 }
 
-// reserveRequestID returns an id that no other call in flight has, because
-// responses are matched to calls by their id: the result of assignRequestID or, if
-// another call has that id, a new one. The caller must call release once, when the
-// call has ended.
+// reserveRequestID returns a request id that no other call in flight has: the
+// result of assignRequestID or, if another call has that id, a new id. The ids
+// must differ because responses are matched to calls by request id. The caller
+// must call release once, when the call has ended.
 func (r *Relay) reserveRequestID(c echo.Context) (id string, release func()) {
 	id = assignRequestID(c)
 	r.mu.Lock()
@@ -123,7 +124,7 @@
 	if err != nil {
 		return nil, newProblem(http.StatusUnauthorized, core.OutcomeNotRun, err.Error())
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), req.Body, r.config.MaxBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), req.Body, r.config.MaxRequestBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, newProblem(http.StatusRequestEntityTooLarge, core.OutcomeNotRun, err.Error())
@@ -149,7 +150,7 @@
 }
 
 // requestPriority returns the priority in the request header, limited to the
-// account's MaxPriority, or 0 if there is no valid one.
+// account's MaxPriority. It returns 0 if the header has no valid priority.
 func requestPriority(h http.Header, a *declare.ClientAccount) int {
 	n, err := strconv.Atoi(h.Get(core.HeaderPriority))
 	if err != nil {
@@ -182,7 +183,8 @@
 
 // findRoute returns the declared route of a service for a method and path. An
 // exact path takes precedence over prefixes, and a longer prefix over a shorter
-// one. Paths that are not in clean form match no route.
+// prefix. A path that path.Clean would change, other than by removing a final
+// slash, matches no route.
 func findRoute(service *declare.Service, method, requestPath string) (declare.Route, bool) {
 	if clean := path.Clean(requestPath); clean != requestPath && clean+"/" != requestPath {
 		return declare.Route{}, false
--- a/request/relay/fakes_test.go
+++ b/request/relay/fakes_test.go
@@ -114,8 +114,9 @@
 	server *httptest.Server
 }
 
-// newFixture starts a Relay with the given agents. An agent whose id begins with
-// "booking" runs the plain service booking, and any other one an engine.
+// newFixture starts a Relay with the given agents. An agent whose id begins
+// with "booking" runs the plain service booking; every other agent runs an
+// engine.
 func newFixture(t *testing.T, config Config, onceRecords *once.RecordStore, agents map[string]fakeAgent) *fixture {
 	t.Helper()
 	fx := &fixture{opener: &fakeOpener{agents: agents}, holder: confstore.NewHolder()}
--- a/request/relay/handlers.go
+++ b/request/relay/handlers.go
@@ -27,8 +27,8 @@
 	Messages json.RawMessage `json:"messages"`
 }
 
-// affinityPrefixBytes is the length of the prompt prefix that prefix affinity
-// compares.
+// affinityPrefixBytes is the length of the prompt prefix that routing uses to
+// send calls with the same prefix to the same server.
 const affinityPrefixBytes = 256
 
 // prefixHash returns the hash of the first affinityPrefixBytes of the prompt or,
--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -77,7 +77,7 @@
 }
 
 // fakeServer is an agent with a plain service that follows the protocol of
-// once-only calls. It may be killed, pause, or lose its responses.
+// once-only calls. The agent may be killed, may pause, and may lose responses.
 type fakeServer struct {
 	id      string
 	faults  *faultSource
@@ -89,7 +89,8 @@
 	killed chan struct{}
 	// The following three maps concern the current incarnation only.
 
-	// forbidden maps the key of a call to the highest attempt that must not run.
+	// forbidden maps the key of a call to the highest attempt number that must
+	// not run.
 	forbidden map[string]int
 	// states maps the key and attempt of a call ("key#attempt") to the state of
 	// the attempt.
--- a/request/relay/once_test.go
+++ b/request/relay/once_test.go
@@ -162,10 +162,11 @@
 	record.BodyDigest = core.DigestOf([]byte(got))
 }
 
-// runCall makes call number n. Calls with an even number have no Idempotency-Key and are
-// submitted once. The others are submitted up to four times, through one entry
-// instance after another, until one submission succeeds, and then once more.
-// Every tenth call is also submitted through two entry instances concurrently.
+// runCall makes call number n. A call with an even number has no
+// Idempotency-Key and is submitted once. A call with an odd number is submitted
+// up to four times, through one entry instance after another, until one
+// submission succeeds, and then once more. Every tenth call is also submitted
+// through two entry instances concurrently.
 func (fx *onceFixture) runCall(client *http.Client, n int) {
 	id := fmt.Sprintf("call-%d", n)
 	if n%2 == 0 {
@@ -208,9 +209,10 @@
 	}
 }
 
-// TestOnceOnlyCallsRunAtMostOnce also writes its history to the file named by
-// RATTANWAY_TEST_HISTORY if that is set, so that the history can be checked again
-// later.
+// TestOnceOnlyCallsRunAtMostOnce checks the history of all submissions and
+// executions. It also writes the history to the file named by
+// RATTANWAY_TEST_HISTORY if that variable is set, so that the history can be
+// checked again later.
 func TestOnceOnlyCallsRunAtMostOnce(t *testing.T) {
 	Convey("Given 10,000 once-only calls with killed and paused processes, lost responses and table outages", t, func() {
 		var out bytes.Buffer
@@ -232,7 +234,8 @@
 	})
 }
 
-// runOnceCalls makes all calls concurrently while faults are injected.
+// runOnceCalls makes onceCallCount calls through onceWorkerCount concurrent
+// workers while faults are injected.
 func runOnceCalls(fx *onceFixture, f *faultSource) {
 	stop := make(chan struct{})
 	var injector, workers sync.WaitGroup
--- a/request/relay/onceonly.go
+++ b/request/relay/onceonly.go
@@ -18,7 +18,8 @@
 )
 
 // errHoldExpired is returned when the agent no longer holds the slot for the
-// call, because the hold time has passed. Another call may have the slot.
+// call, because the hold time has passed. The agent may have given the slot to
+// another call.
 var errHoldExpired = errors.New("the held slot has expired")
 
 // errResponseTooLarge is returned when the response to a once-only call exceeds
@@ -87,7 +88,8 @@
 	}
 }
 
-// keyedCall is a once-only call with an Idempotency-Key.
+// keyedCall is one submission of a once-only call with an Idempotency-Key. The
+// caller may submit the call several times with the same key.
 type keyedCall struct {
 	once.Call
 	// nextAttempt is the attempt that this submission may claim next.
@@ -115,7 +117,7 @@
 // offerToServers offers the call to one server after another until an agent
 // admits the call, and runs the call there. keyed is nil for calls without an
 // Idempotency-Key. The error is once.ErrAlreadyClaimed when another submission
-// has claimed this attempt first, and nil otherwise.
+// has claimed keyed.nextAttempt first, and nil otherwise.
 func (r *Relay) offerToServers(ctx context.Context, call *call, keyed *keyedCall) (*once.Outcome, *Problem, error) {
 	tried := map[string]bool{}
 	retryAfter := r.config.RetryAfter
@@ -196,9 +198,9 @@
 	refusalReason frame.Reason
 }
 
-// run offers the call to the agent, and runs the call if the agent admits it. If
-// only the error is set, the call did not run and may be offered to another
-// server, unless the error is once.ErrAlreadyClaimed.
+// run offers the call to the agent, and runs the call if the agent admits it.
+// If it returns only an error, the call did not run and may be offered to
+// another server, unless the error is once.ErrAlreadyClaimed.
 func (oa *onceAttempt) run(ctx context.Context) (*once.Outcome, *Problem, error) {
 	x, admitted, res := oa.offer(ctx)
 	if res.result != routing.ResultOK {
@@ -240,8 +242,8 @@
 	offeredAt time.Time
 }
 
-// offer offers the call to the agent and waits until the agent admits or refuses
-// the call.
+// offer offers the call to the agent and waits until the agent admits or
+// refuses the call. The exchange is open only if the agent admitted the call.
 func (oa *onceAttempt) offer(ctx context.Context) (work.Exchange, admittedOffer, attemptResult) {
 	req := oa.call.attemptRequest(ctx, 0)
 	if oa.keyed != nil {
--- a/request/relay/problem.go
+++ b/request/relay/problem.go
@@ -18,8 +18,8 @@
 
 // Problem is the problem document, RFC 9457, in the response to a refused call.
 type Problem struct {
-	// Type is always "about:blank": the problem has no meaning beyond that of
-	// its status.
+	// Type is always "about:blank", which means that only the status describes
+	// the problem.
 	Type string `json:"type"`
 	// Title is the standard text of the HTTP status.
 	Title string `json:"title"`
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -1,8 +1,8 @@
 // Package relay is the reverse proxy of an entry instance: it forwards each
 // call of a client account to a backend server that routing chooses, and sends
-// the response to the caller. It retries, resumes or refuses calls depending
-// on whether they are repeatable, and never ends an incomplete response as if
-// it were complete.
+// the response to the caller. It retries or resumes a repeatable call, which
+// may run more than once. It runs any other call, a once-only call, at most
+// once. It never ends an incomplete response as if it were complete.
 package relay
 
 import (
@@ -40,7 +40,7 @@
 	defaultRetryBudgetTimeout   = 2 * time.Second
 	defaultResumeTimeout        = 10 * time.Second
 	defaultRetryPause           = 50 * time.Millisecond
-	defaultMaxBodyBytes         = 8 << 20
+	defaultMaxRequestBodyBytes  = 8 << 20
 	defaultResponseBufferBytes  = 1 << 20
 	defaultMaxResponseBytes     = 8 << 20
 	defaultRetryAfter           = time.Second
@@ -91,9 +91,9 @@
 	// AttemptQueryTimeout bounds one query to an agent for the state of an
 	// earlier attempt; default 1 s.
 	AttemptQueryTimeout time.Duration
-	// RetryBudgetRatio bounds the retries that wait for their first byte, as
-	// a share of the calls in flight; default 0.2. A negative value removes
-	// the bound.
+	// RetryBudgetRatio is the largest number of retries that may wait for their
+	// first byte at the same time, as a share of the calls in flight; default
+	// 0.2. A negative value removes the bound.
 	RetryBudgetRatio float64
 	// MinConcurrentRetries is the number of retries that may wait for their
 	// first byte at the same time however few calls are in flight; default 10.
@@ -102,20 +102,21 @@
 	// call, the attempts that an agent has refused since the call was last switched
 	// to another version are not counted.
 	MaxAttempts int
-	// RetryBudgetTimeout bounds the time that a retry waits until the retry
-	// budget admits it; default 2 s.
+	// RetryBudgetTimeout bounds the wait of a retry for its admission by the
+	// retry budget; default 2 s.
 	RetryBudgetTimeout time.Duration
 	// MaxRefusals is the number of refusals by agents after which a call whose
 	// response has not begun is refused or, during a rollout, offered to the
 	// servers of another version; default 4.
 	MaxRefusals int
-	// RefuseAfter is the age from which a call whose response has not begun is
-	// refused when no other server is known to have a free slot; default
-	// 50 ms.
+	// RefuseAfter is the age from which a refusal by an agent ends a call whose
+	// response has not begun, if no other server is known to have a free slot.
+	// During a rollout, the call may be offered to the servers of another
+	// version instead. The default is 50 ms.
 	RefuseAfter time.Duration
-	// FairShareMaxAge is the age up to which a call within the fair share of its
-	// client account is offered to further servers after a refusal; default
-	// 250 ms.
+	// FairShareMaxAge is the age up to which a call within the fair share of
+	// its client account (see package accounts) is offered to further servers
+	// after a refusal; default 250 ms.
 	FairShareMaxAge time.Duration
 	// ResumeTimeout bounds the search for a server that resumes a response that
 	// has begun; default 10 s.
@@ -125,11 +126,11 @@
 	// agents with an old configuration, or to the servers of another version;
 	// default 50 ms.
 	RetryPause time.Duration
-	// MaxBodyBytes is the largest request body; default 8 MiB.
-	MaxBodyBytes int64
-	// ResponseBufferBytes is the largest part of a response that is buffered
-	// until the response is known to be complete, if the response is not
-	// streamed; default 1 MiB.
+	// MaxRequestBodyBytes is the largest request body; default 8 MiB.
+	MaxRequestBodyBytes int64
+	// ResponseBufferBytes is the size of the buffer for a response that is not
+	// streamed. The response is buffered until it is known to be complete, but
+	// a response that exceeds the buffer is sent as it arrives; default 1 MiB.
 	ResponseBufferBytes int
 	// MaxResponseBytes is the largest response body of a once-only call; default
 	// 8 MiB.
@@ -137,8 +138,9 @@
 	// RetryAfter is the Retry-After time of refused calls for which the agent
 	// suggested none; default 1 s.
 	RetryAfter time.Duration
-	// StaleConfigMaxAge is how long after its arrival a call may still wait for
-	// agents that have not received the newest configuration; default 1 s.
+	// StaleConfigMaxAge is the age up to which a call is offered again after a
+	// refusal by an agent that has not received the newest configuration;
+	// default 1 s.
 	StaleConfigMaxAge time.Duration
 	// RecordTimeout bounds the recording of the outcome of a once-only call;
 	// default 30 s.
@@ -161,7 +163,7 @@
 	core.SetDefault(&c.FairShareMaxAge, defaultFairShareMaxAge)
 	core.SetDefault(&c.ResumeTimeout, defaultResumeTimeout)
 	core.SetDefault(&c.RetryPause, defaultRetryPause)
-	core.SetDefault(&c.MaxBodyBytes, defaultMaxBodyBytes)
+	core.SetDefault(&c.MaxRequestBodyBytes, defaultMaxRequestBodyBytes)
 	core.SetDefault(&c.ResponseBufferBytes, defaultResponseBufferBytes)
 	core.SetDefault(&c.MaxResponseBytes, defaultMaxResponseBytes)
 	core.SetDefault(&c.RetryAfter, defaultRetryAfter)
@@ -185,9 +187,10 @@
 
 	mu       sync.Mutex
 	draining bool
-	// inFlightCount counts calls in flight and outcomes being recorded.
-	inFlightCount int
-	// allDone is closed once Drain was called and inFlightCount is 0.
+	// activeCount is the number of calls in flight plus the number of outcomes
+	// being recorded.
+	activeCount int
+	// allDone is closed once Drain has been called and activeCount is 0.
 	allDone chan struct{}
 	// requestIDs are the request ids of the calls in flight.
 	requestIDs map[string]bool
@@ -227,7 +230,7 @@
 // error when ctx ends first.
 func (r *Relay) Drain(ctx context.Context) error {
 	r.mu.Lock()
-	if !r.draining && r.inFlightCount == 0 {
+	if !r.draining && r.activeCount == 0 {
 		close(r.allDone)
 	}
 	r.draining = true
@@ -248,7 +251,7 @@
 	if r.draining {
 		return false
 	}
-	r.inFlightCount++
+	r.activeCount++
 	return true
 }
 
@@ -257,15 +260,16 @@
 func (r *Relay) beginBackgroundWork() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.inFlightCount++
+	r.activeCount++
 }
 
-// endWork ends what one successful beginCall or one beginBackgroundWork counted.
+// endWork ends the counting that one successful call of beginCall, or one call
+// of beginBackgroundWork, began.
 func (r *Relay) endWork() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.inFlightCount--
-	if r.draining && r.inFlightCount == 0 {
+	r.activeCount--
+	if r.draining && r.activeCount == 0 {
 		close(r.allDone)
 	}
 }
@@ -275,5 +279,5 @@
 func (r *Relay) InFlight() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.inFlightCount
+	return r.activeCount
 }
--- a/request/relay/repeatable.go
+++ b/request/relay/repeatable.go
@@ -33,14 +33,15 @@
 	// mayHaveRun is true once an attempt has failed, unless the agent's Fail
 	// frame reported "not-run".
 	mayHaveRun bool
-	// failedAt is the time of the last failed attempt.
-	failedAt time.Time
+	// lastFailedAt is the time of the last failed attempt.
+	lastFailedAt time.Time
 	// versionSwitchCount counts how often the call was switched to another version.
 	versionSwitchCount int
-	// lastRefusal is the newest refusal by an agent; nil for none.
+	// lastRefusal is the newest refusal by an agent; nil if there was no
+	// refusal.
 	lastRefusal *frame.Refuse
-	// releaseRetry ends the counting of the current attempt in the retry budget. It
-	// does nothing if the attempt is not a retry.
+	// releaseRetry removes the current attempt from the count of the retry
+	// budget. It does nothing if the attempt is not a retry.
 	releaseRetry func()
 }
 
@@ -105,9 +106,9 @@
 	}
 }
 
-// prepareNextAttempt prepares the attempt after one that was refused or failed.
-// It returns nil, or a Problem for the caller when there is to be no further
-// attempt.
+// prepareNextAttempt prepares the next attempt after res, the result of a
+// refused or failed attempt at server. It returns nil, or a Problem for the
+// caller when there is to be no further attempt.
 func (rc *repeatableCall) prepareNextAttempt(ctx context.Context, server registry.Server, res attemptResult) *Problem {
 	rc.tried[server.Instance.ID] = true
 	if ctx.Err() != nil {
@@ -155,10 +156,10 @@
 	return nil
 }
 
-// switchVersion switches a refused call, if no part of it may have run, to
-// another version of its model. The first switch happens at once; each further
-// switch follows a pause and is made only while the call is younger than
-// FairShareMaxAge. switchVersion returns false if it did not switch the version.
+// switchVersion switches a refused call to another version of its model. It
+// returns false, and does not switch the version, if any part of the call may
+// have run. The first switch happens at once. Each further switch follows a
+// pause, and is made only while the call is younger than FairShareMaxAge.
 func (rc *repeatableCall) switchVersion(ctx context.Context) bool {
 	if rc.mayHaveRun || rc.call.service != "" { // plain services have no versions
 		return false
@@ -202,7 +203,7 @@
 // failure, or when ctx ends.
 func (rc *repeatableCall) startNextRound(ctx context.Context) bool {
 	config := rc.relay.config
-	if !rc.response.headerSent || rc.relay.clock.Since(rc.failedAt) >= config.ResumeTimeout {
+	if !rc.response.headerSent || rc.relay.clock.Since(rc.lastFailedAt) >= config.ResumeTimeout {
 		return false
 	}
 	select {
@@ -211,7 +212,7 @@
 	case <-rc.relay.clock.After(config.RetryPause):
 	}
 	clear(rc.tried)
-	if rc.relay.clock.Since(rc.failedAt) < config.ResumeTimeout/2 {
+	if rc.relay.clock.Since(rc.lastFailedAt) < config.ResumeTimeout/2 {
 		maps.Copy(rc.tried, rc.failed)
 	}
 	return true
@@ -221,7 +222,7 @@
 // a failed attempt. It returns nil if so, and otherwise a Problem for the caller.
 func (rc *repeatableCall) afterFailure(ctx context.Context, server registry.Server, res attemptResult) *Problem {
 	config := rc.relay.config
-	rc.failedAt = rc.relay.clock.Now()
+	rc.lastFailedAt = rc.relay.clock.Now()
 	rc.failed[server.Instance.ID] = true
 	rc.mayHaveRun = rc.mayHaveRun || res.failOutcome != core.OutcomeNotRun
 	if rc.attemptCount-rc.refusalsSinceSwitch >= config.MaxAttempts {
@@ -304,9 +305,8 @@
 	return nil
 }
 
-// handleData writes a chunk of the body to the response. It also ends the counting
-// of a retry in the retry budget, because the budget counts a retry only until its
-// first byte.
+// handleData writes a chunk of the body to the response. It also releases the
+// retry, because the retry budget counts a retry only until its first byte.
 func (rc *repeatableCall) handleData(data frame.Data) error {
 	rc.releaseRetry()
 	if err := rc.response.write(data); err != nil {
--- a/request/relay/stall.go
+++ b/request/relay/stall.go
@@ -12,8 +12,8 @@
 const (
 	// checkInterval is the time between two checks of the attempts.
 	checkInterval = 200 * time.Millisecond
-	// suspendedIdleLimit is the idle limit of attempts at a suspended server, if
-	// their own is longer.
+	// suspendedIdleLimit is the idle limit of an attempt at a suspended server,
+	// unless the attempt's own limit is shorter.
 	suspendedIdleLimit = time.Second
 )
 
@@ -24,10 +24,10 @@
 )
 
 // stallMonitor cancels attempts whose server has sent no data for too long, and
-// earlier if routing has suspended the server. After a pause of this process only
-// a short part of the pause counts as idle time, so that data that arrived during
-// the pause is read first. The monitor's goroutine runs only while there are
-// attempts.
+// cancels them earlier if routing has suspended the server. Of a pause of this
+// process, at most two checkIntervals count as idle time, so that data that
+// arrived during the pause is read first. The monitor's goroutine runs only
+// while there are attempts.
 type stallMonitor struct {
 	// isServerSuspended reports whether routing has suspended the server with the
 	// given id.
@@ -37,8 +37,8 @@
 	mu       sync.Mutex
 	attempts map[*monitoredAttempt]bool
 	// running is true while the goroutine runs.
-	running   bool
-	lastCheck time.Time
+	running     bool
+	lastCheckAt time.Time
 }
 
 // monitoredAttempt is an attempt that a stallMonitor checks.
@@ -71,7 +71,7 @@
 	m.attempts[a] = true
 	if !m.running {
 		m.running = true
-		m.lastCheck = m.clock.Now()
+		m.lastCheckAt = m.clock.Now()
 		go m.run()
 	}
 	return ctx, a
@@ -122,8 +122,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
-	elapsed := min(now.Sub(m.lastCheck), 2*checkInterval)
-	m.lastCheck = now
+	elapsed := min(now.Sub(m.lastCheckAt), 2*checkInterval)
+	m.lastCheckAt = now
 	suspendedServers := map[string]bool{}
 	for a := range m.attempts {
 		serverSuspended, known := suspendedServers[a.serverID]
