--- a/request/serve/bench_test.go
+++ b/request/serve/bench_test.go
@@ -13,13 +13,13 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// instantEngine responds to every call at once with one event per token, so that
-// a benchmark measures only the agent. Each Read of the response returns one
-// event.
+// instantEngine responds to every call at once with one event per token, so
+// that a benchmark measures only the agent. Each Read of the response body
+// returns one event.
 type instantEngine struct {
 	engine.Engine
-	// tokens is the number of tokens in each response.
-	tokens int
+	// tokenCount is the number of tokens in each response.
+	tokenCount int
 }
 
 // eventBody is the body of an instantEngine's response.
@@ -53,7 +53,7 @@
 	return engine.Response{
 		ID: c.ID, Status: 200, Digest: testDigest,
 		Header: map[string][]string{"Content-Type": {eventStreamType}, core.HeaderRequestID: {c.ID}},
-		Body:   &eventBody{event: []byte(event), readsLeft: e.tokens + 1},
+		Body:   &eventBody{event: []byte(event), readsLeft: e.tokenCount + 1},
 	}, nil
 }
 
@@ -92,7 +92,7 @@
 	for _, tokens := range []int{1, 201} {
 		b.Run("tokens="+strconv.Itoa(tokens), func(b *testing.B) {
 			h := newHarness(b, options{wrap: func(e engine.Engine) engine.Engine {
-				return instantEngine{Engine: e, tokens: tokens}
+				return instantEngine{Engine: e, tokenCount: tokens}
 			}})
 			status := engine.Status{Loaded: []frame.Loaded{{Model: testModel, Digest: testDigest}}}
 			h.handler.status = func() (engine.Status, bool) { return status, true }
--- a/request/serve/check.go
+++ b/request/serve/check.go
@@ -18,9 +18,9 @@
 // "" when it may. repeatable is true when the entry instance sent the call
 // without an offer.
 func (h *Handler) refusalReason(req *frame.Request, repeatable bool) frame.Reason {
-	// The confirmation is checked before the configuration is read. In the other
-	// order a newer version could arrive in between, and the confirmation of the
-	// newer version would be taken for that of the older one.
+	// The confirmation is checked before the configuration is read. In the
+	// other order, a newer version could arrive between the two steps, and the
+	// confirmation of the newer version would count for the older version.
 	unconfirmed := h.configUnconfirmed()
 	current := h.holder.Current()
 	if unconfirmed || req.ConfigNumber > current.Number {
@@ -82,9 +82,9 @@
 	return path == pattern
 }
 
-// engineRefusalReason returns why, according to its latest status, the engine or
-// service cannot run req, or "" when it can. It passes the boot id in the status
-// to SetBootID.
+// engineRefusalReason returns why the engine or service cannot run req, or ""
+// when it can, according to the latest status. It passes the boot id in the
+// status to SetBootID.
 func (h *Handler) engineRefusalReason(req *frame.Request) frame.Reason {
 	status, ok := h.status()
 	if !ok {
@@ -108,8 +108,9 @@
 	return false
 }
 
-// SetBootID stores the engine's boot id and resets the limiter when it has
-// changed, which means that the engine restarted or turned cold.
+// SetBootID stores the engine's boot id. If the id has changed, SetBootID
+// resets the limiter, because the engine has restarted or turned cold (it now
+// runs fewer calls at full speed).
 func (h *Handler) SetBootID(boot string) {
 	h.mu.Lock()
 	previous := h.bootID
--- a/request/serve/faults_test.go
+++ b/request/serve/faults_test.go
@@ -34,7 +34,7 @@
 			h.engine.SetFaults(standin.Faults{Swap: otherDigest, SwapAfter: 7})
 			r := h.do(frame.KindRequest, req)
 			So(r.summary(), ShouldEqual, "failed incomplete")
-			So(r.tokens, ShouldEqual, 7)
+			So(r.tokenCount, ShouldEqual, 7)
 			completeText, err := standin.ExpectedText(testDigest, req.Body)
 			So(err, ShouldBeNil)
 			So(strings.HasPrefix(completeText, joinTokens(r.body)), ShouldBeTrue)
@@ -57,13 +57,13 @@
 			h.engine.SetFaults(standin.Faults{Cut: true, CutAfter: 5})
 			r := h.do(frame.KindRequest, req)
 			So(r.summary(), ShouldEqual, "failed incomplete")
-			So(r.tokens, ShouldEqual, 5)
+			So(r.tokenCount, ShouldEqual, 5)
 		})
 		Convey("a stream that stalls is ended after the stall timeout", func() {
 			h.engine.SetFaults(standin.Faults{Stall: true, StallAfter: 5})
 			r := h.do(frame.KindRequest, req)
 			So(r.summary(), ShouldEqual, "failed incomplete")
-			So(r.tokens, ShouldEqual, 5)
+			So(r.tokenCount, ShouldEqual, 5)
 			So(r.fail.Detail, ShouldContainSubstring, errStalled.Error())
 		})
 		Convey("a call whose engine sends no token is ended after the first-byte timeout", func() {
@@ -147,9 +147,9 @@
 	})
 }
 
-// misroutingEngine returns the response to the first call as the response to the
-// second one, like an engine that mixes up its connections. The first call gets no
-// response.
+// misroutingEngine returns the response to the first call as the response to
+// the second call, like an engine that mixes up its connections. The first call
+// gets no response.
 type misroutingEngine struct {
 	engine.Engine
 	firstResponse engine.Response
--- a/request/serve/ledger.go
+++ b/request/serve/ledger.go
@@ -7,8 +7,9 @@
 	"github.com/rattanway/rattanway/connection/frame"
 )
 
-// maxEarlierForbidden is the number of earlier attempts with the same key that a
-// query about an attempt forbids at most, in addition to the attempt itself.
+// maxEarlierForbidden is the largest number of earlier attempts with the same
+// key that a query about an attempt forbids. The query also forbids the attempt
+// itself.
 const maxEarlierForbidden = 64
 
 // attemptID identifies one attempt to run a once-only call.
@@ -36,18 +37,18 @@
 type attemptRecord struct {
 	id    attemptID
 	state attemptState
-	// openOffers is the number of exchanges that offer the attempt now.
-	openOffers int
+	// openOfferCount is the number of exchanges that offer the attempt now.
+	openOfferCount int
 	// outcome is nil while the attempt has not finished, and when the outcome is
 	// unknown or has been evicted.
 	outcome *frame.Outcome
 }
 
-// isEvictable reports whether the record may be evicted to make room for another:
-// its attempt has finished, is forbidden, or has not started and has no open
-// offer.
+// isEvictable reports whether the record may be evicted to make room for
+// another record: the attempt has finished, is forbidden, or has not started
+// and has no open offer.
 func (r *attemptRecord) isEvictable() bool {
-	return r.state == attemptFinished || r.state == attemptForbidden || r.state == attemptNotStarted && r.openOffers == 0
+	return r.state == attemptFinished || r.state == attemptForbidden || r.state == attemptNotStarted && r.openOfferCount == 0
 }
 
 // outcomeBytes returns the size of the outcome's body; 0 without an outcome.
@@ -67,7 +68,8 @@
 	maxTotalOutcomeBytes int
 
 	mu sync.Mutex
-	// records holds the element of oldestFirst of each record.
+	// records maps the id of each attempt to the element of oldestFirst that
+	// holds its record.
 	records map[attemptID]*list.Element
 	// oldestFirst holds the records (*attemptRecord) in the order in which they
 	// were added.
@@ -101,7 +103,7 @@
 	if r == nil || r.state != attemptNotStarted {
 		return false
 	}
-	r.openOffers++
+	r.openOfferCount++
 	return true
 }
 
@@ -110,8 +112,8 @@
 func (l *ledger) endOffer(id attemptID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r := l.find(id); r != nil && r.openOffers > 0 {
-		r.openOffers--
+	if r := l.find(id); r != nil && r.openOfferCount > 0 {
+		r.openOfferCount--
 	}
 }
 
@@ -121,7 +123,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.find(id)
-	if r == nil || r.state != attemptNotStarted || r.openOffers == 0 {
+	if r == nil || r.state != attemptNotStarted || r.openOfferCount == 0 {
 		return false
 	}
 	r.state = attemptRunning
@@ -153,11 +155,13 @@
 	l.evictOutcomes()
 }
 
-// queryAndForbid returns the state of the attempt, with the outcome if the ledger
-// still has the outcome. It forbids the attempt and up to maxEarlierForbidden
-// earlier attempts with the same key, unless they have started. For an attempt
-// without a record it adds one, so that a later offer is refused; but if records
-// have been evicted or the ledger is full, it returns frame.AttemptUnknown.
+// queryAndForbid returns the state of the attempt, with the outcome if the
+// ledger still has the outcome. It forbids the attempt and up to
+// maxEarlierForbidden earlier attempts with the same key, unless they have
+// started. If the attempt has no record, queryAndForbid adds a record, so that
+// a later offer is refused. If it cannot do this because the ledger is full, or
+// if records have been evicted, it returns frame.AttemptUnknown for an attempt
+// without a record.
 func (l *ledger) queryAndForbid(id attemptID) (frame.AttemptState, *frame.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/request/serve/load_test.go
+++ b/request/serve/load_test.go
@@ -19,22 +19,24 @@
 )
 
 const (
-	// loadTokens is the mean length of a response; lengths vary from 0.5 to 1.5
-	// times that. In virtual time, responses of equal length would all begin and
-	// end together.
+	// loadTokens is the mean length of a response, in tokens. The lengths vary
+	// from 0.5 to 1.5 times the mean: in virtual time, responses of equal
+	// length would all begin and end together.
 	loadTokens = 20
 	// warmCapacity and coldCapacity are the numbers of concurrent calls that a
 	// warm and a cold engine run at full speed.
 	warmCapacity = 32
 	coldCapacity = 8
-	// perToken is the time that the engine takes for one token at full speed.
-	perToken = 5 * time.Millisecond
+	// timePerToken is the time that the engine takes for one token at full
+	// speed.
+	timePerToken = 5 * time.Millisecond
 	// capacityTestTime is how long the capacity of an engine is measured.
 	capacityTestTime = 10 * time.Second
 	// overloadTestTime is how long an overload lasts. It is long so that the calls
 	// at its start and end, which are counted only in part, matter little.
 	overloadTestTime = 20 * time.Second
-	// negligibleWarmPerCall keeps an engine cold however many calls finish.
+	// negligibleWarmPerCall is a value of warmPerCall so small that an engine
+	// stays cold however many calls finish.
 	negligibleWarmPerCall = 1e-9
 	// maxRefusalTime is the longest time that a refusal may take.
 	maxRefusalTime = 100 * time.Millisecond
@@ -52,12 +54,12 @@
 
 // tally counts the replies to calls, by client account.
 type tally struct {
-	mu             sync.Mutex
-	completed      map[string]int
-	refused        map[string]int
-	otherReplies   int
-	slowestRefusal time.Duration
-	finishedCount  int
+	mu              sync.Mutex
+	completed       map[string]int
+	refused         map[string]int
+	otherReplyCount int
+	slowestRefusal  time.Duration
+	finishedCount   int
 }
 
 func newTally() *tally { return &tally{completed: map[string]int{}, refused: map[string]int{}} }
@@ -73,7 +75,7 @@
 		c.refused[account]++
 		c.slowestRefusal = max(c.slowestRefusal, elapsed)
 	default:
-		c.otherReplies++
+		c.otherReplyCount++
 	}
 }
 
@@ -95,7 +97,7 @@
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / callsPerSecond))
 	defer ticker.Stop()
 	end := time.After(duration)
-	tokens := newResponseLengths(xxhash.Sum64String(account))
+	lengths := newResponseLengths(xxhash.Sum64String(account))
 	for i := 0; ; i++ {
 		select {
 		case <-end:
@@ -103,7 +105,7 @@
 		case <-ticker.C:
 		}
 		calls.Add(1)
-		req := completionRequest(fmt.Sprintf("%s-%d", account, i), tokens.next())
+		req := completionRequest(fmt.Sprintf("%s-%d", account, i), lengths.next())
 		go func() {
 			defer calls.Done()
 			req.Account = account
@@ -126,9 +128,9 @@
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			tokens := newResponseLengths(uint64(w))
+			lengths := newResponseLengths(uint64(w))
 			for i := 0; ctx.Err() == nil; i++ {
-				req := completionRequest(fmt.Sprintf("w%d-%d", w, i), tokens.next())
+				req := completionRequest(fmt.Sprintf("w%d-%d", w, i), lengths.next())
 				c.add("w", h.do(frame.KindRequest, req), 0)
 			}
 		}()
@@ -142,18 +144,19 @@
 func loadTestEngineConfig(warmPerCall float64) standin.Config {
 	return standin.Config{
 		Slots: 128, WarmLimit: warmCapacity, ColdLimit: coldCapacity, WarmPerCall: warmPerCall,
-		TimeToFirstToken: 2 * perToken, TokenInterval: perToken,
+		TimeToFirstToken: 2 * timePerToken, TokenInterval: timePerToken,
 	}
 }
 
-// loadTestLimiterConfig returns the settings of the limiter. With fixed, the limit is
-// warmCapacity from the start and does not adapt.
+// loadTestLimiterConfig returns the settings of the limiter. If fixed is true,
+// the limit is warmCapacity from the start and does not adapt.
 func loadTestLimiterConfig(fixed bool) admission.Config {
 	return admission.Config{Limit: warmCapacity, ColdLimit: coldCapacity, Fixed: fixed}
 }
 
-// coldGoodput sends calls to a cold engine at three times its capacity, and returns
-// the goodput as a share of the capacity. capacity is in calls per second.
+// coldGoodput sends calls to a cold engine at three times its capacity, and
+// returns the goodput (the rate of complete responses) as a share of the
+// capacity. capacity is in calls per second.
 func coldGoodput(t *testing.T, capacity float64, fixed bool, duration time.Duration) float64 {
 	h := newVirtualHarness(t, options{engine: loadTestEngineConfig(negligibleWarmPerCall), limiter: loadTestLimiterConfig(fixed)})
 	c := newTally()
@@ -221,10 +224,10 @@
 		accounts.Wait()
 		share := float64(c.totalCompleted()) / time.Since(start).Seconds() / capacity
 		t.Logf("capacity %.1f calls/s, goodput %.2f of it, slowest refusal %s, completed %v, refused %v, other replies %d",
-			capacity, share, c.slowestRefusal, c.completed, c.refused, c.otherReplies)
+			capacity, share, c.slowestRefusal, c.completed, c.refused, c.otherReplyCount)
 		So(share, ShouldBeGreaterThan, 0.95)
 		So(c.slowestRefusal, ShouldBeLessThan, maxRefusalTime)
-		So(c.otherReplies, ShouldEqual, 0)
+		So(c.otherReplyCount, ShouldEqual, 0)
 		for _, small := range []string{"small-1", "small-2"} {
 			So(float64(c.completed[small])/float64(c.completed[small]+c.refused[small]), ShouldBeGreaterThan, 0.95)
 		}
--- a/request/serve/once.go
+++ b/request/serve/once.go
@@ -16,8 +16,8 @@
 	"github.com/rattanway/rattanway/request/admission"
 )
 
-// maxOnceBodyBytes is the largest body of a response to a once-only call.
-const maxOnceBodyBytes = 4 << 20
+// maxOnceResponseBytes is the largest response body of a once-only call.
+const maxOnceResponseBytes = 4 << 20
 
 // Errors of once-only calls, for logs and Fail frames.
 var (
@@ -97,8 +97,8 @@
 	s.release = nil
 }
 
-// takeRelease returns the release function, which the caller must call; free
-// does nothing from now on.
+// takeRelease returns the release function, which the caller must call. After
+// takeRelease, free does nothing.
 func (s *heldSlot) takeRelease() func(admission.Outcome) {
 	release := s.release
 	s.release = nil
@@ -169,7 +169,7 @@
 	}
 }
 
-// executeOnce makes the call and records the outcome in the ledger, or that the
+// executeOnce makes the call. It records in the ledger the outcome, or that the
 // call did not reach the service.
 func (h *Handler) executeOnce(ctx context.Context, req *frame.Request) onceResult {
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.OnceTimeout)
@@ -199,11 +199,11 @@
 	if resp.ID != "" && resp.ID != req.ID {
 		return nil, errWrongRequest
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOnceBodyBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOnceResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxOnceBodyBytes {
+	if len(body) > maxOnceResponseBytes {
 		return nil, errResponseTooLong
 	}
 	return &frame.Outcome{Status: resp.Status, Header: forwardedHeader(resp.Header), Body: body}, nil
--- a/request/serve/run.go
+++ b/request/serve/run.go
@@ -30,20 +30,21 @@
 	errEngineFailed = errors.New("engine failed")
 )
 
-// sendError wraps an error of sending a frame to the entry instance.
-type sendError struct{ error }
+// frameSendError wraps an error of sending a frame to the entry instance.
+type frameSendError struct{ error }
 
 // Unwrap returns the wrapped error.
-func (e sendError) Unwrap() error { return e.error }
+func (e frameSendError) Unwrap() error { return e.error }
 
-// responseForwarder forwards the response of the engine or service to one
-// repeatable call to the entry instance.
+// responseForwarder forwards to the entry instance the response of the engine
+// or service to one repeatable call.
 type responseForwarder struct {
 	handler  *Handler
 	req      *frame.Request
 	exchange work.AgentExchange
 	call     *watchedCall
-	// headSent is true from just before the Head frame is sent.
+	// headSent is set to true just before the Head frame is sent, so it is also
+	// true when sending that frame fails.
 	headSent bool
 	// bodyBytes is the length of the body sent so far.
 	bodyBytes int64
@@ -51,8 +52,9 @@
 	checksum *xxhash.Digest
 }
 
-// runRepeatable calls the engine or service and forwards the response. cancel must
-// cancel ctx; release is called once, when the call has ended.
+// runRepeatable calls the engine or service and forwards the response. cancel
+// must cancel ctx. release returns the slot to the limiter and is called once,
+// when the call has ended.
 func (h *Handler) runRepeatable(ctx context.Context, cancel context.CancelCauseFunc, req *frame.Request,
 	exchange work.AgentExchange, release func(admission.Outcome)) error {
 	f := &responseForwarder{handler: h, req: req, exchange: exchange, call: h.watcher.add(cancel, h.firstByteTimeout(req)), checksum: xxhash.New()}
@@ -66,9 +68,9 @@
 }
 
 // firstByteTimeout returns the longest wait for the first byte of the response
-// to req: OnceTimeout for a response from an engine that is not streamed, because
-// the engine sends nothing until the response is complete, and otherwise
-// FirstByteTimeout.
+// to req. For an engine's response that is not streamed, it is OnceTimeout,
+// because the engine sends nothing until the response is complete. Otherwise it
+// is FirstByteTimeout.
 func (h *Handler) firstByteTimeout(req *frame.Request) time.Duration {
 	var options struct {
 		Stream bool `json:"stream"`
@@ -80,8 +82,8 @@
 }
 
 // limiterOutcome returns the outcome to report to the limiter for a call that
-// ended with err. An error that does not indicate an overload counts as cancelled,
-// so that the limiter does not adapt to the call.
+// ended with err. For an error that does not indicate an overload, Ignored is
+// set, so that the limiter does not adapt to the call.
 func limiterOutcome(ctx context.Context, err error) admission.Outcome {
 	switch {
 	case err == nil:
@@ -98,7 +100,7 @@
 // been sent, every error leads to Fail. finish sends nothing when the entry
 // instance has disconnected.
 func (f *responseForwarder) finish(ctx context.Context, err error) error {
-	var sendErr sendError
+	var sendErr frameSendError
 	switch {
 	case err == nil:
 		f.handler.logCall(eventCallCompleted, f.req, eventlog.Fields{"bytes": f.bodyBytes, "tokens": f.call.tokenCount.Load()})
@@ -120,7 +122,7 @@
 	}
 }
 
-// forward calls the engine or service and forwards its response to the entry
+// forward calls the engine or service and forwards the response to the entry
 // instance.
 func (f *responseForwarder) forward(ctx context.Context) error {
 	resp, err := f.handler.engine.Do(ctx, newEngineCall(f.req, false))
@@ -158,11 +160,12 @@
 }
 
 // checkResponse returns an error if resp must not be forwarded. It is called
-// before any part of the response is forwarded. For a response of an engine, the
-// statuses 404, 409, 429 and 5xx are errors, and other 4xx responses are accepted
-// without further checks. Any other response must belong to this request and come
-// from the pinned model version. A response of a plain service is an error only if
-// it carries the id of another request.
+// before any part of the response is forwarded. For a response of an engine,
+// the statuses 404, 409, 429 and 5xx are errors, and other 4xx responses are
+// accepted without further checks. An engine's response with any other status
+// must carry the id of this request and come from the pinned model version. A
+// response of a plain service is an error only if it carries the id of another
+// request.
 func (f *responseForwarder) checkResponse(resp engine.Response) error {
 	if f.req.Digest == "" {
 		if resp.ID != "" && resp.ID != f.req.ID {
@@ -206,20 +209,20 @@
 	return err
 }
 
-// sendFrame sends one frame to the entry instance. It returns a sendError on
-// failure.
+// sendFrame sends one frame to the entry instance. It returns a frameSendError
+// on failure.
 func (f *responseForwarder) sendFrame(kind frame.Kind, msg any) error {
 	f.call.sending.Store(true)
 	err := f.exchange.Send(kind, msg)
 	f.call.sending.Store(false)
 	if err != nil {
-		return sendError{err}
+		return frameSendError{err}
 	}
 	return nil
 }
 
-// sendData sends a chunk of the response body, which contains the given number
-// of tokens. An empty chunk is not sent.
+// sendData sends a chunk of the response body. tokens is the number of tokens
+// in the chunk. An empty chunk is not sent.
 func (f *responseForwarder) sendData(chunk []byte, tokens int) error {
 	if len(chunk) == 0 {
 		return nil
--- a/request/serve/serve.go
+++ b/request/serve/serve.go
@@ -1,9 +1,10 @@
 // Package serve handles the calls that entry instances send to an agent: it
-// checks that a call may run on this server now, acquires a slot from the
-// limiter, calls the engine or service, and forwards the response followed by an
-// explicit End frame. A once-only call, which must not be executed twice, runs at
-// most once: the entry instance offers the call, the agent holds a slot for the
-// call, and the entry instance then sends a Go frame.
+// checks that a call may run on this server now, acquires a slot (the
+// permission to run one call) from the limiter, calls the engine or service,
+// and forwards the response followed by an explicit End frame. A once-only
+// call, which must not be executed twice, runs at most once: the entry instance
+// offers the call, the agent holds a slot for the call, and the entry instance
+// then sends a Go frame.
 package serve
 
 import (
@@ -36,11 +37,12 @@
 	DefaultStallTimeout = 5 * time.Second
 	// DefaultOnceTimeout is the longest run time of a once-only call.
 	DefaultOnceTimeout = time.Minute
-	// DefaultMaxConfirmAge is the longest time since the configuration was
-	// last confirmed during which new calls are accepted.
+	// DefaultMaxConfirmAge is the greatest age of the last confirmation that
+	// the configuration is the newest. New calls are refused while the last
+	// confirmation is older.
 	DefaultMaxConfirmAge = 10 * time.Second
-	// DefaultMaxLedgerRecords is the largest number of attempts to run once-only
-	// calls of which the ledger keeps a record.
+	// DefaultMaxLedgerRecords is the largest number of records in the ledger,
+	// which keeps one record for each attempt to run a once-only call.
 	DefaultMaxLedgerRecords = 64 << 10
 	// DefaultMaxLedgerBytes is the largest total size of the response bodies
 	// that the ledger keeps, in bytes.
@@ -69,22 +71,24 @@
 	// return data.
 	StallTimeout time.Duration
 	// OnceTimeout is the longest run time of a once-only call; the outcome of a
-	// call that exceeds this time is recorded as unknown. OnceTimeout is also the
-	// longest wait for a response from an engine that is not streamed.
+	// call that exceeds this time is recorded as unknown. OnceTimeout is also
+	// the longest wait for the first byte of an engine's response that is not
+	// streamed.
 	OnceTimeout time.Duration
-	// OnWrongVersion is called with the manifest digest of a version that the
-	// engine reports as loaded but did not use for a call that pins this version.
-	// OnWrongVersion may be nil.
+	// OnWrongVersion is called when the engine did not use the version that a
+	// call pins, although the engine reports that version as loaded. The
+	// argument is the version's manifest digest. OnWrongVersion may be nil.
 	OnWrongVersion func(core.Digest)
 	// LastConfirmed returns the time at which the agent's configuration was last
 	// known to be the newest; the zero time makes the handler refuse new calls. Nil
 	// disables the check.
 	LastConfirmed func() time.Time
-	// MaxConfirmAge is the longest time since LastConfirmed during which new
-	// calls are accepted.
+	// MaxConfirmAge is the greatest age of the last confirmation, as returned
+	// by LastConfirmed. New calls are refused while the last confirmation is
+	// older.
 	MaxConfirmAge time.Duration
-	// MaxLedgerRecords is the largest number of attempts to run once-only calls of
-	// which the ledger keeps a record.
+	// MaxLedgerRecords is the largest number of records in the ledger, which
+	// keeps one record for each attempt to run a once-only call.
 	MaxLedgerRecords int
 	// MaxLedgerBytes is the largest total size of the response bodies that the
 	// ledger keeps, in bytes.
@@ -114,39 +118,39 @@
 	clock   clockwork.Clock
 	ledger  *ledger
 	watcher *callWatcher
-	// versions counts the running calls of each model version.
-	versions *versionCalls
+	// versionCalls counts the running calls of each model version.
+	versionCalls *versionCalls
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// leaving is true once Leave has been called.
 	leaving bool
 	// activeCount is the number of exchanges being handled plus the number of
 	// started once-only calls.
 	activeCount int
 	// idle is closed when activeCount drops to 0; nil while no Drain waits.
 	idle chan struct{}
-	// bootID is the engine's last reported boot id.
+	// bootID is the boot id that the engine reported last; see SetBootID.
 	bootID string
 }
 
 var _ work.Handler = (*Handler)(nil)
 
 // New returns a Handler. status returns the latest status of the engine or
-// service; its second result is false while the engine or service does not
-// respond.
+// service, or false while the engine or service does not respond.
 func New(cfg Config, holder *confstore.Holder, limiter admission.Limiter, eng engine.Engine,
 	status func() (engine.Status, bool), log *eventlog.Logger, clock clockwork.Clock) *Handler {
 	cfg.applyDefaults()
 	return &Handler{
-		cfg:      cfg,
-		holder:   holder,
-		limiter:  limiter,
-		engine:   eng,
-		status:   status,
-		log:      log,
-		clock:    clock,
-		ledger:   newLedger(cfg.MaxLedgerRecords, cfg.MaxLedgerBytes),
-		watcher:  newCallWatcher(cfg, limiter, clock),
-		versions: newVersionCalls(),
+		cfg:          cfg,
+		holder:       holder,
+		limiter:      limiter,
+		engine:       eng,
+		status:       status,
+		log:          log,
+		clock:        clock,
+		ledger:       newLedger(cfg.MaxLedgerRecords, cfg.MaxLedgerBytes),
+		watcher:      newCallWatcher(cfg, limiter, clock),
+		versionCalls: newVersionCalls(),
 	}
 }
 
@@ -187,8 +191,8 @@
 	return leaving || h.declaredLeaving()
 }
 
-// Drain waits until no call is in flight, or returns an error when ctx ends
-// first.
+// Drain waits until no exchange is being handled and no started once-only call
+// runs, or returns an error when ctx ends first.
 func (h *Handler) Drain(ctx context.Context) error {
 	for {
 		h.mu.Lock()
@@ -217,8 +221,8 @@
 	h.activeCount++
 }
 
-// removeActive ends what one addActive counted, and wakes Drain when nothing is
-// in flight any more.
+// removeActive undoes one addActive, and wakes Drain when nothing is in flight
+// any more.
 func (h *Handler) removeActive() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -239,10 +243,10 @@
 	if reason := h.refusalReason(&req, true); reason != "" {
 		return h.sendRefusal(exchange, &req, reason)
 	}
-	if !h.versions.begin(req.Digest) {
+	if !h.versionCalls.begin(req.Digest) {
 		return h.sendRefusal(exchange, &req, frame.ReasonDigestMismatch)
 	}
-	defer h.versions.end(req.Digest)
+	defer h.versionCalls.end(req.Digest)
 	receivedAt := h.clock.Now()
 	if req.TimeoutMillis > 0 {
 		var stop context.CancelFunc
@@ -271,7 +275,8 @@
 	return slotReq
 }
 
-// sendRefusal sends a Refuse frame: no part of the call has run.
+// sendRefusal sends a Refuse frame, which means that no part of the call has
+// run.
 func (h *Handler) sendRefusal(exchange work.AgentExchange, req *frame.Request, reason frame.Reason) error {
 	load := h.limiter.Load()
 	h.logCall(eventCallRefused, req, eventlog.Fields{
--- a/request/serve/serve_test.go
+++ b/request/serve/serve_test.go
@@ -55,6 +55,7 @@
 	engine  standin.Config
 	limiter admission.Config
 	serve   Config
+	// service selects a stand-in for a plain service instead of an engine.
 	service bool
 	clock   clockwork.Clock
 	// wrap, if set, wraps the client through which the handler calls the engine.
@@ -158,25 +159,25 @@
 	h.holder.Offer(&declare.Snapshot{Number: number, Set: set})
 }
 
-// completionRequest returns a streamed call to the engine for a response of the
-// given number of tokens.
-func completionRequest(id string, tokens string) frame.Request {
+// completionRequest returns a streamed call to the engine. maxTokens, a decimal
+// number, is the number of tokens in the response.
+func completionRequest(id string, maxTokens string) frame.Request {
 	return frame.Request{
 		ID: id, Account: "a", Share: 1, Method: http.MethodPost, Path: chatPath, Model: testModel, Digest: testDigest, ConfigNumber: 1,
-		Body: []byte(`{"model":"` + testModel + `","stream":true,"max_tokens":` + tokens +
+		Body: []byte(`{"model":"` + testModel + `","stream":true,"max_tokens":` + maxTokens +
 			`,"messages":[{"role":"user","content":"label ` + id + `"}]}`),
 	}
 }
 
 // reply collects the frames that the agent sent in an exchange.
 type reply struct {
-	head   *frame.Head
-	body   []byte
-	tokens int
-	end    *frame.End
-	fail   *frame.Fail
-	refuse *frame.Refuse
-	err    error
+	head       *frame.Head
+	body       []byte
+	tokenCount int
+	end        *frame.End
+	fail       *frame.Fail
+	refuse     *frame.Refuse
+	err        error
 }
 
 // summary describes how the exchange ended, such as "whole" or "refused full".
@@ -206,7 +207,7 @@
 			r.head = m
 		case *frame.Data:
 			r.body = append(r.body, m.Body...)
-			r.tokens += m.Tokens
+			r.tokenCount += m.Tokens
 		case *frame.End:
 			r.end = m
 			return r
@@ -274,7 +275,7 @@
 			want, err := standin.ExpectedText(testDigest, req.Body)
 			So(err, ShouldBeNil)
 			So(joinTokens(r.body), ShouldEqual, want)
-			So(r.tokens, ShouldEqual, 20)
+			So(r.tokenCount, ShouldEqual, 20)
 			So(r.head.Digest, ShouldEqual, testDigest)
 			So(r.end.Bytes, ShouldEqual, len(r.body))
 			So(r.end.Sum, ShouldEqual, xxhash.Sum64(r.body))
@@ -285,7 +286,7 @@
 			So(err, ShouldBeNil)
 			req.ResumeTokens = 12
 			r := h.do(frame.KindRequest, req)
-			So(r.tokens, ShouldEqual, 8)
+			So(r.tokenCount, ShouldEqual, 8)
 			So(strings.HasSuffix(completeText, joinTokens(r.body)), ShouldBeTrue)
 		})
 		Convey("a response that is not streamed is forwarded completely", func() {
--- a/request/serve/sse.go
+++ b/request/serve/sse.go
@@ -42,7 +42,8 @@
 	doneSeen bool
 }
 
-// isEventStream reports whether contentType is that of server-sent events.
+// isEventStream reports whether contentType is the media type of server-sent
+// events.
 func isEventStream(contentType string) bool {
 	return strings.HasPrefix(contentType, eventStreamType)
 }
@@ -86,8 +87,8 @@
 	return 1, nil
 }
 
-// digestMatches reports whether the event contains the pinned manifest digest or
-// none.
+// digestMatches reports whether the event contains the pinned manifest digest
+// or contains no manifest digest.
 func (p *eventParser) digestMatches(data []byte) bool {
 	i := bytes.Index(data, []byte(fingerprintField))
 	if i < 0 {
--- a/request/serve/versions.go
+++ b/request/serve/versions.go
@@ -52,7 +52,7 @@
 }
 
 // isIdle reports whether no call of version d is running, and returns a channel
-// that is closed when this may have changed.
+// that is closed when the result may have changed.
 func (v *versionCalls) isIdle(d core.Digest) (bool, <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -64,11 +64,11 @@
 // when ctx ends first. In both cases the handler refuses calls of the version
 // until ResumeVersion is called.
 func (h *Handler) DrainVersion(ctx context.Context, d core.Digest) error {
-	h.versions.mu.Lock()
-	h.versions.draining[d] = true
-	h.versions.mu.Unlock()
+	h.versionCalls.mu.Lock()
+	h.versionCalls.draining[d] = true
+	h.versionCalls.mu.Unlock()
 	for {
-		idle, changed := h.versions.isIdle(d)
+		idle, changed := h.versionCalls.isIdle(d)
 		if idle {
 			return nil
 		}
@@ -83,7 +83,7 @@
 // ResumeVersion makes the handler accept calls of the version with manifest
 // digest d again.
 func (h *Handler) ResumeVersion(d core.Digest) {
-	h.versions.mu.Lock()
-	defer h.versions.mu.Unlock()
-	delete(h.versions.draining, d)
+	h.versionCalls.mu.Lock()
+	defer h.versionCalls.mu.Unlock()
+	delete(h.versionCalls.draining, d)
 }
--- a/request/serve/watch.go
+++ b/request/serve/watch.go
@@ -30,9 +30,9 @@
 	startedAt time.Time
 	// firstByteTimeout is the longest wait for the first byte.
 	firstByteTimeout time.Duration
-	// lastArrival is when the last chunk of the response arrived, in nanoseconds
-	// after startedAt; 0 before the first chunk.
-	lastArrival atomic.Int64
+	// lastArrivalAt is when the last chunk of the response arrived, in
+	// nanoseconds after startedAt; 0 before the first chunk.
+	lastArrivalAt atomic.Int64
 	// firstTokenAt is when the first chunk with tokens arrived, in nanoseconds
 	// after startedAt; 0 before that.
 	firstTokenAt atomic.Int64
@@ -47,8 +47,9 @@
 
 	// The mutex of the callWatcher guards the following fields.
 
-	// sampledAt is a time in nanoseconds after startedAt. Tokens that arrived up to
-	// then have been reported to the limiter or skipped.
+	// sampledAt is a time in nanoseconds after startedAt. Tokens that arrived
+	// up to then have been reported to the limiter or are left out of the
+	// reports.
 	sampledAt int64
 	// sampledTokenCount is the number of these tokens.
 	sampledTokenCount int64
@@ -64,12 +65,12 @@
 		c.firstTokenAt.Store(now)
 	}
 	c.tokenCount.Add(int64(tokens))
-	c.lastArrival.Store(now)
+	c.lastArrivalAt.Store(now)
 }
 
-// callWatcher cancels calls whose response stalls, and reports the time per token
-// of the others to the limiter. It checks all running calls in one goroutine,
-// which ends when there are no calls.
+// callWatcher cancels calls whose response stalls, and reports the time per
+// token of all other calls to the limiter. It checks all running calls in one
+// goroutine, which ends when there are no calls.
 type callWatcher struct {
 	cfg     Config
 	limiter admission.Limiter
@@ -86,7 +87,7 @@
 }
 
 // add starts watching a call. cancel cancels the call; firstByteTimeout is the
-// longest wait for its first byte.
+// longest wait for the first byte of the response.
 func (w *callWatcher) add(cancel context.CancelCauseFunc, firstByteTimeout time.Duration) *watchedCall {
 	c := &watchedCall{cancel: cancel, startedAt: w.clock.Now(), firstByteTimeout: firstByteTimeout}
 	w.mu.Lock()
@@ -106,7 +107,7 @@
 	defer w.mu.Unlock()
 	delete(w.calls, c)
 	if !c.sending.Load() {
-		w.reportTimePerToken(c, c.lastArrival.Load(), c.lastArrival.Load())
+		w.reportTimePerToken(c, c.lastArrivalAt.Load(), c.lastArrivalAt.Load())
 	}
 }
 
@@ -132,12 +133,13 @@
 	return w.running
 }
 
-// checkCall cancels c when its first byte is overdue or its response has stalled,
-// and otherwise reports the time per token of c. Tokens that arrived while a frame
-// was being sent are skipped. The caller holds w.mu.
+// checkCall cancels c when its first byte is overdue or its response has
+// stalled, and otherwise reports the time per token of c. Tokens that arrived
+// while a frame was being sent are left out of the report. The caller holds
+// w.mu.
 func (w *callWatcher) checkCall(c *watchedCall) {
 	now := int64(w.clock.Since(c.startedAt))
-	lastArrival := c.lastArrival.Load()
+	lastArrival := c.lastArrivalAt.Load()
 	switch {
 	case lastArrival == 0 && time.Duration(now) > c.firstByteTimeout:
 		c.cancel(errFirstByteTimeout)
