--- a/request/ops/messages.go
+++ b/request/ops/messages.go
@@ -116,7 +116,7 @@
 	// Config is the number of the configuration version in force at the agent.
 	Config uint64 `json:"config"`
 	// Loaded lists the model versions that the server's engine reports as
-	// loaded.
+	// loaded, each as "MODEL VERSION DIGEST" with a shortened digest.
 	Loaded []string `json:"loaded,omitempty"`
 }
 
@@ -156,8 +156,8 @@
 	problemMediaType        = "application/problem+json"
 )
 
-// Error implements error. The text has one line for the problem itself, and one
-// for each fault in the declarations and for each change.
+// Error implements error. The text has one line for the problem itself, one
+// line for each fault in the declarations, and one line for each change.
 func (p *Problem) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%d): %s", p.Title, p.Status, p.Detail)
--- a/request/ops/ops.go
+++ b/request/ops/ops.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// maxBodyBytes is the maximum size of a request body:
+	// maxRequestBodyBytes is the maximum size of a request body:
 	// declare.MaxTotalBytes of files in base64, and 1 MiB for everything else.
-	maxBodyBytes = declare.MaxTotalBytes/3*4 + 1<<20
+	maxRequestBodyBytes = declare.MaxTotalBytes/3*4 + 1<<20
 	// requestTimeout limits the handling of one request, including its calls
 	// to the platform.
 	requestTimeout = 10 * time.Second
@@ -75,11 +75,12 @@
 	// refused.
 	Operators []Operator
 	// LiveInstances returns the instances of the agents that take part in
-	// placement. Plans are computed for them; nil means for the registered backend
-	// servers.
+	// placement. Plans are computed for these instances, or for the registered
+	// backend servers if LiveInstances is nil.
 	LiveInstances func() []core.Instance
-	// WeightStore stores the weight manifests. Plans compute the amounts of data
-	// to load from them; if WeightStore is nil, plans do not contain the amounts.
+	// WeightStore stores the weight manifests, from which plans compute the
+	// amounts of data to load. If WeightStore is nil, plans do not contain the
+	// amounts.
 	WeightStore platform.ObjectStore
 }
 
@@ -103,7 +104,7 @@
 
 // Register adds the routes of the operator API to g, below /ops.
 func (s *Server) Register(g *echo.Group) {
-	ops := g.Group("/ops", s.authorize)
+	ops := g.Group("/ops", s.middleware)
 	ops.POST("/plan", s.plan)
 	ops.POST("/apply", s.apply)
 	ops.POST("/revert", s.revert)
@@ -119,10 +120,9 @@
 // operatorKey is the key of the authenticated Operator in the echo context.
 const operatorKey = "operator"
 
-// authorize is a middleware that refuses requests without an operator's token,
-// limits the handling time to requestTimeout and turns errors into problem
-// documents.
-func (s *Server) authorize(next echo.HandlerFunc) echo.HandlerFunc {
+// middleware refuses requests without an operator's token, limits the handling
+// time to requestTimeout and turns errors into problem documents.
+func (s *Server) middleware(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		operator, ok := s.authenticate(c.Request())
 		if !ok {
@@ -143,9 +143,10 @@
 	}
 }
 
-// authenticate returns the operator whose token the request carries, or false if
-// there is none. It compares the token with all configured tokens, each in constant
-// time, so that the duration reveals nothing about the configured tokens.
+// authenticate returns the operator whose token the request carries, or false
+// if the token is missing or unknown. It compares the token with all configured
+// tokens, each in constant time, so that the duration reveals nothing about the
+// configured tokens.
 func (s *Server) authenticate(r *http.Request) (Operator, bool) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -153,22 +154,22 @@
 	}
 	got := sha256.Sum256([]byte(token))
 	var found Operator
-	matches := 0
+	matchCount := 0
 	for _, o := range s.config.Operators {
 		want := sha256.Sum256([]byte(o.Token))
 		if subtle.ConstantTimeCompare(got[:], want[:]) == 1 {
 			found = o
-			matches++
+			matchCount++
 		}
 	}
-	return found, matches > 0
+	return found, matchCount > 0
 }
 
 // decodeBody decodes the request's JSON body into v. It returns a bad-request
 // problem if the body is too large, has unknown fields or is not exactly one JSON
 // value.
 func decodeBody(c echo.Context, v any) error {
-	d := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxBodyBytes))
+	d := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxRequestBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
 		return badRequest("body: " + err.Error())
@@ -247,8 +248,8 @@
 	return s.editHandler(func(set *declare.Set, name string) error { return set.SetBackendServerLeaving(name, leaving) })
 }
 
-// editHandler returns a handler that makes a change with edit. The name passed to
-// edit is the one in the request path.
+// editHandler returns a handler that makes a change with edit. edit receives
+// the name in the request path.
 func (s *Server) editHandler(edit func(set *declare.Set, name string) error) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		var metadata ChangeMetadata
--- a/request/ops/ops_test.go
+++ b/request/ops/ops_test.go
@@ -116,7 +116,8 @@
 	return []declare.File{{Name: "all.yaml", Body: []byte(text)}}
 }
 
-// applyRequest returns a request to apply declarations of the given regions.
+// applyRequest returns a request to replace version base with the result of
+// declarations for the given regions.
 func applyRequest(base uint64, changeID string, regions ...string) ApplyRequest {
 	return ApplyRequest{
 		ChangeMetadata: ChangeMetadata{Author: "ben", Reason: "test", ChangeID: changeID},
@@ -125,8 +126,8 @@
 	}
 }
 
-// requireProblem returns the problem document that err wraps, or fails the test if
-// err wraps none.
+// requireProblem returns the problem document that err wraps, or fails the test
+// if err wraps no problem document.
 func requireProblem(err error) *Problem {
 	var p *Problem
 	So(errors.As(err, &p), ShouldBeTrue)
@@ -270,7 +271,7 @@
 			assertNoNewVersion()
 		})
 		Convey("a body over the size limit is refused", func() {
-			p := requireProblem(postRaw(e, "/ops/apply", `{"reason":"`+strings.Repeat("x", maxBodyBytes)+`"}`))
+			p := requireProblem(postRaw(e, "/ops/apply", `{"reason":"`+strings.Repeat("x", maxRequestBodyBytes)+`"}`))
 			So(p.Detail, ShouldContainSubstring, "too large")
 			assertNoNewVersion()
 		})
--- a/request/ops/problems.go
+++ b/request/ops/problems.go
@@ -13,8 +13,8 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// problemOf returns the problem document for an error: the one that err wraps, or
-// a new one according to the type of the error.
+// problemOf returns the problem document for err: the Problem that err wraps,
+// or a new Problem according to the type of err.
 func problemOf(err error) *Problem {
 	var problem *Problem
 	var httpErr *echo.HTTPError
@@ -52,7 +52,7 @@
 }
 
 // sentinelProblem returns the problem document of an error that wraps a known
-// sentinel value; any other error is an internal error.
+// sentinel value. Any other error is reported as an internal error.
 func sentinelProblem(err error) *Problem {
 	p := &Problem{Detail: err.Error()}
 	switch {
