--- a/connection/orders/cluster_test.go
+++ b/connection/orders/cluster_test.go
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// fakeFetcher completes every fetch immediately, except those of blocked versions,
-// which end only when their context is cancelled.
+// fakeFetcher completes every fetch immediately, except the fetches of blocked
+// versions, which end only when their context is cancelled.
 type fakeFetcher struct {
 	mu               sync.Mutex
 	blocked          map[core.Digest]bool
@@ -155,7 +155,7 @@
 	server  *httptest.Server
 }
 
-// cluster is a set of agents that share one configuration.
+// cluster is a set of agents that share one configuration and one table.
 type cluster struct {
 	clock         *clockwork.FakeClock
 	table         *fakeTable
@@ -216,8 +216,8 @@
 	})
 }
 
-// declareVersion declares a version of a model as the version to serve, and returns
-// its digest.
+// declareVersion declares a version of a model as the version to serve, and
+// returns its digest. base is the name of the base version; empty for none.
 func (c *cluster) declareVersion(model, version, base string, replicas int) core.Digest {
 	d := core.DigestOf([]byte(version))
 	set := *c.set
--- a/connection/orders/drain.go
+++ b/connection/orders/drain.go
@@ -17,9 +17,10 @@
 }
 
 // drainAndUnload drains the loaded version l and, once the drain is complete,
-// orders the engine to unload l. While the drain runs, it returns false at once,
-// because every later pass calls it again. It returns true if the engine accepted
-// the order. Running calls of the version are not interrupted.
+// orders the engine to unload l. While the drain runs, drainAndUnload returns
+// false without waiting, and a later pass calls it again. It returns true if
+// the engine accepted the order. Running calls of the version are not
+// interrupted.
 func (c *Controller) drainAndUnload(ctx context.Context, in *passInput, l frame.Loaded) bool {
 	d, ok := c.drains[l.Digest]
 	if !ok {
@@ -53,7 +54,8 @@
 	return d
 }
 
-// cancelDrain stops the drain of a version and admits new calls of it again.
+// cancelDrain stops the drain of a version and admits new calls of the version
+// again.
 func (c *Controller) cancelDrain(version core.Digest) {
 	d := c.drains[version]
 	delete(c.drains, version)
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -1,9 +1,10 @@
 // Package orders runs the reconcile loop that makes the engine beside an agent
-// load the versions that placement assigns to its backend server. Each pass
-// compares the assigned versions with the engine's report, starts missing fetches
-// and sends at most one load or unload order, with a fencing number. A later pass
-// sends an order again if the order was lost or refused, or if its effect was
-// undone.
+// load the versions that placement assigns to its backend server (the wanted
+// versions). Each pass compares the wanted versions with the engine's report,
+// starts missing fetches and sends at most one load or unload order. Each order
+// carries a fencing number, which lets the engine refuse the orders of an agent
+// that has been replaced. A later pass sends an order again if the order was
+// lost or refused, or if its effect was undone.
 package orders
 
 import (
@@ -67,18 +68,20 @@
 	// loaded after it has accepted the order to unload the version.
 	UnloadTimeout time.Duration
 	// RetireDelay is how long a version must have been unwanted before it is
-	// unloaded while no other version needs its slot. A change of the list of live
-	// instances that is undone sooner causes no unload.
+	// unloaded while no other version needs its slot. A change of the list of
+	// live instances causes no unload if it is undone within this time.
 	RetireDelay time.Duration
-	// PeerTimeout is how long a server waits, before it replaces a version, for an
-	// agent that does not respond; see mayReplace.
+	// PeerTimeout is how long another agent may fail to respond before this
+	// agent no longer waits for it to load a version; see mayReplace.
 	PeerTimeout time.Duration
-	// MinLoadedShare is the share of a version's servers, from 0 to 1, that must
-	// report it as loaded before the version it replaces is unloaded.
+	// MinLoadedShare is the share, from 0 to 1, of a version's servers that
+	// must report the version as loaded before it counts as rolled out; see
+	// versionRolledOut. Until then, an old version of the model is unloaded
+	// only to load the new version into the same slot.
 	MinLoadedShare float64
 	// ReplaceDivisor limits how many servers without a free slot replace a
-	// version at the same time: the number of the model's servers divided by
-	// ReplaceDivisor, at least 1.
+	// version at the same time. The limit is the number of servers of the new
+	// version divided by ReplaceDivisor, but at least 1.
 	ReplaceDivisor int
 	// Metrics receives the gauges; nil means metrics.DefaultRegistry.
 	Metrics metrics.Registry
@@ -120,8 +123,8 @@
 // StatusSource provides the newest status report of the engine. *engine.Monitor
 // implements it.
 type StatusSource interface {
-	// Status returns the newest report and its age; ok is false if there is no
-	// report or it is too old to use.
+	// Status returns the newest report and its age. ok is false if there is no
+	// report, or if the report is too old to use.
 	Status() (s engine.Status, age time.Duration, ok bool)
 	// Changed returns a channel that is closed when the report changes.
 	Changed() <-chan struct{}
@@ -137,15 +140,15 @@
 // Drainer stops new calls of a version at this agent and waits until the
 // running calls have ended.
 type Drainer interface {
-	// Drain refuses new calls of the version and returns nil once none of its
-	// calls runs. New calls stay refused until Resume is called, also after
-	// ctx has ended.
+	// Drain refuses new calls of the version and returns nil once no call of
+	// the version runs. New calls stay refused until Resume is called, also
+	// after ctx has ended.
 	Drain(ctx context.Context, d core.Digest) error
 	// Resume admits new calls of the version again.
 	Resume(d core.Digest)
 }
 
-// noopDrainer replaces a nil Deps.Drainer. It drains at once.
+// noopDrainer replaces a nil Deps.Drainer. Its methods do nothing.
 type noopDrainer struct{}
 
 // Drain implements Drainer.
@@ -202,11 +205,12 @@
 	pending *pendingOrder
 	// drains holds the drains of versions that are to be unloaded.
 	drains map[core.Digest]*drain
-	// unwantedSince holds, for each loaded version that is not wanted, the time at
-	// which this was first seen.
+	// unwantedSince holds, for each loaded version that is not wanted, the time
+	// at which the version was first seen to be unwanted.
 	unwantedSince map[core.Digest]time.Time
-	// unresponsiveSince holds, by agent ID, the time of the first request without
-	// a valid response since the last valid response.
+	// unresponsiveSince holds, by agent ID, since when the agent has not
+	// responded: the time of the first failed request after the last valid
+	// response.
 	unresponsiveSince map[string]time.Time
 	// waitReasons holds the reason why the next order for a version is delayed.
 	waitReasons map[core.Digest]string
@@ -327,9 +331,10 @@
 	return c.plan.AssignedAgents(d)
 }
 
-// computePlan returns the placement plan for the set and the current list of
-// live instances. This agent counts as live even if the platform does not list
-// it yet. The plan is computed again only if the set or the list has changed.
+// computePlan returns the placement plan for set, the declarations in force,
+// and the current list of live instances. This agent counts as live even if the
+// platform does not list it yet. The plan is computed again only if the set or
+// the list has changed.
 func (c *Controller) computePlan(set *declare.Set) *placement.Plan {
 	current := c.liveInstances()
 	if c.cachedPlan.set == set && slices.Equal(c.cachedPlan.live, current) {
@@ -415,7 +420,7 @@
 		}
 	}
 	c.mu.Unlock()
-	before := c.store.Bytes()
+	bytesBefore := c.store.Bytes()
 	c.store.Retain(keep)
-	c.log.Event(eventChunksDropped, eventlog.Fields{"bytes": before - c.store.Bytes()})
+	c.log.Event(eventChunksDropped, eventlog.Fields{"bytes": bytesBefore - c.store.Bytes()})
 }
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -183,11 +183,11 @@
 		v1 := c.declareVersion("m", "m-1", "", 1)
 		So(c.stepUntil(c.allLoaded(v1)), ShouldBeTrue)
 		a := c.agents[0]
-		before := len(a.engine.orders)
+		orderCountBefore := len(a.engine.orders)
 		a.RecordDigestMismatch(v1)
 
 		Convey("the version is ordered again", func() {
-			So(c.stepUntil(func() bool { return len(a.engine.orders) > before }), ShouldBeTrue)
+			So(c.stepUntil(func() bool { return len(a.engine.orders) > orderCountBefore }), ShouldBeTrue)
 			last := a.engine.orders[len(a.engine.orders)-1]
 			So(last.Action, ShouldEqual, actionLoad)
 			So(last.Digest, ShouldEqual, v1)
--- a/connection/orders/peers.go
+++ b/connection/orders/peers.go
@@ -86,11 +86,11 @@
 	return false
 }
 
-// versionRolledOut reports whether at least the share Config.MinLoadedShare of the
-// agents report the version d as loaded. agents are the agents to which d is
-// assigned, in the order of their rank. Only a sample of at most maxSampleSize of
-// them is checked, spread evenly over the ranks. A peer that does not respond
-// counts as not having loaded d.
+// versionRolledOut reports whether the version d is rolled out: of the agents
+// that are checked, at least the share Config.MinLoadedShare report d as
+// loaded. agents are the agents to which d is assigned, in the order of their
+// rank. At most maxSampleSize of them are checked, spread evenly over the
+// ranks. A peer that does not respond counts as not having loaded d.
 func (c *Controller) versionRolledOut(ctx context.Context, agents []core.Instance, d core.Digest) bool {
 	sample := evenSample(agents, maxSampleSize)
 	loadedCount := 0
@@ -123,11 +123,11 @@
 // mayReplace reports whether this server, of the given rank, may unload its old
 // version to load d into the same slot. agents are the agents to which d is
 // assigned, in the order of their rank. At most m = max(1,
-// len(agents)/Config.ReplaceDivisor) servers replace their version at the same
+// len(agents)/Config.ReplaceDivisor) servers replace a version at the same
 // time: the server of rank r waits until the agent of rank r-m reports d as
 // loaded. If that agent has not responded for Config.PeerTimeout, its server is
-// assumed to handle no calls, and the agent of rank r-2m is checked instead, and
-// so on.
+// assumed to handle no calls, and the agent of rank r-2m is checked instead,
+// and so on.
 func (c *Controller) mayReplace(ctx context.Context, agents []core.Instance, rank int, d core.Digest) bool {
 	maxReplacing := max(1, len(agents)/c.cfg.ReplaceDivisor)
 	for r := rank - maxReplacing; r >= 0; r -= maxReplacing {
--- a/connection/orders/progress.go
+++ b/connection/orders/progress.go
@@ -67,12 +67,12 @@
 // statusKnown is false if there is no current report of the engine.
 func (c *Controller) publishProgress(in *passInput, statusKnown bool) {
 	var all []Progress
-	loaded := 0
+	loadedCount := 0
 	for _, w := range in.wanted {
 		p := Progress{Model: w.Model, Version: w.Version, Digest: w.Digest, Rank: w.Rank}
 		p.State = c.stateOf(in, w.Digest, statusKnown)
 		if p.State == StateLoaded {
-			loaded++
+			loadedCount++
 		}
 		if p.State == StateFetching || p.State == StateVerified {
 			p.Reason = c.waitReasons[w.Digest]
@@ -92,7 +92,7 @@
 		})
 	}
 	c.updateGauge("versions.wanted", len(in.wanted))
-	c.updateGauge("versions.loaded", loaded)
+	c.updateGauge("versions.loaded", loadedCount)
 	c.updateGauge("weights.held-bytes", int(c.store.Bytes()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/connection/orders/reconcile.go
+++ b/connection/orders/reconcile.go
@@ -62,7 +62,7 @@
 
 // fetchMissing starts fetches of the wanted versions that the engine does not
 // report as loaded. Without a report it waits firstReportTimeout from the
-// agent's start, so that an agent restarted beside an engine that has its
+// agent's start. So an agent that is restarted beside an engine with all wanted
 // versions loaded fetches nothing.
 func (c *Controller) fetchMissing(ctx context.Context, in *passInput, statusKnown bool) {
 	if !statusKnown && c.clock.Since(c.startedAt) < firstReportTimeout {
@@ -130,9 +130,10 @@
 	return false
 }
 
-// checkPending clears the pending order if the engine's report shows its effect,
-// if the engine has restarted, or if the order is overdue. age is the age of the
-// report. A report that was read before the order was sent is ignored.
+// checkPending clears the pending order if the engine's report shows the effect
+// of the order, if the engine has restarted, or if the order is overdue. age is
+// the age of the report. A report that was read before the order was sent is
+// ignored.
 func (c *Controller) checkPending(in *passInput, age time.Duration) {
 	p := c.pending
 	if p == nil || c.clock.Since(p.sentAt) <= age {
@@ -181,10 +182,10 @@
 	}
 }
 
-// sendNextOrder sends at most one order. It first looks for a wanted version that
-// is not loaded and can be loaded now. It loads that version, or unloads another
-// version if no slot is free. If this leads to no order, it unloads a version that
-// is no longer needed.
+// sendNextOrder sends at most one order. It first goes through the wanted
+// versions that are not loaded and can be loaded now. It loads such a version,
+// or unloads another version if no slot is free. If it can do neither, it
+// unloads a version that is no longer needed.
 func (c *Controller) sendNextOrder(ctx context.Context, in *passInput) {
 	for _, w := range in.wanted {
 		if c.hasLoaded(in, w.Digest) || !c.canLoad(in, w) {
@@ -232,9 +233,9 @@
 }
 
 // freeSlot drains and unloads an unwanted version to free a slot for w, and
-// reports whether the engine accepted the order. It unloads an older version of
-// the same model only if mayReplace allows this, and a version of another model
-// only if that model is rolled out.
+// reports whether the engine accepted the unload order. It unloads an older
+// version of the same model only if mayReplace allows this, and a version of
+// another model only if that model is rolled out.
 func (c *Controller) freeSlot(ctx context.Context, in *passInput, w placement.Assignment) bool {
 	for _, l := range in.status.Loaded {
 		if isWanted(in.wanted, l.Digest) {
--- a/connection/work/pool.go
+++ b/connection/work/pool.go
@@ -30,8 +30,8 @@
 	// MaxIdlePerAgent is the maximum number of idle connections kept for each agent.
 	// Default 64.
 	MaxIdlePerAgent int
-	// IdleTimeout is the longest idle time after which a connection is still used
-	// again. Default 30 s.
+	// IdleTimeout is how long a connection may be idle and still be reused.
+	// Default 30 s.
 	IdleTimeout time.Duration
 	// DialTimeout limits the time to open a connection. Default 2 s.
 	DialTimeout time.Duration
@@ -108,9 +108,10 @@
 	}
 }
 
-// takeIdle removes and returns the most recently used idle connection to addr, or
-// returns nil if there is none. If even this connection has been idle for longer
-// than IdleTimeout, takeIdle closes all idle connections to addr and returns nil.
+// takeIdle removes and returns the most recently used idle connection to addr,
+// or returns nil if there is no idle connection. If even the most recently used
+// connection has been idle for longer than IdleTimeout, takeIdle closes all
+// idle connections to addr and returns nil.
 func (p *Pool) takeIdle(addr string) *frame.Conn {
 	cutoff := time.Now().Add(-p.cfg.IdleTimeout)
 	p.mu.Lock()
--- a/connection/work/server.go
+++ b/connection/work/server.go
@@ -21,9 +21,9 @@
 		"An agent closed a work connection because it failed to handle a request on it.")
 )
 
-// Server accepts work connections at an agent and passes each request on them to a
-// Handler. It implements http.Handler; the peer token must be checked before
-// ServeHTTP is called.
+// Server accepts work connections at an agent and passes each request on a
+// connection to a Handler. It implements http.Handler; the peer token must be
+// checked before ServeHTTP is called.
 type Server struct {
 	handler Handler
 	log     *eventlog.Logger
@@ -54,8 +54,8 @@
 	s.serve(conn)
 }
 
-// Close closes every connection and refuses new ones. Requests that still run are
-// aborted, so the Handler should be drained first.
+// Close closes every connection and refuses new connections. It aborts the
+// requests that still run, so the Handler should be drained first.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/connection/work/work.go
+++ b/connection/work/work.go
@@ -32,8 +32,9 @@
 
 // Opener opens exchanges with agents. *Pool implements it.
 type Opener interface {
-	// Open gets a connection to the agent and sends the first frame. id is the
-	// request ID that the agent's frames must carry.
+	// Open gets a connection to the agent and sends the first frame, of the
+	// given kind with the message msg. id is the request ID that the agent's
+	// frames must carry.
 	Open(ctx context.Context, agent core.Instance, id string, kind frame.Kind, msg any) (Exchange, error)
 }
 
