--- a/connection/orders/fence.go
+++ b/connection/orders/fence.go
@@ -89,7 +89,8 @@
 	return row, stored.Revision, nil
 }
 
-// write stores the counter row if its revision in the table is still revision.
+// write stores the counter row if the row in the table still has the given
+// revision.
 func (f *fenceCounter) write(ctx context.Context, row fenceRow, revision uint64) error {
 	value, err := json.Marshal(row)
 	if err != nil {
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -144,7 +144,7 @@
 	// the version runs. New calls stay refused until Resume is called, also
 	// after ctx has ended.
 	Drain(ctx context.Context, d core.Digest) error
-	// Resume admits new calls of the version again.
+	// Resume ends the refusal of new calls that Drain began.
 	Resume(d core.Digest)
 }
 
--- a/request/relay/call.go
+++ b/request/relay/call.go
@@ -51,8 +51,9 @@
 	idempotencyKey string
 }
 
-// routingQuery returns the query for a backend server for the call. tried holds
-// the ids of the servers that earlier attempts used.
+// routingQuery returns the query with which routing chooses a backend server
+// for the call. tried holds the ids of the servers that must not be chosen
+// again.
 func (c *call) routingQuery(tried map[string]bool) routing.Query {
 	return routing.Query{
 		RequestID:    c.id,
@@ -81,8 +82,7 @@
 }
 
 // assignRequestID returns the request id that the caller sent, or a new id when
-// the caller's is missing or invalid, and sets the returned id in the response
-// header.
+// the caller sent no valid id. It sets the returned id in the response header.
 func assignRequestID(c echo.Context) string {
 	id := c.Request().Header.Get(core.HeaderRequestID)
 	if id == "" || len(id) > maxRequestIDBytes || strings.ContainsFunc(id, isUnprintable) {
--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -205,8 +205,8 @@
 	return result, true
 }
 
-// setState records the state of an attempt of a keyed call, and does nothing for a
-// call without a key. The caller must hold s.mu.
+// setState records the state of the attempt that req makes. It does nothing if
+// req has no key. The caller must hold s.mu.
 func (s *fakeServer) setState(req frame.Request, state frame.AttemptState) {
 	if req.Key != "" {
 		s.states[req.Key+"#"+strconv.Itoa(req.Attempt)] = state
--- a/request/relay/onceonly.go
+++ b/request/relay/onceonly.go
@@ -50,8 +50,9 @@
 	return nil
 }
 
-// resolveOutcome returns the recorded outcome of the call, or runs the call and
-// returns its outcome.
+// resolveOutcome returns the recorded outcome of the call. If there is no
+// recorded outcome, it runs the call and returns the new outcome, or the
+// Problem to send to the caller.
 func (r *Relay) resolveOutcome(ctx context.Context, call *call) (*once.Outcome, *Problem) {
 	if call.idempotencyKey == "" {
 		runOutcome, p, _ := r.offerToServers(ctx, call, nil)
@@ -273,10 +274,10 @@
 	return nil, admittedOffer{}, failedAttempt(err)
 }
 
-// claimAndCheckHold claims the attempt of a keyed call for the agent incarnation
-// that admitted the call. It returns an error if that fails, if the agent no
-// longer holds the slot, or if ctx has ended; in the last two cases it records
-// that the attempt was not run.
+// claimAndCheckHold claims the attempt of a keyed call for the agent
+// incarnation that admitted the call. It returns an error if the claim fails,
+// if the agent no longer holds the slot, or if ctx has ended; in the last two
+// cases it records that the attempt was not run.
 func (oa *onceAttempt) claimAndCheckHold(ctx context.Context, admitted admittedOffer) error {
 	if oa.keyed != nil {
 		claim, err := oa.relay.onceRecords.Claim(ctx, oa.keyed.Call, oa.keyed.nextAttempt, oa.server.Instance, admitted.Incarnation)
--- a/request/serve/sse.go
+++ b/request/serve/sse.go
@@ -48,9 +48,9 @@
 	return strings.HasPrefix(contentType, eventStreamType)
 }
 
-// consume parses the complete events at the start of buf. It returns the length of
-// the parsed events, in bytes, and the number of their tokens. With an error, these
-// are the values for the events before the error.
+// consume parses the complete events at the start of buf. It returns the length
+// of the parsed events, in bytes, and the number of their tokens. With an
+// error, both numbers count only the events before the error.
 func (p *eventParser) consume(buf []byte) (n, tokens int, err error) {
 	for {
 		i := bytes.Index(buf[n:], eventSeparator)
--- a/request/serve/watch.go
+++ b/request/serve/watch.go
@@ -36,7 +36,8 @@
 	// firstTokenAt is when the first chunk with tokens arrived, in nanoseconds
 	// after startedAt; 0 before that.
 	firstTokenAt atomic.Int64
-	// firstTokenCount is the number of tokens in that chunk.
+	// firstTokenCount is the number of tokens in the chunk that arrived at
+	// firstTokenAt.
 	firstTokenCount atomic.Int64
 	// tokenCount is the number of complete tokens that have arrived.
 	tokenCount atomic.Int64
@@ -51,7 +52,7 @@
 	// up to then have been reported to the limiter or are left out of the
 	// reports.
 	sampledAt int64
-	// sampledTokenCount is the number of these tokens.
+	// sampledTokenCount is the number of tokens that arrived up to sampledAt.
 	sampledTokenCount int64
 	// reportedTimePerToken is the time per token reported last.
 	reportedTimePerToken time.Duration
@@ -154,10 +155,11 @@
 	}
 }
 
-// reportTimePerToken reports to the limiter the mean time between the tokens that
-// arrived since the last report. If no tokens arrived, it reports the time since
-// lastArrival, provided that this is longer than the time per token reported last.
-// now and lastArrival are in nanoseconds after c.startedAt. The caller holds w.mu.
+// reportTimePerToken reports to the limiter the mean time between the tokens
+// that arrived since the last report. If no tokens arrived, it reports the time
+// since lastArrival, but only if this time is longer than the time per token
+// reported last. now and lastArrival are in nanoseconds after c.startedAt. The
+// caller holds w.mu.
 func (w *callWatcher) reportTimePerToken(c *watchedCall, now, lastArrival int64) {
 	if c.firstTokenAt.Load() == 0 {
 		return
