--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -77,7 +77,7 @@
 }
 
 // fakeServer is an agent with a plain service that follows the protocol of
-// once-only calls. It may be killed, pause, or lose its responses.
+// once-only calls. The agent may be killed, may pause, and may lose responses.
 type fakeServer struct {
 	id      string
 	faults  *faultSource
@@ -89,7 +89,8 @@
 	killed chan struct{}
 	// The following three maps concern the current incarnation only.
 
-	// forbidden maps the key of a call to the highest attempt that must not run.
+	// forbidden maps the key of a call to the highest attempt number that must
+	// not run.
 	forbidden map[string]int
 	// states maps the key and attempt of a call ("key#attempt") to the state of
 	// the attempt.
@@ -204,8 +205,8 @@
 	return result, true
 }
 
-// setState records the state of an attempt of a keyed call, and does nothing for a
-// call without a key. The caller must hold s.mu.
+// setState records the state of the attempt that req makes. It does nothing if
+// req has no key. The caller must hold s.mu.
 func (s *fakeServer) setState(req frame.Request, state frame.AttemptState) {
 	if req.Key != "" {
 		s.states[req.Key+"#"+strconv.Itoa(req.Attempt)] = state
--- a/request/serve/sse.go
+++ b/request/serve/sse.go
@@ -42,14 +42,15 @@
 	doneSeen bool
 }
 
-// isEventStream reports whether contentType is that of server-sent events.
+// isEventStream reports whether contentType is the media type of server-sent
+// events.
 func isEventStream(contentType string) bool {
 	return strings.HasPrefix(contentType, eventStreamType)
 }
 
-// consume parses the complete events at the start of buf. It returns the length of
-// the parsed events, in bytes, and the number of their tokens. With an error, these
-// are the values for the events before the error.
+// consume parses the complete events at the start of buf. It returns the length
+// of the parsed events, in bytes, and the number of their tokens. With an
+// error, both numbers count only the events before the error.
 func (p *eventParser) consume(buf []byte) (n, tokens int, err error) {
 	for {
 		i := bytes.Index(buf[n:], eventSeparator)
@@ -86,8 +87,8 @@
 	return 1, nil
 }
 
-// digestMatches reports whether the event contains the pinned manifest digest or
-// none.
+// digestMatches reports whether the event contains the pinned manifest digest
+// or contains no manifest digest.
 func (p *eventParser) digestMatches(data []byte) bool {
 	i := bytes.Index(data, []byte(fingerprintField))
 	if i < 0 {
