--- a/cmd/rattanway-node/main.go
+++ b/cmd/rattanway-node/main.go
@@ -1,6 +1,6 @@
-// Command rattanway-node runs the daemons on the users' platform. It is a separate
-// command from rattanway because agents run on small machines: its binary contains
-// neither the operators' commands nor the benchmarks.
+// Command rattanway-node runs the daemons on the users' platform. It is separate
+// from the command rattanway because agents run on small machines: the binary of
+// rattanway-node contains neither the operators' commands nor the benchmarks.
 package main
 
 import (
@@ -49,7 +49,7 @@
 // Run runs an agent until SIGTERM or SIGINT.
 func (c *agentCmd) Run() error { return runDaemon(&c.flags, hosted.RunAgent) }
 
-// runDaemon checks the flags and runs daemon with them.
+// runDaemon checks the flags and calls daemon with the options.
 func runDaemon(f *flags, daemon func(hosted.Options) error) error {
 	options, err := f.options()
 	if err != nil {
--- a/core/errors.go
+++ b/core/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// StepError is an error with the operation that failed and the peer involved.
+// StepError adds the failed operation and the peer involved to an error.
 type StepError struct {
 	// Step names the operation, for example "fetch chunk".
 	Step string
--- a/core/instance.go
+++ b/core/instance.go
@@ -30,7 +30,7 @@
 // FailureOutcome states in a problem document whether a failed call was executed.
 type FailureOutcome string
 
-// Values of Refusal in problem documents.
+// Values of FailureOutcome.
 const (
 	// OutcomeNotRun means that no part of the call was executed.
 	OutcomeNotRun FailureOutcome = "not-run"
@@ -46,15 +46,15 @@
 const (
 	// HeaderRequestID carries the request id in requests and responses.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderDigest carries a manifest digest: in a request to an engine that of
-	// the model version that must serve the call, and in a response that of the
-	// model version that produced the response.
+	// HeaderDigest carries the manifest digest of a model version. In a request
+	// to an engine, it is the version that must serve the call; in a response,
+	// the version that produced the response.
 	HeaderDigest = "X-Model-Digest"
 	// HeaderPeerToken carries the token with which the processes of this
 	// system authenticate to each other.
 	HeaderPeerToken = "X-Peer-Token"
-	// HeaderIdempotencyKey carries the caller's key of a once-only call, which is
-	// executed at most once.
+	// HeaderIdempotencyKey carries the key that the caller gave to a once-only
+	// call, a call that is executed at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderPriority carries the priority of a call, from 0 (lowest) to 9.
 	HeaderPriority = "X-Priority"
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -194,17 +194,17 @@
 }
 
 // setRegionShare sets the bandwidth that this agent may use on the link between
-// regions, which is the agent's share of the declared budget. If the settings
-// contain a limit, setRegionShare does nothing.
+// regions: the agent's share of the declared budget. If the settings contain a
+// limit, setRegionShare does nothing.
 func (a *agent) setRegionShare(bytesPerSecond int64) {
 	if a.cfg.Spread.RegionBytesPerSecond == 0 {
 		a.swarm.SetRegionShare(bytesPerSecond)
 	}
 }
 
-// onWrongVersion handles a response that came from another version than the
-// requested one, which the engine reports as loaded. The controller then orders
-// the engine to load the requested version again.
+// onWrongVersion handles a response that came from a version other than the
+// requested one, although the engine reports the requested version as loaded.
+// The controller then orders the engine to load the requested version again.
 func (a *agent) onWrongVersion(version core.Digest) {
 	if a.orders != nil {
 		a.orders.RecordDigestMismatch(version)
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -170,9 +170,9 @@
 	}
 }
 
-// drain reports that the instance is not ready, waits for cfg.BalancerLag until
-// the load balancer sends no more calls, and then waits until the calls in flight
-// have ended, for at most cfg.DrainTimeout.
+// drain makes the readiness check report that the instance is not ready and
+// waits for cfg.BalancerLag, until the load balancer sends no more calls. It
+// then waits until the calls in flight have ended, for at most cfg.DrainTimeout.
 func (e *entry) drain() {
 	e.draining.Store(true)
 	e.log.Event(eventDraining, nil)
--- a/daemon/hosted/agent.go
+++ b/daemon/hosted/agent.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// maxWeightBytes is the maximum size of the weights in memory: a copy takes
-	// 2.4 MB, and two copies may be in memory at once.
+	// maxWeightBytes is the maximum size of the model weights in memory. One
+	// copy takes 2.4 MB, and two copies may be in memory at once.
 	maxWeightBytes = 16 << 20
 	// maxLinkShare is the share of the bandwidth of the machine's link that the
 	// distribution of weights may use. Responses to requests use the same link.
@@ -33,19 +33,21 @@
 	// firstLoadAge is the age of a version at which the first backend server loads
 	// the version. By then the chunks of the version have usually arrived.
 	firstLoadAge = 2200 * time.Millisecond
-	// lastLoadMargin is the time between the start of the load on the last backend
-	// server and the due time of the declared weights, from which no request may
-	// start on older ones. It is a little longer than weightsMargin, so that the
-	// load starts shortly before entry instances stop using the older weights.
+	// lastLoadMargin is the time between the start of the load on the last
+	// backend server and the due time of the declared weights. From the due time
+	// on, no request may start on older weights. The margin is a little longer
+	// than weightsMargin, so that the load starts shortly before entry instances
+	// stop using the older weights.
 	lastLoadMargin = 1050 * time.Millisecond
-	// agentGCPercent is the GOGC value of the agent. It keeps the heap small:
-	// an agent allocates little and uses 0.6 % of a core at this value (0.5 %
-	// at 40).
+	// agentGCPercent is the GOGC value of the agent. This low value keeps the
+	// heap small. An agent allocates little: it uses 0.6 % of a core at this
+	// value and 0.5 % at 40.
 	agentGCPercent = 12
 )
 
-// Settings of the swarm for links of a few megabits per second, over which a new
-// version must arrive and be loaded within 8 s.
+// Settings of the swarm, which distributes weights among agents. They suit links
+// of a few megabits per second: a new version must arrive over such a link and
+// be loaded within 8 s.
 const (
 	longPollTimeout   = 400 * time.Millisecond
 	responseMargin    = 400 * time.Millisecond
@@ -220,9 +222,9 @@
 		}
 	}
 	if len(t.Agents) == 0 {
-		// At the moment no entry instance sends the list. The last list is
-		// kept: with an empty list the agent would treat itself as the owner
-		// of every chunk.
+		// No entry instance sends the list of agents at the moment. Keep the
+		// last list: with an empty list the agent would treat itself as the
+		// owner of every chunk.
 		t.Agents = a.lastAgents
 	}
 	a.lastAgents = t.Agents
--- a/daemon/hosted/common.go
+++ b/daemon/hosted/common.go
@@ -18,10 +18,11 @@
 )
 
 const (
-	// settingsPollInterval is the time between two checks of the settings
-	// file, which may change without a signal.
+	// settingsPollInterval is the time between two checks of the settings file.
+	// The platform may change the file without sending a signal.
 	settingsPollInterval = time.Second
-	// stopMargin is how long before SIGKILL a process must have ended.
+	// stopMargin is the time that must remain until SIGKILL when a process has
+	// stopped.
 	stopMargin = 500 * time.Millisecond
 	// defaultStopGrace is the time from SIGTERM to SIGKILL if the settings
 	// contain none.
@@ -53,7 +54,7 @@
 	Token string
 	// MetricsPort is the port that serves the metrics; 0 disables them.
 	MetricsPort int
-	// Level is the lowest level that is logged.
+	// Level is the least severe level that is logged.
 	Level logrus.Level
 	// Out receives the log lines.
 	Out io.Writer
--- a/daemon/hosted/entry.go
+++ b/daemon/hosted/entry.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// weightsMargin is how long before the due time of declared weights the entry
-	// instance stops using older weights. A request sent just before that moment
-	// starts at the server within this margin.
+	// weightsMargin is how long before the due time of newly declared weights
+	// the entry instance stops using older weights. A request that was sent just
+	// before still starts at the server before the due time.
 	weightsMargin = 900 * time.Millisecond
 	// maxWaitShare is the maximum time that a request waits for a free slot, as a
 	// share of the request's first-byte objective. It is a little less than an
@@ -37,9 +37,9 @@
 	// SIGTERM. The load balancer checks readiness once a second and sends no more
 	// connections after two failed checks.
 	acceptPeriodAfterSignal = 2500 * time.Millisecond
-	// entryGCPercent is the GOGC value of the entry instance. It keeps the
-	// heap small: an entry instance uses 4.7 % of a core under load at this
-	// value (4.3 % at 100).
+	// entryGCPercent is the GOGC value of the entry instance. This low value
+	// keeps the heap small. Under load, an entry instance uses 4.7 % of a core
+	// at this value and 4.3 % at 100.
 	entryGCPercent = 30
 	// announceRetryPause is the pause between two attempts to write this
 	// instance's address to the store and to read the other addresses.
@@ -292,8 +292,9 @@
 	}
 }
 
-// drain reports that the instance is not ready and waits until the running
-// requests have ended, within the stop grace.
+// drain makes the readiness check report that the instance is not ready, and
+// then waits until the running requests have ended. Both together take at most
+// the time that stopGrace returns.
 func (e *entry) drain() {
 	e.stopping.Store(true)
 	err := shutDownClients(e.clock, e.handler, e.clientServer, stopGrace(&e.settings))
--- a/daemon/hosted/servers.go
+++ b/daemon/hosted/servers.go
@@ -17,7 +17,8 @@
 	"github.com/rattanway/rattanway/process/metrics"
 )
 
-// shutdownTimeout limits the time of the shutdown of each internal HTTP server.
+// shutdownTimeout limits how long the shutdown of each internal HTTP server
+// takes.
 const shutdownTimeout = 200 * time.Millisecond
 
 // addServer adds to the group an actor that serves handler on addr.
@@ -29,8 +30,8 @@
 	g.Add(server.Run, func(error) {
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		// Other processes of this system keep their connections open. Shutdown
-		// closes these connections at the timeout.
+		// Other processes of this system keep their connections open. When ctx
+		// ends, Shutdown closes them and returns an error, which is expected.
 		_ = server.Shutdown(ctx)
 	})
 	return nil
--- a/daemon/hosted/stop.go
+++ b/daemon/hosted/stop.go
@@ -7,13 +7,14 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// drainer is the part of the handler of client requests that shutDownClients uses.
+// drainer has the method that shutDownClients calls on the handler of client
+// requests.
 type drainer interface {
 	// Drain makes each further response close its connection.
 	Drain()
 }
 
-// shutdowner is the part of an HTTP server that shutDownClients uses.
+// shutdowner has the method that shutDownClients calls on the HTTP server.
 type shutdowner interface {
 	// Shutdown closes the listener and waits for the running requests.
 	Shutdown(ctx context.Context) error
@@ -21,8 +22,8 @@
 
 // shutDownClients stops the server for clients within grace. The server accepts
 // new connections until the load balancer has detected that the instance is not
-// ready. Then it closes the listener, although clients without another entry
-// instance may still try to connect, and waits for the running requests.
+// ready. Then it closes the listener and waits for the running requests. Clients
+// that know no other entry instance may still try to connect after that.
 func shutDownClients(clock clockwork.Clock, handler drainer, server shutdowner, grace time.Duration) error {
 	handler.Drain()
 	clock.Sleep(acceptPeriodAfterSignal)
--- a/daemon/hosted/stop_test.go
+++ b/daemon/hosted/stop_test.go
@@ -37,9 +37,11 @@
 		clock.Advance(acceptPeriodAfterSignal)
 		So(<-stopped, ShouldBeNil)
 		So(server.drained, ShouldBeTrue)
-		// The load balancer checks once a second and needs two failed checks.
+		// The load balancer checks readiness once a second and sends no more
+		// connections after two failed checks.
 		So(server.shutdownAt.Sub(start), ShouldBeGreaterThanOrEqualTo, 2*time.Second)
-		// A request that arrives last and takes 4.5 s is completed before SIGKILL.
+		// A request that arrives just before the shutdown and takes 4.5 s is
+		// completed before SIGKILL.
 		So(server.shutdownAt.Sub(start), ShouldBeLessThanOrEqualTo, 3*time.Second)
 		So(server.deadline.Sub(start), ShouldEqual, 7500*time.Millisecond)
 	})
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -24,8 +24,9 @@
 	Seeds []core.Instance
 	// ListInterval is the time between two reads of the instance list.
 	ListInterval time.Duration
-	// HeartbeatInterval is the longest time between two reports of an agent to an entry
-	// instance. With many agents the time is longer; see homes.HeartbeatInterval.
+	// HeartbeatInterval is the longest time between two reports of an agent to
+	// an entry instance while there are few agents. With many agents,
+	// homes.HeartbeatInterval computes a longer time.
 	HeartbeatInterval time.Duration
 	// DrainTimeout limits the wait for calls in flight when the process stops.
 	DrainTimeout time.Duration
