--- a/process/dial/dial.go
+++ b/process/dial/dial.go
@@ -14,7 +14,7 @@
 // Timeouts of a connection. A round trip takes a few milliseconds; the platform
 // treats a machine as unreachable after 3 s.
 const (
-	// Timeout is the longest time to open a connection.
+	// Timeout limits how long the opening of a connection takes.
 	Timeout = 800 * time.Millisecond
 	// unackedTimeout is how long sent bytes may remain unacknowledged before TCP
 	// closes the connection (TCP_USER_TIMEOUT).
--- a/process/dial/reconnect.go
+++ b/process/dial/reconnect.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// initialTimeout is the timeout of each of the first attempts to open a
-	// connection; the timeout then doubles with each attempt, up to Timeout. The
-	// initial value is short because the first packet to a machine that is still
-	// starting after a power failure is lost, and TCP retransmits that packet only
-	// after a second.
+	// initialTimeout is the timeout of each of the first initialAttemptCount
+	// attempts to open a connection. The timeout then doubles with each attempt,
+	// up to Timeout. The initial value is short because of machines that are
+	// still starting after a power failure: the first packet to such a machine
+	// is lost, and TCP retransmits it only after a second.
 	initialTimeout = 100 * time.Millisecond
-	// initialAttemptCount is the number of attempts before pauses and timeouts grow.
-	// Machines that are started together complete their start within about half a
-	// second of each other.
+	// initialAttemptCount is the number of attempts before pauses and timeouts
+	// grow. Until then both are short, because machines that are started
+	// together complete their start within about half a second of each other.
 	initialAttemptCount = 5
 )
 
 // Backoff configures the pauses of KeepConnected between the end of a connection
 // and the next attempt.
 type Backoff struct {
-	// MinDelay is the initial pause. After the first attempts the pause doubles
-	// with each attempt, up to MaxDelay. Each pause is randomized between 50 %
-	// and 150 %.
+	// MinDelay is the initial pause. After the first initialAttemptCount
+	// attempts the pause doubles with each attempt, up to MaxDelay. Each pause
+	// is randomized between 50 % and 150 %.
 	MinDelay, MaxDelay time.Duration
-	// ResetAfter is how long a connection must have lasted for pause and timeout
-	// to start again at their initial values when it ends.
+	// ResetAfter is how long a connection must have lasted so that the pause and
+	// the timeout have their initial values again.
 	ResetAfter time.Duration
 }
 
--- a/process/eventlog/bounded.go
+++ b/process/eventlog/bounded.go
@@ -12,11 +12,11 @@
 
 const (
 	// maxQueuedLines is the number of lines that may wait for a slow writer;
-	// together they have about 1 MB.
+	// together they take about 1 MB.
 	maxQueuedLines = 2048
-	// maxLinesPerSecond limits the lines of each event. It leaves room for one
-	// line for each request, because an entry instance serves about 100 requests
-	// per second.
+	// maxLinesPerSecond limits the lines of each event. An entry instance serves
+	// about 100 requests per second, so an event may have a line for each
+	// request.
 	maxLinesPerSecond = 150
 	// maxLineBurst is the number of lines of an event that may be written at once
 	// after a time without lines.
@@ -65,7 +65,8 @@
 	return limit.leftOutCount.Swap(0), true
 }
 
-// queue is a bounded queue of lines that a background goroutine writes.
+// queue holds a bounded number of lines until a background goroutine writes
+// them.
 type queue struct {
 	lines chan []byte
 	// droppedCount counts the lines dropped since the last report.
--- a/process/eventlog/eventlog.go
+++ b/process/eventlog/eventlog.go
@@ -31,7 +31,7 @@
 )
 
 // Define adds an event to the catalogue and returns the event. It panics if the
-// number is already in use; this is a programming error that occurs at every
+// number is already in use. That is a programming error, which shows at every
 // start.
 func Define(number int, name string, level logrus.Level, description string) Event {
 	e := Event{Number: number, Name: name, Level: level, Description: description}
--- a/process/httpserver/httpserver.go
+++ b/process/httpserver/httpserver.go
@@ -13,7 +13,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// headerTimeout limits the time to read a request's header.
+// headerTimeout limits how long reading a request's header takes.
 const headerTimeout = 5 * time.Second
 
 // maxHeaderBytes is the maximum size of a request's header, in bytes.
--- a/process/instances/missing.go
+++ b/process/instances/missing.go
@@ -9,7 +9,7 @@
 // Defaults of Config.
 const (
 	// defaultRemovalDelay is longer than the restart of an instance, so that a
-	// restart does not cause replicas to move.
+	// restart does not cause replicas of models to move to other instances.
 	defaultRemovalDelay = time.Minute
 	// defaultMassRemovalDelay is longer than defaultRemovalDelay because a list
 	// that lacks most of the instances is probably wrong.
@@ -17,15 +17,15 @@
 )
 
 // missingInstance is an instance that is missing from the platform's list but
-// kept for a while.
+// kept until expiresAt.
 type missingInstance struct {
 	instance core.Instance
 	// expiresAt is the time at which the instance is removed.
 	expiresAt time.Time
 }
 
-// updateMissing updates w.missing for a new list from the platform and returns the
-// missing instances that are kept. The caller holds w.mu.
+// updateMissing updates w.missing after a read of list from the platform, and
+// returns the missing instances that are kept. The caller holds w.mu.
 func (w *Watcher) updateMissing(list []core.Instance) []core.Instance {
 	listed := map[string]bool{}
 	for _, in := range list {
@@ -54,7 +54,8 @@
 	return kept
 }
 
-// removeExpired removes the missing instances that have expired.
+// removeExpired removes the missing instances that have been kept until their
+// expiresAt.
 func (w *Watcher) removeExpired() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/process/instances/watcher.go
+++ b/process/instances/watcher.go
@@ -28,8 +28,8 @@
 		"The list of instances could not be read from the platform; the last known one stays in use.")
 )
 
-// Fallback reads the list of instances from a peer. It is called when the list
-// could not be read from the platform.
+// Fallback reads the list of instances from a peer. The Watcher calls it when it
+// could not read the list from the platform.
 type Fallback func(ctx context.Context) ([]core.Instance, error)
 
 // Config holds the settings of a Watcher.
@@ -38,8 +38,9 @@
 	Interval time.Duration
 	// Seeds are the instances that All returns until the first list has been read.
 	Seeds []core.Instance
-	// RemovalDelay is how long an instance that is missing from the list is kept.
-	// An instance that was listed as leaving before is not kept. Default 60 s.
+	// RemovalDelay is how long an instance that is missing from the list is
+	// kept. An instance that the previous list marked as leaving is not kept.
+	// Default 60 s.
 	RemovalDelay time.Duration
 	// MassRemovalDelay is used instead of RemovalDelay when more than half of the
 	// instances are missing from the list at once. Default 10 min.
@@ -133,8 +134,9 @@
 	}
 }
 
-// refresh reads the list from the platform, or from a peer if that fails, and
-// updates the known list.
+// refresh reads the list from the platform and updates the known list. If that
+// read fails, it uses the fallback, if any. It also removes the expired missing
+// instances.
 func (w *Watcher) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, w.cfg.Interval)
 	defer cancel()
@@ -161,7 +163,7 @@
 	}
 }
 
-// replaceList sets the known list to the platform's list and the missing
+// replaceList sets the known list to the platform's list plus the missing
 // instances that are kept.
 func (w *Watcher) replaceList(list []core.Instance, tag string) {
 	w.mu.Lock()
--- a/process/pause/pause.go
+++ b/process/pause/pause.go
@@ -1,5 +1,6 @@
-// Package pause detects that this process was suspended for a while, so that the
-// process can confirm its state from before the pause before it uses that state.
+// Package pause detects that this process was suspended for a while. State from
+// before a pause may be out of date; the process must confirm it before using it
+// again.
 package pause
 
 import (
@@ -15,8 +16,8 @@
 const (
 	// sampleInterval is the time between two samples of the clock.
 	sampleInterval = 100 * time.Millisecond
-	// Threshold is the time between two samples from which on the process counts
-	// as having been paused in between.
+	// Threshold is the shortest time between two samples that counts as a pause
+	// of the process.
 	Threshold = time.Second
 )
 
@@ -54,8 +55,9 @@
 	}
 }
 
-// PauseCount samples the clock and returns the number of pauses so far. The number
-// includes a pause that has just ended and that Run has not detected yet.
+// PauseCount samples the clock and returns the number of pauses so far. If a
+// pause has just ended that Run has not detected yet, PauseCount counts and logs
+// it.
 func (d *Detector) PauseCount() int64 {
 	gap, pauseCount := d.sample()
 	if gap >= Threshold {
@@ -64,9 +66,9 @@
 	return pauseCount
 }
 
-// sample samples the clock and returns the time since the previous sample and the
-// number of pauses. Both change under one lock: a concurrent caller must not see
-// the new sample with the old number of pauses.
+// sample samples the clock and returns the time since the previous sample and
+// the number of pauses. It updates the sample and the number under one lock,
+// because a concurrent caller must not see the new sample with the old number.
 func (d *Detector) sample() (time.Duration, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/process/platform/http.go
+++ b/process/platform/http.go
@@ -83,8 +83,8 @@
 	addr       string
 	token      string
 	httpClient *http.Client
-	// reads and writes count the requests, and failed those without a complete
-	// response.
+	// reads and writes count the requests; failed counts the requests without a
+	// complete response.
 	reads  metrics.Counter
 	writes metrics.Counter
 	failed metrics.Counter
@@ -226,9 +226,8 @@
 }
 
 // transportError returns the error for a request without a complete response. It
-// is ErrUnknownOutcome for a write whose headers were sent, and otherwise
-// ErrUnavailable, because neither a read nor a write whose headers were not sent
-// has an effect.
+// is ErrUnknownOutcome for a write whose headers were sent. Any other request
+// had no effect, and the error is ErrUnavailable.
 func transportError(req request, sent bool, err error) error {
 	if req.isWrite() && sent {
 		return fmt.Errorf("%w: %v", ErrUnknownOutcome, err)
--- a/process/platform/platform.go
+++ b/process/platform/platform.go
@@ -64,8 +64,9 @@
 	// knownRevision, the revision that the caller already has. If knownRevision is
 	// 0, Get always returns the row.
 	Get(ctx context.Context, key string, knownRevision uint64) (Row, error)
-	// List reads up to limit rows, in the order of their keys, whose keys start
-	// with prefix and are greater than after.
+	// List reads the rows whose keys start with prefix and are greater than
+	// after. It returns the first limit of these rows in the order of their
+	// keys.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 	// Commit applies all writes atomically or none of them. It returns
 	// ErrConflict if a condition does not hold, ErrUnavailable if nothing was
@@ -76,8 +77,8 @@
 // ObjectStore is an object store: the platform's general one or the store of model
 // weights. Stored objects are immutable.
 type ObjectStore interface {
-	// Get reads length bytes of an object from offset; with length -1 it reads to
-	// the end.
+	// Get reads length bytes of an object from offset on; with length -1 it
+	// reads to the end of the object.
 	Get(ctx context.Context, name string, offset, length int64) ([]byte, error)
 	// Put stores an object. Storing the same body again has no effect.
 	Put(ctx context.Context, name string, body []byte) error
