--- a/connection/backend/pool.go
+++ b/connection/backend/pool.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxIdleTime is the maximum time for which an idle connection is kept. If the
-	// server became unreachable in that time, the next request on the connection
-	// gets no response until it times out.
+	// maxIdleTime is the maximum time for which an idle connection is kept. The
+	// limit is short because a server may become unreachable in that time: the
+	// next request on the connection then gets no response until it times out.
 	maxIdleTime = 4 * time.Second
 	// idleTimeMargin is subtracted from the idle timeout that a server announces,
 	// because the server may close the connection just when a request is sent.
@@ -39,8 +39,8 @@
 	return &Pool{clock: clock, idle: map[string][]*Conn{}}
 }
 
-// Get returns the most recently used idle connection to addr. If there is none, or
-// if openNew is true, it opens a new connection.
+// Get returns the most recently used idle connection to addr. If no connection
+// is idle, or if openNew is true, it opens a new connection.
 func (p *Pool) Get(ctx context.Context, addr string, openNew bool) (*Conn, error) {
 	if !openNew {
 		if c := p.takeIdle(addr); c != nil {
--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -52,21 +52,23 @@
 	mu sync.Mutex
 	// pulledVersion is the version pulled last.
 	pulledVersion uint64
-	// pullStartedAt is the time at which that pull started.
+	// pullStartedAt is the time at which the pull of pulledVersion started.
 	pullStartedAt time.Time
 	// sessions holds the open sessions.
 	sessions map[*Session]bool
 }
 
-// NewHub returns a Hub for source.
+// NewHub returns a Hub for source that always confirms its peers' versions; see
+// ConfirmPeersWhen.
 func NewHub(source Source, log *eventlog.Logger) *Hub {
 	always := func() bool { return true }
 	return &Hub{source: source, log: log, mayConfirm: always, sessions: map[*Session]bool{}}
 }
 
-// ConfirmPeersWhen makes the Hub confirm its peers' versions only while mayConfirm
-// returns true: a process that was paused must not confirm the old version of
-// another paused process. ConfirmPeersWhen must be called before the Hub is used.
+// ConfirmPeersWhen makes the Hub confirm its peers' versions only while
+// mayConfirm returns true. This condition prevents a process that was paused
+// from confirming the old version of another paused process. ConfirmPeersWhen
+// must be called before the Hub is used.
 func (h *Hub) ConfirmPeersWhen(mayConfirm func() bool) { h.mayConfirm = mayConfirm }
 
 // PullFromPeers sends a Pull frame to every peer, so that the version in force
@@ -233,8 +235,9 @@
 	return s.conn.Send(frame.KindNotice, frame.Notice{ConfigNumber: number})
 }
 
-// sendVersion sends the version in force to a peer that holds version peerVersion,
-// or only its number if peerVersion is not older.
+// sendVersion sends the version in force to a peer that holds version
+// peerVersion. If peerVersion is not older, it sends only the number of the
+// version in force.
 func (s *Session) sendVersion(peerVersion uint64) error {
 	if number := s.hub.source.Number(); peerVersion >= number {
 		s.raisePeerVersion(peerVersion)
--- a/connection/engine/http_test.go
+++ b/connection/engine/http_test.go
@@ -34,7 +34,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), executions
 }
 
-// newKeyedCall returns a call with an Idempotency-Key, once-only or not.
+// newKeyedCall returns a call with an Idempotency-Key. onceOnly sets whether the
+// call is a once-only call.
 func newKeyedCall(onceOnly bool) Call {
 	return Call{
 		ID: "r1", Method: http.MethodPost, Path: "/lots", Body: []byte("{}"), OnceOnly: onceOnly,
--- a/connection/engine/monitor.go
+++ b/connection/engine/monitor.go
@@ -18,7 +18,7 @@
 	DefaultStatusInterval = 250 * time.Millisecond
 	// statusTimeout limits the duration of one poll.
 	statusTimeout = time.Second
-	// maxStatusAge is the age from which on a status is no longer used.
+	// maxStatusAge is the age at which a status becomes too old to be used.
 	maxStatusAge = 3 * time.Second
 )
 
@@ -79,13 +79,13 @@
 		}
 		return
 	}
-	m.store(s)
+	m.setStatus(s)
 }
 
-// store stores a status. If the engine came up, or if anything in the status
-// except the numbers of calls changed, store closes the channel that Changed
-// returned.
-func (m *Monitor) store(s Status) {
+// setStatus sets the newest status. If the engine came up, or if anything in the
+// status except the numbers of calls changed, setStatus closes the channel that
+// Changed returned.
+func (m *Monitor) setStatus(s Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.up {
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -21,9 +21,9 @@
 const Path = "/internal/exchange"
 
 const (
-	// sendInterval is the time between two messages while counts change. A backend
-	// server that receives 12 requests per second receives about half a request in
-	// this time.
+	// sendInterval is the time between two messages while counts change. A
+	// backend server that receives 12 requests per second receives about half a
+	// request in this time, so its count changes little between two messages.
 	sendInterval = 50 * time.Millisecond
 	// heartbeatInterval is the longest time between two messages, also while no
 	// count changes.
@@ -195,8 +195,8 @@
 	}
 }
 
-// ageSendPeriod is the time after the declaration of a version of the weights in
-// which the version's age is sent to peers. A peer that was paused or disconnected
+// ageSendPeriod is how long after the declaration of a version of the weights
+// the version's age is sent to peers. A peer that was paused or disconnected
 // receives the declaration late and has no other source for the age.
 const ageSendPeriod = 20 * time.Second
 
--- a/connection/fleet/entryconnections.go
+++ b/connection/fleet/entryconnections.go
@@ -35,7 +35,8 @@
 	// addresses are taken from the messages of entry instances.
 	EntryAddrs []string
 	// OnFleet is called with the address of an entry instance and each message
-	// from it, and with a nil message when the connection to it has ended.
+	// from that entry instance, and with a nil message when the connection has
+	// ended.
 	OnFleet func(entry string, f *frame.Fleet)
 	// Log receives an event when a connection opens, fails or ends.
 	Log *eventlog.Logger
@@ -71,8 +72,8 @@
 	}
 }
 
-// Publish sends the state of the backend server to all connected entry instances,
-// and to others when they connect.
+// Publish sends the state of the backend server to all connected entry
+// instances, and to each further entry instance when it connects.
 func (c *EntryConnections) Publish(s frame.AgentState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/connection/fleet/hub.go
+++ b/connection/fleet/hub.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// notifyChange wakes the goroutines that wait for a change of the agents. h.mu
-// must be held.
+// notifyChange wakes the goroutines that wait until an agent connects or
+// disconnects. h.mu must be held.
 func (h *Hub) notifyChange() {
 	close(h.changed)
 	h.changed = make(chan struct{})
@@ -160,8 +160,8 @@
 	}
 }
 
-// applyState stores a reported state. Unless a newer connection has replaced that
-// of a, it also calls OnAgentState and logs a change.
+// applyState stores a reported state. Unless a newer connection has replaced a,
+// it also calls OnAgentState and logs a change.
 func (h *Hub) applyState(a *agentConn, s frame.AgentState) {
 	h.mu.Lock()
 	same := a.state.Loading == s.Loading && maps.Equal(a.state.LoadedVersions, s.LoadedVersions)
@@ -212,10 +212,11 @@
 }
 
 // waitForUpdate waits until a message is due, because of a change or for a
-// heartbeat. After a change it also waits for batchDelay. It sets *lastSent to
-// nil, which causes the fleet message to be sent again, in two cases: the agent
-// starts or stops requesting the list of agents, or the list changes while the
-// agent requests it. It returns false when ctx ends.
+// heartbeat. After a change of the list of agents or of the catalogue it also
+// waits for batchDelay. It sets *lastSent to nil, so that the fleet message is
+// sent again, in two cases: the agent starts or stops requesting the list of
+// agents, or the list changes while the agent requests it. It returns false when
+// ctx ends.
 func (h *Hub) waitForUpdate(ctx context.Context, a *agentConn, agentsChanged, catalogChanged <-chan struct{}, lastSent **catalog.Snapshot) bool {
 	heartbeat := h.cfg.Clock.After(heartbeatInterval)
 	for {
@@ -235,8 +236,8 @@
 			*lastSent = nil
 		case <-catalogChanged:
 			if sameVersionsAndOrigin(*lastSent, h.cfg.Holder.Current()) {
-				// The change is not part of fleet messages; usually a backend
-				// server changed.
+				// Fleet messages do not contain what has changed, which is
+				// usually a backend server.
 				catalogChanged = h.cfg.Holder.Changed()
 				continue
 			}
@@ -266,8 +267,8 @@
 }
 
 // sameVersionsAndOrigin reports whether two snapshots declare the same versions
-// and origin. If only one of them has a configuration it returns false, and if
-// neither has one it returns true.
+// and origin. If only one of them has a configuration, it returns false. If
+// neither of them has a configuration, it returns true.
 func sameVersionsAndOrigin(a, b *catalog.Snapshot) bool {
 	if a.Config == nil || b.Config == nil {
 		return a.Config == b.Config
--- a/connection/frame/conn.go
+++ b/connection/frame/conn.go
@@ -17,8 +17,8 @@
 // bufferBytes is the size of a connection's read and write buffers, in bytes.
 const bufferBytes = 4 << 10
 
-// writeTimeout limits the time to write one frame, so that a peer that stops
-// reading does not block the sender forever.
+// writeTimeout limits how long writing one frame takes, so that a peer that
+// stops reading does not block the sender forever.
 const writeTimeout = 10 * time.Second
 
 // The errors of a Conn. They are wrapped with the failed operation and the peer.
@@ -67,7 +67,7 @@
 var decMode = newDecMode()
 
 // newDecMode returns a decoding mode that limits the nesting and the sizes in a
-// frame, which also limits the cost of decoding a malicious frame.
+// frame. These limits bound the cost of decoding a malicious frame.
 func newDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxNestedLevels:  8,
--- a/connection/frame/fleet.go
+++ b/connection/frame/fleet.go
@@ -5,9 +5,9 @@
 	"github.com/rattanway/rattanway/version/catalog"
 )
 
-// The kinds of messages between entry instances, and between entry instances
-// and those agents whose backend servers receive requests directly from the
-// entry instances, not through the agent.
+// The kinds of messages between entry instances, and between entry instances and
+// agents. They are used where entry instances send requests directly to the
+// backend servers, not through the agents.
 const (
 	KindEntryHello   Kind = 32 // between entry instances: first message on a connection
 	KindLoadUpdate   Kind = 33 // between entry instances: requests in flight per backend server
@@ -35,9 +35,10 @@
 	ServersRevision uint64 `cbor:"2,keyasint"`
 	// RunningByServer maps the id of a backend server to the number of requests
 	// that the sender has in flight there. It contains only the numbers that
-	// changed since the last message.
+	// have changed since the last message.
 	RunningByServer map[string]int `cbor:"3,keyasint,omitempty"`
-	// DeclaredVersions are the recently declared model versions with their ages.
+	// DeclaredVersions are the recently declared model versions with the time
+	// since their declaration.
 	DeclaredVersions []WantedVersion `cbor:"4,keyasint,omitempty"`
 }
 
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -39,17 +39,18 @@
 	KindData          Kind = 22 // agent to entry instance: part of the response body
 	KindEnd           Kind = 23 // agent to entry instance: the response is complete
 	KindFail          Kind = 24 // agent to entry instance: the response failed or is incomplete
-	KindAttemptQuery  Kind = 25 // entry instance to agent: has this attempt of a keyed call run?
+	KindAttemptQuery  Kind = 25 // entry instance to agent: has this attempt of a once-only call run?
 	KindAttemptStatus Kind = 26 // agent to entry instance: response to AttemptQuery
 )
 
 // State is the state of a backend server as determined by its agent.
 type State string
 
-// The states of a backend server.
+// The states of a backend server. Its limit is the maximum number of concurrent
+// calls, which grows from a declared cold limit after a start.
 const (
-	// StateCold means that the server is up and its limit is still at its
-	// declared cold limit.
+	// StateCold means that the server is up and its limit is still the cold
+	// limit.
 	StateCold State = "cold"
 	// StateWarming means that the limit is between the cold limit and the full
 	// limit.
@@ -90,8 +91,9 @@
 	// LoadedChanged is true if Loaded replaces the list of the last report;
 	// otherwise that list is still valid.
 	LoadedChanged bool `cbor:"7,keyasint,omitempty"`
-	// HeartbeatMillis is the maximum time until the next report, in milliseconds;
-	// 0 means that the maximum has not changed.
+	// HeartbeatMillis is the maximum time until the next report, in
+	// milliseconds; 0 means that the maximum has not changed since the last
+	// report.
 	HeartbeatMillis int64 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -124,8 +126,8 @@
 	// ConfigNumber is the number of the configuration version.
 	ConfigNumber uint64 `cbor:"1,keyasint"`
 	// Confirmed is only set in a response to Pull. It is true if the sender's
-	// version has been confirmed as the newest since the sender started and
-	// since it was last paused.
+	// version has been confirmed as the newest after the sender's start and
+	// after the sender's last pause.
 	Confirmed bool `cbor:"2,keyasint,omitempty"`
 }
 
@@ -152,15 +154,16 @@
 	Confirmed bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Request is a call that an entry instance sends to an agent. In a KindRequest
-// frame the agent runs it, in a KindOffer frame the agent holds a slot for it.
+// Request is a call that an entry instance sends to an agent. The agent runs the
+// call of a KindRequest frame. For the call of a KindOffer frame it only holds a
+// slot.
 type Request struct {
 	// ID is the request id. Every frame about this request carries it.
 	ID string `cbor:"1,keyasint"`
 	// Account is the name of the client account.
 	Account string `cbor:"2,keyasint"`
-	// Share is the weight of the client account when capacity is scarce, at
-	// least 1.
+	// Share is the weight of the client account, at least 1, by which scarce
+	// capacity is divided among accounts.
 	Share int `cbor:"3,keyasint"`
 	// Priority is from 0 (lowest) to 9 (highest).
 	Priority int `cbor:"4,keyasint"`
@@ -299,9 +302,9 @@
 	Load Load `cbor:"4,keyasint"`
 }
 
-// AttemptQuery queries whether an agent has run an attempt of a keyed call. An
-// attempt that the agent has not started before the query, this one or an earlier
-// one, is never started later.
+// AttemptQuery queries whether an agent has run an attempt of a keyed call, a
+// once-only call with an Idempotency-Key. After the query, the agent never
+// starts this attempt or an earlier one.
 type AttemptQuery struct {
 	// ID is the request id of this query.
 	ID string `cbor:"1,keyasint"`
--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -87,7 +87,7 @@
 type Members interface {
 	// All returns the newest list.
 	All() []core.Instance
-	// Changed returns a channel closed when the list changes.
+	// Changed returns a channel that is closed when the list next changes.
 	Changed() <-chan struct{}
 }
 
@@ -237,10 +237,10 @@
 	}
 }
 
-// sendReports sends a report at each heartbeat, and at once when a value that
-// routing depends on has changed, until ctx ends or sending fails. lastSent is the
-// report in the Hello frame. changed is the channel that reportWatcher.refresh
-// returned with that report.
+// sendReports sends reports until ctx ends or sending fails: one at each
+// heartbeat, and one at once when a value that routing depends on has changed.
+// lastSent is the report in the Hello frame. changed is the channel that
+// reportWatcher.refresh returned with that report.
 func (h *Homes) sendReports(ctx context.Context, conn *frame.Conn, lastSent frame.Report, changed <-chan struct{}) {
 	heartbeatTimer := time.NewTimer(time.Duration(lastSent.HeartbeatMillis) * time.Millisecond)
 	defer heartbeatTimer.Stop()
@@ -268,8 +268,9 @@
 	}
 }
 
-// withoutUnchangedFields returns current without the loaded versions and without
-// the heartbeat interval, each only if it is the same as in last.
+// withoutUnchangedFields returns current without the loaded versions if they are
+// the same as in last, and without the heartbeat interval if it is the same as
+// in last.
 func withoutUnchangedFields(current, last frame.Report) frame.Report {
 	if current.HeartbeatMillis == last.HeartbeatMillis {
 		current.HeartbeatMillis = 0
@@ -288,13 +289,15 @@
 	return routingInputsChanged(current, last) || !sameLoaded(current.Loaded, last.Loaded)
 }
 
-// limitChangeDivisor sets the change of the limit that is reported before the next
-// heartbeat: more than 1/limitChangeDivisor of the last reported limit.
+// limitChangeDivisor determines which change of the limit is reported before the
+// next heartbeat: a change by more than 1/limitChangeDivisor of the last
+// reported limit.
 const limitChangeDivisor = 4
 
-// routingInputsChanged reports whether the state, the configuration or, by more
-// than the threshold, the limit has changed. Routing depends on these values. It
-// also depends on the numbers of calls, but responses and heartbeats carry those.
+// routingInputsChanged reports whether the state or the configuration has
+// changed, or the limit by more than 1/limitChangeDivisor. Routing depends on
+// these values. Routing also depends on the numbers of calls, which responses
+// and heartbeats carry.
 func routingInputsChanged(current, last frame.Report) bool {
 	limitChange := current.Limit - last.Limit
 	if limitChange < 0 {
--- a/connection/homes/reconcile.go
+++ b/connection/homes/reconcile.go
@@ -31,8 +31,8 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	home   core.Instance
-	// wanted is true while Select chooses the home. After a lost connection the
-	// agent then registers again.
+	// wanted is true while Select chooses the home. While it is true, the agent
+	// registers again after a lost connection.
 	wanted bool
 	// ended is true once the connection was lost while wanted was false; the agent
 	// does not register again.
@@ -47,7 +47,8 @@
 // list lacks the entry instance or marks it as leaving, the registration stays
 // until the entry instance ends it, because the load balancer may still send
 // calls there. reconcile ends an accepted registration only if the list contains
-// the entry instance as not leaving and Select no longer chooses it.
+// the entry instance and does not mark it as leaving, but Select no longer
+// chooses it.
 func (h *Homes) reconcile(ctx context.Context) []*registration {
 	members := h.members.All()
 	chosen := Select(h.cfg.Self, members, h.cfg.MaxLocalHomes, h.cfg.HomesPerRemoteDataCentre, h.cfg.MinHomes)
--- a/connection/homes/select.go
+++ b/connection/homes/select.go
@@ -42,11 +42,11 @@
 	return chosen
 }
 
-// HeartbeatInterval returns the longest time between two reports of an agent that
-// has the given number of homes. The interval is base if each entry instance in
-// the list has on average at most MaxFullRateAgents registered agents. With more
-// agents the interval grows in proportion, so that the rate of reports at an entry
-// instance does not grow.
+// HeartbeatInterval returns the longest time between two reports of an agent
+// that has homeCount homes. The interval is base if the entry instances in the
+// list have on average at most MaxFullRateAgents registered agents each. With
+// more agents the interval grows in proportion, so that the rate of reports at
+// an entry instance does not grow.
 func HeartbeatInterval(base time.Duration, list []core.Instance, homeCount int) time.Duration {
 	entryCount, agentCount := 0, 0
 	for _, in := range list {
--- a/connection/members/members.go
+++ b/connection/members/members.go
@@ -28,8 +28,8 @@
 	// announcementLifetime is how long an announcement is valid. Each new
 	// announcement of the same entry instance replaces the old one.
 	announcementLifetime = 10 * time.Second
-	// maxListsPerRead is the maximum number of other entry instances whose lists
-	// an entry instance reads each time.
+	// maxListsPerRead is the number of responses from other entry instances
+	// after which an entry instance ends a read of the list.
 	maxListsPerRead = 3
 	// maxAnnouncementBytes limits the body of a request, in bytes.
 	maxAnnouncementBytes = 4 << 10
--- a/connection/registry/heartbeat.go
+++ b/connection/registry/heartbeat.go
@@ -8,9 +8,9 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// lateCheckFactor is the number of heartbeat intervals since the previous check
-// from which on a check is late. A late check marks no server as suspect: this
-// process was probably paused, and reports may be waiting to be read.
+// lateCheckFactor is the number of heartbeat intervals after which the next
+// check is late. A late check marks no server as suspect, because this process
+// was probably paused and reports may be waiting to be read.
 const lateCheckFactor = 1.5
 
 // heartbeatMonitor marks a server as suspect if Server.LastSeen has not changed
--- a/connection/registry/registry.go
+++ b/connection/registry/registry.go
@@ -36,8 +36,8 @@
 	Suspect bool
 }
 
-// HasLoaded reports whether the newest report lists the version of model with the
-// manifest digest d as loaded.
+// HasLoaded reports whether the newest report lists, as loaded, the version of
+// model that has the manifest digest d.
 func (s Server) HasLoaded(model string, d core.Digest) bool {
 	for _, l := range s.Report.Loaded {
 		if l.Model == model && l.Digest == d {
