--- a/connection/backend/pool.go
+++ b/connection/backend/pool.go
@@ -29,14 +29,14 @@
 // Pool keeps idle connections by the address of their backend server. It is safe
 // for concurrent use.
 type Pool struct {
-	clock clockwork.Clock
-	mu    sync.Mutex
-	idle  map[string][]*Conn
+	clock     clockwork.Clock
+	mu        sync.Mutex
+	idleConns map[string][]*Conn
 }
 
 // NewPool returns an empty Pool.
 func NewPool(clock clockwork.Clock) *Pool {
-	return &Pool{clock: clock, idle: map[string][]*Conn{}}
+	return &Pool{clock: clock, idleConns: map[string][]*Conn{}}
 }
 
 // Get returns the most recently used idle connection to addr. If no connection
@@ -64,9 +64,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	for list := p.idle[addr]; len(list) > 0; list = p.idle[addr] {
+	for list := p.idleConns[addr]; len(list) > 0; list = p.idleConns[addr] {
 		c := list[len(list)-1]
-		p.idle[addr] = list[:len(list)-1]
+		p.idleConns[addr] = list[:len(list)-1]
 		if now.Sub(c.idleSince) < c.idleLimit {
 			return c
 		}
@@ -86,7 +86,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.idleSince = p.clock.Now()
-	p.idle[c.addr] = append(p.idle[c.addr], c)
+	p.idleConns[c.addr] = append(p.idleConns[c.addr], c)
 }
 
 // Run closes expired connections at each sweepInterval until ctx ends, and then
@@ -109,7 +109,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	for addr, list := range p.idle {
+	for addr, list := range p.idleConns {
 		kept := list[:0]
 		for _, c := range list {
 			if all || now.Sub(c.idleSince) >= c.idleLimit {
@@ -119,9 +119,9 @@
 			kept = append(kept, c)
 		}
 		clear(list[len(kept):])
-		p.idle[addr] = kept
+		p.idleConns[addr] = kept
 		if len(kept) == 0 {
-			delete(p.idle, addr)
+			delete(p.idleConns, addr)
 		}
 	}
 }
--- a/connection/engine/monitor.go
+++ b/connection/engine/monitor.go
@@ -35,10 +35,10 @@
 	log      *eventlog.Logger
 	clock    clockwork.Clock
 
-	mu        sync.RWMutex
-	status    Status
-	readAt    time.Time
-	hasStatus bool
+	mu           sync.RWMutex
+	status       Status
+	statusReadAt time.Time
+	hasStatus    bool
 	// up is true if the last poll succeeded.
 	up      bool
 	changed chan struct{}
@@ -95,7 +95,7 @@
 	if differs {
 		m.log.Event(eventEngineChanged, eventlog.Fields{"loaded": len(s.Loaded), "fence": s.Fence, "boot": s.Boot})
 	}
-	m.status, m.readAt, m.hasStatus, m.up = s, m.clock.Now(), true, true
+	m.status, m.statusReadAt, m.hasStatus, m.up = s, m.clock.Now(), true, true
 	if differs {
 		m.notifyChanged()
 	}
@@ -135,7 +135,7 @@
 	if !m.hasStatus {
 		return Status{}, 0, false
 	}
-	age = m.clock.Since(m.readAt)
+	age = m.clock.Since(m.statusReadAt)
 	return m.status, age, m.up && age < maxStatusAge
 }
 
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -139,7 +139,7 @@
 			return nil
 		case addr := <-x.discovered:
 			connections.Go(func() {
-				session := func(ctx context.Context, timeout time.Duration) error { return x.sendLoads(ctx, addr, timeout) }
+				session := func(ctx context.Context, timeout time.Duration) error { return x.runSession(ctx, addr, timeout) }
 				dial.KeepConnected(ctx, x.cfg.Clock, redialPauses, session, func(err error) {
 					x.cfg.Log.EventWithError(eventPeerDisconnected, err, eventlog.Fields{"peer": addr})
 				})
@@ -148,10 +148,10 @@
 	}
 }
 
-// sendLoads opens a connection to a peer within timeout and sends the request
+// runSession opens a connection to a peer within timeout and sends the request
 // counts on the connection until it ends. On the same connection it serves the table
 // requests of the peer.
-func (x *Exchange) sendLoads(ctx context.Context, addr string, timeout time.Duration) error {
+func (x *Exchange) runSession(ctx context.Context, addr string, timeout time.Duration) error {
 	conn, err := frame.Dial(addr, Path, x.cfg.Token, timeout)
 	if err != nil {
 		return err
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -82,23 +82,23 @@
 // that it uses.
 type testInstance struct {
 	*Exchange
-	holder            *catalog.Holder
-	declared, servers *catalog.Follower
-	loads             *fakeLoadTracker
+	holder                            *catalog.Holder
+	declaredFollower, serversFollower *catalog.Follower
+	loadTracker                       *fakeLoadTracker
 }
 
 // newTestInstance starts an instance without the address of any other instance.
 func newTestInstance(t *testing.T, name string) *testInstance {
 	t.Helper()
 	clock, log := clockwork.NewRealClock(), eventlog.Discard()
-	i := &testInstance{holder: catalog.NewHolder(log), loads: &fakeLoadTracker{received: map[string]int{}}}
-	i.declared = catalog.NewFollower(catalog.TableDeclared, unavailableStore{}, i.holder, log, clock)
-	i.servers = catalog.NewFollower(catalog.TableServers, unavailableStore{}, i.holder, log, clock)
+	i := &testInstance{holder: catalog.NewHolder(log), loadTracker: &fakeLoadTracker{received: map[string]int{}}}
+	i.declaredFollower = catalog.NewFollower(catalog.TableDeclared, unavailableStore{}, i.holder, log, clock)
+	i.serversFollower = catalog.NewFollower(catalog.TableServers, unavailableStore{}, i.holder, log, clock)
 	var handler http.Handler
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { handler.ServeHTTP(w, r) }))
 	i.Exchange = New(Config{
 		Self: core.Instance{ID: name, Role: core.RoleEntry, Addr: server.Listener.Addr().String()}, Token: token,
-		Holder: i.holder, DeclaredFollower: i.declared, ServersFollower: i.servers, LoadTracker: i.loads, Log: log, Clock: clock,
+		Holder: i.holder, DeclaredFollower: i.declaredFollower, ServersFollower: i.serversFollower, LoadTracker: i.loadTracker, Log: log, Clock: clock,
 	})
 	handler = httpserver.RequirePeerToken(token, i.Exchange)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -119,18 +119,18 @@
 func TestExchange(t *testing.T) {
 	Convey("Two instances, one of which has the address of the other, send each other their request counts", t, func() {
 		a, b := newTestInstance(t, "a"), newTestInstance(t, "b")
-		a.loads.set(map[string]int{"s1": 3})
-		b.loads.set(map[string]int{"s2": 5})
+		a.loadTracker.set(map[string]int{"s1": 3})
+		b.loadTracker.set(map[string]int{"s2": 5})
 		a.AddPeer(b.cfg.Self.Addr)
-		So(wait.Until(func() bool { return b.loads.receivedCount("s1") == 3 && a.loads.receivedCount("s2") == 5 }), ShouldBeTrue)
-		a.loads.set(map[string]int{})
-		So(wait.Until(func() bool { return b.loads.receivedCount("s1") == 0 }), ShouldBeTrue)
+		So(wait.Until(func() bool { return b.loadTracker.receivedCount("s1") == 3 && a.loadTracker.receivedCount("s2") == 5 }), ShouldBeTrue)
+		a.loadTracker.set(map[string]int{})
+		So(wait.Until(func() bool { return b.loadTracker.receivedCount("s1") == 0 }), ShouldBeTrue)
 	})
 
 	Convey("An instance without a response from the store gets newer tables and the ages of weights from another instance", t, func() {
 		a, b := newTestInstance(t, "a"), newTestInstance(t, "b")
-		a.declared.AdoptIfNewer(catalog.TableContent{Rows: []catalog.Row{{Key: "config", Revision: 7}}, ChangeRevision: 7, ReadRevision: 9}, "store")
-		a.servers.AdoptIfNewer(catalog.TableContent{Rows: []catalog.Row{{Key: "s1", Revision: 8}}, ChangeRevision: 8, ReadRevision: 9}, "store")
+		a.declaredFollower.AdoptIfNewer(catalog.TableContent{Rows: []catalog.Row{{Key: "config", Revision: 7}}, ChangeRevision: 7, ReadRevision: 9}, "store")
+		a.serversFollower.AdoptIfNewer(catalog.TableContent{Rows: []catalog.Row{{Key: "s1", Revision: 8}}, ChangeRevision: 8, ReadRevision: 9}, "store")
 		declaredAt := time.Now().Add(-3 * time.Second)
 		a.holder.MergeWeights(catalog.Weights{Model: "herbs", Version: 2, DeclaredAt: declaredAt}, time.Now())
 		b.AddPeer(a.cfg.Self.Addr)
--- a/connection/fleet/fleet_test.go
+++ b/connection/fleet/fleet_test.go
@@ -81,8 +81,8 @@
 	*EntryConnections
 	stop func()
 
-	mu    sync.Mutex
-	fleet *frame.Fleet
+	mu        sync.Mutex
+	lastFleet *frame.Fleet
 }
 
 func newTestAgent(t *testing.T, name string, e *testEntry) *testAgent {
@@ -98,7 +98,7 @@
 		OnFleet: func(_ string, f *frame.Fleet) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			a.fleet = f
+			a.lastFleet = f
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -119,7 +119,7 @@
 func (a *testAgent) fleetMeets(condition func(frame.Fleet) bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.fleet != nil && condition(*a.fleet)
+	return a.lastFleet != nil && condition(*a.lastFleet)
 }
 
 func TestFleet(t *testing.T) {
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -224,7 +224,7 @@
 	ReasonDigestMismatch   Reason = "digest"     // the engine has not loaded the requested version
 	ReasonDown             Reason = "down"       // the engine or service does not respond
 	ReasonDuplicate        Reason = "duplicate"  // this attempt was refused or run before
-	ReasonExpired          Reason = "expired"    // the deadline or the time of the held slot has passed
+	ReasonExpired          Reason = "expired"    // the deadline or the hold time of the slot has passed
 	ReasonUnknownOperation Reason = "unknown-op" // the server does not serve this method and path
 )
 
--- a/connection/registry/heartbeat.go
+++ b/connection/registry/heartbeat.go
@@ -18,9 +18,9 @@
 // goroutine, because an entry instance has one monitor for each registration.
 type heartbeatMonitor struct {
 	listener *Listener
-	server   string
-	// registration is the number of the monitored registration.
-	registration uint64
+	serverID string
+	// registrationNumber is the number of the monitored registration.
+	registrationNumber uint64
 	// heartbeatInterval is the longest time between two reports, in nanoseconds.
 	heartbeatInterval atomic.Int64
 	timer             *time.Timer
@@ -28,10 +28,10 @@
 	lastCheck time.Time
 }
 
-// monitorHeartbeats starts a heartbeatMonitor for a registration. server is the ID
-// of the server.
-func (l *Listener) monitorHeartbeats(server string, registration uint64, heartbeatInterval time.Duration) *heartbeatMonitor {
-	m := &heartbeatMonitor{listener: l, server: server, registration: registration, lastCheck: time.Now()}
+// monitorHeartbeats starts a heartbeatMonitor for a registration of the server
+// with the given ID.
+func (l *Listener) monitorHeartbeats(serverID string, registrationNumber uint64, heartbeatInterval time.Duration) *heartbeatMonitor {
+	m := &heartbeatMonitor{listener: l, serverID: serverID, registrationNumber: registrationNumber, lastCheck: time.Now()}
 	m.setHeartbeatInterval(heartbeatInterval)
 	m.timer = time.AfterFunc(math.MaxInt64, m.check)
 	m.timer.Reset(heartbeatInterval)
@@ -50,8 +50,8 @@
 // check marks the server as suspect if its reports are overdue. The timer calls
 // check once in each heartbeat interval until the registration has ended.
 func (m *heartbeatMonitor) check() {
-	srv, ok := m.listener.registry.Get(m.server)
-	if !ok || srv.Registration != m.registration {
+	srv, ok := m.listener.registry.Get(m.serverID)
+	if !ok || srv.Registration != m.registrationNumber {
 		return
 	}
 	heartbeatInterval := time.Duration(m.heartbeatInterval.Load())
@@ -61,6 +61,6 @@
 	if late || srv.Suspect || time.Since(srv.LastSeen) < suspectAfterHeartbeats*heartbeatInterval {
 		return
 	}
-	m.listener.registry.Update(m.server, srv.Incarnation, func(srv *Server) { srv.Suspect = true })
-	m.listener.log.Event(eventAgentSuspect, eventlog.Fields{"server": m.server})
+	m.listener.registry.Update(m.serverID, srv.Incarnation, func(srv *Server) { srv.Suspect = true })
+	m.listener.log.Event(eventAgentSuspect, eventlog.Fields{"server": m.serverID})
 }
--- a/connection/registry/listener.go
+++ b/connection/registry/listener.go
@@ -79,8 +79,8 @@
 	mu sync.Mutex
 	// conns holds the open connections.
 	conns map[*frame.Conn]bool
-	// lastRegistration is the number of the newest registration.
-	lastRegistration uint64
+	// lastRegistrationNumber is the number of the newest registration.
+	lastRegistrationNumber uint64
 }
 
 // NewListener returns a Listener. onUnregister is called with the address of an
@@ -119,8 +119,8 @@
 	}
 	l.mu.Lock()
 	l.conns[conn] = true
-	l.lastRegistration++
-	registration := l.lastRegistration
+	l.lastRegistrationNumber++
+	registrationNumber := l.lastRegistrationNumber
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
@@ -128,7 +128,7 @@
 		l.mu.Unlock()
 		_ = conn.Close()
 	}()
-	if err := l.serveRegistration(conn, registration); err != nil {
+	if err := l.serveRegistration(conn, registrationNumber); err != nil {
 		l.log.EventWithError(eventRegistrationRefused, err, eventlog.Fields{"peer": conn.Peer()})
 	}
 }
@@ -136,7 +136,7 @@
 // serveRegistration receives the agent's Hello frame, adds the agent to the
 // registry and handles the agent's frames until the connection ends. It then
 // removes the agent.
-func (l *Listener) serveRegistration(conn *frame.Conn, registration uint64) error {
+func (l *Listener) serveRegistration(conn *frame.Conn, registrationNumber uint64) error {
 	var hello frame.Hello
 	if err := conn.Expect(frame.KindHello, &hello, time.Now().Add(helloTimeout)); err != nil {
 		return err
@@ -146,8 +146,8 @@
 	if err := conn.Send(frame.KindWelcome, welcome); err != nil {
 		return err
 	}
-	l.register(hello, registration)
-	defer l.unregister(hello, registration)
+	l.register(hello, registrationNumber)
+	defer l.unregister(hello, registrationNumber)
 
 	session := confsync.NewSession(l.configHub, conn, hello.Report.ConfigNumber)
 	defer session.Close()
@@ -157,15 +157,15 @@
 	if err := session.PullIfNewer(hello.Report.ConfigNumber); err != nil {
 		return err
 	}
-	return l.receiveFrames(conn, session, hello, registration)
+	return l.receiveFrames(conn, session, hello, registrationNumber)
 }
 
 // receiveFrames handles the agent's frames until the connection ends or no frame
 // arrives for goneAfterHeartbeats heartbeat intervals. It returns nil in both
 // cases, and an error for a frame that it cannot handle.
-func (l *Listener) receiveFrames(conn *frame.Conn, session *confsync.Session, hello frame.Hello, registration uint64) error {
+func (l *Listener) receiveFrames(conn *frame.Conn, session *confsync.Session, hello frame.Hello, registrationNumber uint64) error {
 	heartbeatInterval := l.announcedHeartbeatInterval(hello.Report, l.cfg.HeartbeatInterval)
-	monitor := l.monitorHeartbeats(hello.Instance.ID, registration, heartbeatInterval)
+	monitor := l.monitorHeartbeats(hello.Instance.ID, registrationNumber, heartbeatInterval)
 	defer monitor.stop()
 	for {
 		f, err := conn.Receive(time.Now().Add(goneAfterHeartbeats * heartbeatInterval))
@@ -207,11 +207,11 @@
 
 // register adds the server to the registry and replaces an earlier registration of
 // the same server.
-func (l *Listener) register(hello frame.Hello, registration uint64) {
+func (l *Listener) register(hello frame.Hello, registrationNumber uint64) {
 	l.registry.Put(Server{
 		Instance:     hello.Instance,
 		Incarnation:  hello.Incarnation,
-		Registration: registration,
+		Registration: registrationNumber,
 		Service:      hello.Service,
 		Report:       hello.Report,
 		LastSeen:     time.Now(),
@@ -228,8 +228,8 @@
 
 // unregister removes the server from the registry, unless a newer registration has
 // replaced this one.
-func (l *Listener) unregister(hello frame.Hello, registration uint64) {
-	if !l.registry.Remove(hello.Instance.ID, registration) {
+func (l *Listener) unregister(hello frame.Hello, registrationNumber uint64) {
+	if !l.registry.Remove(hello.Instance.ID, registrationNumber) {
 		return
 	}
 	l.onUnregister(hello.Instance.Addr)
--- a/connection/registry/registry.go
+++ b/connection/registry/registry.go
@@ -83,11 +83,11 @@
 
 // Remove removes the server with the given ID if it has the given registration
 // number, and reports whether it was removed.
-func (r *Registry) Remove(id string, registration uint64) bool {
+func (r *Registry) Remove(id string, registrationNumber uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.servers[id]
-	if !ok || s.Registration != registration {
+	if !ok || s.Registration != registrationNumber {
 		return false
 	}
 	delete(r.servers, id)
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -60,17 +60,17 @@
 	cfg AgentConfig
 	log *eventlog.Logger
 	// incarnation is an ID that is different each time the process starts.
-	incarnation   string
-	configHolder  *confstore.Holder
-	watcher       *instances.Watcher
-	engineClient  *engine.HTTPClient
-	monitor       *engine.Monitor
-	limiter       *admission.AdaptiveLimiter
-	handler       *serve.Handler
-	workServer    *work.Server
-	homes         *homes.Homes
-	pauseDetector *pause.Detector
-	freshnessGate *freshness.Gate
+	incarnation     string
+	configHolder    *confstore.Holder
+	instanceWatcher *instances.Watcher
+	engineClient    *engine.HTTPClient
+	engineMonitor   *engine.Monitor
+	limiter         *admission.AdaptiveLimiter
+	handler         *serve.Handler
+	workServer      *work.Server
+	homes           *homes.Homes
+	pauseDetector   *pause.Detector
+	freshnessGate   *freshness.Gate
 	// swarm and orders are nil if the backend server is a plain service.
 	swarm  *spread.Swarm
 	orders *orders.Controller
@@ -85,8 +85,8 @@
 	}
 	var g run.Group
 	g.Add(server.Run, func(error) { stopServer(server) })
-	addRunner(&g, a.watcher.Run)
-	addRunner(&g, a.monitor.Run)
+	addRunner(&g, a.instanceWatcher.Run)
+	addRunner(&g, a.engineMonitor.Run)
 	addRunner(&g, a.homes.Run)
 	addRunner(&g, a.pauseDetector.Run)
 	addRunner(&g, a.followDeclaredLimits)
@@ -109,9 +109,9 @@
 	a := &agent{cfg: cfg, log: log, incarnation: uuid.NewString(), configHolder: confstore.NewHolder()}
 	a.configHolder.SetLogger(log)
 	a.pauseDetector = pause.New(log)
-	a.watcher = a.newWatcher(platformClient)
+	a.instanceWatcher = a.newWatcher(platformClient)
 	a.engineClient = newEngineClient(cfg)
-	a.monitor = engine.NewMonitor(a.engineClient, 0, log, clock)
+	a.engineMonitor = engine.NewMonitor(a.engineClient, 0, log, clock)
 	a.limiter = admission.New(admission.Config{Log: log}, clock)
 
 	configHub := confsync.NewHub(confsync.HolderSource{Holder: a.configHolder}, log)
@@ -135,7 +135,7 @@
 
 // newWatcher returns the watcher of the platform's list of instances.
 func (a *agent) newWatcher(platformClient *platform.Platform) *instances.Watcher {
-	entries := func() []core.Instance { return a.watcher.WithRole(core.RoleEntry) }
+	entries := func() []core.Instance { return a.instanceWatcher.WithRole(core.RoleEntry) }
 	return instances.NewWatcher(
 		instances.Config{Interval: a.cfg.ListInterval, Seeds: a.cfg.Seeds},
 		platformClient.Instances, members.NewPeerFallback(entries, a.cfg.Self, a.cfg.PeerToken), a.log)
@@ -159,7 +159,7 @@
 	cfg.Service = a.cfg.Service
 	cfg.PeerToken = a.cfg.PeerToken
 	cfg.BaseHeartbeatInterval = a.cfg.HeartbeatInterval
-	return homes.New(cfg, a.watcher, configHub, a.report, a.log)
+	return homes.New(cfg, a.instanceWatcher, configHub, a.report, a.log)
 }
 
 // newSwarm returns the agent's Swarm, which exchanges weights with other agents.
@@ -180,11 +180,11 @@
 		Token:       a.cfg.PeerToken,
 	}, orders.Deps{
 		Holder:         a.configHolder,
-		LiveInstances:  a.watcher.All,
+		LiveInstances:  a.instanceWatcher.All,
 		Fetcher:        a.swarm,
 		Store:          a.swarm.Store(),
 		Engine:         a.engineClient,
-		StatusSource:   a.monitor,
+		StatusSource:   a.engineMonitor,
 		Drainer:        versionDrainer{handler: a.handler},
 		SetRegionShare: a.setRegionShare,
 		Table:          platformClient.Table,
@@ -260,7 +260,7 @@
 // engineStatus returns the last status of the engine, and false while the engine
 // does not respond.
 func (a *agent) engineStatus() (engine.Status, bool) {
-	s, _, ok := a.monitor.Status()
+	s, _, ok := a.engineMonitor.Status()
 	return s, ok
 }
 
@@ -327,7 +327,7 @@
 // limit. A restart is thus detected even if no calls arrive.
 func (a *agent) watchEngineRestarts(ctx context.Context) error {
 	for {
-		changed := a.monitor.Changed()
+		changed := a.engineMonitor.Changed()
 		if status, ok := a.engineStatus(); ok {
 			a.handler.SetBootID(status.Boot)
 		}
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -58,21 +58,21 @@
 
 // entry holds the components of an entry instance.
 type entry struct {
-	cfg            EntryConfig
-	log            *eventlog.Logger
-	configHolder   *confstore.Holder
-	agentRegistry  *registry.Registry
-	workPool       *work.Pool
-	watcher        *instances.Watcher
-	configFollower *confstore.Follower
-	onceRecords    *once.RecordStore
-	relay          *relay.Relay
-	agentListener  *registry.Listener
-	pauseDetector  *pause.Detector
-	freshnessGate  *freshness.Gate
-	ops            *ops.Server
-	server         *httpserver.Server
-	draining       atomic.Bool
+	cfg             EntryConfig
+	log             *eventlog.Logger
+	configHolder    *confstore.Holder
+	agentRegistry   *registry.Registry
+	workPool        *work.Pool
+	instanceWatcher *instances.Watcher
+	configFollower  *confstore.Follower
+	onceRecords     *once.RecordStore
+	relay           *relay.Relay
+	agentListener   *registry.Listener
+	pauseDetector   *pause.Detector
+	freshnessGate   *freshness.Gate
+	opsServer       *ops.Server
+	server          *httpserver.Server
+	draining        atomic.Bool
 }
 
 // RunEntry runs an entry instance until SIGTERM or SIGINT.
@@ -86,7 +86,7 @@
 
 	var g run.Group
 	g.Add(server.Run, func(error) { stopServer(server) })
-	addRunner(&g, e.watcher.Run)
+	addRunner(&g, e.instanceWatcher.Run)
 	addRunner(&g, e.configFollower.Run)
 	addRunner(&g, e.onceRecords.Run)
 	addRunner(&g, e.pauseDetector.Run)
@@ -106,8 +106,8 @@
 	e.configHolder.SetLogger(log)
 	e.workPool = work.NewPool(work.PoolConfig{PeerToken: cfg.PeerToken})
 	e.pauseDetector = pause.New(log)
-	entries := func() []core.Instance { return e.watcher.WithRole(core.RoleEntry) }
-	e.watcher = instances.NewWatcher(
+	entries := func() []core.Instance { return e.instanceWatcher.WithRole(core.RoleEntry) }
+	e.instanceWatcher = instances.NewWatcher(
 		instances.Config{Interval: cfg.ListInterval, Seeds: cfg.Seeds},
 		platformClient.Instances, members.NewPeerFallback(entries, cfg.Self, cfg.PeerToken), log)
 	e.configFollower = confstore.NewFollower(confstore.FollowerConfig{}, platformClient.Table, platformClient.ObjectStore, e.configHolder, log, clock)
@@ -121,8 +121,8 @@
 	e.agentListener = registry.NewListener(listenerConfig, e.agentRegistry, configHub, source, e.workPool.CloseIdle, log)
 	e.freshnessGate = freshness.New(e.pauseDetector, e.configHolder.ConfirmationAge, configHub.PullFromPeers)
 	configHub.ConfirmPeersWhen(e.freshnessGate.MayConfirmPeers)
-	e.ops = ops.New(
-		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, LiveInstances: e.watcher.All, WeightStore: platformClient.WeightStore},
+	e.opsServer = ops.New(
+		ops.Config{Instance: cfg.Self, Operators: cfg.Operators, LiveInstances: e.instanceWatcher.All, WeightStore: platformClient.WeightStore},
 		confstore.NewPublisher(platformClient.Table, platformClient.ObjectStore, clock), e.configHolder, e.agentRegistry.All, log)
 	return e
 }
@@ -132,12 +132,12 @@
 	callers := echo.New()
 	callers.Use(e.requireFresh)
 	e.relay.Register(callers)
-	e.ops.Register(callers.Group(""))
+	e.opsServer.Register(callers.Group(""))
 
 	peers := http.NewServeMux()
 	peers.Handle(registry.Path, e.agentListener)
 	peers.Handle(metrics.ProfilePath, metrics.ProfileHandler())
-	peers.Handle(members.Path, members.NewServer(e.watcher, e.agentRegistry))
+	peers.Handle(members.Path, members.NewServer(e.instanceWatcher, e.agentRegistry))
 
 	mux := http.NewServeMux()
 	mux.Handle("/internal/", httpserver.RequirePeerToken(e.cfg.PeerToken, peers))
--- a/daemon/hosted/entry.go
+++ b/daemon/hosted/entry.go
@@ -185,8 +185,8 @@
 	return core.WrapStep("serve clients", "", err)
 }
 
-// Limits of client connections. They apply where the operators declare no limits;
-// declared limits are smaller.
+// Limits of client connections. They apply unless the operators declare limits,
+// which are then smaller.
 const (
 	clientHeaderTimeout  = 5 * time.Second
 	clientIdleTimeout    = 30 * time.Second
@@ -297,7 +297,7 @@
 // the time that stopGrace returns.
 func (e *entry) drain() {
 	e.stopping.Store(true)
-	err := shutDownClients(e.clock, e.handler, e.clientServer, stopGrace(&e.settings))
+	err := shutDownClientServer(e.clock, e.handler, e.clientServer, stopGrace(&e.settings))
 	if err != nil {
 		e.log.EventWithError(eventStopped, err, eventlog.Fields{"running": e.handler.ActiveCount()})
 	}
--- a/daemon/hosted/stop.go
+++ b/daemon/hosted/stop.go
@@ -7,24 +7,24 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// drainer has the method that shutDownClients calls on the handler of client
+// drainer has the method that shutDownClientServer calls on the handler of client
 // requests.
 type drainer interface {
 	// Drain makes each further response close its connection.
 	Drain()
 }
 
-// shutdowner has the method that shutDownClients calls on the HTTP server.
+// shutdowner has the method that shutDownClientServer calls on the HTTP server.
 type shutdowner interface {
 	// Shutdown closes the listener and waits for the running requests.
 	Shutdown(ctx context.Context) error
 }
 
-// shutDownClients stops the server for clients within grace. The server accepts
+// shutDownClientServer stops the server for clients within grace. The server accepts
 // new connections until the load balancer has detected that the instance is not
 // ready. Then it closes the listener and waits for the running requests. Clients
 // that know no other entry instance may still try to connect after that.
-func shutDownClients(clock clockwork.Clock, handler drainer, server shutdowner, grace time.Duration) error {
+func shutDownClientServer(clock clockwork.Clock, handler drainer, server shutdowner, grace time.Duration) error {
 	handler.Drain()
 	clock.Sleep(acceptPeriodAfterSignal)
 	ctx, cancel := clockwork.WithTimeout(context.Background(), clock, grace-acceptPeriodAfterSignal)
--- a/daemon/hosted/stop_test.go
+++ b/daemon/hosted/stop_test.go
@@ -32,7 +32,7 @@
 		server := &busyServer{clock: clock}
 		start := clock.Now()
 		stopped := make(chan error, 1)
-		go func() { stopped <- shutDownClients(clock, server, server, 7500*time.Millisecond) }()
+		go func() { stopped <- shutDownClientServer(clock, server, server, 7500*time.Millisecond) }()
 		So(clock.BlockUntilContext(t.Context(), 1), ShouldBeNil)
 		clock.Advance(acceptPeriodAfterSignal)
 		So(<-stopped, ShouldBeNil)
--- a/process/platform/http.go
+++ b/process/platform/http.go
@@ -260,10 +260,10 @@
 
 // errorText returns the start of the body of an error response.
 func errorText(resp response) string {
-	const maxBytes = 200
+	const maxTextBytes = 200
 	body := bytes.TrimSpace(resp.body)
-	if len(body) > maxBytes {
-		body = body[:maxBytes]
+	if len(body) > maxTextBytes {
+		body = body[:maxTextBytes]
 	}
 	return string(body)
 }
