--- a/connection/engine/monitor.go
+++ b/connection/engine/monitor.go
@@ -18,7 +18,7 @@
 	DefaultStatusInterval = 250 * time.Millisecond
 	// statusTimeout limits the duration of one poll.
 	statusTimeout = time.Second
-	// maxStatusAge is the age from which on a status is no longer used.
+	// maxStatusAge is the age at which a status becomes too old to be used.
 	maxStatusAge = 3 * time.Second
 )
 
@@ -35,10 +35,10 @@
 	log      *eventlog.Logger
 	clock    clockwork.Clock
 
-	mu        sync.RWMutex
-	status    Status
-	readAt    time.Time
-	hasStatus bool
+	mu           sync.RWMutex
+	status       Status
+	statusReadAt time.Time
+	hasStatus    bool
 	// up is true if the last poll succeeded.
 	up      bool
 	changed chan struct{}
@@ -79,13 +79,13 @@
 		}
 		return
 	}
-	m.store(s)
+	m.setStatus(s)
 }
 
-// store stores a status. If the engine came up, or if anything in the status
-// except the numbers of calls changed, store closes the channel that Changed
-// returned.
-func (m *Monitor) store(s Status) {
+// setStatus sets the newest status. If the engine came up, or if anything in the
+// status except the numbers of calls changed, setStatus closes the channel that
+// Changed returned.
+func (m *Monitor) setStatus(s Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.up {
@@ -95,7 +95,7 @@
 	if differs {
 		m.log.Event(eventEngineChanged, eventlog.Fields{"loaded": len(s.Loaded), "fence": s.Fence, "boot": s.Boot})
 	}
-	m.status, m.readAt, m.hasStatus, m.up = s, m.clock.Now(), true, true
+	m.status, m.statusReadAt, m.hasStatus, m.up = s, m.clock.Now(), true, true
 	if differs {
 		m.notifyChanged()
 	}
@@ -135,7 +135,7 @@
 	if !m.hasStatus {
 		return Status{}, 0, false
 	}
-	age = m.clock.Since(m.readAt)
+	age = m.clock.Since(m.statusReadAt)
 	return m.status, age, m.up && age < maxStatusAge
 }
 
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -21,9 +21,9 @@
 const Path = "/internal/exchange"
 
 const (
-	// sendInterval is the time between two messages while counts change. A backend
-	// server that receives 12 requests per second receives about half a request in
-	// this time.
+	// sendInterval is the time between two messages while counts change. A
+	// backend server that receives 12 requests per second receives about half a
+	// request in this time, so its count changes little between two messages.
 	sendInterval = 50 * time.Millisecond
 	// heartbeatInterval is the longest time between two messages, also while no
 	// count changes.
@@ -139,7 +139,7 @@
 			return nil
 		case addr := <-x.discovered:
 			connections.Go(func() {
-				session := func(ctx context.Context, timeout time.Duration) error { return x.sendLoads(ctx, addr, timeout) }
+				session := func(ctx context.Context, timeout time.Duration) error { return x.runSession(ctx, addr, timeout) }
 				dial.KeepConnected(ctx, x.cfg.Clock, redialPauses, session, func(err error) {
 					x.cfg.Log.EventWithError(eventPeerDisconnected, err, eventlog.Fields{"peer": addr})
 				})
@@ -148,10 +148,10 @@
 	}
 }
 
-// sendLoads opens a connection to a peer within timeout and sends the request
+// runSession opens a connection to a peer within timeout and sends the request
 // counts on the connection until it ends. On the same connection it serves the table
 // requests of the peer.
-func (x *Exchange) sendLoads(ctx context.Context, addr string, timeout time.Duration) error {
+func (x *Exchange) runSession(ctx context.Context, addr string, timeout time.Duration) error {
 	conn, err := frame.Dial(addr, Path, x.cfg.Token, timeout)
 	if err != nil {
 		return err
@@ -195,8 +195,8 @@
 	}
 }
 
-// ageSendPeriod is the time after the declaration of a version of the weights in
-// which the version's age is sent to peers. A peer that was paused or disconnected
+// ageSendPeriod is how long after the declaration of a version of the weights
+// the version's age is sent to peers. A peer that was paused or disconnected
 // receives the declaration late and has no other source for the age.
 const ageSendPeriod = 20 * time.Second
 
--- a/connection/registry/registry.go
+++ b/connection/registry/registry.go
@@ -36,8 +36,8 @@
 	Suspect bool
 }
 
-// HasLoaded reports whether the newest report lists the version of model with the
-// manifest digest d as loaded.
+// HasLoaded reports whether the newest report lists, as loaded, the version of
+// model that has the manifest digest d.
 func (s Server) HasLoaded(model string, d core.Digest) bool {
 	for _, l := range s.Report.Loaded {
 		if l.Model == model && l.Digest == d {
@@ -83,11 +83,11 @@
 
 // Remove removes the server with the given ID if it has the given registration
 // number, and reports whether it was removed.
-func (r *Registry) Remove(id string, registration uint64) bool {
+func (r *Registry) Remove(id string, registrationNumber uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.servers[id]
-	if !ok || s.Registration != registration {
+	if !ok || s.Registration != registrationNumber {
 		return false
 	}
 	delete(r.servers, id)
