--- a/version/spread/bandwidth.go
+++ b/version/spread/bandwidth.go
@@ -12,8 +12,8 @@
 	// maxBytesPerWait is the maximum number of bytes transferred between two
 	// waits for a bandwidth limit.
 	maxBytesPerWait = 16 << 10
-	// burstTime sets the burst size of a limit: the bytes that the limited rate
-	// allows in this time may be sent at once.
+	// burstTime determines the burst size, the number of bytes that may be
+	// transferred at once: it is the rate of the limit multiplied by burstTime.
 	burstTime = 20 * time.Millisecond
 )
 
@@ -49,9 +49,9 @@
 	return nil
 }
 
-// send writes body to w within limiter and returns the number of bytes written.
-// It returns an error when one write, of at most maxBytesPerWait bytes, takes longer
-// than stallTimeout.
+// send writes body to w at no more than the rate of limiter, and returns the
+// number of bytes written. Each write has at most maxBytesPerWait bytes. If a
+// write takes longer than stallTimeout, send returns an error.
 func send(ctx context.Context, w http.ResponseWriter, body []byte, limiter *BandwidthLimiter, stallTimeout time.Duration) (int, error) {
 	control := http.NewResponseController(w)
 	sent := 0
--- a/version/spread/client.go
+++ b/version/spread/client.go
@@ -48,20 +48,22 @@
 // agent does not hold.
 type tier int
 
-// The tiers. The first four are in ascending order: an agent that serves a request
-// at one of them sends its own requests only at a higher tier, so that two agents
-// never wait for each other. An agent that serves a request at one of the last two
-// sends no requests.
+// The tiers. The first four are in ascending order. To serve a request at one of
+// the first four, an agent sends its own requests only at a higher tier, so that
+// two agents never wait for each other. To serve a request at one of the last
+// two, an agent sends no requests.
 const (
 	// tierReader means that an agent fetches an object for its own use.
 	tierReader tier = iota
 	// tierDataCentre means that the owner in a data centre requests the object
 	// from the owner in the region.
 	tierDataCentre
-	// tierRegion means that the owner in a region reads the origin, or with
-	// Config.ReadOriginOnce requests the object from the owner among all agents.
+	// tierRegion means that the owner in a region reads the origin. With
+	// Config.ReadOriginOnce, this owner instead requests the object from the
+	// object's only owner in all regions together.
 	tierRegion
-	// tierFleet means that the owner among all agents reads the origin.
+	// tierFleet means that the only owner in all regions together reads the
+	// origin.
 	tierFleet
 	// tierHeld means that the agent returns an object only if the object is held
 	// or is being fetched.
@@ -113,13 +115,13 @@
 
 // Errors that requestObject returns when the peer responded without the object.
 var (
-	// errPending is returned when the peer is still fetching the object, or had
-	// no free upload slot in time.
+	// errPending is returned when the peer is still fetching the object, or
+	// when no upload slot of the peer became free in time.
 	errPending = errors.New("object is not available yet")
 	// errMissing is returned when the peer neither holds nor fetches the object.
 	errMissing = errors.New("object is not held")
-	// errBusy is returned when the peer has no upload slot for the request. The
-	// response lists other holders of the object.
+	// errBusy is returned when the peer gives the request no upload slot. The
+	// response then lists other holders of the object.
 	errBusy = errors.New("busy")
 	// errPeerFailed is returned when the peer failed to fetch the object.
 	errPeerFailed = errors.New("peer failed to fetch the object")
@@ -133,7 +135,7 @@
 	// maxWait is the longest time that the peer may keep the request open.
 	maxWait time.Duration
 	// waitForSlot makes the peer wait for a free upload slot and then send the
-	// object, instead of listing other holders.
+	// object. Otherwise a peer without a free slot lists other holders.
 	waitForSlot bool
 }
 
@@ -209,8 +211,8 @@
 	return httpReq
 }
 
-// readBody reads a response body within the bandwidth limits. watchdog cancels the
-// request if no byte arrives for Config.StallTimeout.
+// readBody reads a response body at no more than the limited bandwidth. watchdog
+// cancels the request if no byte arrives for Config.StallTimeout.
 func (s *Swarm) readBody(ctx context.Context, resp *http.Response, addr string, watchdog *time.Timer) ([]byte, error) {
 	size := resp.ContentLength
 	if size < 0 || size > maxObjectBytes {
@@ -235,8 +237,8 @@
 	return body, nil
 }
 
-// waitInbound waits until the bandwidth limits allow n more bytes received from
-// region.
+// waitInbound waits until the bandwidth limits allow n more bytes from region.
+// The bytes have already been received, so the wait delays the next read.
 func (s *Swarm) waitInbound(ctx context.Context, region string, n int64) error {
 	if region != "" && region != s.cfg.Self.Region {
 		if err := s.regionLimiter.Wait(ctx, n); err != nil {
--- a/version/spread/faults_test.go
+++ b/version/spread/faults_test.go
@@ -19,8 +19,8 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// maxFaultCopies is the largest accepted result of copiesRead in tests with a fault:
-// the bytes read from the origin, as a multiple of the version's size.
+// maxFaultCopies limits the bytes read from the origin in tests with a fault, as
+// a multiple of the size of the version and its manifest (see copiesRead).
 const maxFaultCopies = 1.3
 
 // shortTimeouts makes an agent detect stalls within about a second.
@@ -35,7 +35,7 @@
 // corruptingWriter is a ResponseWriter that changes one byte of the body.
 type corruptingWriter struct {
 	http.ResponseWriter
-	// corrupted reports whether the byte has been changed.
+	// corrupted is true once the byte has been changed.
 	corrupted bool
 }
 
--- a/version/spread/fetcher.go
+++ b/version/spread/fetcher.go
@@ -50,57 +50,62 @@
 	// DownloadBytesPerSecond limits the inbound bandwidth that transfers of
 	// weights may use on this machine; 0 means no limit.
 	DownloadBytesPerSecond int64
-	// RegionBytesPerSecond limits the bandwidth that transfers of weights to
-	// all agents of this region together may use on the link to other regions.
+	// RegionBytesPerSecond limits the bandwidth on the link from other regions
+	// that all agents of this region together may use for transfers of weights.
 	// 0 means that SetRegionBudget and SetRegionShare set the limit.
 	RegionBytesPerSecond int64
 	// OriginBytesPerSecond is the bandwidth of the origin that all agents
-	// together may use. Each agent stays below this rate, and the due times of
-	// the chunks spread the reads of all agents over time. 0 means no limit,
-	// and the reads are not spread.
+	// together may use. Each agent alone stays below this rate, and the due
+	// times of the chunks spread the reads of all agents over time. 0 means
+	// that the reads are neither limited nor spread.
 	OriginBytesPerSecond int64
-	// ReadOriginOnce makes the agents read each chunk from the origin once for
-	// all regions; the owners of the regions then fetch the chunk from each
-	// other. Otherwise each region reads the origin. Reading once is faster if
-	// the origin is slower than the links between regions.
+	// If ReadOriginOnce is true, only one agent in all regions together reads
+	// each chunk from the origin, and the owners in the regions fetch the chunk
+	// from this agent or from each other. Otherwise one agent in each region
+	// reads the chunk from the origin. ReadOriginOnce is faster if the origin
+	// is slower than the links between regions.
 	ReadOriginOnce bool
-	// MaxPeerFetches is the maximum number of chunks owned by other agents that
-	// are fetched at once.
+	// MaxPeerFetches is the maximum number of concurrent fetches of chunks that
+	// other agents own.
 	MaxPeerFetches int
-	// MaxOwnedFetches is the maximum number of chunks owned by this agent that
-	// are fetched at once.
+	// MaxOwnedFetches is the maximum number of concurrent fetches of chunks
+	// that this agent owns.
 	MaxOwnedFetches int
 	// MaxIdleConnections is the maximum number of unused connections that are
 	// kept open to all peers together.
 	MaxIdleConnections int
-	// UploadSlots is the maximum number of chunks sent to peers at once.
+	// UploadSlots is the maximum number of concurrent transfers of objects to
+	// peers.
 	UploadSlots int
-	// Fanout is the number of peers to which an agent sends one chunk. An agent
-	// that is sending anything else redirects further peers to these peers.
+	// Fanout is the number of peers to which an agent sends one chunk. The
+	// agent redirects further peers to these peers, unless it is sending
+	// nothing at that moment.
 	Fanout int
 	// MaxOwners is the maximum number of agents that may act as the owner of a
-	// chunk: the owner, and, if the owner fails, the next agents in the ranking.
+	// chunk. If the owner fails, the next agent in the ranking takes its place.
 	MaxOwners int
-	// LongPollTimeout is the longest time that a peer should keep a request of
-	// this agent open for an object that the peer is still fetching.
+	// LongPollTimeout is how long a peer may keep a request of this agent open
+	// while the peer is still fetching the object.
 	LongPollTimeout time.Duration
-	// ResponseMargin is the time by which a response may come later than the
-	// longest time for which the peer may keep the request open. A peer that
-	// takes longer is suspected.
+	// ResponseMargin is added to the time for which a peer may keep a request
+	// open. The sum is the timeout for the response; a peer that exceeds this
+	// timeout is suspected.
 	ResponseMargin time.Duration
 	// StallTimeout is how long a transfer may make no progress before it is
 	// aborted.
 	StallTimeout time.Duration
-	// SuspectPeriod is how long a suspected peer is skipped.
+	// SuspectPeriod is how long a suspected peer, one that did not respond, is
+	// skipped.
 	SuspectPeriod time.Duration
 	// FetchTimeout is the maximum time for all attempts to fetch one chunk.
 	FetchTimeout time.Duration
-	// RetryPause is the delay after the first round in which no source
-	// delivered a chunk. It doubles after each further round,
-	// up to twice LongPollTimeout.
+	// RetryPause is the delay after the first round of attempts in which no
+	// source delivered a chunk. The delay doubles after each further round, up
+	// to twice LongPollTimeout.
 	RetryPause time.Duration
-	// Peers returns the agents that need or hold a version that this agent is
-	// not fetching itself; nil means that there are none.
+	// Peers returns the agents that need or hold a version. It is called only
+	// for versions that this agent is not fetching itself; a nil Peers means
+	// that no agent needs or holds such a version.
 	Peers func(version core.Digest) []Peer
 	// Metrics is the registry of the counters; nil means
 	// metrics.DefaultRegistry.
@@ -140,7 +145,7 @@
 	clock      clockwork.Clock
 	client     *http.Client
 	fetchGroup singleflight.Group
-	// uploadSlots holds an element for each chunk that is being sent.
+	// uploadSlots holds an element for each transfer of an object to a peer.
 	uploadSlots chan struct{}
 	// ctx ends when the Swarm is closed; fetches run under it.
 	ctx    context.Context
@@ -176,9 +181,9 @@
 // versionFetch is the state of one version that is being fetched.
 type versionFetch struct {
 	peers func() []Peer
-	// missingAtStart maps each chunk that was not held at the start of the fetch
-	// to the chunk's size in bytes. Chunks that arrive stay in it. Swarm.mu
-	// guards it.
+	// missingAtStart maps each chunk that was not held at the start of the
+	// fetch to the chunk's size in bytes. Chunks that arrive stay in the map.
+	// Swarm.mu guards the map.
 	missingAtStart map[core.Digest]int64
 
 	mu sync.Mutex
@@ -261,9 +266,10 @@
 	return v.progress, true
 }
 
-// Fetch implements Fetcher. It retries until ctx ends. If the store has no room for
-// the version beside the held objects and the missing chunks of other fetches, Fetch
-// returns ErrFull before it fetches any chunk.
+// Fetch implements Fetcher. It retries failed fetches of chunks until ctx ends.
+// The store must have room for the held objects, the missing chunks of other
+// fetches and this version. Otherwise Fetch returns ErrFull before it fetches any
+// chunk.
 func (s *Swarm) Fetch(ctx context.Context, d core.Digest, peers func() []Peer) (*manifest.Manifest, error) {
 	start := s.clock.Now()
 	v := s.beginFetch(d, peers)
@@ -339,9 +345,9 @@
 	return n
 }
 
-// fetchChunks fetches all chunks of a version. The chunks that this agent owns have
-// their own workers, so that waiting for peers never delays the owned chunks, for
-// which other agents wait.
+// fetchChunks fetches all chunks of a version. Separate workers fetch the chunks
+// that this agent owns. Other agents wait for these chunks, so waiting for peers
+// must not delay them.
 func (s *Swarm) fetchChunks(ctx context.Context, v *versionFetch, d core.Digest, chunks []manifest.Chunk) error {
 	own, others := s.splitByOwner(s.ranking(d), chunks, s.clock.Now())
 	s.regionLimiter.setOwnedChunks(d, own, len(chunks))
--- a/version/spread/fetchobject.go
+++ b/version/spread/fetchobject.go
@@ -17,22 +17,25 @@
 	// maxCorruptRetries is the maximum number of retries at one source after
 	// responses that did not match the digest.
 	maxCorruptRetries = 2
-	// maxHoldersTried is the maximum number of holders tried in one search.
+	// maxHoldersTried is the maximum number of holders that one call of
+	// fetchFromHolders tries.
 	maxHoldersTried = 12
-	// If a request to an owner among all agents fails within fastFailureTime,
-	// or the owner reports that its own fetch failed, the agent tries the next
-	// owner. Agents of all regions try the same one, so that the origin is still
-	// read about once. After a slower failure the agent reads the origin itself.
+	// fastFailureTime applies with Config.ReadOriginOnce, when a request to the
+	// only owner in all regions together fails. If the request fails within
+	// fastFailureTime, or if the owner reports that its own fetch failed, the
+	// agent tries the next owner in the ranking. All regions have the same next
+	// owner, so that the origin is still read about once. After a slower
+	// failure the agent reads the origin itself.
 	fastFailureTime = 200 * time.Millisecond
-	// maxPeersTried is the maximum number of peers that are tried, regardless of
-	// whether they are known holders, in one round when the origin cannot be
-	// read.
+	// maxPeersTried is the number of peers from which an agent starts to search
+	// for an object when the origin cannot be read. These peers need not be
+	// known holders.
 	maxPeersTried = 4
 )
 
-// getObject returns a verified object from the store, or fetches the object if the
-// store does not hold it. Concurrent calls at the same tier share one fetch, which
-// continues after ctx ends.
+// getObject returns a verified object from the store, or fetches the object if
+// the store does not hold it. Concurrent calls for the same object and tier share
+// one fetch, which continues after ctx ends.
 func (s *Swarm) getObject(ctx context.Context, o object, t tier) ([]byte, error) {
 	if body, ok := s.store.Get(o.digest); ok {
 		return body, nil
@@ -57,8 +60,9 @@
 	}
 }
 
-// fetchAtTier fetches an object at a tier. At tierReader it makes further rounds
-// until Config.FetchTimeout; at the other tiers it makes one round.
+// fetchAtTier fetches an object at a tier. At tierReader it repeats fetchRound
+// until the object arrives or Config.FetchTimeout has passed. At the other tiers
+// it calls fetchRound once.
 func (s *Swarm) fetchAtTier(o object, t tier) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.FetchTimeout)
 	defer cancel()
@@ -105,11 +109,13 @@
 	return s.fetchCounts[d] > 0
 }
 
-// fetchRound tries each source of an object at a tier once. At tierFleet, and at
-// tierRegion without Config.ReadOriginOnce, the source is the origin. Otherwise the
-// sources are the owners in the data centre (at tierReader), in the region (at
-// tierDataCentre) or among all agents (at tierRegion), in the order of the ranking.
-// If this agent itself is next in that order, it fetches the object at the next tier.
+// fetchRound makes one attempt at each source that an object has at tier t. At
+// tierFleet, and at tierRegion without Config.ReadOriginOnce, the source is the
+// origin. Otherwise the sources are the owners in the data centre (at
+// tierReader), in the region (at tierDataCentre) or among all agents (at
+// tierRegion), in the order of the ranking. When this agent itself is next in
+// that order, it fetches the object at the next tier instead of trying further
+// owners.
 func (s *Swarm) fetchRound(ctx context.Context, o object, t tier) ([]byte, error) {
 	if t == tierFleet || t == tierRegion && !s.cfg.ReadOriginOnce {
 		return s.fetchFromOrigin(ctx, o)
@@ -149,8 +155,8 @@
 		}
 		s.log.EventWithError(eventFleetOwnerFailed, err, eventlog.Fields{"version": o.version, "chunk": o.digest, "peer": p.Addr})
 		if s.clock.Since(start) > fastFailureTime && !errors.Is(err, errPeerFailed) {
-			// Do not wait for further owners, which may not respond either: the
-			// origin may become unavailable soon.
+			// Further owners may not respond either, and while this agent waited for
+			// them, the origin could become unavailable.
 			return s.fetchFromOrigin(ctx, o)
 		}
 	}
@@ -262,8 +268,8 @@
 	return nil, holders, err
 }
 
-// peerResponded reports whether a request failed with err although the peer
-// responded.
+// peerResponded reports whether err shows that the peer responded, although the
+// request failed.
 func peerResponded(err error) bool {
 	for _, known := range []error{errPending, errMissing, errBusy, errPeerFailed, ErrCorrupt, ErrFull} {
 		if errors.Is(err, known) {
@@ -292,8 +298,8 @@
 	return nil
 }
 
-// fetchFromOrigin reads an object from the origin. If the origin cannot be read, it
-// fetches the object from any peer that holds it.
+// fetchFromOrigin reads an object from the origin. If the origin cannot be read,
+// it fetches the object from any peer that holds the object.
 func (s *Swarm) fetchFromOrigin(ctx context.Context, o object) ([]byte, error) {
 	if s.originFailedRecently() {
 		if body, err := s.fetchFromOtherOwners(ctx, o); err == nil {
@@ -349,9 +355,9 @@
 	return body, s.verifyAndStore(o, body, "origin", start)
 }
 
-// fetchFromAnyPeer fetches an object from any other agent that holds it. It starts
-// with at most maxPeersTried agents: the highest-ranked agent, and others chosen at
-// random.
+// fetchFromAnyPeer fetches an object from any other agent that holds the object.
+// It starts with at most maxPeersTried agents: the highest-ranked agent, and
+// others chosen at random.
 func (s *Swarm) fetchFromAnyPeer(ctx context.Context, o object) ([]byte, error) {
 	others := s.ranking(o.version).topPeers(o.digest, 0, func(p Peer) bool {
 		return p.ID != s.cfg.Self.ID && !s.isSuspected(p.Addr)
--- a/version/spread/handler.go
+++ b/version/spread/handler.go
@@ -12,7 +12,8 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxRequestWait is the longest time for which a request of a peer is kept open.
+// maxRequestWait is how long a request of a peer may wait for the object and an
+// upload slot.
 const maxRequestWait = 30 * time.Second
 
 // Handler serves the verified chunks and manifests of s, below ChunkPath and
@@ -116,9 +117,10 @@
 	}
 }
 
-// awaitObject returns the object and status 200 once the object is held. Unless t is
-// tierHeld or tierOriginRead, it fetches an object that is not held. If it cannot
-// return the object, it returns the HTTP status for the peer.
+// awaitObject returns the object and status 200 once the object is held. If the
+// object is not held, awaitObject fetches it, except at tierHeld and
+// tierOriginRead. If it cannot return the object, it returns only the HTTP status
+// for the peer.
 func (s *Swarm) awaitObject(ctx context.Context, o object, t tier) ([]byte, int) {
 	switch t {
 	case tierHeld:
@@ -136,9 +138,10 @@
 	return nil, http.StatusServiceUnavailable
 }
 
-// awaitArrival returns a held object and status 200. If the object is not held, it
-// waits for the object if inProgress reports true for the object's digest, and
-// otherwise returns status 404. It returns status 202 if ctx ends first.
+// awaitArrival returns a held object and status 200. If the object is not held,
+// the result depends on inProgress, called with the object's digest. If
+// inProgress returns true, awaitArrival waits for the object, and returns status
+// 202 if ctx ends first. Otherwise it returns status 404 at once.
 func (s *Swarm) awaitArrival(ctx context.Context, o object, inProgress func(core.Digest) bool) ([]byte, int) {
 	if body, ok := s.store.Get(o.digest); ok {
 		return body, http.StatusOK
@@ -157,10 +160,11 @@
 	return nil, http.StatusNotFound
 }
 
-// takeUploadSlot takes an upload slot for a peer and returns status 200. If the peer
-// is not admitted, it returns status 307 and other holders of the object; if there
-// are no other holders yet, it waits for one. If waitForSlot is true, it waits for a
-// free slot instead. It returns status 202 if ctx ends first.
+// takeUploadSlot takes an upload slot for a peer and returns status 200. If
+// waitForSlot is true, it waits for a free slot. Otherwise, if admitPeer refuses
+// the peer, takeUploadSlot returns status 307 and other holders of the object; if
+// there are no other holders yet, it waits until there is one. If ctx ends during
+// a wait, it returns status 202.
 func (s *Swarm) takeUploadSlot(ctx context.Context, d core.Digest, p holder, requestedTier tier, waitForSlot bool) ([]string, int) {
 	if waitForSlot {
 		select {
--- a/version/spread/holders.go
+++ b/version/spread/holders.go
@@ -11,8 +11,9 @@
 	maxHolders = 64
 	// maxListedHolders is the maximum number of holders that a redirect lists.
 	maxListedHolders = 3
-	// maxStaleLists is the maximum number of holder lists beyond the number of
-	// held objects. If there are more, the lists of dropped objects are removed.
+	// maxStaleLists is the number by which holder lists may outnumber held
+	// objects. If there are more lists, those of objects that are no longer
+	// held are removed.
 	maxStaleLists = 1024
 )
 
@@ -23,19 +24,19 @@
 
 // holderList records the peers to which an agent sent one object.
 type holderList struct {
-	// admittedCount is the number of peers that got an upload slot for the
-	// object.
+	// admittedCount is the number of times that admitPeer gave an upload slot
+	// for the object.
 	admittedCount int
 	holders       []holder
 	// changed is closed when a holder is added.
 	changed chan struct{}
 }
 
-// admitPeer takes an upload slot for sending an object to p if a slot is free, and
-// reports whether it took one. While this agent is sending anything else, it admits
-// at most Config.Fanout peers for one object, except for requests at tierHeld and
-// tierOriginRead. If p is not admitted, admitPeer returns holders near p, and a
-// channel that is closed when a holder is added.
+// admitPeer takes an upload slot for sending an object to p if a slot is free,
+// and reports whether it took one. While this agent is sending any object, at
+// most Config.Fanout peers are admitted for one object; requests at tierHeld and
+// tierOriginRead are exempt from this limit. If p is not admitted, admitPeer also
+// returns holders near p, and a channel that is closed when a holder is added.
 func (s *Swarm) admitPeer(d core.Digest, p holder, requestedTier tier) (bool, []string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/version/spread/originoutage.go
+++ b/version/spread/originoutage.go
@@ -11,19 +11,20 @@
 )
 
 // During an outage of the origin, owners fetch an object from each other. When
-// the origin is available again, each owner would read it. To avoid that, the
-// other owners request the object from an owner that is reading it, and wait for
-// this read.
+// the origin is available again, every owner of an object could read the object
+// from the origin. To avoid that, one owner reads the object, and the other
+// owners request the object from this owner and wait for the read.
 
-// originSuspectPeriod is the time after a failed read of the origin in which an
-// owner of an object requests the object from the other owners before it reads the
-// origin again. This is longer than the read of a complete version after an outage
-// takes (1.3 s for 48 chunks of 49,152 bytes over 15 Mbit/s).
+// For originSuspectPeriod after a failed read of the origin, an owner requests an
+// object from its other owners before reading the origin again. The period is
+// longer than the time to read a complete version after an outage (1.3 s for 48
+// chunks of 49,152 bytes over 15 Mbit/s).
 const originSuspectPeriod = 3 * time.Second
 
-// ownerRetryDelay is the delay after which an owner requests an object again from
-// the owners ranked before it, in case they have just started to read the origin. A
-// request between data centres takes a few milliseconds.
+// ownerRetryDelay is the delay after which an owner requests an object a second
+// time from the owners that rank higher, in case one of them has just started to
+// read the origin. The delay is longer than a request between data centres, which
+// takes a few milliseconds.
 const ownerRetryDelay = 50 * time.Millisecond
 
 // recordOriginFailure records the time of a failed read of the origin.
@@ -66,10 +67,10 @@
 }
 
 // fetchFromOtherOwners fetches an object from another owner that holds the object
-// or is reading it from the origin, and waits for a read in progress. Owners that
-// find the origin available again at the same moment would all read the object. To
-// avoid that, an owner requests the object once more, after ownerRetryDelay, from
-// the owners ranked before it.
+// or is reading it from the origin; it waits for a read in progress. If several
+// owners find the origin available again at the same moment, all of them could
+// read the object. To avoid that, an owner requests the object a second time,
+// after ownerRetryDelay, from the owners that rank higher.
 func (s *Swarm) fetchFromOtherOwners(ctx context.Context, o object) ([]byte, error) {
 	owners := s.ownerCandidates(o, func(p Peer) bool { return true })
 	selfIndex := slices.IndexFunc(owners, func(p Peer) bool { return p.ID == s.cfg.Self.ID })
@@ -86,9 +87,10 @@
 	return s.fetchFromReadingPeers(ctx, o, others[:selfIndex])
 }
 
-// fetchFromReadingPeers requests an object from each of peers in turn, until a peer
-// sends the object, which it holds or is reading from the origin. If no peer sends
-// the object, fetchFromReadingPeers returns errMissing.
+// fetchFromReadingPeers requests an object from peers, one after another, until
+// one of them sends the object. A peer sends only an object that it holds or is
+// reading from the origin. If no peer sends the object, fetchFromReadingPeers
+// returns errMissing.
 func (s *Swarm) fetchFromReadingPeers(ctx context.Context, o object, peers []Peer) ([]byte, error) {
 	for _, p := range peers {
 		for {
--- a/version/spread/rank.go
+++ b/version/spread/rank.go
@@ -10,7 +10,8 @@
 
 // ranking orders peers for each object by rendezvous hashing. Every agent with
 // the same list of peers computes the same order. When a peer joins or leaves,
-// only the objects that this peer owns get another owner.
+// the owner changes only for the objects that this peer then owns or owned
+// before.
 type ranking struct {
 	peers []Peer
 	// peerHashes holds the hash of each peer's identifier, in the order of peers.
@@ -30,8 +31,9 @@
 	return r
 }
 
-// score returns the rendezvous weight of a peer for an object. peerHash is the hash
-// of the peer's identifier, and objectHash the hash of the object's digest.
+// score returns the score of a peer for an object in rendezvous hashing. peerHash
+// is the hash of the peer's identifier, and objectHash the hash of the object's
+// digest.
 func score(peerHash, objectHash uint64) uint64 {
 	x := peerHash ^ objectHash
 	x ^= x >> 33
@@ -42,8 +44,8 @@
 	return x
 }
 
-// topPeers returns the peers that satisfy include, the highest score first, but at
-// most limit peers; 0 means no limit.
+// topPeers returns the peers that satisfy include, in descending order of score.
+// It returns at most limit peers; limit 0 means all of them.
 func (r *ranking) topPeers(d core.Digest, limit int, include func(Peer) bool) []Peer {
 	type scored struct {
 		peer  Peer
@@ -67,8 +69,8 @@
 	return out
 }
 
-// ownerIndex returns the index in r.peers of the peer with the highest score
-// that satisfies include, or -1 if there is none.
+// ownerIndex returns the index in r.peers of the peer that has the highest score
+// among those that satisfy include, or -1 if no peer satisfies include.
 func (r *ranking) ownerIndex(d core.Digest, include func(Peer) bool) int {
 	objectHash := xxhash.Sum64String(string(d))
 	best, found := uint64(0), -1
--- a/version/spread/region.go
+++ b/version/spread/region.go
@@ -11,8 +11,8 @@
 // regionLimiter limits the bandwidth that one agent may use on the link between
 // its region and the others. While the agent fetches versions, its share of the
 // region's budget is proportional to the number of chunks that it owns, since
-// only owners read over the link. At other times it is an even share. Either
-// way the shares of all agents of a region add up to the budget.
+// only owners read over the link. At other times all agents have equal shares. In
+// both cases the shares of all agents of a region add up to the budget.
 type regionLimiter struct {
 	*BandwidthLimiter
 
@@ -44,7 +44,8 @@
 	}
 }
 
-// update calls change with r.mu held, and then sets the limit that results.
+// update calls change with r.mu held, and then sets the limit and the burst size
+// that follow from the changed fields.
 func (r *regionLimiter) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,8 +56,8 @@
 		sum.totalCount += o.totalCount
 		sum.maxBytes = max(sum.maxBytes, o.maxBytes)
 	}
-	// A complete owned chunk may be read at once, since the due times spread
-	// the reads of the chunks over time.
+	// The burst size allows a complete owned chunk to be read at once. The due
+	// times already spread the reads of the chunks over time.
 	r.limiter.SetBurst(int(max(maxBytesPerWait, sum.maxBytes)))
 	r.limiter.SetLimit(r.currentLimit(sum))
 }
--- a/version/spread/schedule.go
+++ b/version/spread/schedule.go
@@ -11,9 +11,9 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// schedule hands out the chunks of a version to the workers of one agent. Each
-// chunk has a due time, before which the chunk is not requested: the time at which
-// the origin's link can have sent all preceding chunks, if the chunks are sent in
+// schedule hands out the chunks of a version to the workers of one agent. A chunk
+// is not requested before its due time. This is the earliest time at which the
+// origin's link could have sent all preceding chunks, if the chunks are sent in
 // order. The due times spread the owners' reads of the origin over time, and make
 // other agents request a chunk only when the chunk's owner is likely to hold it.
 type schedule struct {
@@ -78,8 +78,8 @@
 	return c, 0, true
 }
 
-// splitByOwner splits the chunks of a version into the chunks that this agent
-// owns in its region and the others, each with its due time.
+// splitByOwner returns the chunks of a version in two lists: the chunks that this
+// agent owns in its region, and all other chunks. Each chunk has its due time.
 func (s *Swarm) splitByOwner(r *ranking, chunks []manifest.Chunk, start time.Time) (own, others []dueChunk) {
 	perSecond := s.regionRate(r)
 	var precedingBytes int64
@@ -100,9 +100,9 @@
 }
 
 // regionRate returns the rate at which this region can receive a version, in
-// bytes per second: the region's share of the origin's bandwidth, or the budget of
-// the link between regions if the origin is in another region and the budget is
-// lower. 0 means that neither is limited.
+// bytes per second. It is the region's even share of the origin's bandwidth. If
+// the origin is in another region, the rate is at most the budget of the link
+// between regions. 0 means no limit.
 func (s *Swarm) regionRate(r *ranking) float64 {
 	regions := map[string]bool{s.cfg.Self.Region: true}
 	for _, p := range r.peers {
--- a/version/spread/spread.go
+++ b/version/spread/spread.go
@@ -1,8 +1,8 @@
 // Package spread distributes the chunks of a version, peer to peer, to the agents
 // that need the version. Each chunk has one owner in each region, which reads the
-// chunk from the origin. With Config.ReadOriginOnce each chunk has a single owner
-// among all agents that reads the origin. The other agents fetch the chunk from any
-// agent that holds the chunk.
+// chunk from the origin. With Config.ReadOriginOnce, each chunk has only one
+// owner in all regions together, and only that owner reads the chunk from the
+// origin. The other agents fetch the chunk from any agent that holds the chunk.
 package spread
 
 import (
@@ -12,7 +12,8 @@
 	"github.com/rattanway/rattanway/version/manifest"
 )
 
-// Path prefixes at which agents serve verified weights to peers and engines.
+// Prefixes of the URL paths at which agents serve verified manifests and chunks
+// to peers and engines.
 const (
 	ManifestPath = "/internal/manifests/"
 	ChunkPath    = "/internal/chunks/"
--- a/version/spread/store.go
+++ b/version/spread/store.go
@@ -27,8 +27,8 @@
 	mu     sync.Mutex
 	bytes  int64
 	bodies map[core.Digest][]byte
-	// arrivals holds the channels that ArrivalChannel returned for objects that
-	// are not held yet. A channel is closed when its object is stored.
+	// arrivals maps the digest of each awaited object to the channel that
+	// ArrivalChannel returned. The channel is closed when the object is stored.
 	arrivals map[core.Digest]chan struct{}
 }
 
@@ -90,7 +90,8 @@
 	return arrived
 }
 
-// Retain implements Store. It keeps the manifests in keep as well as their chunks.
+// Retain implements Store. MemStore also drops every manifest that is not in
+// keep.
 func (s *MemStore) Retain(keep []*manifest.Manifest) {
 	retained := map[core.Digest]bool{}
 	for _, m := range keep {
--- a/version/spread/swarm_test.go
+++ b/version/spread/swarm_test.go
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// publish stores a version of chunkCount chunks, whose content depends on seed, and
-// returns its manifest digest and manifest.
+// publish stores a version and returns the version's manifest digest and
+// manifest. The version has chunkCount chunks, whose content depends on seed.
 func (o *fakeOrigin) publish(t *testing.T, seed string, chunkCount int) (core.Digest, *manifest.Manifest) {
 	t.Helper()
 	var content strings.Builder
@@ -143,8 +143,8 @@
 // fetchAll fetches a version on every agent and returns the first error.
 func fetchAll(agents []*fakeAgent, d core.Digest) error { return fetchWithPeerList(agents, agents, d) }
 
-// fetchWithPeerList fetches a version on agents, whose list of peers contains the
-// listed agents, and returns the first error.
+// fetchWithPeerList fetches a version on every agent of agents, and returns the
+// first error. listed is the list of peers that each fetch uses.
 func fetchWithPeerList(agents, listed []*fakeAgent, d core.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
