--- a/version/catalog/follower.go
+++ b/version/catalog/follower.go
@@ -14,22 +14,23 @@
 
 const (
 	// longPollTimeout is the longest time that one ChangesSince call waits for
-	// a change. A dead connection is noticed only after this time; a shorter
-	// time would put more load on the store.
+	// a change. A dead connection is noticed only after longPollTimeout; a
+	// shorter timeout would put more load on the store.
 	longPollTimeout = 2500 * time.Millisecond
 	// The Follower pauses after each response, so that changes made close
-	// together arrive in one response. The pause for declarations is shorter
-	// because these must take effect within 2 s. The pause for servers may be
-	// longer because failed connections show that a server is gone before the
-	// server's row is deleted.
+	// together arrive in one response. declaredBatchDelay is the pause for the
+	// table of declarations, which must take effect within 2 s.
+	// serversBatchDelay, for the table of servers, may be longer: a failed
+	// connection shows that a server is gone before the server's row is
+	// deleted.
 	declaredBatchDelay = 120 * time.Millisecond
 	serversBatchDelay  = 300 * time.Millisecond
 	// minRetryDelay and maxRetryDelay are the shortest and the longest pause
 	// after a failed call, before jitter.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 600 * time.Millisecond
-	// missingGracePeriod is the time after an outage of the store for which
-	// servers whose rows are missing stay listed. The platform lists live
+	// For missingGracePeriod after an outage of the store, servers stay listed
+	// even if their rows are missing. The platform writes the rows of live
 	// servers again within about 2 s.
 	missingGracePeriod = 2 * time.Second
 )
@@ -43,8 +44,8 @@
 	ChangeRevision uint64 `cbor:"2,keyasint"`
 	// ReadRevision is the store's revision up to which the table has been read.
 	ReadRevision uint64 `cbor:"3,keyasint"`
-	// WeightsAgeMs maps each model to the time, in milliseconds, since the newest
-	// version of the model's weights was declared.
+	// WeightsAgeMs maps each model to the age, in milliseconds, of the
+	// declaration of the model's newest version.
 	WeightsAgeMs map[string]int64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -114,8 +115,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.missingRows) > 0 && !f.unavailable {
-		// A server still missing at the end of the grace period must be removed
-		// at that time.
+		// Wake up at the end of the grace period, to remove the servers that are
+		// still missing.
 		return min(serversBatchDelay, f.remainingGrace(f.clock.Now()))
 	}
 	return serversBatchDelay
@@ -162,9 +163,9 @@
 	return newest
 }
 
-// pollTimeout returns the longest time that the next ChangesSince call may wait for a
-// change. The time is short during an outage, and does not exceed the rest of the
-// grace period of missing servers.
+// pollTimeout returns the longest time that the next ChangesSince call may wait
+// for a change. During an outage this is minRetryDelay. While servers are
+// missing, the call waits no longer than the rest of their grace period.
 func (f *Follower) pollTimeout() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -272,7 +273,7 @@
 }
 
 // replace replaces the complete content of the table. If fromPeer is true and
-// content is not newer than the present content, it does nothing.
+// content is not newer than the present content, replace does nothing.
 func (f *Follower) replace(content TableContent, fromPeer bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -288,8 +289,8 @@
 		f.rows[r.Key] = r
 		delete(f.missingRows, r.Key)
 		if before, ok := old[r.Key]; ok && before.Revision == r.Revision && f.table == TableServers {
-			// The same row was read before. Decoding it again would start the
-			// server's cold period again.
+			// This row has not changed. Decoding the row again would restart the
+			// server's cold period.
 			if server := f.holder.Current().Servers[r.Key]; server != nil {
 				changes = append(changes, Change{Server: server})
 				continue
@@ -316,14 +317,15 @@
 	f.holder.Apply(changes, true, f.table == TableServers, now)
 }
 
-// estimatedAge is the age assumed for weights that were declared before this
-// process started. It is well above 0 because such weights may be old, and must then
-// take effect soon.
+// estimatedAge is the assumed age of a version that was declared before this
+// process started. Such a version may be old and must then take effect soon, so
+// estimatedAge is well above 0.
 const estimatedAge = 4 * time.Second
 
-// setDeclaredAt sets DeclaredAt of the weights in c, if c has weights. It uses the
-// age in content if there is one. Otherwise, on the first read from the store, it
-// sets an estimate.
+// setDeclaredAt sets c.Weights.DeclaredAt; it does nothing if c.Weights is nil.
+// It uses the age in content if there is one. Otherwise, on the first read from
+// the store, it uses estimatedAge. In all other cases it leaves DeclaredAt as it
+// is.
 func (f *Follower) setDeclaredAt(c *Change, content TableContent, firstRead bool, now time.Time) {
 	if c.Weights == nil {
 		return
@@ -375,8 +377,9 @@
 	}
 }
 
-// inGrace reports whether a server's row may be missing only because of an outage of
-// the store: one that lasts, or that ended less than missingGracePeriod ago. The
+// inGrace reports whether a server's row may be missing only because of an outage
+// of the store: the store is unavailable, or became available again less than
+// missingGracePeriod ago. It is false for tables other than TableServers. The
 // caller must hold f.mu.
 func (f *Follower) inGrace(now time.Time) bool {
 	return f.table == TableServers && (f.unavailable || !f.restoredAt.IsZero() && now.Sub(f.restoredAt) < missingGracePeriod)
@@ -400,6 +403,7 @@
 	if !errors.Is(err, ErrUnusedRow) {
 		f.log.EventWithError(eventRowRejected, err, eventlog.Fields{"table": f.table.Name(), "key": r.Key, "revision": r.Revision})
 	}
-	// A server whose row cannot be decoded must not be used; c removes it.
+	// A server whose row cannot be decoded must not be used; c removes the
+	// server.
 	return c, c.Server != nil
 }
--- a/version/catalog/holder.go
+++ b/version/catalog/holder.go
@@ -10,16 +10,16 @@
 	"github.com/rattanway/rattanway/process/eventlog"
 )
 
-// Change is one decoded row of the platform's store. Exactly one of Config,
-// Server, DataCentreOut and Weights is set.
+// Change is one decoded row of the platform's store. Exactly one of the fields
+// Config, Server, DataCentreOut and Weights is set.
 type Change struct {
 	// Config is a new configuration.
 	Config *Config
 	// Server is a listed backend server. When Removed is set, only the server's
 	// ID is used.
 	Server *Server
-	// DataCentreOut is the name of a data centre that is taken out of service,
-	// or put back into service when Removed is set.
+	// DataCentreOut is the name of a data centre. The data centre is taken out
+	// of service or, when Removed is set, put back into service.
 	DataCentreOut string
 	// Weights is a declared version of a model's weights.
 	Weights *Weights
@@ -53,9 +53,9 @@
 }
 
 // Apply applies changes and publishes the resulting snapshot. If replaceAll is
-// true, changes are the complete content of one table, and Apply removes the servers
-// or data centres out of service that are not in changes: the servers if serverTable
-// is true, and otherwise the data centres.
+// true, changes are the complete content of one table. Apply then first clears
+// the list of servers if serverTable is true, and otherwise the list of data
+// centres taken out of service.
 func (h *Holder) Apply(changes []Change, replaceAll, serverTable bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -161,11 +161,12 @@
 }
 
 // MergeWeights merges w, a declared version that another process reported;
-// w.DeclaredAt is the time at which that process received the declaration. If w is
-// the newest version here, MergeWeights corrects the DeclaredAt here if that is only
-// an estimate or is later than w.DeclaredAt. If w is an earlier version that is
-// missing here, MergeWeights adds w. If w is newer, MergeWeights applies w even if the
-// store has not delivered w yet.
+// w.DeclaredAt is the time at which that process received the declaration. If w
+// is this process's newest version of the model, MergeWeights corrects the
+// recorded DeclaredAt if this is only an estimate or is later than w.DeclaredAt.
+// If w is an earlier version, MergeWeights adds w to EarlierVersions or corrects
+// the DeclaredAt there. If w is newer, MergeWeights applies w even if the store
+// has not delivered w yet.
 func (h *Holder) MergeWeights(w Weights, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -191,8 +192,8 @@
 	h.changed = make(chan struct{})
 }
 
-// ageTolerance is the maximum difference between two reported ages of a version
-// that is attributed to the delivery time of messages.
+// ageTolerance is the largest difference between two declaration times of a
+// version that is ignored, because the delivery time of messages can cause it.
 const ageTolerance = 100 * time.Millisecond
 
 // declaredEarlier reports whether reported.DeclaredAt is more than ageTolerance
@@ -201,9 +202,9 @@
 	return current.DeclaredAt.Sub(reported.DeclaredAt) > ageTolerance
 }
 
-// addEarlierVersion adds w to current.EarlierVersions. If the same version is there
-// already, it corrects the DeclaredAt of that version. It reports whether it changed
-// anything.
+// addEarlierVersion adds w to current.EarlierVersions. If the version is already
+// in the list, addEarlierVersion corrects the DeclaredAt there. It reports
+// whether it changed anything.
 func addEarlierVersion(current *Weights, w Weights) bool {
 	i, found := slices.BinarySearchFunc(current.EarlierVersions, w.Version, func(earlier Weights, version int) int { return version - earlier.Version })
 	if found && !declaredEarlier(w, current.EarlierVersions[i]) || !found && len(current.EarlierVersions) >= maxEarlierVersions {
--- a/version/catalog/snapshot.go
+++ b/version/catalog/snapshot.go
@@ -33,8 +33,9 @@
 // configuration and the list of servers.
 func (s *Snapshot) Complete() bool { return s.Config != nil && s.ServersKnown }
 
-// Route returns the route of a host with the longest prefix that matches path,
-// or nil when there is none. A port in host is ignored.
+// Route returns the route for host whose Prefix matches path, or nil when there
+// is none. If several routes match, it returns the route with the longest Prefix.
+// A port in host is ignored.
 func (s *Snapshot) Route(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -99,9 +100,9 @@
 	return nil
 }
 
-// RecentVersions returns the versions of all models that were declared less than
-// maxAge before now, even if a newer version exists. Versions whose DeclaredAt is
-// only an estimate are left out.
+// RecentVersions returns the versions that were declared less than maxAge before
+// now, for all models, including versions that are no longer the newest. Versions
+// whose DeclaredAt is only an estimate are left out.
 func (s *Snapshot) RecentVersions(now time.Time, maxAge time.Duration) []Weights {
 	var recent []Weights
 	for _, newest := range s.Weights {
@@ -114,7 +115,7 @@
 	return recent
 }
 
-// Cold reports whether the server is in its cold period at now.
+// Cold reports whether the server is in its cold period at time now.
 func (s *Server) Cold(now time.Time) bool { return now.Before(s.ColdUntil) }
 
 // RegionAllowed reports whether regions contains region; an empty list allows every
--- a/version/catalog/source.go
+++ b/version/catalog/source.go
@@ -41,7 +41,8 @@
 	// ErrHistoryLost is returned when the store no longer keeps all changes
 	// since the requested revision; the complete table must be read instead.
 	ErrHistoryLost = errors.New("history no longer available")
-	// ErrUnusedRow is returned when this module does not use the row.
+	// ErrUnusedRow is returned by Decode for a row that this module has no use
+	// for.
 	ErrUnusedRow = errors.New("row not used")
 )
 
@@ -55,7 +56,7 @@
 	// ErrHistoryLost when the changes are no longer available.
 	ChangesSince(ctx context.Context, t Table, since uint64, maxWait time.Duration) ([]Row, uint64, error)
 	// Decode returns the change that a row describes, or ErrUnusedRow. If a
-	// server's row cannot be decoded, it returns both the error and a Change
-	// that removes the server.
+	// server's row cannot be decoded, Decode returns an error together with a
+	// Change that removes the server.
 	Decode(t Table, r Row, now time.Time) (Change, error)
 }
--- a/version/catalog/types.go
+++ b/version/catalog/types.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Kind is the kind of a route. It determines whether a request of the route may
-// run more than once.
+// Kind is the kind of a route. The kind determines whether a request of the route
+// may run more than once.
 type Kind string
 
 // The kinds of routes.
@@ -37,7 +37,8 @@
 	EventGapObjective time.Duration
 	// Priority orders waiting requests; 0 is the most urgent.
 	Priority int
-	// Targets are the services that run the requests, with their weights.
+	// Targets are the services that run the requests, each with its relative
+	// share of the requests.
 	Targets []Target
 	// MaxServers is the maximum number of servers to which one request may be
 	// sent.
@@ -52,7 +53,7 @@
 	Regions []string
 }
 
-// Repeatable reports whether a request may be sent again when it may already
+// Repeatable reports whether a request may be sent again although it may already
 // have run.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
@@ -62,7 +63,8 @@
 type Target struct {
 	// Service is the service's name.
 	Service string
-	// Weight is the relative share of the route's requests for this service.
+	// Weight is the share of the route's requests that this service gets,
+	// relative to the Weight of the other targets.
 	Weight int
 }
 
@@ -91,13 +93,14 @@
 type Engine struct {
 	// Slots is the maximum number of requests that one server runs at once.
 	Slots int
-	// StepTime is the base duration of one token step, without any request.
+	// StepTime is the duration of one token step before the additions for each
+	// request.
 	StepTime time.Duration
 	// StepTimePerRequest is added to StepTime for each request that is generating
 	// tokens.
 	StepTimePerRequest time.Duration
-	// StepTimePerContext is added to StepTime for each request per 1,000 tokens of
-	// its context.
+	// StepTimePerContext is added to StepTime for every 1,000 tokens of context
+	// of each request.
 	StepTimePerContext time.Duration
 	// PromptTokensPerSecond is the number of prompt tokens processed per second.
 	PromptTokensPerSecond float64
@@ -161,7 +164,7 @@
 	// Accounts are the client accounts.
 	Accounts []Account
 	// AccountsDeclared reports whether the configuration has a list of client
-	// accounts; without one, requests need no API key.
+	// accounts. If there is no list, requests need no API key.
 	AccountsDeclared bool
 	// Limits are the limits on what clients may send.
 	Limits Limits
@@ -185,8 +188,8 @@
 	ColdUntil time.Time
 	// StartUnixMs is the server's start time, in Unix milliseconds.
 	StartUnixMs int64
-	// LoadedVersions maps each model to the version whose layers the server holds
-	// completely.
+	// LoadedVersions maps each model to the version of which the server holds
+	// all layers.
 	LoadedVersions map[string]int
 }
 
@@ -196,8 +199,8 @@
 	Model string
 	// Version is the version number, from 1.
 	Version int
-	// DeclaredAt is the time at which this process or, if earlier, another
-	// process received the declaration.
+	// DeclaredAt is the earliest known time at which any process received the
+	// declaration.
 	DeclaredAt time.Time
 	// DeclaredAtEstimated reports whether DeclaredAt is only an estimate, because
 	// the version was declared before this process started.
@@ -206,9 +209,10 @@
 	EarlierVersions []Weights
 }
 
-// MinVersion returns the oldest version that may still be used at now. Once dueAfter
-// has passed since the declaration of a version, older versions may no longer be
-// used. MinVersion returns 0 when that has not happened for any version yet.
+// MinVersion returns the oldest version that may still be used at time now. Once
+// dueAfter has passed since the declaration of a version, all older versions may
+// no longer be used. MinVersion returns 0 if dueAfter has not passed for any
+// version yet.
 func (w Weights) MinVersion(now time.Time, dueAfter time.Duration) int {
 	if now.Sub(w.DeclaredAt) >= dueAfter {
 		return w.Version
--- a/version/catalog/weights_test.go
+++ b/version/catalog/weights_test.go
@@ -26,8 +26,9 @@
 	})
 }
 
-// A process can only estimate when versions were declared before it started, until
-// other processes report when they received the declarations.
+// A process can only estimate the declaration times of versions that were
+// declared before the process started. It learns the real times when other
+// processes report them.
 func TestRestartedProcessLearnsVersionAges(t *testing.T) {
 	Convey("A process that starts after two declarations takes their times from other processes", t, func() {
 		h := NewHolder(eventlog.Discard())
@@ -42,9 +43,9 @@
 	})
 }
 
-// A process that was paused while versions were declared reads them late and all
-// at once, so that it records too late declaration times until other processes report
-// earlier times.
+// A process that was paused while versions were declared reads the declarations
+// late and all at once. The declaration times that it records are therefore too
+// late, until other processes report earlier times.
 func TestPausedProcessLearnsVersionAges(t *testing.T) {
 	Convey("A process that reads two versions late takes their times from other processes", t, func() {
 		h := NewHolder(eventlog.Discard())
--- a/version/freshness/freshness.go
+++ b/version/freshness/freshness.go
@@ -10,50 +10,50 @@
 	"github.com/rattanway/rattanway/process/pause"
 )
 
-// confirmTimeout is the longest time that a process waits until a peer or the
-// platform confirms its configuration. After that time the process assumes that the
-// peers and the platform are unreachable, and continues with the configuration that
-// it has.
+// confirmTimeout is the longest time that a process waits for a peer or the
+// platform to confirm the configuration of the process. After that time the
+// process assumes that the peers and the platform are unreachable, and continues
+// with the configuration that it has.
 const confirmTimeout = 3 * time.Second
 
-// minRequestInterval is the shortest time between two requests to the peers. Requests
-// are repeated because a peer that was paused as well cannot confirm a configuration
-// at first.
+// minRequestInterval is the shortest time between two requests to the peers.
+// Requests are repeated because a peer that was itself paused at first cannot
+// confirm a configuration.
 const minRequestInterval = 200 * time.Millisecond
 
 // Gate decides whether the process may act on its configuration. After the start
 // of the process, and after each pause, the configuration must first be
-// confirmed: a process that has just started may have received an old version
-// from a peer that is behind. It is safe for concurrent use.
+// confirmed. A process that was paused may have missed newer versions, and a
+// process that has just started may have received an old version from a peer that
+// is behind. It is safe for concurrent use.
 type Gate struct {
 	detector *pause.Detector
 	// confirmationAge returns the time since the configuration was confirmed, or
 	// false if the configuration was never confirmed.
 	confirmationAge func() (time.Duration, bool)
-	// requestConfirmation requests the configuration of the peers. A response
+	// requestConfirmation asks the peers for their configuration. A response
 	// confirms or replaces the configuration of this process.
 	requestConfirmation func()
 
 	mu sync.Mutex
-	// acceptedPauseCount is the number of pauses up to the last time at which
-	// the configuration was accepted, after a confirmation or confirmTimeout;
-	// -1 before the first time.
+	// acceptedPauseCount is the number of pauses that the process had had when
+	// the configuration was last accepted, after a confirmation or after
+	// confirmTimeout. It is -1 until the configuration is first accepted.
 	acceptedPauseCount int64
-	// observedPauseCount is the number of pauses up to the last call of Fresh
-	// that observed a new pause.
+	// observedPauseCount is the number of pauses that Fresh has seen so far.
 	observedPauseCount int64
-	// waitingSince is the time at which the last pause was observed; before the
-	// first pause, the time of New.
+	// waitingSince is the time at which Fresh saw the last pause, or the time
+	// of New if there was no pause.
 	waitingSince time.Time
 	// lastRequestAt is the time of the last request to the peers; zero if there
 	// was none since waitingSince.
 	lastRequestAt time.Time
 }
 
-// New returns a Gate for a configuration that is not confirmed yet. confirmationAge
-// returns the time since the configuration was confirmed, or false if the
-// configuration was never confirmed. requestConfirmation requests the configuration
-// of the peers.
+// New returns a Gate for a configuration that is not confirmed yet.
+// confirmationAge returns the time since the configuration was confirmed, or
+// false if the configuration was never confirmed. requestConfirmation asks the
+// peers for their configuration.
 func New(detector *pause.Detector, confirmationAge func() (time.Duration, bool), requestConfirmation func()) *Gate {
 	return &Gate{
 		detector: detector, confirmationAge: confirmationAge, requestConfirmation: requestConfirmation,
--- a/version/manifest/manifest.go
+++ b/version/manifest/manifest.go
@@ -34,8 +34,9 @@
 
 // Manifest lists the files of one version, sorted by path.
 type Manifest struct {
-	// Base is the manifest digest of the base version of an adapter; empty
-	// for a full model.
+	// Base is set for an adapter, which is applied to the weights of another
+	// version: it is the manifest digest of that base version. It is empty for
+	// a full model.
 	Base core.Digest `cbor:"1,keyasint,omitempty" json:"base,omitempty"`
 	// Files lists the version's files, sorted by path.
 	Files []File `cbor:"2,keyasint" json:"files"`
@@ -80,8 +81,8 @@
 	return body, core.DigestOf(body), nil
 }
 
-// Decode decodes an encoded manifest. It returns an error if the digest of body
-// differs from expected.
+// Decode decodes the encoded manifest body. It returns an error if the digest of
+// body differs from expected.
 func Decode(body []byte, expected core.Digest) (*Manifest, error) {
 	if !expected.Matches(body) {
 		return nil, errors.Errorf("manifest %s: digest does not match its body", expected)
--- a/version/manifest/publish.go
+++ b/version/manifest/publish.go
@@ -9,9 +9,9 @@
 )
 
 // Publish splits the files of fsys into chunks with Split. It stores every chunk
-// and then the manifest in weights, so that all chunks of a stored manifest are
-// available. It returns the manifest and its digest. Publishing the same folder
-// again is safe.
+// in weights and then the manifest, so that a stored manifest never refers to
+// missing chunks. It returns the manifest and its digest. Publishing the same
+// folder again is safe.
 func Publish(ctx context.Context, weights platform.ObjectStore, fsys fs.FS, chunkBytes int64, base core.Digest) (*Manifest, core.Digest, error) {
 	m, err := Split(fsys, chunkBytes, base, func(c Chunk, body []byte) error {
 		return core.WrapStep("store chunk", c.Digest.Short(), weights.Put(ctx, ChunkName(c.Digest), body))
--- a/version/manifest/split.go
+++ b/version/manifest/split.go
@@ -13,19 +13,20 @@
 // chunk, in the order in which the chunks first appear. It may retain body.
 type EmitFunc func(c Chunk, body []byte) error
 
-// Split cuts every regular file of fsys into chunks, calls emit once for each distinct
-// chunk, and returns the manifest. chunkBytes is the size of a chunk in bytes; 0
-// means DefaultChunkBytes. base is the manifest digest of the base version of an
-// adapter, and empty for a full model. Split itself holds one chunk in memory at a
-// time. It returns an error if fsys has no regular files.
+// Split cuts every regular file of fsys into chunks, calls emit once for each
+// distinct chunk, and returns the manifest. chunkBytes is the size of a chunk in
+// bytes; 0 means DefaultChunkBytes. base is the manifest digest of the base
+// version of an adapter, and empty for a full model. Split holds only one chunk
+// in memory at a time, apart from chunks that emit retains. It returns an error
+// if fsys has no regular files.
 func Split(fsys fs.FS, chunkBytes int64, base core.Digest, emit EmitFunc) (*Manifest, error) {
 	if chunkBytes <= 0 {
 		chunkBytes = DefaultChunkBytes
 	}
 	s := splitter{chunkBytes: chunkBytes, emit: emit, emitted: map[core.Digest]bool{}}
 	m := &Manifest{Base: base}
-	// WalkDir visits the files in lexical order, so they are sorted by path
-	// within each folder and the result is the same on every machine.
+	// WalkDir visits the entries of each folder in lexical order, so the result
+	// is the same on every machine.
 	err := fs.WalkDir(fsys, ".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -88,8 +89,8 @@
 }
 
 // Assemble writes the content of one file to w. get returns the bytes of a chunk.
-// Assemble returns an error, and does not write the bytes, if they do not match the
-// chunk's digest.
+// If the bytes do not match the chunk's digest, Assemble does not write them and
+// returns an error.
 func Assemble(w io.Writer, file File, get func(Chunk) ([]byte, error)) error {
 	for _, c := range file.Chunks {
 		body, err := get(c)
