--- a/version/loading/digests.go
+++ b/version/loading/digests.go
@@ -23,7 +23,7 @@
 	// digestRequestTimeout limits the duration of a request to another agent.
 	// That agent may first have to read the digests from the origin.
 	digestRequestTimeout = 1500 * time.Millisecond
-	// maxDigestResponseBytes limits the size of the response.
+	// maxDigestResponseBytes limits the size of the response to such a request.
 	maxDigestResponseBytes = 1 << 20
 	// maxDigestRequests is the maximum number of agents from which the digests
 	// are requested before they are read from the origin.
@@ -47,8 +47,8 @@
 	version int
 }
 
-// find returns the digests of a version, as read from an agent of t or, if that
-// fails, from the origin.
+// find returns the digests of a version. It requests them from the agents of t
+// and, if that fails, reads them from the origin.
 func (f *digestFinder) find(ctx context.Context, w WantedVersion, t Target) ([]core.Digest, error) {
 	requests := 0
 	for _, peer := range sortedByHash(w, t.Agents) {
@@ -82,7 +82,8 @@
 	return sorted
 }
 
-// requestDigests returns the digests of a version, read from the agent at addr.
+// requestDigests requests the digests of a version from the agent at addr and
+// returns them.
 func (f *digestFinder) requestDigests(ctx context.Context, addr string, w WantedVersion) ([]core.Digest, error) {
 	ctx, cancel := context.WithTimeout(ctx, digestRequestTimeout)
 	defer cancel()
--- a/version/loading/loader.go
+++ b/version/loading/loader.go
@@ -22,12 +22,12 @@
 	// Reads are cheap, since the agent and the server run on one machine.
 	idlePollInterval    = 400 * time.Millisecond
 	loadingPollInterval = 40 * time.Millisecond
-	// loadNoticeTime is the time between the notice to entry instances that the
-	// server is about to load and the load order.
+	// loadNoticeTime is the pause between publishing that the server is about
+	// to load and sending the load order.
 	loadNoticeTime = 30 * time.Millisecond
-	// An agent that has just started fetches chunks only when the number of
-	// agents has stayed the same for settleTime, but waits at most
-	// maxSettleTime. Agents that start together appear within 0.3 s.
+	// An agent that has just started fetches no chunks until the number of
+	// agents has stayed the same for settleTime, or maxSettleTime has passed.
+	// Agents that start together appear within 0.3 s.
 	settleTime    = 200 * time.Millisecond
 	maxSettleTime = 900 * time.Millisecond
 	// retryPause is the pause before a failed step is retried.
@@ -50,7 +50,7 @@
 	OriginChunks *OriginChunks
 	// Swarm fetches chunks from other agents and the origin, and stores them.
 	Swarm *spread.Swarm
-	// RollingUpdate schedules the load within the rolling update.
+	// RollingUpdate determines the time of this agent's load.
 	RollingUpdate RollingUpdate
 	// Publish is called with the server's state whenever the state changes.
 	Publish func(ServerState)
@@ -210,7 +210,7 @@
 	return l.target
 }
 
-// reconcileModel carries out the due steps for a model. Its result is like that of reconcile.
+// reconcileModel carries out reconcile for one model.
 func (l *Loader) reconcileModel(ctx context.Context, model string, r Report) time.Duration {
 	heldVersion := r.Weights[model]
 	if wait := l.settleWait(); wait > 0 {
@@ -267,8 +267,8 @@
 	return settleTime - now.Sub(l.agentsChangedAt)
 }
 
-// newestFetched returns the newest of the pending versions whose chunks are in
-// the store.
+// newestFetched returns the newest pending version among those whose chunks are
+// in the store.
 func (l *Loader) newestFetched(pending []WantedVersion) (WantedVersion, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -400,19 +400,18 @@
 }
 
 // ChunkSources returns the agents among which the chunks are divided. Every agent
-// needs the same list even before it starts to fetch. Without the list, an agent
-// would treat itself as the owner of each chunk that another agent requests, and
-// read the chunk from the origin.
+// needs this list even before it starts to fetch. Without it, an agent would act
+// as the owner of every chunk that another agent requests, and read that chunk
+// from the origin.
 func (l *Loader) ChunkSources() []spread.Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.target.sources()
 }
 
-// forgetOldVersions marks the versions that no agent needs any more as not
-// fetched, and returns the manifests of the others, which the store keeps: for
-// each model the newest version, and every version that is newer than the version
-// that the server holds.
+// forgetOldVersions returns the manifests of the versions that the store keeps:
+// for each model the newest version, and every version newer than the one that
+// the server holds. It marks all other versions as not fetched.
 func (l *Loader) forgetOldVersions() []*manifest.Manifest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -433,7 +432,7 @@
 	return keep
 }
 
-// stage puts the chunks of a version where the server loads them from, unless all are there.
+// stage stages the chunks of a version at the server unless all are staged already.
 func (l *Loader) stage(ctx context.Context, w WantedVersion) error {
 	l.mu.Lock()
 	digests, alreadyStaged := l.digests[versionKey{w.Model, w.Version}], l.stagedVersions[w.Model] == w.Version
@@ -464,7 +463,7 @@
 }
 
 // markNotFetched causes a version to be fetched again because a chunk is missing
-// from the store. It returns the error to report.
+// from the store. It returns an error that names the chunk.
 func (l *Loader) markNotFetched(w WantedVersion, chunkNumber int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/version/loading/loader_test.go
+++ b/version/loading/loader_test.go
@@ -24,9 +24,9 @@
 	chunkBytes = 512
 )
 
-// fakeServer is a backend server that keeps one staged chunk for each chunk
-// number, whatever the version of the chunk. It records the chunks that the last
-// load used.
+// fakeServer is a backend server. A staged chunk replaces the chunk with the same
+// number, even if this is a chunk of another version. fakeServer records the
+// chunks that the last load used.
 type fakeServer struct {
 	mu     sync.Mutex
 	staged map[int][]byte
--- a/version/loading/loading.go
+++ b/version/loading/loading.go
@@ -10,8 +10,8 @@
 
 // Report is the state that a backend server reports.
 type Report struct {
-	// Weights maps each model to the version whose layers the server holds
-	// completely.
+	// Weights maps each model to the version of which the server holds all
+	// layers.
 	Weights map[string]int
 	// Busy reports whether the server is carrying out a load order.
 	Busy bool
@@ -35,8 +35,8 @@
 	// ReadStaged returns the bytes of a staged chunk.
 	ReadStaged(ctx context.Context, model string, chunkNumber int) ([]byte, error)
 	// Load orders the server to load the staged chunks. The server refuses the
-	// order unless acceptedOrders is the number of orders that it has accepted
-	// so far.
+	// order unless acceptedOrders equals Report.AcceptedOrderCount, the number
+	// of orders that the server has accepted so far.
 	Load(ctx context.Context, model string, version int, acceptedOrders int64) error
 }
 
@@ -62,8 +62,8 @@
 	ChunkCount, ChunkBytes int
 }
 
-// Target describes the versions that the agent's server should hold, and where
-// their chunks can be fetched.
+// Target describes the versions that the agent's server should hold, and the
+// sources of their chunks.
 type Target struct {
 	// Wanted maps each model to its wanted version.
 	Wanted map[string]WantedVersion
@@ -96,7 +96,7 @@
 type ServerState struct {
 	// Weights maps each model to the version that the server serves.
 	Weights map[string]int
-	// Loading reports whether the server accepts no new requests because it
-	// is about to load or is loading.
+	// Loading is true while the server accepts no new requests because a load
+	// is about to begin or in progress.
 	Loading bool
 }
--- a/version/loading/loadorder.go
+++ b/version/loading/loadorder.go
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// awaitLoaded waits up to loadTimeout until the server reports that it holds the
-// version. It returns an error if the server ends the load order and does not hold
-// the version.
+// awaitLoaded waits until the server reports that it holds the version. It
+// returns an error after loadTimeout, or if the server ends the load order
+// without holding the version.
 func (l *Loader) awaitLoaded(ctx context.Context, k versionKey) error {
 	start := l.cfg.Clock.Now()
 	for l.cfg.Clock.Since(start) < loadTimeout {
--- a/version/loading/originchunks.go
+++ b/version/loading/originchunks.go
@@ -12,7 +12,7 @@
 )
 
 // unknownChunkTimeout is the longest time that a read of an unknown chunk waits
-// until this agent has the digests of the chunk's version. Agents receive the
+// for this agent to obtain the digests of the chunk's version. Agents receive the
 // declaration of a version within about 100 ms of each other.
 const unknownChunkTimeout = 800 * time.Millisecond
 
@@ -59,8 +59,8 @@
 
 // locate returns the address of the origin and the location of an object there.
 // Another agent may request a chunk of a version before this agent has received
-// the declaration of the version, so locate waits up to unknownChunkTimeout. ok is
-// false if the object is still unknown after that time.
+// the declaration of the version, so locate waits up to unknownChunkTimeout. If
+// the object is still unknown after that time, ok is false.
 func (o *OriginChunks) locate(ctx context.Context, name string) (addr string, location chunkLocation, ok bool) {
 	timer := time.NewTimer(unknownChunkTimeout)
 	defer timer.Stop()
--- a/version/loading/rollingupdate.go
+++ b/version/loading/rollingupdate.go
@@ -10,30 +10,30 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// RollingUpdate schedules the rolling update of the servers to a new version. A
-// server accepts no new requests from its load order until the running requests
-// have ended and the weights are loaded. The loads are therefore spread over the
-// time in which the previous version may still be served, so that the other
-// servers can handle the requests even under full load.
+// RollingUpdate schedules the rolling update of the servers to a new version.
+// From the load order on, a server accepts no new requests until its running
+// requests have ended and the weights are loaded. The loads are therefore spread
+// over the time in which the previous version may still be served, so that the
+// other servers can handle the requests even under full load.
 type RollingUpdate struct {
-	// FirstAge is the age that a version has when the first server loads it.
-	// LastAge is the version's age when the last server loads it.
+	// FirstAge and LastAge are the ages of a version, counted from its
+	// declaration, at which the first and the last server load the version.
 	FirstAge, LastAge time.Duration
 }
 
-// minUpdateWindow is the shortest time over which the loads may be spread when
-// their start is delayed for a newer version. In less time too many servers would
+// minUpdateWindow is the least time between the first and the last load when the
+// first load is delayed for a newer version. In less time too many servers would
 // load at once.
 const minUpdateWindow = 1500 * time.Millisecond
 
 // LoadAt returns the time at which the server of the agent with ID self should
 // load. declared holds the versions newer than the version that the server holds,
-// oldest first. The servers load one after another while the age of the oldest of
-// these versions is between FirstAge and LastAge. If the newest version reaches
-// FirstAge at least minUpdateWindow before the last load, the first load is
-// delayed until the newest version has that age, so that the servers can load the
-// newest version instead. Every agent computes the same order of agents, and the
-// order differs between versions.
+// oldest first. The servers load one after another, at even intervals, while the
+// age of the oldest of these versions is between FirstAge and LastAge. If the
+// newest version reaches FirstAge at least minUpdateWindow before the last load,
+// the first load is delayed until then, so that the servers can load the newest
+// version instead. Every agent computes the same order of agents, and the order
+// differs between versions.
 func (u RollingUpdate) LoadAt(declared []WantedVersion, agents []spread.Peer, self string) time.Time {
 	oldest, newest := declared[0], declared[len(declared)-1]
 	first, last := oldest.DeclaredAt.Add(u.FirstAge), oldest.DeclaredAt.Add(u.LastAge)
--- a/version/loading/rollingupdate_test.go
+++ b/version/loading/rollingupdate_test.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// loadDelays returns the times at which agentCount agents load, as durations since
-// start, in the order of the agents.
+// loadDelays returns for each of agentCount agents the time from start to the
+// agent's load, in the order of the agents.
 func loadDelays(update RollingUpdate, declared []WantedVersion, agentCount int, start time.Time) []time.Duration {
 	var agents []spread.Peer
 	for i := range agentCount {
