--- a/version/confstore/confstore_test.go
+++ b/version/confstore/confstore_test.go
@@ -47,7 +47,8 @@
 	return set
 }
 
-// changeToRegions returns a change whose set declares the named regions.
+// changeToRegions returns a change with the given base and change id, whose set
+// declares the named regions.
 func changeToRegions(base uint64, id string, names ...string) Change {
 	return Change{Base: base, Author: "ann", Reason: "test", ChangeID: id, Set: setWithRegions(names...)}
 }
@@ -64,11 +65,11 @@
 type faultyTable struct {
 	platform.Table
 	mu sync.Mutex
-	// responsesToLose is the number of the next commits that take effect but
-	// return platform.ErrUnknownOutcome.
+	// responsesToLose is how many of the coming commits take effect but return
+	// platform.ErrUnknownOutcome.
 	responsesToLose int
-	// commitsToDrop is the number of the next commits that have no effect and
-	// return platform.ErrUnknownOutcome. They come before those that
+	// commitsToDrop is how many of the coming commits have no effect and return
+	// platform.ErrUnknownOutcome. These commits come before those that
 	// responsesToLose counts.
 	commitsToDrop int
 }
@@ -247,8 +248,8 @@
 	}
 }
 
-// applyAtOnce lets operators apply different changes to the same version at once,
-// and returns their errors.
+// applyAtOnce applies as many different changes as there are operators,
+// concurrently and to the same base version, and returns the errors of Apply.
 func applyAtOnce(ctx context.Context, p *platform.Platform, operators int, base uint64) []error {
 	errs := make([]error, operators)
 	var wg sync.WaitGroup
--- a/version/confstore/encoded.go
+++ b/version/confstore/encoded.go
@@ -17,26 +17,28 @@
 	ErrBaseMismatch = errors.New("base of the delta is not the current version")
 )
 
-// EncodedVersion is an encoded configuration to be sent to a peer: either the full
-// configuration, or a delta from the version whose number is Base.
+// EncodedVersion is an encoded configuration to be sent to a peer: either the
+// full configuration, or a delta, which encodes only the differences from the
+// version whose number is Base.
 type EncodedVersion struct {
 	// Number is the version number of the configuration.
 	Number uint64
 	// Digest is the digest of the full encoded configuration, even if Body is a
 	// delta.
 	Digest core.Digest
-	// Base is the number of the version to which Body is a delta; 0 when Body
-	// is the full configuration.
+	// Base is the number of the version to which the delta in Body applies; 0
+	// when Body is the full configuration.
 	Base uint64
 	// Body is the encoded configuration or delta.
 	Body []byte
 }
 
-// EncodeForPeer returns the current version encoded for a peer that has peerVersion:
-// a delta when h still keeps peerVersion, otherwise the full configuration. It
-// returns ErrPeerUpToDate when peerVersion is not older than the current version.
-// Encodings are cached until the next version, so that the same encoding is not
-// computed again for each peer.
+// EncodeForPeer returns the encoding of the current version for a peer whose
+// version is peerVersion. The encoding is a delta when h still keeps peerVersion,
+// and otherwise the full configuration. EncodeForPeer returns ErrPeerUpToDate
+// when peerVersion is not older than the current version. Encodings are cached
+// until the next version, so that the same encoding is not computed again for
+// each peer.
 func EncodeForPeer(h *Holder, peerVersion uint64) (EncodedVersion, error) {
 	current, base := h.currentAndBase(peerVersion)
 	if current.Number <= peerVersion {
@@ -105,8 +107,8 @@
 }
 
 // OfferEncoded decodes and checks a configuration from a peer, and makes it the
-// current version of h. It does nothing if the configuration is not newer. It
-// returns ErrBaseMismatch when the caller must request the full configuration.
+// current version of h. It does nothing if the configuration is not newer. If it
+// returns ErrBaseMismatch, the caller must request the full configuration.
 func OfferEncoded(h *Holder, e EncodedVersion) error {
 	current := h.Current()
 	if e.Number <= current.Number {
--- a/version/confstore/errors.go
+++ b/version/confstore/errors.go
@@ -17,7 +17,7 @@
 	// ErrVersionNotFound is returned when a version does not exist, or when the
 	// history no longer keeps it.
 	ErrVersionNotFound = errors.New("no such version in the history")
-	// ErrUnchanged is returned when the set of a change is equal to that of the
+	// ErrUnchanged is returned when the set of a change equals the set of the
 	// newest version. No new version is created then.
 	ErrUnchanged = errors.New("nothing differs from the version in force")
 	// ErrInvalidChange is returned when the author, reason or change id of a
@@ -28,10 +28,11 @@
 // ConflictError is returned when the base of a change is no longer the newest
 // version, because another change was accepted first.
 type ConflictError struct {
-	// Base is the version to which the refused change was to be applied.
+	// Base is the number of the version to which the refused change was to be
+	// applied.
 	Base uint64
-	// Winner is the version that another change created on Base. If the record
-	// of that version cannot be read, Winner is the newest version.
+	// Winner is the version after Base, which another change created. If the
+	// record of that version cannot be read, Winner is the newest version.
 	Winner HistoryEntry
 	// InForce is the number of the newest version.
 	InForce uint64
--- a/version/confstore/follower.go
+++ b/version/confstore/follower.go
@@ -17,14 +17,16 @@
 )
 
 const (
-	// defaultPollInterval is the time between two reads of the head row.
+	// defaultPollInterval is the default time between two reads of the head
+	// row, which describes the newest version.
 	defaultPollInterval = time.Second
 	// maxPollJitter is the maximum random change of the poll interval, as a
 	// share of the interval. The jitter spreads the reads of many instances over
 	// time.
 	maxPollJitter = 0.1
-	// maxDeltas is the maximum number of deltas read at once. A process that is
-	// more than maxDeltas versions behind reads the full snapshot.
+	// maxDeltas is the maximum number of deltas that one update reads. A
+	// process that is more than maxDeltas versions behind reads the full
+	// snapshot instead.
 	maxDeltas = 16
 )
 
@@ -90,8 +92,8 @@
 }
 
 // pollDelay returns the time until the next poll, given the duration of the last
-// poll. A poll that took more than four intervals indicates that this process was
-// paused; the next poll then follows immediately.
+// poll. If the last poll took more than four intervals, this process was probably
+// paused, and the next poll follows immediately.
 func (f *Follower) pollDelay(lastPollDuration time.Duration) time.Duration {
 	if lastPollDuration > 4*f.config.PollInterval {
 		return 0
@@ -123,9 +125,9 @@
 	return nil
 }
 
-// updateTo offers the version that head describes to the Holder if that version is
-// newer than the current version. It logs an event if head is older, or if head has
-// the number of the current version and another digest.
+// updateTo offers the version that head describes to the Holder if that version
+// is newer than the current version. It logs an event if head is older, or if
+// head and the current version have the same number but different digests.
 func (f *Follower) updateTo(ctx context.Context, head HistoryEntry) error {
 	current := f.holder.Current()
 	if head.Number < current.Number || head.Number == current.Number && head.Digest != current.Digest {
@@ -153,10 +155,10 @@
 	return nil
 }
 
-// fetch reads the version that head describes. If current is at most maxDeltas
-// versions older, it reads deltas; if current is older or the deltas cannot be used,
-// it reads the full snapshot. how is the method for the log: "difference" for
-// deltas, "whole" for a snapshot.
+// fetch reads the version that head describes. If head is at most maxDeltas
+// versions newer than current, fetch reads deltas. If the difference is larger or
+// the deltas cannot be used, fetch reads the full snapshot. how names the method
+// in the log: "difference" for deltas, "whole" for a snapshot.
 func (f *Follower) fetch(ctx context.Context, current *declare.Snapshot, head HistoryEntry) (s *declare.Snapshot, how string, err error) {
 	if current.Number > 0 && head.Number-current.Number <= maxDeltas {
 		if s, err := f.fetchDeltas(ctx, current, head); err == nil {
@@ -192,7 +194,7 @@
 }
 
 // applyRecord applies the delta of rec to previous. It returns ErrIntegrity if
-// previous is not the version before rec.
+// previous is not the version directly before rec.
 func applyRecord(previous *declare.Snapshot, rec record) (*declare.Snapshot, error) {
 	if rec.Number != previous.Number+1 || rec.Parent != previous.Digest {
 		return nil, fmt.Errorf("%w: version %d does not follow version %d", ErrIntegrity, rec.Number, previous.Number)
--- a/version/confstore/history.go
+++ b/version/confstore/history.go
@@ -74,8 +74,9 @@
 	return rec, err
 }
 
-// History returns up to limit versions, newest first. It returns ErrIntegrity when
-// a row is damaged, or when the numbers or parent digests are not consecutive.
+// History returns up to limit versions, newest first. It returns ErrIntegrity
+// when a row is damaged, when the version numbers are not consecutive, or when a
+// parent digest is not the digest of the version before.
 func (p *Publisher) History(ctx context.Context, limit int) ([]HistoryEntry, error) {
 	head, err := p.Head(ctx)
 	if err != nil || head.Number == 0 {
@@ -202,9 +203,10 @@
 const maxEditAttempts = 5
 
 // Edit creates the next version by calling edit on a copy of the newest version.
-// After a conflict it calls edit again on the version that is then the newest, so
-// edit must not depend on objects that it does not change. c.Base and c.Set are
-// ignored. Edit returns ErrUnchanged when edit changes nothing.
+// After a conflict it calls edit again on the new newest version. That version
+// may differ in any object, so edit must not depend on objects that it does not
+// change. c.Base and c.Set are ignored. Edit returns ErrUnchanged when edit
+// changes nothing.
 func (p *Publisher) Edit(ctx context.Context, c Change, edit func(*declare.Set) error) (*declare.Snapshot, error) {
 	for attempts := 1; ; attempts++ {
 		snapshot, err := p.editOnce(ctx, c, edit)
@@ -215,9 +217,10 @@
 	}
 }
 
-// editOnce makes one attempt at an edit. If a version was already created with the
-// change id, editOnce creates none: it returns that version if edit changes nothing
-// in that version, and ErrChangeIDReused if edit does.
+// editOnce makes one attempt at an edit. If a version was already created with
+// the change id, editOnce creates no version. It then calls edit on the existing
+// version: if edit changes nothing, editOnce returns the existing version, and
+// otherwise ErrChangeIDReused.
 func (p *Publisher) editOnce(ctx context.Context, c Change, edit func(*declare.Set) error) (*declare.Snapshot, error) {
 	base, err := p.findChange(ctx, c.ChangeID)
 	alreadyApplied := err == nil
@@ -245,9 +248,9 @@
 	return snapshot, nil
 }
 
-// prune removes the oldest versions beyond HistoryLimit, but at most
-// maxPrunedPerChange. It stops at the first error. The versions that are left are
-// removed after later changes.
+// prune removes the oldest versions when the history has more than HistoryLimit
+// versions, but at most maxPrunedPerChange of them. It stops at the first error.
+// Later changes remove the versions that are left.
 func (p *Publisher) prune(ctx context.Context, newest uint64) {
 	if newest <= p.HistoryLimit {
 		return
@@ -263,7 +266,7 @@
 	}
 }
 
-// pruneRow removes the version of a history row unless it is newer than
+// pruneRow removes the version of a history row unless the version is newer than
 // newestPruned. It reports whether the version was removed.
 func (p *Publisher) pruneRow(ctx context.Context, row platform.Row, newestPruned uint64) bool {
 	number, err := parseHistoryKey(row.Key)
--- a/version/confstore/holder.go
+++ b/version/confstore/holder.go
@@ -17,8 +17,9 @@
 var eventInForce = eventlog.Define(206, "configuration-in-force", logrus.InfoLevel,
 	"A newer configuration took effect in this process; the fields give its number and the number of the version before it.")
 
-// maxRecentSnapshots is the maximum number of older snapshots that a Holder keeps,
-// so that peers a few versions behind get a delta instead of the full configuration.
+// maxRecentSnapshots is the maximum number of older snapshots that a Holder
+// keeps. With these, peers that are a few versions behind get a delta instead of
+// the full configuration.
 const maxRecentSnapshots = 8
 
 // Holder holds the current configuration of this process. Its version number never
@@ -29,12 +30,13 @@
 
 	mu      sync.RWMutex
 	current *declare.Snapshot
-	// recent holds the snapshots before current, oldest first.
+	// recent holds up to maxRecentSnapshots snapshots before current, oldest
+	// first.
 	recent []*declare.Snapshot
-	// encodings holds the cached encodings of current, by the number of the base
-	// of the delta; 0 for the full configuration.
+	// encodings holds the cached encodings of current. The key is the number of
+	// the base version of a delta, or 0 for the full configuration.
 	encodings map[uint64]EncodedVersion
-	// confirmedAt is the time as of which current was last known to be the
+	// confirmedAt is the latest time at which current is known to have been the
 	// newest version.
 	confirmedAt time.Time
 	// changed is closed and replaced when current changes.
@@ -97,9 +99,9 @@
 	return h.changed
 }
 
-// Confirm records that the platform or a peer, in response to a request sent at
-// requestedAt, had no newer version. The time of the request is used because the
-// response may have waited in a buffer while this process was paused.
+// Confirm records that the platform or a peer had no newer version, according to
+// its response to a request sent at requestedAt. The time of the request counts,
+// because the response may have waited in a buffer while this process was paused.
 func (h *Holder) Confirm(requestedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -108,9 +110,9 @@
 	}
 }
 
-// RecordPeerVersion records that a peer, in response to a request sent at
-// requestedAt, named number as its newest version. It confirms the current version
-// unless number is newer.
+// RecordPeerVersion records that a peer's newest version is number, according to
+// the peer's response to a request sent at requestedAt. It confirms the current
+// version unless number is newer.
 func (h *Holder) RecordPeerVersion(number uint64, requestedAt time.Time) {
 	if number <= h.Current().Number {
 		h.Confirm(requestedAt)
@@ -128,16 +130,16 @@
 	return elapsed(h.confirmedAt, h.clock.Now()), true
 }
 
-// ConfirmedWithin reports whether the last confirmation of the current version was
-// at most d ago, including time in which the process was paused.
+// ConfirmedWithin reports whether the last confirmation of the current version
+// was at most d ago. Time in which the process was paused counts.
 func (h *Holder) ConfirmedWithin(d time.Duration) bool {
 	age, ok := h.ConfirmationAge()
 	return ok && age <= d
 }
 
-// elapsed returns the time between two moments by the monotonic clock or by the
-// wall clock, whichever is longer: the monotonic clock stops while the machine is
-// suspended.
+// elapsed returns the time between from and to, measured by the monotonic clock
+// and by the wall clock, whichever is longer. The wall clock is needed because
+// the monotonic clock stops while the machine is suspended.
 func elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
--- a/version/confstore/publisher.go
+++ b/version/confstore/publisher.go
@@ -35,7 +35,7 @@
 	// Reason is the operator's reason for the change.
 	Reason string
 	// ChangeID identifies the change. Applying a change again with the same id,
-	// here or through another instance, has no further effect.
+	// through this or another instance, has no further effect.
 	ChangeID string
 	// Set is the complete content of the new version.
 	Set *declare.Set
@@ -86,9 +86,9 @@
 
 // Apply checks a change and creates the next version from it. Its errors are
 // *declare.InvalidError, *ConflictError, ErrUnchanged, ErrChangeIDReused,
-// ErrInvalidChange, ErrVersionNotFound, ErrIntegrity and those of package platform.
-// After platform.ErrUnknownOutcome the caller may retry the change with the same
-// change id.
+// ErrInvalidChange, ErrVersionNotFound, ErrIntegrity and the errors of package
+// platform. After platform.ErrUnknownOutcome the caller may retry the change with
+// the same change id.
 func (p *Publisher) Apply(ctx context.Context, c Change) (*declare.Snapshot, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -119,8 +119,9 @@
 	}
 }
 
-// retryable reports whether Apply makes another attempt after err. An unavailable
-// platform is retried only when the outcome of an earlier attempt is unknown.
+// retryable reports whether Apply makes another attempt after err. If the
+// platform is unavailable, Apply makes another attempt only when the outcome of
+// an earlier attempt is unknown.
 func retryable(err error, outcomeUnknown bool) bool {
 	if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrUnknownOutcome) {
 		return true
@@ -175,8 +176,8 @@
 	return &encodedChange{publisher: p, change: c, body: body, digest: digest}, nil
 }
 
-// invalidError returns the problems of set as a *declare.InvalidError, or err when
-// set has none.
+// invalidError returns the problems of set as a *declare.InvalidError, or err
+// when set has no problems.
 func invalidError(set *declare.Set, err error) error {
 	if problems := declare.Validate(set); len(problems) > 0 {
 		return &declare.InvalidError{Problems: problems}
@@ -184,9 +185,9 @@
 	return err
 }
 
-// applyOnce makes one attempt to apply the change. It writes nothing when the change
-// was already applied, when its base is not the newest version, or when the change
-// is invalid.
+// applyOnce makes one attempt to apply the change. It writes nothing when the
+// change was already applied, when the change's base is not the newest version,
+// or when the change is invalid.
 func (e *encodedChange) applyOnce(ctx context.Context) (*declare.Snapshot, error) {
 	applied, err := e.findApplied(ctx)
 	if err != nil || applied != nil {
@@ -229,10 +230,11 @@
 	return e.newSnapshot(entry.Number), nil
 }
 
-// conflictError returns the error for a change whose base is not head: usually a
-// *ConflictError. If this change itself was accepted since the attempt looked for it,
-// or if that cannot be determined, the error is platform.ErrConflict, so that the
-// next attempt looks for the change again.
+// conflictError returns the error for a change whose base is not head. Usually
+// this is a *ConflictError. However, this change itself may have been accepted
+// after applyOnce looked for it. If so, or if that cannot be determined, the
+// error is platform.ErrConflict, so that the next attempt looks for the change
+// again.
 func (e *encodedChange) conflictError(ctx context.Context, head HistoryEntry) error {
 	if applied, err := e.findApplied(ctx); err != nil || applied != nil {
 		return errors.Wrap(platform.ErrConflict, "the change was accepted meanwhile")
@@ -275,10 +277,10 @@
 	return e.newSnapshot(number), nil
 }
 
-// discardSnapshot deletes the stored snapshot of a change that failed with a
-// *ConflictError. Another change has the snapshot's version number, so that no
-// later attempt can use the snapshot. If the other change has an equal set, both
-// changes use the same object, which must stay.
+// discardSnapshot deletes the stored snapshot of a change if err is a
+// *ConflictError. Another change was then accepted with the same version number,
+// so no later attempt can use the snapshot. If the other change has an equal set,
+// both changes share one object, which must stay.
 func (e *encodedChange) discardSnapshot(ctx context.Context, err error) {
 	var conflict *ConflictError
 	if e.storedName == "" || !errors.As(err, &conflict) {
@@ -293,9 +295,9 @@
 	}
 }
 
-// objectError returns the error for a snapshot that could not be stored. A snapshot
-// has no effect until the commit that follows. An unknown outcome is therefore
-// reported as an unavailable platform.
+// objectError returns the error for a snapshot that could not be stored. A
+// snapshot has no effect before the commit, so an unknown outcome of storing it
+// is reported as an unavailable platform.
 func objectError(err error) error {
 	if errors.Is(err, platform.ErrUnknownOutcome) {
 		return fmt.Errorf("%w: %v", platform.ErrUnavailable, err)
@@ -328,8 +330,8 @@
 }
 
 // versionWrites returns the writes of the transaction that makes rec the newest
-// version. Their conditions are that the head row still has the given revision, and
-// that neither the version nor the change id exists.
+// version. The transaction succeeds only if the head row still has the given
+// revision, and no rows for the version or the change id exist.
 func versionWrites(rec record, revision uint64) ([]platform.Write, error) {
 	history, err := encodeRecord(rec)
 	if err != nil {
--- a/version/confstore/records.go
+++ b/version/confstore/records.go
@@ -36,8 +36,8 @@
 	maxDeltaBytes = 32 << 10
 )
 
-// ErrIntegrity is returned when a stored record or snapshot is not consistent with
-// its digest or with the other records: it was damaged, or not written by this
+// ErrIntegrity is returned when a stored record or snapshot does not match its
+// digest or the other records. It was then damaged, or was not written by this
 // package.
 var ErrIntegrity = errors.New("record is damaged")
 
@@ -64,8 +64,9 @@
 // record is the stored form of a HistoryEntry, with a delta and a checksum.
 type record struct {
 	HistoryEntry
-	// Delta is the encoded delta from the previous version; empty when it is
-	// larger than maxDeltaBytes, and in the rows that only refer to a version.
+	// Delta is the encoded delta from the previous version. It is empty in the
+	// head row and the change rows, and when the delta is larger than
+	// maxDeltaBytes.
 	Delta []byte `json:"delta,omitempty"`
 	// Sum is the digest of the record's encoding with Sum empty.
 	Sum core.Digest `json:"sum"`
