--- a/version/declare/collection.go
+++ b/version/declare/collection.go
@@ -45,7 +45,7 @@
 }
 
 // collectionOf returns the collection of a kind. field returns a pointer to the
-// map in a set that holds the objects of the kind.
+// map of a set in which the objects of the kind are stored.
 func collectionOf[T any](kind Kind, field func(*Set) *map[string]*T) collection {
 	return collection{
 		kind: kind,
@@ -102,7 +102,7 @@
 	return names
 }
 
-// Clone returns a set with new maps that shares the objects with s.
+// Clone returns a copy of s that has its own maps but shares the objects with s.
 func (s *Set) Clone() *Set {
 	copied := NewSet()
 	for _, c := range collections {
--- a/version/declare/delta.go
+++ b/version/declare/delta.go
@@ -6,9 +6,9 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// delta is the difference between two sets: the objects that are added or
-// replaced, and the names of the removed objects by kind. Empty maps are left out,
-// so that a small change has a small encoding.
+// delta is the difference between two sets. It has the objects that are added or
+// replaced, and, for each kind, the names of the removed objects. Empty maps are
+// left out, so that a small change has a small encoding.
 type delta struct {
 	Put    deltaSet          `cbor:"1,keyasint"`
 	Remove map[Kind][]string `cbor:"2,keyasint,omitempty"`
--- a/version/declare/diff.go
+++ b/version/declare/diff.go
@@ -26,7 +26,7 @@
 	New string `json:"new"`
 }
 
-// Change describes how one object differs between two sets.
+// Change describes how one object differs between an old and a new set.
 type Change struct {
 	// Action is the effect on the object.
 	Action Action `json:"action"`
--- a/version/declare/encode.go
+++ b/version/declare/encode.go
@@ -79,8 +79,8 @@
 	return s.Clone(), nil
 }
 
-// checkMapKeys returns an error if the key of an object in a map of the set is
-// empty or differs from the name of the object.
+// checkMapKeys checks the maps of the set. It returns an error if the key of an
+// object is empty or differs from the object's name.
 func checkMapKeys(s *Set) error {
 	for _, c := range collections {
 		for _, name := range c.names(s) {
--- a/version/declare/fields.go
+++ b/version/declare/fields.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// expectedType returns the description of a kind of value, as used in problems, and
-// the YAML tag of such a value.
+// expectedType returns a description of the values of the given kind, for use in
+// problems, and the YAML tag of such values.
 func expectedType(kind reflect.Kind) (description, tag string) {
 	switch kind {
 	case reflect.Bool:
@@ -126,7 +126,7 @@
 	}
 }
 
-// describeNode returns a description of the value of a node, as used in problems.
+// describeNode returns a description of the value of a node, for use in problems.
 func describeNode(node *yaml.Node) string {
 	switch node.Kind {
 	case yaml.MappingNode:
--- a/version/declare/fuzz_test.go
+++ b/version/declare/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// hostileInputs are inputs of the kinds on which YAML parsers have failed before.
+// hostileInputs are inputs like those on which YAML parsers are known to fail.
 var hostileInputs = []string{
 	"",
 	"kind: Region\nname: r\n",
@@ -28,9 +28,9 @@
 	"\xff\xfe\x00k",
 }
 
-// FuzzCheck checks that no text makes Check panic, that the number of problems and
-// the length of each are limited, and that a set without problems is unchanged after
-// encoding and decoding.
+// FuzzCheck checks that no text makes Check panic, and that the number of
+// problems and the length of each problem are limited. It also checks that a set
+// without problems is unchanged after encoding and decoding.
 func FuzzCheck(f *testing.F) {
 	f.Add(validYAML)
 	for _, text := range hostileInputs {
@@ -85,7 +85,7 @@
 var unusedDigest = core.DigestOf([]byte("no set"))
 
 // FuzzDecode checks that no input makes Decode or ApplyDelta panic, and that
-// ApplyDelta refuses a result with another digest than expected.
+// ApplyDelta refuses a result whose digest is not the expected digest.
 func FuzzDecode(f *testing.F) {
 	parsed, _ := Parse(oneFile(validYAML))
 	full, _, err := Encode(parsed.Set)
--- a/version/declare/objects.go
+++ b/version/declare/objects.go
@@ -9,7 +9,7 @@
 type Region struct {
 	// Name identifies the region.
 	Name string `yaml:"name" json:"name"`
-	// LinkBytesPerSecond is the bandwidth that transfers of weights may use of
+	// LinkBytesPerSecond is the bandwidth that transfers of weights may use on
 	// the link between this region and the others; 0 means no limit.
 	LinkBytesPerSecond int64 `yaml:"linkBytesPerSecond,omitempty" json:"linkBytesPerSecond,omitempty"`
 }
@@ -45,13 +45,14 @@
 	Model string `yaml:"model" json:"model"`
 	// Manifest is the digest of the manifest, as printed by `rattanway publish`.
 	Manifest core.Digest `yaml:"manifest" json:"manifest"`
-	// Base is the name of the Version to which this version is an adapter;
-	// empty if this version is not an adapter.
+	// Base is set for an adapter, which is applied to the weights of another
+	// Version: it is the name of that Version. It is empty if this version is
+	// not an adapter.
 	Base string `yaml:"base,omitempty" json:"base,omitempty"`
 }
 
-// BackendServer is a server that runs a model engine or a plain service, with an
-// agent beside it.
+// BackendServer is a server that runs a model engine or a plain service (one
+// without models). An agent runs beside each server.
 type BackendServer struct {
 	// Name identifies the server; the server's agent has the same instance ID.
 	Name string `yaml:"name" json:"name"`
@@ -62,7 +63,8 @@
 	Service string `yaml:"service,omitempty" json:"service,omitempty"`
 	// Limit is the maximum number of concurrent calls once the server is warm.
 	Limit int `yaml:"limit" json:"limit"`
-	// ColdLimit is the maximum number of concurrent calls just after a start.
+	// ColdLimit is the maximum number of concurrent calls just after the server
+	// has started, while it is not warm yet.
 	ColdLimit int `yaml:"coldLimit" json:"coldLimit"`
 	// Slots is the number of versions that an engine can hold at the same time;
 	// 0 means 1.
@@ -80,8 +82,8 @@
 	Name string `yaml:"name" json:"name"`
 	// KeyHash is the digest of the account's secret key.
 	KeyHash core.Digest `yaml:"keyHash" json:"keyHash"`
-	// Share is the account's relative weight when capacity is divided among
-	// the accounts under overload; 0 means 1.
+	// Share determines how much capacity the account gets under overload, in
+	// proportion to the Share of the other accounts; 0 means 1.
 	Share int `yaml:"share,omitempty" json:"share,omitempty"`
 	// MaxInFlight is the maximum number of concurrent calls of the account
 	// through one entry instance; 0 means no limit.
--- a/version/declare/parse.go
+++ b/version/declare/parse.go
@@ -104,9 +104,9 @@
 	file string
 }
 
-// Parse parses the documents of files. It returns all problems of syntax, type
-// and name together, up to MaxProblems; Validate checks the references between
-// objects.
+// Parse parses the documents of files. It returns the problems of syntax, type
+// and name in all files, but at most MaxProblems. It does not check the
+// references between objects; Validate does.
 func Parse(files []File) (ParseResult, []Problem) {
 	p := &parser{parsed: ParseResult{Set: NewSet(), Positions: Positions{}}}
 	totalBytes := 0
@@ -285,8 +285,8 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// nameProblem returns a message for a problem if a name is not valid, or "" if the
-// name is valid.
+// nameProblem returns the message of a problem if name is not valid, and ""
+// otherwise.
 func nameProblem(name string) string {
 	if name == "" {
 		return "missing"
--- a/version/declare/problem.go
+++ b/version/declare/problem.go
@@ -69,8 +69,8 @@
 // Positions maps the objects of a set to their positions in the files.
 type Positions map[Ref]Position
 
-// Locate returns a copy of problems with the files and lines filled in, sorted by file
-// and line.
+// Locate returns a copy of problems with the known files and lines filled in,
+// sorted by file and line.
 func (p Positions) Locate(problems []Problem) []Problem {
 	located := make([]Problem, len(problems))
 	for i, problem := range problems {
--- a/version/declare/validate.go
+++ b/version/declare/validate.go
@@ -35,9 +35,9 @@
 	return v.problems
 }
 
-// ValidateChange returns the problems of Validate(new), and a problem for each model
-// that is in both sets if new lacks the version that the model has in old. Servers use
-// the previous version of a model until they have loaded the next.
+// ValidateChange returns the problems of Validate(new). It also returns a problem
+// for each model in both sets whose version in old is not declared in new:
+// servers use the previous version of a model until they have loaded the next.
 func ValidateChange(old, new *Set) []Problem {
 	problems := Validate(new)
 	for _, name := range sortedNames(old.Models) {
@@ -60,8 +60,9 @@
 	v.problems = append(v.problems, Problem{Kind: kind, Name: name, Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-// checkReference adds a problem if targetName, the value of a field, is not the name
-// of an object of targetKind. It reports whether the reference is valid.
+// checkReference checks the field of an object whose value targetName must be the
+// name of an object of targetKind. If there is no such object, it adds a problem.
+// It reports whether the reference is valid.
 func (v *validator) checkReference(kind Kind, name, field string, targetKind Kind, targetName string) bool {
 	if targetName == "" {
 		v.addProblem(kind, name, field, "missing; want the name of a %s", targetKind)
@@ -136,8 +137,8 @@
 	}
 }
 
-// checkModelDataCentres checks the list of data centres of a model, and that at
-// least one data centre that may hold the model is in service.
+// checkModelDataCentres checks the list of data centres of a model. At least one
+// of the data centres that may hold the model must be in service.
 func (v *validator) checkModelDataCentres(m *Model) {
 	seen := map[string]bool{}
 	for i, name := range m.DataCentres {
@@ -153,8 +154,8 @@
 	}
 }
 
-// allowedDataCentres returns the data centres that may hold a model: those in
-// service and those taken out of service.
+// allowedDataCentres returns the names of the data centres that may hold a model,
+// in two lists: those in service and those taken out of service.
 func (v *validator) allowedDataCentres(m *Model) (inService, outOfService []string) {
 	for _, name := range sortedNames(v.set.DataCentres) {
 		if !m.AllowsDataCentre(name) {
@@ -291,8 +292,8 @@
 // checkCapacity checks that the servers can hold all replicas of the models, and
 // that no account may have more concurrent calls than the servers can run.
 // Servers that are leaving or whose data centre is out of service count as
-// available, so that a drain is never refused because it takes capacity away
-// temporarily.
+// available. A drain takes capacity away only temporarily, so it must not be
+// refused.
 func (v *validator) checkCapacity() {
 	replicaCount, slotCount, totalLimit := 0, 0, 0
 	for _, b := range v.set.BackendServers {
--- a/version/declare/validate_test.go
+++ b/version/declare/validate_test.go
@@ -32,7 +32,7 @@
 		edits []edit
 		// appendedYAML is added to validYAML after the edits.
 		appendedYAML string
-		// want holds a part of each expected problem.
+		// want holds, for each expected problem, a part of its text.
 		want []string
 	}{
 		{
--- a/version/placement/placement.go
+++ b/version/placement/placement.go
@@ -15,7 +15,7 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// Assignment is one version that is assigned to a backend server.
+// Assignment is the assignment of one version to a backend server.
 type Assignment struct {
 	// Model is the name of the model.
 	Model string
@@ -27,8 +27,8 @@
 	// empty for a full model. The base version is assigned to the server as
 	// well.
 	Base core.Digest
-	// Rank is the position of the server, counted from 0, in the order in which
-	// the version was assigned to servers.
+	// Rank is the number of servers to which the version was assigned before
+	// this server.
 	Rank int
 }
 
@@ -52,12 +52,13 @@
 // Compute returns the plan for the declarations in set and the list of live
 // instances.
 //
-// Each model is placed on Replicas servers by rendezvous hashing of the model's
-// name, so that the next version of a model is placed on the servers that hold
-// the previous one. A server is eligible if it is declared, runs an engine, is in
-// one of the model's data centres, is live, is not leaving and has a free slot. A
-// server in a data centre out of service keeps its versions, so that the versions
-// are already loaded when the data centre returns, but such a server does not count
+// Each model is placed on as many eligible servers as its Replicas field says.
+// The servers are chosen by rendezvous hashing of the model's name, so that the
+// next version of a model is placed on the servers that hold the previous
+// version. A server is eligible if it is declared, runs an engine, is in one of
+// the model's data centres, is live, is not leaving and has a free slot. A server
+// in a data centre out of service keeps its versions, so that the versions are
+// already loaded when the data centre returns, but such a server does not count
 // as a replica.
 func Compute(set *declare.Set, live []core.Instance) *Plan {
 	b := newBuilder(set, live)
@@ -121,7 +122,7 @@
 }
 
 // selectModels returns the models whose version is an adapter if wantAdapters is
-// true, and otherwise the models whose version is not an adapter.
+// true, and all other models if wantAdapters is false.
 func (b *builder) selectModels(wantAdapters bool) []*declare.Model {
 	var selected []*declare.Model
 	for _, m := range b.set.Models {
@@ -140,8 +141,8 @@
 		if !b.eligible(m, s) {
 			continue
 		}
-		// The upper half of the range of scores is reserved for the servers to
-		// which the base of an adapter is assigned.
+		// The shift halves the range of scores. The upper half is for servers to
+		// which the base of an adapter is already assigned.
 		score := xxhash.Sum64String(m.Name+"\x00"+s.Name) >> 1
 		if base != "" && b.isAssigned(s.Name, base) {
 			score |= 1 << 63
@@ -196,9 +197,9 @@
 	b.candidates = nil
 }
 
-// place assigns a model's version to a server, and also the base of an adapter
-// unless the base is already assigned there. It does nothing if the server has too
-// few free slots.
+// place assigns a model's version to a server. If the version is an adapter whose
+// base is not assigned to the server yet, place assigns the base too. It does
+// nothing if the server has too few free slots.
 func (b *builder) place(c candidate) {
 	v := b.set.Versions[c.model.Version]
 	assignments := []Assignment{b.newAssignment(v)}
--- a/version/placement/regionshare.go
+++ b/version/placement/regionshare.go
@@ -5,12 +5,12 @@
 	"github.com/rattanway/rattanway/version/declare"
 )
 
-// RegionShare returns the bandwidth that the agent self may use on the link between
-// its region and the other regions, in bytes per second; 0 means no limit. The
-// declared bandwidth of the link is divided evenly among self and the agents of the
-// region to which plan assigns any version. These agents together stay within the
-// declared bandwidth, whatever they fetch, without informing each other about their
-// transfers.
+// RegionShare returns the bandwidth that the agent self may use on the link
+// between its region and the other regions, in bytes per second; 0 means no
+// limit. The declared bandwidth of the link is divided evenly among self and
+// those agents of the region to which plan assigns a version. These agents
+// together stay within the declared bandwidth, whatever each of them fetches,
+// without informing each other about their transfers.
 func RegionShare(set *declare.Set, plan *Plan, self core.Instance) int64 {
 	region := set.Regions[self.Region]
 	if region == nil || region.LinkBytesPerSecond == 0 {
--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -27,7 +27,8 @@
 	// LiveInstances are the instances that take part in placement.
 	LiveInstances []core.Instance
 	// WeightStore is the object store that holds the manifests. If WeightStore
-	// is nil, the amounts to fetch are reported as unknown.
+	// is nil, the number and size of the chunks to fetch are reported as
+	// unknown.
 	WeightStore platform.ObjectStore
 }
 
@@ -44,7 +45,8 @@
 }
 
 // Effects returns the effects of the change, one line for each. If a manifest
-// cannot be read, the amount to fetch is reported as unknown.
+// cannot be read, the number and size of the chunks to fetch are reported as
+// unknown.
 func Effects(ctx context.Context, in Input) []string {
 	p := &planner{
 		Input:     in,
@@ -78,8 +80,8 @@
 	return sortedKeys(seen)
 }
 
-// serversOnlyIn returns, for each version, the servers to which the plan in assigns
-// the version and the plan notIn does not. The Rank of every key is 0.
+// serversOnlyIn returns, for each version, the names of the servers to which plan
+// in assigns the version but plan notIn does not. The Rank of every key is 0.
 func (p *planner) serversOnlyIn(in, notIn *placement.Plan) map[placement.Assignment][]string {
 	servers := map[placement.Assignment][]string{}
 	for _, name := range p.serverNames() {
@@ -98,8 +100,8 @@
 	return servers
 }
 
-// addLoadLines adds a line for each version that servers load, followed by the line
-// of addSwitchLine.
+// addLoadLines adds a line for each version that servers load, and after each
+// line calls addSwitchLine.
 func (p *planner) addLoadLines(ctx context.Context) {
 	servers := p.serversOnlyIn(p.after, p.before)
 	for _, assignment := range sortedVersions(servers) {
@@ -109,9 +111,10 @@
 	}
 }
 
-// addSwitchLine adds a line if the change replaces the version of the assignment's
-// model. names lists the servers that load the new version. The line gives the number
-// of these servers that hold another version of the model before the change.
+// addSwitchLine adds a line if the change replaces the version of the
+// assignment's model. names lists the servers that load the new version. The line
+// says how many of these servers hold another version of the model before the
+// change.
 func (p *planner) addSwitchLine(assignment placement.Assignment, names []string) {
 	old := p.Old.Models[assignment.Model]
 	if old == nil || old.Version == assignment.Version {
@@ -307,7 +310,7 @@
 	return versions
 }
 
-// sortedKeys returns the keys of m in order.
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[T any](m map[string]T) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
--- a/version/plan/plan_test.go
+++ b/version/plan/plan_test.go
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// publish stores a manifest with one chunk of 1 MiB for each name and returns the
-// digest of the manifest.
+// publish stores a manifest that lists one chunk of 1 MiB for each name, and
+// returns the digest of the manifest.
 func (s memoryStore) publish(names ...string) core.Digest {
 	var chunks []manifest.Chunk
 	for _, name := range names {
@@ -45,8 +45,9 @@
 	return digest
 }
 
-// modelOnTwoServers returns a set that declares a model and two servers, on which the
-// model is placed, and the instances of the servers' agents.
+// modelOnTwoServers returns a set that declares a model and the two servers on
+// which the model is placed. It also returns the instances of the servers'
+// agents.
 func modelOnTwoServers(digest core.Digest) (*declare.Set, []core.Instance) {
 	set := declare.NewSet()
 	set.Regions["west"] = &declare.Region{Name: "west"}
