--- a/version/catalog/source.go
+++ b/version/catalog/source.go
@@ -41,8 +41,8 @@
 	// ErrHistoryLost is returned when the store no longer keeps all changes
 	// since the requested revision; the complete table must be read instead.
 	ErrHistoryLost = errors.New("history no longer available")
-	// ErrUnusedRow is returned by Decode for a row that this module has no use
-	// for.
+	// ErrUnusedRow is returned by Decode for a row that this module does not
+	// use.
 	ErrUnusedRow = errors.New("row not used")
 )
 
--- a/version/confstore/history.go
+++ b/version/confstore/history.go
@@ -203,10 +203,10 @@
 const maxEditAttempts = 5
 
 // Edit creates the next version by calling edit on a copy of the newest version.
-// After a conflict it calls edit again on the new newest version. That version
-// may differ in any object, so edit must not depend on objects that it does not
-// change. c.Base and c.Set are ignored. Edit returns ErrUnchanged when edit
-// changes nothing.
+// After a conflict it calls edit again, on a copy of the version that is now the
+// newest. That version may differ in any object, so edit must not depend on
+// objects that it does not change. c.Base and c.Set are ignored. Edit returns
+// ErrUnchanged when edit changes nothing.
 func (p *Publisher) Edit(ctx context.Context, c Change, edit func(*declare.Set) error) (*declare.Snapshot, error) {
 	for attempts := 1; ; attempts++ {
 		snapshot, err := p.editOnce(ctx, c, edit)
--- a/version/freshness/freshness.go
+++ b/version/freshness/freshness.go
@@ -17,15 +17,15 @@
 const confirmTimeout = 3 * time.Second
 
 // minRequestInterval is the shortest time between two requests to the peers.
-// Requests are repeated because a peer that was itself paused at first cannot
-// confirm a configuration.
+// Requests are repeated because a peer that was paused as well cannot confirm a
+// configuration before its own configuration is confirmed.
 const minRequestInterval = 200 * time.Millisecond
 
 // Gate decides whether the process may act on its configuration. After the start
 // of the process, and after each pause, the configuration must first be
 // confirmed. A process that was paused may have missed newer versions, and a
 // process that has just started may have received an old version from a peer that
-// is behind. It is safe for concurrent use.
+// is behind. A Gate is safe for concurrent use.
 type Gate struct {
 	detector *pause.Detector
 	// confirmationAge returns the time since the configuration was confirmed, or
--- a/version/spread/fetchobject.go
+++ b/version/spread/fetchobject.go
@@ -27,9 +27,9 @@
 	// owner, so that the origin is still read about once. After a slower
 	// failure the agent reads the origin itself.
 	fastFailureTime = 200 * time.Millisecond
-	// maxPeersTried is the number of peers from which an agent starts to search
-	// for an object when the origin cannot be read. These peers need not be
-	// known holders.
+	// maxPeersTried is the maximum number of peers at which an agent starts to
+	// search for an object when the origin cannot be read. These peers need not
+	// be known holders.
 	maxPeersTried = 4
 )
 
@@ -61,8 +61,8 @@
 }
 
 // fetchAtTier fetches an object at a tier. At tierReader it repeats fetchRound
-// until the object arrives or Config.FetchTimeout has passed. At the other tiers
-// it calls fetchRound once.
+// until the object arrives, the store is full, or Config.FetchTimeout has passed.
+// At the other tiers it calls fetchRound once.
 func (s *Swarm) fetchAtTier(o object, t tier) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.FetchTimeout)
 	defer cancel()
@@ -110,9 +110,9 @@
 }
 
 // fetchRound makes one attempt at each source that an object has at tier t. At
-// tierFleet, and at tierRegion without Config.ReadOriginOnce, the source is the
-// origin. Otherwise the sources are the owners in the data centre (at
-// tierReader), in the region (at tierDataCentre) or among all agents (at
+// tierAllRegions, and at tierRegion without Config.ReadOriginOnce, the source is
+// the origin. Otherwise the sources are the owners in the data centre (at
+// tierReader), in the region (at tierDataCentre) or in all regions together (at
 // tierRegion), in the order of the ranking. When this agent itself is next in
 // that order, it fetches the object at the next tier instead of trying further
 // owners.
--- a/version/spread/handler.go
+++ b/version/spread/handler.go
@@ -118,9 +118,9 @@
 }
 
 // awaitObject returns the object and status 200 once the object is held. If the
-// object is not held, awaitObject fetches it, except at tierHeld and
-// tierOriginRead. If it cannot return the object, it returns only the HTTP status
-// for the peer.
+// object is not held, awaitObject fetches the object, except at tierHeld and
+// tierOriginRead. If awaitObject cannot return the object, it returns only the
+// HTTP status for the peer.
 func (s *Swarm) awaitObject(ctx context.Context, o object, t tier) ([]byte, int) {
 	switch t {
 	case tierHeld:
@@ -141,7 +141,8 @@
 // awaitArrival returns a held object and status 200. If the object is not held,
 // the result depends on inProgress, called with the object's digest. If
 // inProgress returns true, awaitArrival waits for the object, and returns status
-// 202 if ctx ends first. Otherwise it returns status 404 at once.
+// 202 if ctx ends first. If inProgress returns false, awaitArrival returns status
+// 404 at once.
 func (s *Swarm) awaitArrival(ctx context.Context, o object, inProgress func(core.Digest) bool) ([]byte, int) {
 	if body, ok := s.store.Get(o.digest); ok {
 		return body, http.StatusOK
--- a/version/spread/originoutage.go
+++ b/version/spread/originoutage.go
@@ -16,9 +16,9 @@
 // owners request the object from this owner and wait for the read.
 
 // For originSuspectPeriod after a failed read of the origin, an owner requests an
-// object from its other owners before reading the origin again. The period is
-// longer than the time to read a complete version after an outage (1.3 s for 48
-// chunks of 49,152 bytes over 15 Mbit/s).
+// object from the object's other owners before reading the origin again. The
+// period is longer than the time to read a complete version after an outage (1.3
+// s for 48 chunks of 49,152 bytes over 15 Mbit/s).
 const originSuspectPeriod = 3 * time.Second
 
 // ownerRetryDelay is the delay after which an owner requests an object a second
