--- a/version/loading/rollingupdate_test.go
+++ b/version/loading/rollingupdate_test.go
@@ -10,8 +10,8 @@
 	"github.com/rattanway/rattanway/version/spread"
 )
 
-// loadDelays returns the times at which agentCount agents load, as durations since
-// start, in the order of the agents.
+// loadDelays returns for each of agentCount agents the time from start to the
+// agent's load, in the order of the agents.
 func loadDelays(update RollingUpdate, declared []WantedVersion, agentCount int, start time.Time) []time.Duration {
 	var agents []spread.Peer
 	for i := range agentCount {
@@ -37,10 +37,10 @@
 	}
 
 	Convey("Servers load one after another between the first and the last age", t, func() {
-		times := loadDelays(update, []WantedVersion{declared(2, 0)}, 11, start)
-		within(times, 2*time.Second, 7*time.Second)
+		delays := loadDelays(update, []WantedVersion{declared(2, 0)}, 11, start)
+		within(delays, 2*time.Second, 7*time.Second)
 		different := map[time.Duration]bool{}
-		for _, at := range times {
+		for _, at := range delays {
 			different[at] = true
 		}
 		So(different, ShouldHaveLength, 11)
