--- a/bench/control/bench.go
+++ b/bench/control/bench.go
@@ -13,7 +13,8 @@
 	"github.com/rattanway/rattanway/connection/homes"
 )
 
-// Limits of package homes for which the figures at the target are computed.
+// Limits of package homes on the number of entry instances with which an agent
+// registers. The figures at the target are computed for these limits.
 const (
 	defaultMaxLocal  = homes.DefaultMaxLocalHomes
 	defaultPerRemote = homes.DefaultHomesPerRemoteDataCentre
@@ -32,9 +33,12 @@
 	EntryPlatform, AgentPlatform string
 	// PeerToken authenticates entry instances and agents to each other.
 	PeerToken string
-	// AgentCounts lists the numbers of agents to register with the entry instance.
+	// AgentCounts lists the numbers of agents to register with the entry instance
+	// under test.
 	AgentCounts []int
-	// HomeCounts lists the numbers of home entry instances of the agent.
+	// HomeCounts lists the numbers of homes of the agent under test, the entry
+	// instances with which it registers. The entry instance under test is not
+	// counted.
 	HomeCounts []int
 	// ServerCounts lists the numbers of declared backend servers.
 	ServerCounts []int
@@ -43,7 +47,7 @@
 	// CallLengths lists the lengths of calls, in tokens.
 	CallLengths []int
 	// DeclaredServers is the number of declared backend servers in the measurements
-	// that do not vary it.
+	// that do not use ServerCounts.
 	DeclaredServers int
 	// ConcurrentCalls is the number of concurrent calls.
 	ConcurrentCalls int
--- a/bench/control/calls.go
+++ b/bench/control/calls.go
@@ -23,8 +23,9 @@
 	targetSecondsPerToken = 0.035
 )
 
-// measureCalls measures the processor time and memory that relayed calls take in
-// both daemons, in addition to the control path.
+// measureCalls measures the processor time that relayed calls use in both daemons,
+// beyond what the daemons use without calls. It also measures the memory of both
+// daemons with open streams.
 func (t *testbed) measureCalls(ctx context.Context, r *Report) error {
 	c := newClient()
 	if err := c.waitUntilReady(ctx, t.opt.EntryAddr); err != nil {
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// measureLoad measures both daemons while Options.Streams concurrent calls of n
-// tokens run.
+// measureLoad measures both daemons while Options.ConcurrentCalls concurrent calls
+// of n tokens run.
 func (t *testbed) measureLoad(ctx context.Context, c *client, n int) (daemonWindows, error) {
 	done := make(chan error, 1)
 	length := time.Duration(n+2)*t.opt.TokenInterval + t.opt.SettleTime
--- a/bench/control/chunks.go
+++ b/bench/control/chunks.go
@@ -66,15 +66,16 @@
 }
 
 const (
-	// targetInstanceCount is the number of instances that receive new weights.
-	targetInstanceCount = 1_300
-	// planModelCount is the number of models among which these instances are
+	// targetReplicaCount is the number of replicas of all models together at the
+	// target: the instances that receive new weights.
+	targetReplicaCount = 1_300
+	// planModelCount is the number of models among which these replicas are
 	// divided.
 	planModelCount = 20
 	// planSlotsPerServer is the number of versions that a backend server can hold.
 	planSlotsPerServer = 3
-	// planRunCount is the number of times that each placement plan is computed; the
-	// mean time is reported.
+	// planRunCount is the number of times that each placement plan is computed. The
+	// report contains the mean time of one plan.
 	planRunCount = 5
 )
 
@@ -105,8 +106,9 @@
 }
 
 // setWithModels returns declarations with serverCount backend servers and
-// planModelCount models. All models together have targetInstanceCount replicas,
-// reduced in proportion if serverCount is below targetServerCount.
+// planModelCount models. All models together have targetReplicaCount replicas for
+// targetServerCount backend servers, and proportionally fewer for a smaller
+// serverCount.
 func (t *testbed) setWithModels(serverCount int) *declare.Set {
 	set := t.declaredSet(serverCount)
 	for _, server := range set.BackendServers {
@@ -115,7 +117,7 @@
 	for i := range planModelCount {
 		name := fmt.Sprintf("model-%d", i)
 		version := name + "-v1"
-		replicas := targetInstanceCount * serverCount / targetServerCount / planModelCount
+		replicas := targetReplicaCount * serverCount / targetServerCount / planModelCount
 		set.Models[name] = &declare.Model{Name: name, Version: version, Replicas: replicas}
 		set.Versions[version] = &declare.Version{Name: version, Model: name, Manifest: core.DigestOf([]byte(version))}
 	}
--- a/bench/control/client.go
+++ b/bench/control/client.go
@@ -41,7 +41,8 @@
 }
 
 // makeCall makes one call, reads the response to its end and returns the times of
-// its tokens. A response with another number of tokens is an error.
+// its tokens. It returns an error if the response does not have the given number of
+// tokens.
 func (c *client) makeCall(ctx context.Context, addr string, tokens int) (streamTimes, error) {
 	req, err := c.newRequest(ctx, addr, tokens)
 	if err != nil {
--- a/bench/control/configsize.go
+++ b/bench/control/configsize.go
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// daemonWindows holds the windows of the two daemons under test.
+// daemonWindows holds one measurement of each of the two daemons under test.
 type daemonWindows struct{ entry, agent window }
 
 // platformReadsPerSecond returns the number of reads from the platform per second.
--- a/bench/control/entry.go
+++ b/bench/control/entry.go
@@ -17,13 +17,13 @@
 // of a change is the mean of these changes.
 const changesPerWindow = 5
 
-// entrySeries holds the series that are measured at an entry instance against the
-// number of registered agents.
+// entrySeries holds the series that are measured at the entry instance under test,
+// with several numbers of registered agents.
 type entrySeries struct {
 	memory, rss, cpu, traffic, changeCPU, changeTraffic *Series
-	// joinCPU, joinTraffic and joinTime are the processor time, the traffic and
-	// the time from the start of all agents until each of them has registered and
-	// fetched the complete configuration.
+	// joinCPU, joinTraffic and joinTime are the processor time, the traffic and the
+	// length of a join. A join lasts from the start of all agents until each of
+	// them has registered and fetched the complete configuration.
 	joinCPU, joinTraffic, joinTime *Series
 }
 
@@ -117,7 +117,7 @@
 		return stop, err
 	}
 	x := float64(n)
-	series.joinCPU.add(x, (to.cpu-from.cpu).Seconds()*1e3)
+	series.joinCPU.add(x, (to.cpuTime-from.cpuTime).Seconds()*1e3)
 	series.joinTraffic.add(x, (entryProxy.traffic.wireBytes()-before)/kib)
 	series.joinTime.add(x, to.at.Sub(from.at).Seconds()*1e3)
 	return stop, nil
@@ -151,14 +151,14 @@
 	return w, nil
 }
 
-// extraCPU returns the processor time, in seconds, beyond that of a steady state
-// of the same length.
+// extraCPU returns the processor time of the window minus the processor time of a
+// steady state of the same length, in seconds.
 func (w window) extraCPU(steady window) float64 {
 	return w.cpuSeconds() - cpuCores(steady.from, steady.to)*w.seconds()
 }
 
-// extraTraffic returns the traffic, in bytes, beyond that of a steady state of the
-// same length.
+// extraTraffic returns the traffic of the window minus the traffic of a steady
+// state of the same length, in bytes.
 func (w window) extraTraffic(steady window) float64 {
 	return w.traffic[0] - steady.traffic[0]/steady.seconds()*w.seconds()
 }
--- a/bench/control/fit.go
+++ b/bench/control/fit.go
@@ -14,7 +14,7 @@
 type Line struct {
 	// Base is the value at x = 0.
 	Base float64 `json:"base"`
-	// Slope is the growth for each unit of x.
+	// Slope is the increase of the value for each unit of x.
 	Slope float64 `json:"slope"`
 	// Residual is the root mean square distance of the points from the line.
 	Residual float64 `json:"residual"`
--- a/bench/control/latency.go
+++ b/bench/control/latency.go
@@ -28,7 +28,8 @@
 type LatencyOptions struct {
 	// Options holds the daemons under test and the load.
 	Options
-	// EngineAddr is the "ip:port" of the engine, for direct calls.
+	// EngineAddr is the "ip:port" of the engine beside the agent under test. Direct
+	// calls go there.
 	EngineAddr string
 	// RoundCount is the number of measured rounds for each route. The rounds of the
 	// routes alternate.
@@ -59,7 +60,7 @@
 
 // RunLatency compares streamed calls sent directly to the engine, through two plain
 // TCP proxies, and through an entry instance and an agent. The rounds of the three
-// routes alternate. It prints percentiles of their latencies.
+// routes alternate. It prints percentiles of the latencies of each route.
 func RunLatency(ctx context.Context, out io.Writer, opt LatencyOptions) error {
 	t, err := newTestbed(ctx, opt.Options)
 	if err != nil {
--- a/bench/control/probe.go
+++ b/bench/control/probe.go
@@ -16,7 +16,7 @@
 // usage holds the resource metrics of a daemon at one time.
 type usage struct {
 	at             time.Time
-	cpu            time.Duration
+	cpuTime        time.Duration
 	heapBytes      float64
 	stackBytes     float64
 	rssBytes       float64
@@ -25,12 +25,13 @@
 	platformWrites float64
 }
 
-// memory returns the live heap and the stacks, in bytes.
+// memory returns the size of the live heap and the stacks together, in bytes.
 func (u usage) memory() float64 { return u.heapBytes + u.stackBytes }
 
-// cpuCores returns the processor time per second, in cores, between two usages.
+// cpuCores returns the mean number of processor cores that the daemon used between
+// two usages.
 func cpuCores(from, to usage) float64 {
-	return (to.cpu - from.cpu).Seconds() / to.at.Sub(from.at).Seconds()
+	return (to.cpuTime - from.cpuTime).Seconds() / to.at.Sub(from.at).Seconds()
 }
 
 // probe reads the metrics of one daemon.
@@ -64,7 +65,7 @@
 	}
 	return usage{
 		at:             time.Now(),
-		cpu:            time.Duration(values["process.cpu.microseconds"].Value) * time.Microsecond,
+		cpuTime:        time.Duration(values["process.cpu.microseconds"].Value) * time.Microsecond,
 		heapBytes:      values["process.heap.live.bytes"].Value,
 		stackBytes:     values["process.stack.bytes"].Value,
 		rssBytes:       values["process.rss.bytes"].Value,
@@ -93,7 +94,7 @@
 	return body, core.WrapStep("read metrics", p.addr, err)
 }
 
-// window holds the usage of a daemon at the start and the end of a measurement.
+// window holds the usage of a daemon at the start and at the end of a measurement.
 type window struct {
 	from, to usage
 	// traffic holds the bytes that each traffic counter counted between from and
@@ -126,7 +127,7 @@
 func (w window) seconds() float64 { return w.to.at.Sub(w.from.at).Seconds() }
 
 // cpuSeconds returns the processor time used in the window, in seconds.
-func (w window) cpuSeconds() float64 { return (w.to.cpu - w.from.cpu).Seconds() }
+func (w window) cpuSeconds() float64 { return (w.to.cpuTime - w.from.cpuTime).Seconds() }
 
 // wireBytes returns the bytes on the wire that each counter has counted so far.
 func wireBytes(counted []*traffic) []float64 {
--- a/bench/control/target.go
+++ b/bench/control/target.go
@@ -32,8 +32,8 @@
 // IPv4: 20 bytes for IP, 20 bytes for TCP and 12 bytes for TCP timestamps.
 const segmentHeaderBytes = 52
 
-// HomesPerAgent returns the number of home entry instances, those with which an
-// agent registers, at the target and with the given values of
+// HomesPerAgent returns the number of homes of an agent at the target: the entry
+// instances with which the agent registers. maxLocal and perRemote are values of
 // homes.Config.MaxLocal and homes.Config.PerRemote.
 func HomesPerAgent(maxLocal, perRemote int) int {
 	local := targetEntryCount / targetDataCentreCount
--- a/bench/control/testbed.go
+++ b/bench/control/testbed.go
@@ -88,8 +88,8 @@
 	return t, err
 }
 
-// serve starts a server for handler at addr that counts its traffic in counted. It
-// returns the address on which the server listens.
+// serve starts a server for handler at addr and counts the server's traffic in
+// counted. It returns the address on which the server listens.
 func (t *testbed) serve(addr string, handler http.Handler, counted *traffic) (string, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -150,8 +150,8 @@
 	return snapshot.Number, nil
 }
 
-// changeLimit changes the limit of one backend server in the set, so that the set
-// differs from the version in force.
+// changeLimit changes the declared limit of concurrent calls of one backend server
+// in the set, so that the set differs from the version in force.
 func (t *testbed) changeLimit(set *declare.Set) {
 	server := set.BackendServers[backendServerName(1)]
 	server.Limit = 16 + (t.changeCount % 2)
@@ -212,8 +212,8 @@
 	})
 }
 
-// startEntries starts n entry instances and adds them to the platform's list, and
-// waits until the agent under test has registered with them. startedBefore is the
+// startEntries starts n entry instances, adds them to the platform's list and waits
+// until the agent under test has registered with each of them. startedBefore is the
 // number of entry instances started earlier; counted counts the traffic of the new
 // ones.
 func (t *testbed) startEntries(ctx context.Context, n, startedBefore int, counted *traffic) error {
@@ -268,8 +268,8 @@
 	t.addListed(agents...)
 }
 
-// waitUntil waits until condition returns true. The error of a timeout contains the
-// description.
+// waitUntil waits until condition returns true. After 30 s, it returns an error
+// that contains the description.
 func waitUntil(ctx context.Context, description string, condition func() bool) error {
 	const (
 		pollInterval = 20 * time.Millisecond
--- a/bench/control/traffic.go
+++ b/bench/control/traffic.go
@@ -7,16 +7,17 @@
 	"sync/atomic"
 )
 
-// loopbackAddr is the listen address for a free port of the benchmark. Its IP
-// address is used by no other process, so that the traffic of processes that still
-// dial a port from an earlier run is not counted.
+// loopbackAddr makes a listener of the benchmark choose a free port. No other
+// process listens on this IP address. Processes that still dial a port of an
+// earlier run therefore do not reach the benchmark, and their traffic is not
+// counted.
 const loopbackAddr = "127.0.0.2:0"
 
 // traffic counts the bytes, and the reads and writes, of a group of connections.
 type traffic struct {
 	bytes atomic.Int64
-	// segments is the number of reads and writes; each of them is taken for one
-	// TCP segment.
+	// segments is the number of reads and writes, an estimate of the number of TCP
+	// segments.
 	segments atomic.Int64
 }
 
@@ -50,7 +51,7 @@
 	return countingConn{Conn: conn, traffic: l.traffic}, nil
 }
 
-// countingConn counts the bytes that are read and written.
+// countingConn counts the reads and writes and their bytes.
 type countingConn struct {
 	net.Conn
 	traffic *traffic
--- a/bench/history/history.go
+++ b/bench/history/history.go
@@ -57,7 +57,8 @@
 	Incarnation string `json:"incarnation,omitempty"`
 	// Status is the HTTP status of the response, or 0 if the connection broke.
 	Status int `json:"status,omitempty"`
-	// Outcome is the outcome in a refusal; empty for other responses.
+	// Outcome is the outcome of the call that a refusal states. It is empty for
+	// other responses.
 	Outcome core.FailureOutcome `json:"outcome,omitempty"`
 	// BodyDigest is the digest of the body of the response, or of the result of
 	// the execution.
@@ -100,16 +101,17 @@
 
 // Result holds the counts and violations of a checked history.
 type Result struct {
-	// Calls is the number of calls, Executions that of all their executions, and
-	// Submissions that of all their submissions.
+	// Calls, Executions and Submissions are the numbers of calls, of executions and
+	// of submissions in the history.
 	Calls       int `json:"calls"`
 	Executions  int `json:"runs"`
 	Submissions int `json:"answers"`
-	// Whole is the number of submissions that got a whole response.
+	// Whole is the number of submissions that got a complete response.
 	Whole int `json:"whole"`
 	// NotRun is the number of submissions that were refused as "not-run".
 	NotRun int `json:"notRun"`
-	// Unknown is the number of submissions that got any other refusal.
+	// Unknown is the number of submissions that were refused with another outcome
+	// than "not-run".
 	Unknown int `json:"unknown"`
 	// Broken is the number of submissions whose connection broke.
 	Broken int `json:"broken"`
@@ -124,10 +126,10 @@
 }
 
 // Check reads a history and checks three rules. Each call ran at most once. Every
-// whole response to a call has the bytes that the execution of the call returned. If
-// a submission was refused as "not-run", it did not run, and no other submission of
-// the call had run when the refused one was sent; another submission in flight at the
-// same time may still run after the refusal.
+// complete response to a call has the bytes that the execution of the call
+// returned. If a submission was refused as "not-run", that submission did not run,
+// and no other submission of the call had run before the refused one was sent. A
+// submission that is in flight at the same time as the refused one may still run.
 func Check(in io.Reader) (Result, error) {
 	calls := map[string]*callHistory{}
 	result := Result{Violations: []string{}}
--- a/bench/requests/caller.go
+++ b/bench/requests/caller.go
@@ -49,8 +49,9 @@
 // callResult is the result of one call.
 type callResult struct {
 	outcome Outcome
-	// Both times begin at the planned arrival: firstByte ends at the first byte
-	// of the response, total at its end.
+	// firstByte is the time from the planned arrival of the call to the first byte
+	// of the response; total is the time from the planned arrival to the end of the
+	// response.
 	firstByte, total time.Duration
 	tokenCount       int
 	// detail explains an outcome other than OutcomeWhole: an error, the detail of
@@ -108,8 +109,9 @@
 	return result
 }
 
-// submit makes one submission, first to the entry instance at index. Like a load
-// balancer, it skips entry instances that are not ready or refuse the connection.
+// submit makes one submission. Like a load balancer, it tries the entry instances
+// in turn, starting at index, and skips those that are not ready or refuse the
+// connection.
 func (c *caller) submit(call plannedCall, index int, arrival time.Time) callResult {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
--- a/bench/requests/plan.go
+++ b/bench/requests/plan.go
@@ -12,14 +12,14 @@
 // plannedCall is a call with its arrival time and content.
 type plannedCall struct {
 	account *Account
-	// arrival is the time from the start of the run to the call.
-	arrival time.Duration
+	// arrivalOffset is the time from the start of the run to the call.
+	arrivalOffset time.Duration
 	// id is unique within the run.
 	id string
 	// body is the body of the request.
 	body []byte
-	// Kind of the call: stream marks a streamed model call, once a once-only
-	// call; keyed is set in addition to once if the call has an idempotency key.
+	// stream is true for a streamed model call, and once for a once-only call. For
+	// a once-only call with an idempotency key, keyed is also true.
 	stream, once, keyed bool
 }
 
@@ -31,8 +31,8 @@
 	Stream    bool   `json:"stream"`
 }
 
-// onceCall is the request body of a once-only call. The service stand-in counts
-// the executions of each ID.
+// onceCall is the request body of a once-only call. The stand-in of the plain
+// service counts the executions of each ID.
 type onceCall struct {
 	ID string `json:"id"`
 }
@@ -45,7 +45,7 @@
 		rng := rand.New(rand.NewPCG(s.Seed, uint64(i)))
 		calls = append(calls, s.planAccount(&s.Accounts[i], rng)...)
 	}
-	sort.SliceStable(calls, func(i, j int) bool { return calls[i].arrival < calls[j].arrival })
+	sort.SliceStable(calls, func(i, j int) bool { return calls[i].arrivalOffset < calls[j].arrivalOffset })
 	return calls
 }
 
@@ -58,7 +58,7 @@
 		if arrival >= s.Duration {
 			return calls
 		}
-		call := plannedCall{account: a, arrival: arrival, id: fmt.Sprintf("%s-%s-%d", s.Name, a.Name, len(calls))}
+		call := plannedCall{account: a, arrivalOffset: arrival, id: fmt.Sprintf("%s-%s-%d", s.Name, a.Name, len(calls))}
 		call.generate(rng)
 		calls = append(calls, call)
 	}
--- a/bench/requests/run.go
+++ b/bench/requests/run.go
@@ -15,7 +15,7 @@
 	// maxLatencyMicros is the largest latency that a histogram can record, in
 	// microseconds.
 	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
-	// maxDetails is the largest number of details in one Counts.
+	// maxDetails is the largest length of Counts.Details.
 	maxDetails = 20
 	// defaultTimeout is the timeout of one submission.
 	defaultTimeout = time.Minute
@@ -128,7 +128,7 @@
 	var calls sync.WaitGroup
 	start := time.Now()
 	for index, call := range planCalls(r.scenario) {
-		arrival := start.Add(call.arrival)
+		arrival := start.Add(call.arrivalOffset)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Until(arrival)):
@@ -151,7 +151,8 @@
 	r.result.MaxInFlight = max(r.result.MaxInFlight, r.inFlightCount)
 }
 
-// recordFinish records the result of a call, which is no longer in flight.
+// recordFinish records the result of a call and counts the call as no longer in
+// flight.
 func (r *benchRun) recordFinish(call plannedCall, result callResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -232,7 +233,8 @@
 	}
 }
 
-// finish computes the quantiles, and the goodput of a run of the given length.
+// finish computes the quantiles and, for a run of the given length in seconds, the
+// goodput.
 func (c *Counts) finish(seconds float64) {
 	c.GoodputPerSecond = float64(c.Outcomes[OutcomeWhole]) / seconds
 	c.FirstToken = quantiles(c.firstByte)
--- a/bench/spread/bench.go
+++ b/bench/spread/bench.go
@@ -33,8 +33,8 @@
 	// DataCentresPerRegion is the number of data centres in each region.
 	DataCentresPerRegion int
 	// LongPollTimeout is how long an agent holds a peer's request open. A request
-	// fails if its response takes more than twice as long, or if its transfer
-	// makes no progress for that time.
+	// fails if the response has not begun after twice this time, or if no further
+	// byte arrives for this time.
 	LongPollTimeout time.Duration
 	// MaxPeerFetches, UploadSlots and Fanout are the fields of the same name in
 	// spread.Config of version/spread.
@@ -57,9 +57,9 @@
 	Agents  int
 	Regions int
 	Fault   string
-	// Time is the time until the last agent had the version. The others are
-	// amounts of data: Origin is what the origin sent, Link what crossed between
-	// regions, and MaxSent what the machine that sent most has sent.
+	// Time is the time until the last agent had the version. Origin, Link and
+	// MaxSent are amounts of data: sent by the origin, sent from one region to
+	// another, and sent by the machine that sent the most.
 	Time, Origin, Link, MaxSent float64
 }
 
@@ -106,8 +106,9 @@
 	return rows, writeTable(out, rows)
 }
 
-// runAlternatives measures the alternative ways of distribution: every agent
-// reads from the origin, a chain, and a binary tree.
+// runAlternatives measures the three alternative ways of distribution: a chain of
+// machines, a binary tree of machines, and agents that all read every chunk from
+// the origin.
 func runAlternatives(opt Options, addRow func(Row, error) error) error {
 	opt.CopyTime = opt.AlternativesCopyTime
 	for _, n := range opt.AgentCounts {
@@ -135,7 +136,7 @@
 )
 
 // runSwarm measures the real distribution code with n agents distributed over
-// regionCount regions, and with the fault unless it is empty.
+// regionCount regions. If fault is not empty, it also injects this fault.
 func runSwarm(opt Options, n, regionCount int, fault string) (Row, error) {
 	t, err := newTestbed(opt, n, regionCount)
 	if err != nil {
--- a/bench/spread/relay.go
+++ b/bench/spread/relay.go
@@ -31,8 +31,8 @@
 	server                         *http.Server
 }
 
-// ServeHTTP waits until chunk number N has arrived and responds with it to a request
-// for "/N".
+// ServeHTTP serves requests for "/N": it waits until the chunk with index N has
+// arrived, and sends this chunk.
 func (r *relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	i, err := strconv.Atoi(req.URL.Path[1:])
 	if err != nil || i >= len(r.chunks) {
--- a/bench/spread/testbed.go
+++ b/bench/spread/testbed.go
@@ -27,14 +27,15 @@
 	// storeCopies is the size of an agent's chunk store, in copies of the
 	// version.
 	storeCopies = 2
-	// originLinkFactor is the bandwidth of the origin's link, as a multiple of
-	// that of a machine's link.
+	// originLinkFactor is the bandwidth of the origin's link, as a multiple of the
+	// bandwidth of a machine's link.
 	originLinkFactor = 2
 	// regionLinkFactor is the bandwidth of the link between regions, as a multiple
-	// of that of a machine's link.
+	// of the bandwidth of a machine's link.
 	regionLinkFactor = 1
 	// maxIdleConnections is the largest number of idle connections of each agent.
-	// It keeps 128 agents in one process below the process's limit of open files.
+	// With it, 128 agents in one process stay below the process's limit of open
+	// files.
 	maxIdleConnections = 24
 )
 
@@ -60,10 +61,10 @@
 	// killed is closed when the agent is killed, to end the requests that are held
 	// open.
 	killed chan struct{}
-	// unresponsive means that the agent holds every request open without a
+	// unresponsive is true while the agent holds every request open without a
 	// response.
 	unresponsive atomic.Bool
-	// failed means that the agent has been disabled by a fault.
+	// failed is true once a fault has disabled the agent.
 	failed bool
 }
 
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// peers returns every agent, also those that were killed: the platform's list also
-// contains them for a while.
+// peers returns every agent, including those that were killed: the platform's list
+// still contains them for a while.
 func (t *testbed) peers() []core.Instance {
 	var instances []core.Instance
 	for _, a := range t.agents {
@@ -150,8 +151,8 @@
 	return instances
 }
 
-// instrument wraps the handler of an agent: it counts the bytes sent, corrupts
-// some of them, and holds requests open while the agent is unresponsive.
+// instrument wraps the handler of an agent: it counts the bytes sent, corrupts some
+// of these bytes, and holds requests open while the agent is unresponsive.
 func (t *testbed) instrument(a *agent, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a.unresponsive.Load() {
--- a/cli/ask.go
+++ b/cli/ask.go
@@ -37,7 +37,7 @@
 	Messages  []chatMessage `json:"messages"`
 }
 
-// chatEvent holds the fields of one event of a streamed response that are printed.
+// chatEvent holds the printed fields of one event of a streamed response.
 type chatEvent struct {
 	Choices []struct {
 		Delta struct {
@@ -46,8 +46,8 @@
 	} `json:"choices"`
 }
 
-// errRefused is returned if the call was refused or got no response. Run then
-// retries the call until AskCmd.Retry has passed.
+// errRefused means that the call was refused or got no response. Run then retries
+// the call until AskCmd.Retry has passed.
 var errRefused = errors.New("refused")
 
 // Run implements the command.
--- a/cli/daemon_flags.go
+++ b/cli/daemon_flags.go
@@ -14,12 +14,13 @@
 
 // Limits of duration settings.
 const (
-	// minInterval is the lowest value of intervals and of the timeouts of calls.
+	// minInterval is the smallest allowed interval, and the smallest allowed
+	// timeout of a call.
 	minInterval = 100 * time.Millisecond
-	// maxInterval is the highest value of intervals, of the leave notice and of
-	// the lags.
+	// maxInterval is the largest allowed interval. It also limits the settings
+	// --leave-notice, --balancer-lag and --lag.
 	maxInterval = time.Minute
-	// maxTimeout is the highest value of timeouts.
+	// maxTimeout is the largest allowed timeout.
 	maxTimeout = time.Hour
 )
 
--- a/cli/standin_platform.go
+++ b/cli/standin_platform.go
@@ -13,7 +13,8 @@
 	"github.com/rattanway/rattanway/standin/platform"
 )
 
-// minListLag is the smallest allowed lag of the instance list.
+// minListLag is the smallest allowed value of --lag, the delay with which changes
+// appear in the instance list.
 const minListLag = 10 * time.Millisecond
 
 // StandinPlatformCmd runs the platform stand-in.
@@ -47,8 +48,8 @@
 	return serveStandin(c.Listen, server, server.Run)
 }
 
-// readInstances reads the instances from the file of --instances. Without the
-// flag it returns none.
+// readInstances returns the instances in the file that --instances names. Without
+// the flag, it returns an empty list.
 func (c *StandinPlatformCmd) readInstances() ([]core.Instance, error) {
 	if c.Instances == "" {
 		return nil, nil
--- a/cli/status.go
+++ b/cli/status.go
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// confirmationText describes how long ago the configuration was last confirmed;
-// a negative time means never.
+// confirmationText formats millis, the time in milliseconds since the configuration
+// was last confirmed. A negative time means that it was never confirmed.
 func confirmationText(millis int64) string {
 	if millis < 0 {
 		return "not confirmed yet"
--- a/cli/trace_request.go
+++ b/cli/trace_request.go
@@ -15,7 +15,7 @@
 	"github.com/go-faster/errors"
 	"github.com/olekukonko/tablewriter"
 
-	// Imported for the events that only rattanway-node defines.
+	// The import registers the log events that only rattanway-node defines.
 	_ "github.com/rattanway/rattanway/daemon/hosted"
 	"github.com/rattanway/rattanway/process/eventlog"
 )
@@ -33,15 +33,15 @@
 type logLine struct {
 	at      time.Time
 	process string
-	// event is the number of the event.
+	// event is the number that identifies the kind of event.
 	event int
 	name  string
-	// fields holds all other fields of the line, except for its level.
+	// fields holds the other fields of the line, without the log level.
 	fields map[string]any
 }
 
 // Run implements the command. If the request belongs to a once-only call with a
-// key, it also prints the lines of the other submissions of that call.
+// key, Run also prints the lines of the other submissions of that call.
 func (c *TraceRequestCmd) Run(s *streams) error {
 	all, err := readLogs(c.Log)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// readLogs reads every event of the logs, ordered by time.
+// readLogs returns the events of all logs, ordered by time.
 func readLogs(paths []string) ([]logLine, error) {
 	var all []logLine
 	for _, path := range paths {
@@ -117,9 +117,9 @@
 	return l, true
 }
 
-// rowKey returns the row key of the once-only call that the line is about, or
-// "" if the line is about none. Entry instances log the row key in the field row,
-// agents in the field key.
+// rowKey returns the key of the table row of the once-only call that the line is
+// about. It returns "" if the line is not about a once-only call. Entry instances
+// log the row key in the field row, agents in the field key.
 func (l logLine) rowKey() string {
 	for _, name := range []string{"row", "key"} {
 		if text, ok := l.fields[name].(string); ok {
--- a/cli/trace_version.go
+++ b/cli/trace_version.go
@@ -32,14 +32,15 @@
 // is an error.
 const maxLogLineBytes = 4 << 20
 
-// Numbers of the events about weights.
+// Numbers of the log events about model weights: the first, the last, and that of a
+// fetched manifest or chunk.
 const (
 	firstWeightEvent  = 300
 	lastWeightEvent   = 399
 	chunkFetchedEvent = 301
 )
 
-// weightLine is a line of an agent's log about weights.
+// weightLine is a line about model weights in an agent's log.
 type weightLine struct {
 	Time     time.Time   `json:"time"`
 	Process  string      `json:"process"`
@@ -54,7 +55,7 @@
 	Bytes    int64       `json:"bytes"`
 	Millis   int64       `json:"ms"`
 
-	// raw holds all fields of the line, also those above.
+	// raw holds all fields of the line, including those above.
 	raw map[string]any
 }
 
@@ -84,10 +85,11 @@
 			return err
 		}
 	}
-	return writeSources(s.Out, lines)
+	return writeTransfers(s.Out, lines)
 }
 
-// readWeightLines returns the lines of one log about the version with the digest.
+// readWeightLines returns those lines of one log that are about the version with
+// this manifest digest.
 func readWeightLines(path string, digest core.Digest) ([]weightLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -111,7 +113,7 @@
 	return lines, scanner.Err()
 }
 
-// isAbout reports whether the line is about the version with the digest.
+// isAbout reports whether the line is about the version with this manifest digest.
 func (l weightLine) isAbout(digest core.Digest) bool {
 	if l.Event < firstWeightEvent || l.Event > lastWeightEvent {
 		return false
@@ -157,9 +159,9 @@
 	return prefix + " " + strings.Join(fields, " ")
 }
 
-// writeSources prints how many objects and bytes each agent got from each
-// source.
-func writeSources(out io.Writer, lines []weightLine) error {
+// writeTransfers prints how many objects (manifests and chunks) and bytes each agent
+// got from each source, and how many bytes the origin sent to all agents together.
+func writeTransfers(out io.Writer, lines []weightLine) error {
 	type transfer struct{ agent, from string }
 	byteCounts, objectCounts := map[transfer]int64{}, map[transfer]int{}
 	var transfers []transfer
--- a/cli/wait.go
+++ b/cli/wait.go
@@ -10,7 +10,7 @@
 const (
 	// pollInterval is the time between two attempts of the commands wait and ask.
 	pollInterval = 50 * time.Millisecond
-	// probeTimeout limits the time of one readiness request.
+	// probeTimeout is the timeout of one GET request of the command wait.
 	probeTimeout = 2 * time.Second
 )
 
