--- a/internal/lint/imports_test.go
+++ b/internal/lint/imports_test.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	module = "github.com/rattanway/rattanway/"
-	root   = "../.."
+	modulePrefix = "github.com/rattanway/rattanway/"
+	moduleRoot   = "../.."
 )
 
 // layers orders folders by the lifetime of the state that their packages handle,
-// the longest first. A package may import only from a folder of its own layer or
-// of a lower one. Folders that are not listed assemble the others: they may import
-// from every layer, and listed folders may not import from them.
+// the longest first. A package may import only from folders with the same number as
+// its own folder or a lower number. Folders that are not listed assemble the
+// others: they may import from every layer, and listed folders may not import from
+// them.
 var layers = map[string]int{
 	"core":       0,
 	"process":    1,
@@ -27,16 +28,16 @@
 	"request":    4,
 }
 
-// goFiles returns the paths of the module's Go files, without the tests unless
-// includeTests is set. Folders whose names begin with a dot are skipped.
+// goFiles returns the paths of the module's Go files. Test files are left out
+// unless includeTests is true. Folders whose names begin with a dot are skipped.
 func goFiles(t *testing.T, includeTests bool) []string {
 	t.Helper()
 	var files []string
-	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(moduleRoot, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		if d.IsDir() && strings.HasPrefix(d.Name(), ".") && path != root {
+		if d.IsDir() && strings.HasPrefix(d.Name(), ".") && path != moduleRoot {
 			return filepath.SkipDir
 		}
 		if !strings.HasSuffix(path, ".go") {
@@ -62,7 +63,7 @@
 
 func TestImportsFollowLayers(t *testing.T) {
 	for _, path := range goFiles(t, false) {
-		rel, err := filepath.Rel(root, path)
+		rel, err := filepath.Rel(moduleRoot, path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +80,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			imported, inModule := strings.CutPrefix(name, module)
+			imported, inModule := strings.CutPrefix(name, modulePrefix)
 			if !inModule {
 				continue
 			}
--- a/internal/lint/platform_test.go
+++ b/internal/lint/platform_test.go
@@ -17,7 +17,7 @@
 // name.
 func platformWireNames(t *testing.T) *regexp.Regexp {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join(root, "platform", "testdata", "wire-names.txt"))
+	raw, err := os.ReadFile(filepath.Join(moduleRoot, "platform", "testdata", "wire-names.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 func TestPlatformWireNamesOnlyInPlatformFolder(t *testing.T) {
 	names := platformWireNames(t)
 	for _, path := range goFiles(t, true) {
-		rel, err := filepath.Rel(root, path)
+		rel, err := filepath.Rel(moduleRoot, path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,11 +51,11 @@
 	}
 }
 
-// TestOnlyTheAssemblyImportsThePlatformFolder checks that only the folders that
-// assemble programs import the platform folder.
+// TestOnlyTheAssemblyImportsThePlatformFolder checks that no folder except cli, cmd
+// and daemon, which assemble programs, imports the platform folder.
 func TestOnlyTheAssemblyImportsThePlatformFolder(t *testing.T) {
 	for _, path := range goFiles(t, false) {
-		rel, err := filepath.Rel(root, path)
+		rel, err := filepath.Rel(moduleRoot, path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +67,7 @@
 			t.Fatal(err)
 		}
 		for _, imp := range file.Imports {
-			if name, err := strconv.Unquote(imp.Path.Value); err == nil && name == module+"platform" {
+			if name, err := strconv.Unquote(imp.Path.Value); err == nil && name == modulePrefix+"platform" {
 				t.Errorf("%s imports the platform folder", rel)
 			}
 		}
--- a/internal/lint/wrap_test.go
+++ b/internal/lint/wrap_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestWrapIsGuarded checks that calls of errors.Wrap and errors.Wrapf are guarded
-// by a condition. These functions return an error for a nil error too, so an
-// unguarded call would turn a success into a failure.
+// by a condition. These functions return an error even if they are called with a
+// nil error, so an unguarded call would turn a success into a failure.
 func TestWrapIsGuarded(t *testing.T) {
 	for _, path := range goFiles(t, false) {
 		fset := token.NewFileSet()
@@ -49,8 +49,9 @@
 	return ok && pkg.Name == "errors" && isIdent && arg.Name == "err"
 }
 
-// guarded reports whether, in the innermost function on the stack, an if, a case or a
-// loop encloses the call or a check stands before the call.
+// guarded reports whether the call at the top of stack is conditional. Within its
+// innermost function, either an if, a case or a loop must enclose the call, or an
+// if statement that compares with == must stand before the call.
 func guarded(stack []ast.Node) bool {
 	for i := len(stack) - 1; i >= 0; i-- {
 		switch stack[i].(type) {
@@ -63,8 +64,8 @@
 	return false
 }
 
-// hasEarlierCheck reports whether the function fn has an if statement with an ==
-// comparison before call, such as one that returns when err is nil.
+// hasEarlierCheck reports whether an if statement that compares with == stands
+// before call in the function fn, for example one that returns when err is nil.
 func hasEarlierCheck(fn, call ast.Node) bool {
 	found := false
 	ast.Inspect(fn, func(n ast.Node) bool {
--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -15,7 +15,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxBodyBytes is the maximum size of a request's body; longer bodies are
+// maxBodyBytes is the maximum size of a request body, in bytes. Longer bodies are
 // truncated.
 const maxBodyBytes = 16 << 20
 
@@ -23,7 +23,7 @@
 // prompt was cached, and absent otherwise.
 const HeaderPrefixCache = "X-Prefix-Cache"
 
-// activeRequest is a completion request that waits or runs.
+// activeRequest is a completion request that waits for a batch slot or runs.
 type activeRequest struct {
 	completionRequest
 	id string
@@ -32,11 +32,11 @@
 	// seed determines the tokens of the response.
 	seed uint64
 	// receivedTokenCount is the number of tokens that the client has already
-	// received; the response begins after them.
+	// received from another attempt. The response begins with the next token.
 	receivedTokenCount int
 	// prefixCached reports whether the prefix of the prompt was cached.
 	prefixCached bool
-	// faults are the faults that were on when the request arrived.
+	// faults holds the faults that were active when the request arrived.
 	faults Faults
 	// chat is true for a chat completion.
 	chat bool
@@ -98,9 +98,9 @@
 	return r, nil
 }
 
-// findVersion returns the digest of the loaded version of a model that has the
-// required digest, or of the version that was loaded last if required is empty. It
-// returns an empty digest if there is none.
+// findVersion returns the digest of a loaded version of the model: the version with
+// the required digest or, if required is empty, the version that was loaded last.
+// It returns an empty digest if no such version is loaded.
 func (e *Engine) findVersion(model string, required core.Digest) core.Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,8 +113,8 @@
 	return ""
 }
 
-// acquireSlot waits for a batch slot. It refuses the request with status 503 if
-// the engine is overloaded or the fault Refuse is on.
+// acquireSlot waits for a batch slot. If the engine is overloaded or the fault
+// Refuse is active, it does not wait, and returns an error with status 503.
 func (e *Engine) acquireSlot(ctx context.Context) error {
 	e.mu.Lock()
 	capacity := e.warmUp.capacity(e.clock.Now())
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// releaseSlot frees the batch slot and counts the request as finished or
-// cancelled.
+// releaseSlot frees the batch slot and counts the request as finished or, if
+// finished is false, as cancelled.
 func (e *Engine) releaseSlot(finished bool) {
 	<-e.slots
 	e.mu.Lock()
@@ -162,7 +162,8 @@
 	e.warmUp.recordFinished()
 }
 
-// setHeaders sets the response headers. It also counts a hit of the prefix cache.
+// setHeaders sets the response headers. If the prefix of the prompt was cached, it
+// also counts a hit of the prefix cache.
 func (e *Engine) setHeaders(c echo.Context, r activeRequest) {
 	header := c.Response().Header()
 	header.Set(core.HeaderRequestID, r.id)
@@ -175,9 +176,10 @@
 	}
 }
 
-// waitForToken waits for the time that the token with index i takes, which is
-// longer while the engine is overloaded. It returns false if the client has
-// cancelled the request.
+// waitForToken waits for the time that the token with index i takes. This time is
+// longer while more requests run than the capacity. After the fault Stall,
+// waitForToken waits until the client cancels the request. It returns false if the
+// client has cancelled the request.
 func (e *Engine) waitForToken(ctx context.Context, r activeRequest, i int) bool {
 	if r.faults.Stall && i >= r.faults.StallAfter {
 		<-ctx.Done()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -23,12 +23,12 @@
 const (
 	// DefaultSlots is the largest number of requests that run at once.
 	DefaultSlots = 32
-	// DefaultColdLimit is the number of requests that run at full speed just
+	// DefaultColdLimit is the number of requests that run at full speed immediately
 	// after a start.
 	DefaultColdLimit = 4
 	// DefaultTimeToFirstToken is the time to the first token.
 	DefaultTimeToFirstToken = 50 * time.Millisecond
-	// DefaultTokenInterval is the time between tokens.
+	// DefaultTokenInterval is the time between two tokens of a response.
 	DefaultTokenInterval = 5 * time.Millisecond
 	// DefaultWarmPerCall is the number by which each finished request
 	// increases the capacity.
@@ -44,30 +44,33 @@
 	// WarmLimit is the number of requests that run at full speed on a warm
 	// engine; 0 means Slots.
 	WarmLimit int
-	// ColdLimit is the number of requests that run at full speed just after a
-	// start.
+	// ColdLimit is the number of requests that run at full speed immediately after
+	// a start.
 	ColdLimit int
 	// WarmPerCall is the number by which each finished request increases the
 	// capacity, the number of requests that run at full speed.
 	WarmPerCall float64
-	// WarmAfter is the time after which an engine without requests is warm; 0
-	// means never.
+	// WarmAfter is the time after a start at which the engine is warm even without
+	// requests; 0 means never.
 	WarmAfter time.Duration
-	// TimeToFirstToken is the time to the first token.
+	// TimeToFirstToken is the time to the first token of a response, if the prefix
+	// of the prompt is not cached and no more requests run than the capacity.
 	TimeToFirstToken time.Duration
-	// TokenInterval is the time between tokens.
+	// TokenInterval is the time between two tokens of a response, while no more
+	// requests run than the capacity.
 	TokenInterval time.Duration
-	// LoadTime is the time that loading takes after all chunks are read.
+	// LoadTime is the time from the verification of the last chunk until the
+	// version is loaded.
 	LoadTime time.Duration
-	// ReportLag is the minimum age of the status that the engine reports, unless
-	// every recorded status is younger.
+	// ReportLag is the minimum age of a reported status. While every recorded
+	// status is younger, the oldest one is reported.
 	ReportLag time.Duration
 	// MaxCacheEntries is the largest number of cached prefixes.
 	MaxCacheEntries int
 	// Fencing makes the engine refuse orders with an outdated fencing number.
 	Fencing bool
-	// PeerToken is the token that the engine sends to read chunks from an
-	// agent.
+	// PeerToken is the token with which the engine reads manifests and chunks from
+	// an agent.
 	PeerToken string
 }
 
@@ -84,9 +87,10 @@
 
 // Counters are the counters of an Engine since its start.
 type Counters struct {
-	// Started counts the requests that got a slot, Finished those whose response
-	// was sent completely, Cancelled those that ended before, also while they
-	// waited for a slot, and Refused those refused with status 503.
+	// Started counts the requests that got a batch slot, and Finished those whose
+	// response was sent completely. Cancelled counts the requests that ended
+	// earlier, including those that ended while they waited for a slot. Refused
+	// counts the requests that were refused with status 503.
 	Started   int `json:"started"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
@@ -97,8 +101,8 @@
 	PrefixHits int `json:"prefixHits"`
 	// MaxInFlight is the highest number of requests that ran at once.
 	MaxInFlight int `json:"maxInFlight"`
-	// Overloaded is the number of requests after whose start more requests ran
-	// than the capacity.
+	// Overloaded is the number of requests at whose start the number of running
+	// requests, including the new one, exceeded the capacity.
 	Overloaded int `json:"overloaded"`
 	// Capacity is the current capacity: the number of requests that run at full
 	// speed.
@@ -122,7 +126,7 @@
 	mu     sync.Mutex
 	warmUp warmUp
 	cache  *prefixCache
-	// loaded are the loaded versions in the order in which they were loaded.
+	// loaded holds the loaded versions in the order in which they were loaded.
 	loaded []frame.Loaded
 	// highestFence is the highest fencing number of an accepted order.
 	highestFence uint64
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -20,7 +20,8 @@
 
 const testToken = "peer-token"
 
-// weightSource serves the manifest and the chunk of one version, as an agent does.
+// weightSource serves the manifest and the only chunk of one version, as an agent
+// does.
 type weightSource struct {
 	// objects holds the response bodies by path.
 	objects map[string][]byte
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -10,13 +10,13 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Faults are the faults that are on. Setting them replaces all faults.
+// Faults selects the active faults. A fault that is not set becomes inactive.
 type Faults struct {
-	// Cold resets the engine to the cold state once, when the faults are set.
-	// The boot ID stays.
+	// Cold resets the engine to the cold state once, at the time when the faults
+	// are set. The boot ID does not change.
 	Cold bool `json:"cold,omitempty"`
-	// Reboot resets the engine to the cold state once, when the faults are set,
-	// and changes the boot ID.
+	// Reboot resets the engine to the cold state and changes the boot ID, once, at
+	// the time when the faults are set.
 	Reboot bool `json:"reboot,omitempty"`
 	// StayCold stops the warm-up: neither finished requests nor time increase
 	// the capacity.
@@ -34,16 +34,17 @@
 	CutAfter int `json:"cutAfter,omitempty"`
 	// Refuse makes the engine respond to every request with status 503.
 	Refuse bool `json:"refuse,omitempty"`
-	// FalseLoaded is a version that is reported as loaded although it is not.
+	// FalseLoaded is a version that the engine reports as loaded without having
+	// loaded it.
 	FalseLoaded *frame.Loaded `json:"claim,omitempty"`
-	// Swap makes streams continue after SwapAfter tokens with the tokens of the
-	// version that has this manifest digest.
+	// Swap is the manifest digest of another version. If it is not empty, streams
+	// continue after SwapAfter tokens with the tokens of that version.
 	Swap core.Digest `json:"swap,omitempty"`
 	// SwapAfter is the number of tokens before the version changes.
 	SwapAfter int `json:"swapAfter,omitempty"`
 }
 
-// postFaults replaces the faults by those in the request.
+// postFaults replaces the active faults with those in the request body.
 func (e *Engine) postFaults(c echo.Context) error {
 	var f Faults
 	if err := c.Bind(&f); err != nil {
@@ -53,7 +54,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// SetFaults replaces the faults that are on.
+// SetFaults replaces the active faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,7 +68,7 @@
 	e.faults = f
 }
 
-// currentFaults returns the faults that are on.
+// currentFaults returns the active faults.
 func (e *Engine) currentFaults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -25,7 +25,9 @@
 // loadTimeout limits the time to read the chunks of one version.
 const loadTimeout = 10 * time.Minute
 
-// postOrder accepts or refuses an order.
+// postOrder carries out an order to load or unload a version. It responds before a
+// load is complete. If Config.Fencing is set, it refuses an order with an outdated
+// fencing number with status 409.
 func (e *Engine) postOrder(c echo.Context) error {
 	var order engine.Order
 	if err := c.Bind(&order); err != nil {
@@ -46,7 +48,7 @@
 }
 
 // acceptFence reports whether an order with this fencing number may be carried out.
-// If so, it also records the number if it is the highest so far.
+// It records the number of an accepted order if no accepted order had a higher one.
 func (e *Engine) acceptFence(fence uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,8 +59,8 @@
 	return true
 }
 
-// unload removes a version from the loaded ones. If the order has no digest, the
-// version is identified by its name.
+// unload removes a version from the loaded versions. If the order has no digest,
+// unload removes the versions with the name in the order.
 func (e *Engine) unload(order engine.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,8 +69,8 @@
 	})
 }
 
-// load reads and verifies a version and then adds it to the loaded ones. If that
-// fails, it sets Counters.LoadError.
+// load reads and verifies a version and then adds it to the loaded versions. If the
+// version cannot be read or verified, load sets Counters.LoadError.
 func (e *Engine) load(order engine.Order) {
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
@@ -90,8 +92,8 @@
 }
 
 // verifyVersion reads every chunk of a version and returns the manifest digest
-// computed from the content of the chunks. It returns an error if that is not the
-// digest of the order.
+// computed from the content of the chunks. It returns an error if this digest
+// differs from the digest in the order.
 func (e *Engine) verifyVersion(ctx context.Context, order engine.Order) (core.Digest, error) {
 	raw, err := e.readObject(ctx, order.Source+"/manifests/"+string(order.Digest))
 	if err != nil {
--- a/standin/engine/response.go
+++ b/standin/engine/response.go
@@ -75,8 +75,8 @@
 	FinishReason string   `json:"finish_reason"`
 }
 
-// sendCompletion sends the response as one JSON document. It reports whether it
-// sent the response.
+// sendCompletion sends the response as one JSON document and reports whether it
+// sent it completely.
 func (e *Engine) sendCompletion(ctx context.Context, c echo.Context, r activeRequest) bool {
 	var text strings.Builder
 	for i := r.receivedTokenCount; i < r.MaxTokens; i++ {
--- a/standin/engine/warmup.go
+++ b/standin/engine/warmup.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// slowdownExponent is the exponent with which the time per token grows with
-	// the ratio of running requests to capacity, once the ratio exceeds 1.
+	// slowdownExponent determines the slowdown while more requests run than the
+	// capacity: the time per token grows by the ratio of running requests to
+	// capacity, raised to this power.
 	slowdownExponent = 3
-	// refuseRatio is the ratio of requests to capacity above which new requests
-	// are refused.
+	// refuseRatio is the ratio of running and waiting requests to the capacity
+	// above which new requests are refused.
 	refuseRatio = 2.0
-	// cachedTimeShare is the share of the time to the first token that remains
-	// if the prefix of the prompt is cached.
+	// cachedTimeShare is the time to the first token if the prefix of the prompt is
+	// cached, as a share of the time without a cached prefix.
 	cachedTimeShare = 0.2
 	// prefixBytes is the length, in bytes, of the prefixes that are cached. A
 	// shorter prompt is cached completely.
@@ -29,10 +30,10 @@
 	// gainPerRequest is the number by which each finished request increases
 	// the capacity.
 	gainPerRequest float64
-	// warmAfter is the time after which the engine is warm without requests; 0
-	// means never.
+	// warmAfter is the time after coldSince at which the engine is warm even
+	// without requests; 0 means never.
 	warmAfter time.Duration
-	// coldSince is the time of the start or of the last reset.
+	// coldSince is the time of the last reset or, if there was none, of the start.
 	coldSince time.Time
 	// requestGain is the increase of the capacity by finished requests.
 	requestGain float64
@@ -87,7 +88,8 @@
 	return &prefixCache{maxEntries: maxEntries, recent: list.New(), byPrefix: map[string]*list.Element{}}
 }
 
-// lookup reports whether the prefix of a prompt is cached, and adds it if not.
+// lookup reports whether the prefix of a prompt was already cached, and caches it
+// if it was not.
 func (c *prefixCache) lookup(prompt string) bool {
 	prefix := prompt[:min(len(prompt), prefixBytes)]
 	if element, ok := c.byPrefix[prefix]; ok {
--- a/standin/platform/counters.go
+++ b/standin/platform/counters.go
@@ -12,7 +12,7 @@
 // newCounters returns counters that are all zero.
 func newCounters() *counters { return &counters{counts: map[string]map[string]int64{}} }
 
-// add adds n to the named counter of a store.
+// add adds n to the counter with this name of a store.
 func (c *counters) add(store, name string, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -23,8 +23,8 @@
 	// LatencyMillis is the time in milliseconds by which each request is
 	// delayed.
 	LatencyMillis *int64 `json:"latencyMillis,omitempty"`
-	// LoseCommitResponses is the number of following commits that take effect
-	// without a response; the connection is closed instead.
+	// LoseCommitResponses is the number of the next commits that take effect
+	// without a response: the connection is closed instead.
 	LoseCommitResponses *int `json:"loseCommitAnswers,omitempty"`
 	// WeightBytesPerSecond is the bandwidth of the weight store for all
 	// responses together; 0 means no limit.
@@ -43,7 +43,7 @@
 	ResponseCount int `json:"times"`
 }
 
-// faults holds the active faults. It is safe for concurrent use.
+// faults holds the active faults. Its methods are safe for concurrent use.
 type faults struct {
 	mu          sync.Mutex
 	unavailable bool
@@ -51,16 +51,15 @@
 	// means all.
 	stores  []string
 	latency time.Duration
-	// commitsToLose is the number of commits whose responses are still to be
-	// lost.
+	// commitsToLose is the number of future commits whose responses will be lost.
 	commitsToLose int
-	// corruption selects the responses that are still to be corrupted.
+	// corruption selects the future responses that will be corrupted.
 	corruption    CorruptFault
 	weightLimiter *rate.Limiter
 }
 
-// newFaults returns faults of which only the bandwidth limit of the weight store
-// is active.
+// newFaults returns faults without any active fault except the bandwidth limit of
+// the weight store.
 func newFaults(weightBytesPerSecond int64) *faults {
 	f := &faults{weightLimiter: rate.NewLimiter(rate.Inf, maxWriteBytes)}
 	f.setWeightBandwidth(weightBytesPerSecond)
@@ -77,14 +76,14 @@
 	f.weightLimiter.SetLimit(limit)
 }
 
-// waitForWeightBandwidth waits until the bandwidth of the weight store allows n
-// more bytes.
+// waitForWeightBandwidth waits until the bandwidth limit of the weight store allows
+// n more bytes.
 func (f *faults) waitForWeightBandwidth(ctx context.Context, n int) error {
 	return f.weightLimiter.WaitN(ctx, n)
 }
 
-// set applies the fields that are set in a request.
-func (f *faults) set(r FaultRequest) {
+// apply applies the fields that are apply in a request.
+func (f *faults) apply(r FaultRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r.Unavailable != nil {
@@ -107,8 +106,8 @@
 	}
 }
 
-// admit delays a request by the latency of the store and reports whether the
-// store is available.
+// admit delays a request by the latency that applies to the store, and reports
+// whether the store is available.
 func (f *faults) admit(ctx context.Context, store string) bool {
 	f.mu.Lock()
 	affected := len(f.stores) == 0 || slices.Contains(f.stores, store)
@@ -134,8 +133,8 @@
 	}
 }
 
-// shouldLoseResponse reports whether the response to this commit must be lost. If
-// so, it decrements the number of responses to lose.
+// shouldLoseResponse reports whether the response to the current commit must be
+// lost. If it must, the number of responses to lose decreases by 1.
 func (f *faults) shouldLoseResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,7 +146,7 @@
 }
 
 // shouldCorruptResponse reports whether the response with this object must be
-// corrupted. If so, it decrements the number of responses to corrupt.
+// corrupted. If it must, the number of responses to corrupt decreases by 1.
 func (f *faults) shouldCorruptResponse(store, name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,6 +170,6 @@
 	if !readJSON(w, r, maxControlBytes, &req) {
 		return
 	}
-	s.faults.set(req)
+	s.faults.apply(req)
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -30,10 +30,10 @@
 	client *http.Client
 
 	mu sync.RWMutex
-	// registered holds all instances by ID, also those that are not listed.
+	// registered holds all instances by ID, including those that are not listed.
 	registered map[string]core.Instance
 	listed     []core.Instance
-	// version counts the changes of listed.
+	// version is the number of changes of listed so far.
 	version int
 }
 
@@ -77,9 +77,10 @@
 	return true
 }
 
-// probe checks the health of every registered instance and replaces the listed
-// instances by those that are healthy.
-func (l *instanceList) probe(ctx context.Context, timeout time.Duration) {
+// updateListed checks the health of every registered instance and lists exactly the
+// healthy ones. Each health check ends after timeout, or after maxProbeTimeout if
+// that is shorter.
+func (l *instanceList) updateListed(ctx context.Context, timeout time.Duration) {
 	registered := l.allRegistered()
 	healthy := make([]bool, len(registered))
 	var group errgroup.Group
@@ -91,13 +92,13 @@
 		})
 	}
 	_ = group.Wait()
-	live := []core.Instance{}
+	healthyInstances := []core.Instance{}
 	for n, instance := range registered {
 		if healthy[n] {
-			live = append(live, instance)
+			healthyInstances = append(healthyInstances, instance)
 		}
 	}
-	l.set(live)
+	l.setListed(healthyInstances)
 }
 
 // allRegistered returns every registered instance in the order of their IDs.
@@ -128,8 +129,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// set replaces the listed instances. The version increases only if they differ.
-func (l *instanceList) set(listed []core.Instance) {
+// setListed replaces the listed instances. It increases the version only if the new ones
+// differ from the old ones.
+func (l *instanceList) setListed(listed []core.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.version > 0 && cmp.Equal(listed, l.listed) {
@@ -141,7 +143,7 @@
 
 // SetInstanceList replaces the listed instances. It must not be used together with
 // Run, which lists the instances that pass their health checks.
-func (s *Server) SetInstanceList(listed []core.Instance) { s.instances.set(listed) }
+func (s *Server) SetInstanceList(listed []core.Instance) { s.instances.setListed(listed) }
 
 // get returns the listed instances and the ETag of the list.
 func (l *instanceList) get() ([]core.Instance, string) {
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -26,8 +26,8 @@
 	return body, ok
 }
 
-// put stores an object. It returns false and changes nothing if the object exists
-// with another content.
+// put stores an object and returns true. If the object already exists with
+// different content, put returns false and changes nothing.
 func (o *objectStore) put(name string, body []byte) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -106,8 +106,8 @@
 	return corrupt
 }
 
-// maxWriteBytes is the largest size of the blocks in which responses with objects
-// are written.
+// maxWriteBytes is the maximum size of a block, in bytes. Responses with objects
+// are written in blocks.
 const maxWriteBytes = 32 << 10
 
 // meteredWriter counts the bytes of a response and can limit their rate.
@@ -115,8 +115,8 @@
 	http.ResponseWriter
 	// count is called with the number of bytes written.
 	count func(int)
-	// throttle waits until the given number of bytes may be written; nil means
-	// no limit.
+	// throttle waits until the given number of bytes may be written; if it is nil,
+	// the rate is not limited.
 	throttle func(int) error
 }
 
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -17,13 +17,15 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// Default of Config.Lag and limits on the sizes of requests.
+// Default of Config.ProbeInterval, and maximum sizes in bytes: of the value of a
+// row, of the request body of a commit, of an object, and of any other request
+// body.
 const (
-	defaultLag      = 500 * time.Millisecond
-	maxRowBytes     = 64 << 10
-	maxCommitBytes  = 8 << 20
-	maxObjectBytes  = 256 << 20
-	maxControlBytes = 1 << 20
+	defaultProbeInterval = 500 * time.Millisecond
+	maxRowBytes          = 64 << 10
+	maxCommitBytes       = 8 << 20
+	maxObjectBytes       = 256 << 20
+	maxControlBytes      = 1 << 20
 )
 
 // Config holds the settings of a Server.
@@ -31,9 +33,9 @@
 	// Token is the bearer token that clients must send; empty means that no
 	// token is required.
 	Token string
-	// ProbeInterval is the time between two health checks of an instance. A change of its
-	// health appears in the instance list after at most about this time. The
-	// default is 500 ms.
+	// ProbeInterval is the time between two health checks of an instance. A change
+	// in the health of the instance appears in the instance list after about this
+	// time at most. The default is 500 ms.
 	ProbeInterval time.Duration
 	// Instances are the instances registered at the start.
 	Instances []core.Instance
@@ -44,7 +46,7 @@
 
 // applyDefaults sets the fields that have a default and are not set.
 func (c *Config) applyDefaults() {
-	core.SetDefault(&c.ProbeInterval, defaultLag)
+	core.SetDefault(&c.ProbeInterval, defaultProbeInterval)
 }
 
 // Server is a stand-in for the platform. It implements http.Handler.
@@ -76,12 +78,13 @@
 	return s
 }
 
-// Run checks the health of the instances once per Config.Lag until ctx is done.
+// Run checks the health of the instances every Config.ProbeInterval and updates the
+// instance list, until ctx is done.
 func (s *Server) Run(ctx context.Context) error {
 	ticker := s.clock.NewTicker(s.config.ProbeInterval)
 	defer ticker.Stop()
 	for {
-		s.instances.probe(ctx, s.config.ProbeInterval)
+		s.instances.updateListed(ctx, s.config.ProbeInterval)
 		select {
 		case <-ctx.Done():
 			return nil
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -17,8 +17,9 @@
 type table struct {
 	mu   sync.RWMutex
 	rows map[string]platform.Row
-	// deletedRevisions holds the last revisions of deleted rows by key, so that
-	// a row that is created again never reuses a revision.
+	// deletedRevisions holds the last revision of each deleted row by key. A row
+	// that is created again continues from this revision, so that it never reuses a
+	// revision.
 	deletedRevisions map[string]uint64
 }
 
@@ -53,8 +54,9 @@
 	return found
 }
 
-// commit applies all writes and returns true. If the condition of a write fails, it
-// applies none of them and returns the key of that write and false.
+// commit applies all writes and returns true. If the condition of any write is not
+// met, commit applies no write, and returns the key of the write with that
+// condition and false.
 func (t *table) commit(writes []platform.Write) (conflictKey string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -17,7 +17,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxBodyBytes is the maximum size of a request's body; longer bodies are
+// maxBodyBytes is the maximum size of a request body, in bytes. Longer bodies are
 // truncated.
 const maxBodyBytes = 1 << 20
 
@@ -25,11 +25,11 @@
 type Config struct {
 	// Name is the service's name, such as lots or bookings.
 	Name string
-	// Delay is the time that each request takes.
+	// Delay is the time from the execution of a request to its response.
 	Delay time.Duration
 }
 
-// Faults are the faults that are on. Setting them replaces all faults.
+// Faults selects the active faults. A fault that is not set becomes inactive.
 type Faults struct {
 	// DelayMillis is a time in milliseconds that is added to Config.Delay.
 	DelayMillis int64 `json:"delayMillis,omitempty"`
@@ -57,8 +57,8 @@
 	Method string `json:"method"`
 	// Path is the path of the request's URL.
 	Path string `json:"path"`
-	// Number is the number of executions of all requests so far, including
-	// this one.
+	// Number is the number of executions of all requests so far, including the
+	// execution that this result is about.
 	Number int `json:"number"`
 }
 
@@ -116,7 +116,7 @@
 	return counts
 }
 
-// postFaults replaces the faults by those in the request.
+// postFaults replaces the active faults with those in the request body.
 func (s *Service) postFaults(c echo.Context) error {
 	var f Faults
 	if err := c.Bind(&f); err != nil {
@@ -126,21 +126,21 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// SetFaults replaces the faults that are on.
+// SetFaults replaces the active faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// currentFaults returns the faults that are on.
+// currentFaults returns the active faults.
 func (s *Service) currentFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// handleRequest executes a request and responds according to the faults.
+// handleRequest executes a request and responds as the active faults require.
 func (s *Service) handleRequest(c echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBodyBytes))
 	if err != nil {
@@ -182,7 +182,7 @@
 	return r.Header.Get(core.HeaderRequestID)
 }
 
-// execute counts one execution of a request and returns its result.
+// execute counts one execution of the request with this ID and returns the result.
 func (s *Service) execute(id string, r *http.Request) Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
