--- a/test/configuration/freeze_test.go
+++ b/test/configuration/freeze_test.go
@@ -22,15 +22,15 @@
 const concurrentCalls = 20
 
 // TestFrozenPastAChange freezes an entry instance and an agent of a data centre,
-// drains the data centre meanwhile and resumes both in random order while calls
-// wait. The drained data centre may not serve any of them.
+// drains the data centre meanwhile, and resumes the two processes in random order
+// while calls wait. The drained data centre may not serve any of these calls.
 func TestFrozenPastAChange(t *testing.T) {
 	Convey("Given services in three data centres", t, func() {
 		r := newRig(t, rigConfig{entryCount: 2, serviceCount: 3})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(number, startTimeout, r.all...)
+		r.awaitInForce(number, startTimeout, r.daemons...)
 		r.awaitResponseFrom(r.entries[0], r.agents[0])
 		rng := rand.New(rand.NewPCG(6, 1))
 
@@ -85,17 +85,17 @@
 	for server := range outcomes {
 		counts[server]++
 	}
-	r.awaitInForce(drained.Number, propagationTimeout, r.all...)
+	r.awaitInForce(drained.Number, propagationTimeout, r.daemons...)
 	metadata.ChangeID = fmt.Sprintf("in-%d", round)
 	returned, err := r.operatorClient(r.entries[1]).SetDataCentreOut(r.t.Context(), dataCentres[0], false, metadata)
 	r.must(err)
-	r.awaitInForce(returned.Number, propagationTimeout, r.all...)
+	r.awaitInForce(returned.Number, propagationTimeout, r.daemons...)
 	r.awaitResponseFrom(r.entries[0], r.agents[0])
 	return counts
 }
 
-// outcome returns the name of the server that served a call, or notRun or
-// unknown if none did.
+// outcome returns the name of the server that served a call. If no server served
+// it, outcome returns notRun or unknown, depending on the error of the call.
 func outcome(server string, err error) string {
 	switch {
 	case err == nil:
@@ -107,9 +107,9 @@
 	}
 }
 
-// awaitResponseFrom waits until the server serves a call through the entry instance.
-// Both must be in the same data centre, because an entry instance prefers servers
-// of its own data centre.
+// awaitResponseFrom waits until the server serves a call through the entry
+// instance. The entry instance and the server must be in the same data centre,
+// because an entry instance prefers servers of its own data centre.
 func (r *rig) awaitResponseFrom(entry, server *process) {
 	r.t.Helper()
 	r.eventually(server.id+" serves calls", startTimeout, func() bool {
--- a/test/configuration/leaving_test.go
+++ b/test/configuration/leaving_test.go
@@ -16,25 +16,27 @@
 	// callDuration is how long a call runs. It is long enough that some calls
 	// run when the server is marked as leaving.
 	callDuration = 800 * time.Millisecond
-	// callersPerEntry is the number of calls that run at once through each entry
-	// instance.
+	// callersPerEntry is the number of workers that make calls through each entry
+	// instance, one call at a time.
 	callersPerEntry = 8
-	// maxLeaveDelay is how long a leaving server may still get new calls.
+	// maxLeaveDelay is how long a server may still get new calls after the request
+	// to mark it as leaving.
 	maxLeaveDelay = 3 * time.Second
 	// watchDuration is how long after the request to mark the server as leaving
 	// the test observes the server for new calls.
 	watchDuration = 3 * maxLeaveDelay / 2
 )
 
-// TestLeavingServer marks a backend server as leaving under load. It must get no
-// new calls after 3 s, and no call may be cut off.
+// TestLeavingServer marks a backend server as leaving under load. The server must
+// get no new calls once maxLeaveDelay has passed since the request, and no call may
+// be cut off.
 func TestLeavingServer(t *testing.T) {
 	Convey("Given four entry instances and three services under load", t, func() {
 		r := newRig(t, rigConfig{entryCount: 4, serviceCount: 3, serviceDelay: callDuration})
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(number, startTimeout, r.all...)
+		r.awaitInForce(number, startTimeout, r.daemons...)
 		leaving := r.agents[0]
 		r.awaitResponseFrom(r.entries[0], leaving)
 		load := r.startLoad()
@@ -45,7 +47,7 @@
 			requested := time.Now()
 			_, err := r.operatorClient(r.entries[3]).SetBackendServerLeaving(t.Context(), leaving.id, true, metadata)
 			So(err, ShouldBeNil)
-			last := r.lastExecution(0, requested, watchDuration)
+			last := r.lastExecutionDelay(0, requested, watchDuration)
 			wholeCount, failed := load.stop()
 			t.Logf("last new call %s after the request; %d calls whole, %d failed: %v", last, wholeCount, len(failed), failed)
 			So(last, ShouldBeLessThanOrEqualTo, maxLeaveDelay)
@@ -70,29 +72,30 @@
 	return sum
 }
 
-// lastExecution polls the execution count of plain service n until duration has
-// passed since requested. It returns the time from requested to the last increase
-// of the count, or 0 if there was none.
-func (r *rig) lastExecution(n int, requested time.Time, duration time.Duration) time.Duration {
+// lastExecutionDelay polls the execution count of plain service n until duration
+// has passed since requestedAt. It returns the time from requestedAt to the last
+// increase of the count, or 0 if the count did not increase.
+func (r *rig) lastExecutionDelay(n int, requestedAt time.Time, duration time.Duration) time.Duration {
 	r.t.Helper()
 	last, count := time.Duration(0), r.executionCount(n)
-	for time.Since(requested) < duration {
+	for time.Since(requestedAt) < duration {
 		<-time.After(pollInterval)
 		if now := r.executionCount(n); now != count {
-			last, count = time.Since(requested), now
+			last, count = time.Since(requestedAt), now
 		}
 	}
 	return last
 }
 
-// callLoad makes calls without a pause from several workers.
+// callLoad is a load of calls. Each of several workers makes one call after another
+// without a pause.
 type callLoad struct {
 	stopCh  chan struct{}
 	workers sync.WaitGroup
 
 	mu         sync.Mutex
 	wholeCount int
-	failed     []string
+	failures   []string
 }
 
 // startLoad starts a load of callersPerEntry workers per entry instance.
@@ -121,7 +124,7 @@
 		if err == nil {
 			l.wholeCount++
 		} else {
-			l.failed = append(l.failed, err.Error())
+			l.failures = append(l.failures, err.Error())
 		}
 		l.mu.Unlock()
 	}
@@ -132,5 +135,5 @@
 func (l *callLoad) stop() (wholeCount int, failed []string) {
 	close(l.stopCh)
 	l.workers.Wait()
-	return l.wholeCount, l.failed
+	return l.wholeCount, l.failures
 }
--- a/test/configuration/load_test.go
+++ b/test/configuration/load_test.go
@@ -29,7 +29,8 @@
 	listInterval = 2 * time.Second
 )
 
-// platformLoad is the load that the processes of a rig put on the platform.
+// platformLoad is the load that the processes of a rig put on the platform: numbers
+// of requests, and bytes of responses.
 type platformLoad struct {
 	reads, notModified, writes, bytesOut float64
 }
@@ -40,7 +41,7 @@
 	return platformLoad{l.reads / n, l.notModified / n, l.writes / n, l.bytesOut / n}
 }
 
-// minus returns the difference of two loads.
+// minus returns the load l without the load o.
 func (l platformLoad) minus(o platformLoad) platformLoad {
 	return platformLoad{l.reads - o.reads, l.notModified - o.notModified, l.writes - o.writes, l.bytesOut - o.bytesOut}
 }
@@ -50,7 +51,7 @@
 	return fmt.Sprintf("%.2f reads (%.2f of them not modified), %.2f writes, %.0f bytes of bodies", l.reads, l.notModified, l.writes, l.bytesOut)
 }
 
-// totalLoad returns the load on the platform since its start.
+// totalLoad returns the load on the platform since the start of the platform.
 func (r *rig) totalLoad() platformLoad {
 	var sum platformLoad
 	for _, store := range r.platformCounters() {
@@ -109,14 +110,14 @@
 func (r *rig) loadPerChange() platformLoad {
 	number, err := r.apply(r.entries[0], 0, "first")
 	r.must(err)
-	r.awaitInForce(number, startTimeout, r.all...)
+	r.awaitInForce(number, startTimeout, r.daemons...)
 	steady := r.steadyLoad()
 	begin, before := time.Now(), r.totalLoad()
 	for n := range measuredChangeCount {
 		name := fmt.Sprintf("m%d", n)
 		number, err = r.apply(r.entries[0], number, name, name)
 		r.must(err)
-		r.awaitInForce(number, propagationTimeout, r.all...)
+		r.awaitInForce(number, propagationTimeout, r.daemons...)
 	}
 	<-time.After(measureDuration)
 	took := time.Since(begin).Seconds()
--- a/test/configuration/never_falls_test.go
+++ b/test/configuration/never_falls_test.go
@@ -40,7 +40,8 @@
 	accepted map[string]uint64
 	// refused holds the ids of refused changes, which must have no effect.
 	refused map[string]bool
-	// newestVersion is the newest version in a response so far.
+	// newestVersion is the number of the newest version that a response has
+	// contained so far.
 	newestVersion uint64
 	// changeCount is the number of changes that were sent.
 	changeCount int
@@ -71,7 +72,7 @@
 
 		Convey("no version is followed by an older one, every process ends at the newest, and the history contains every accepted change once and no refused one", func() {
 			So(orderViolations(r.activations()), ShouldBeEmpty)
-			r.awaitInForce(s.newestVersion, startTimeout, r.all...)
+			r.awaitInForce(s.newestVersion, startTimeout, r.daemons...)
 			So(orderViolations(r.activations()), ShouldBeEmpty)
 			versions := s.versionsByChangeID()
 			for id, number := range s.accepted {
@@ -86,7 +87,7 @@
 
 // step injects one random fault or makes one change.
 func (s *chaos) step() {
-	switch p := s.all[s.rng.IntN(len(s.all))]; s.rng.IntN(10) {
+	switch p := s.daemons[s.rng.IntN(len(s.daemons))]; s.rng.IntN(10) {
 	case 0:
 		s.toggleFrozen(p)
 	case 1:
@@ -172,7 +173,7 @@
 	s.setDown(false)
 	quick, none := int64(0), 0
 	s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &quick, LoseCommitResponses: &none})
-	for _, p := range s.all {
+	for _, p := range s.daemons {
 		if s.killed[p] {
 			s.toggleKilled(p)
 		}
@@ -199,8 +200,9 @@
 }
 
 // orderViolations compares each activation with the previous one after the same
-// start of the process. It describes each activation whose version is not newer,
-// and each whose from is not the version of the previous one.
+// start of the process. It describes each activation whose version is not newer
+// than the previous activation's version. It also describes each activation whose
+// previousNumber is not the version of the previous activation.
 func orderViolations(events []activation) []string {
 	type processRun struct {
 		process    string
@@ -210,9 +212,9 @@
 	var wrong []string
 	for _, e := range events {
 		at := processRun{e.process, e.startCount}
-		if e.number <= newest[at] || e.from != newest[at] {
+		if e.number <= newest[at] || e.previousNumber != newest[at] {
 			wrong = append(wrong, fmt.Sprintf("%s after start %d: version %d (from %d) after version %d",
-				e.process, e.startCount, e.number, e.from, newest[at]))
+				e.process, e.startCount, e.number, e.previousNumber, newest[at]))
 		}
 		newest[at] = e.number
 	}
@@ -221,7 +223,8 @@
 
 // countStaleStarts counts the restarts after which the first version in force was
 // older than the last one before the restart. A process keeps no version on disk,
-// so if all peers that it reaches have an older version, it starts with that one.
+// so a restarted process starts with an older version if all peers that it reaches
+// have that version.
 func countStaleStarts(events []activation) int {
 	type latestVersion struct {
 		startCount int
--- a/test/configuration/outage_test.go
+++ b/test/configuration/outage_test.go
@@ -32,7 +32,7 @@
 		r.awaitRegistered()
 		first, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(first, startTimeout, r.all...)
+		r.awaitInForce(first, startTimeout, r.daemons...)
 		r.setDown(true)
 		outageEnd := time.Now().Add(outageDuration())
 
@@ -61,14 +61,14 @@
 			})
 
 			<-time.After(time.Until(outageEnd))
-			So(r.countInForce(first+1, r.all), ShouldEqual, 0)
+			So(r.countInForce(first+1, r.daemons), ShouldEqual, 0)
 			r.setDown(false)
 			history, err := r.operatorClient(r.entries[0]).History(t.Context(), 10)
 			So(err, ShouldBeNil)
 			So(len(history.Entries), ShouldEqual, 1)
 			second, err := r.apply(r.entries[1], first, "second", "east")
 			So(err, ShouldBeNil)
-			r.awaitInForce(second, propagationTimeout, r.all...)
+			r.awaitInForce(second, propagationTimeout, r.daemons...)
 		})
 	})
 }
--- a/test/configuration/retry_test.go
+++ b/test/configuration/retry_test.go
@@ -19,7 +19,8 @@
 )
 
 // TestEntryKilledInAnApply kills an entry instance at a random moment while it
-// carries out an apply. The operator retries the change through another one.
+// carries out an apply. The operator retries the change through another entry
+// instance.
 func TestEntryKilledInAnApply(t *testing.T) {
 	Convey("Given two entry instances and a platform with some delay", t, func() {
 		r := newRig(t, rigConfig{entryCount: 2, agentCount: 1})
@@ -48,7 +49,7 @@
 				So(next, ShouldEqual, number+1)
 				number = next
 				r.start(r.entries[0])
-				r.awaitInForce(number, startTimeout, r.all...)
+				r.awaitInForce(number, startTimeout, r.daemons...)
 			}
 			t.Logf("%d of %d changes were accepted before the kill", accepted, number-1)
 			history, err := r.operatorClient(r.entries[1]).History(t.Context(), 1000)
@@ -58,8 +59,8 @@
 	})
 }
 
-// TestEntryCutOffFromThePlatform runs an entry instance that never reaches the
-// platform together with others that do.
+// TestEntryCutOffFromThePlatform runs one entry instance that never reaches the
+// platform and others that reach it.
 func TestEntryCutOffFromThePlatform(t *testing.T) {
 	Convey("Given an entry instance that cannot reach the platform", t, func() {
 		r := newRig(t, rigConfig{entryCount: 2, agentCount: 2})
@@ -74,7 +75,7 @@
 		Convey("the entry instance follows each change within the bound and refuses to apply one", func() {
 			second, err := r.apply(r.entries[0], first, "second", "east")
 			So(err, ShouldBeNil)
-			r.awaitInForce(second, propagationTimeout, r.all...)
+			r.awaitInForce(second, propagationTimeout, r.daemons...)
 			_, err = r.apply(isolated, second, "third", "north")
 			So(problemType(err), ShouldEqual, ops.TypePlatformUnavailable)
 		})
--- a/test/configuration/rig_test.go
+++ b/test/configuration/rig_test.go
@@ -70,9 +70,9 @@
 type activation struct {
 	process string
 	number  uint64
-	// from is the version that was in force before; 0 for none.
-	from uint64
-	at   time.Time
+	// previousNumber is the number of the replaced version; 0 for none.
+	previousNumber uint64
+	at             time.Time
 	// startCount is the number of starts of the process up to the activation.
 	startCount int
 }
@@ -98,15 +98,15 @@
 	config       rigConfig
 	entries      []*process
 	agents       []*process
-	// all are the entry instances and agents.
-	all []*process
+	// daemons are the entry instances and agents.
+	daemons []*process
 	// serviceProcesses are the plain services.
 	serviceProcesses []*process
 	// platformProcesses holds the platform stand-in.
 	platformProcesses []*process
 
-	mu       sync.Mutex
-	recorded []activation
+	mu                  sync.Mutex
+	recordedActivations []activation
 	// logTails holds the last log lines of each process by process.id.
 	logTails map[string][]string
 }
@@ -153,7 +153,7 @@
 	for _, p := range r.serviceProcesses {
 		r.start(p)
 	}
-	for _, p := range r.all {
+	for _, p := range r.daemons {
 		r.start(p)
 	}
 	return r
@@ -169,7 +169,7 @@
 	p := &process{id: id, addr: addr, args: append([]string{
 		role, "--id", id, "--listen", addr, "--data-centre", dataCentre, "--region", dataCentre + "-region",
 	}, extra...)}
-	r.all = append(r.all, p)
+	r.daemons = append(r.daemons, p)
 	return p
 }
 
@@ -186,7 +186,7 @@
 // instances returns the entry instances and agents as the platform lists them.
 func (r *rig) instances() []core.Instance {
 	var list []core.Instance
-	for _, p := range r.all {
+	for _, p := range r.daemons {
 		list = append(list, core.Instance{
 			ID: p.id, Role: core.Role(p.args[0]), Addr: p.addr, DataCentre: p.args[6], Region: p.args[8],
 		})
@@ -270,7 +270,7 @@
 			r.logTails[id] = r.logTails[id][n-maxLogTailLines:]
 		}
 		if err == nil && line.Event == configurationInForceEvent {
-			r.recorded = append(r.recorded, activation{process: id, number: line.Number, from: line.From, at: line.Time, startCount: startCount})
+			r.recordedActivations = append(r.recordedActivations, activation{process: id, number: line.Number, previousNumber: line.From, at: line.Time, startCount: startCount})
 		}
 		r.mu.Unlock()
 	}
@@ -280,11 +280,11 @@
 func (r *rig) activations() []activation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]activation{}, r.recorded...)
+	return append([]activation{}, r.recordedActivations...)
 }
 
-// countInForce returns in how many of procs the version with this number, or a newer
-// one, has come into force since the last start of the process.
+// countInForce returns in how many of procs the version with this number, or a
+// newer one, has come into force since that process was last started.
 func (r *rig) countInForce(number uint64, procs []*process) int {
 	startCounts := map[string]int{}
 	for _, p := range procs {
@@ -299,11 +299,11 @@
 	return len(found)
 }
 
-// awaitInForce waits until the version with this number, or a newer one, is in force
-// in all of procs. It fails the test after bound.
-func (r *rig) awaitInForce(number uint64, bound time.Duration, procs ...*process) {
+// awaitInForce waits until the version with this number, or a newer one, is in
+// force in all of procs. It fails the test if that takes longer than timeout.
+func (r *rig) awaitInForce(number uint64, timeout time.Duration, procs ...*process) {
 	r.t.Helper()
-	r.eventually(fmt.Sprintf("version %d is in force in %d processes", number, len(procs)), bound,
+	r.eventually(fmt.Sprintf("version %d is in force in %d processes", number, len(procs)), timeout,
 		func() bool { return r.countInForce(number, procs) == len(procs) })
 }
 
@@ -330,7 +330,7 @@
 		}
 		r.mu.Unlock()
 	}
-	for _, group := range [][]*process{r.all, r.serviceProcesses, r.platformProcesses} {
+	for _, group := range [][]*process{r.daemons, r.serviceProcesses, r.platformProcesses} {
 		for _, p := range group {
 			p.end()
 		}
@@ -346,7 +346,6 @@
 	<-p.done
 }
 
-// toByteSlices converts lines to byte slices.
 func toByteSlices(lines []string) [][]byte {
 	out := make([][]byte, len(lines))
 	for i, l := range lines {
@@ -451,13 +450,14 @@
 	return all
 }
 
-// eventually polls a condition until it is true. It fails the test after bound.
-func (r *rig) eventually(description string, bound time.Duration, ok func() bool) {
+// eventually polls condition until it returns true. It fails the test if that takes
+// longer than timeout.
+func (r *rig) eventually(description string, timeout time.Duration, condition func() bool) {
 	r.t.Helper()
-	deadline := time.Now().Add(bound)
-	for !ok() {
+	deadline := time.Now().Add(timeout)
+	for !condition() {
 		if time.Now().After(deadline) {
-			r.t.Fatalf("%s: not within %s", description, bound)
+			r.t.Fatalf("%s: not within %s", description, timeout)
 		}
 		<-time.After(pollInterval)
 	}
@@ -471,8 +471,8 @@
 	}
 }
 
-// newAddr counts ports itself: a free port that the operating system has returned and
-// that is released again could be given out twice or to an outgoing connection.
+// newAddr counts ports itself: the operating system could return a free port twice, or
+// use it for an outgoing connection, after the test has released it.
 var (
 	// host is a random loopback address for this test run.
 	host = fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254))
@@ -480,8 +480,8 @@
 	usedPortCount atomic.Int32
 )
 
-// basePort is the port below those that newAddr returns. They all lie below the
-// operating system's ephemeral ports.
+// basePort is the port before the first port that newAddr returns. All ports that
+// newAddr returns lie below the operating system's ephemeral ports.
 const basePort = 20000
 
 // newAddr returns an address that no other process of this test run uses.
--- a/test/configuration/slow_test.go
+++ b/test/configuration/slow_test.go
@@ -16,21 +16,21 @@
 	tolerableDelay = 500 * time.Millisecond
 	// excessiveDelay is a delay beyond the timeout of a platform call.
 	excessiveDelay = 3 * time.Second
-	// maxCallTime is the limit of the time of a client's call while the platform is
-	// slow.
+	// maxCallTime is the longest time that a client's call may take while the
+	// platform is slow.
 	maxCallTime = time.Second
 )
 
-// TestSlowPlatform delays every response of the platform. Clients' calls must stay
-// below maxCallTime. Changes must come into force while responses arrive before
-// the timeout, and be refused as not applied when they do not.
+// TestSlowPlatform delays every response of the platform. Clients' calls must take
+// less than maxCallTime. If the responses arrive before the timeout, changes must
+// come into force. Otherwise, changes must be refused as not applied.
 func TestSlowPlatform(t *testing.T) {
 	Convey("Given two entry instances, two services and a slow platform", t, func() {
 		r := newRig(t, rigConfig{entryCount: 2, serviceCount: 2})
 		r.awaitRegistered()
 		first, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(first, startTimeout, r.all...)
+		r.awaitInForce(first, startTimeout, r.daemons...)
 		r.awaitResponseFrom(r.entries[0], r.agents[0])
 
 		Convey("a change is in force within the bound, or refused, and calls are served meanwhile", func() {
@@ -38,7 +38,7 @@
 			begin := time.Now()
 			second, err := r.apply(r.entries[0], first, "second", "east")
 			So(err, ShouldBeNil)
-			r.awaitInForce(second, propagationTimeout-time.Since(begin), r.all...)
+			r.awaitInForce(second, propagationTimeout-time.Since(begin), r.daemons...)
 			t.Logf("in force everywhere %s after the request, each platform call %s", time.Since(begin), tolerableDelay)
 			So(r.callTime(), ShouldBeLessThan, maxCallTime)
 
@@ -51,7 +51,7 @@
 			third, err := r.apply(r.entries[1], second, "third", "north")
 			So(err, ShouldBeNil)
 			So(third, ShouldEqual, second+1)
-			r.awaitInForce(third, propagationTimeout, r.all...)
+			r.awaitInForce(third, propagationTimeout, r.daemons...)
 		})
 	})
 }
--- a/test/configuration/spread_test.go
+++ b/test/configuration/spread_test.go
@@ -35,7 +35,7 @@
 		r.awaitRegistered()
 		number, err := r.apply(r.entries[0], 0, "first")
 		So(err, ShouldBeNil)
-		r.awaitInForce(number, startTimeout, r.all...)
+		r.awaitInForce(number, startTimeout, r.daemons...)
 
 		Convey("each change is in force everywhere within the bounds", func() {
 			var delays []time.Duration
@@ -46,7 +46,7 @@
 				next, err := r.apply(entry, number, name, name)
 				So(err, ShouldBeNil)
 				number = next
-				r.awaitInForce(number, propagationTimeout, r.all...)
+				r.awaitInForce(number, propagationTimeout, r.daemons...)
 				delays = append(delays, r.delays(number, begin)...)
 			}
 			sort.Slice(delays, func(i, j int) bool { return delays[i] < delays[j] })
@@ -85,8 +85,8 @@
 	return all
 }
 
-// percentile returns the value below which percent per cent of the sorted values
-// lie, or the largest value.
+// percentile returns a percentile of the sorted values, for example the median if
+// percent is 50. If percent is 100, it returns the largest value.
 func percentile(sorted []time.Duration, percent int) time.Duration {
 	return sorted[min(len(sorted)*percent/100, len(sorted)-1)]
 }
--- a/test/faults/agent_once_test.go
+++ b/test/faults/agent_once_test.go
@@ -25,10 +25,10 @@
 // agentClient sends requests to one agent of a cluster as an entry instance
 // does.
 type agentClient struct {
-	c     *cluster
-	pool  *work.Pool
-	agent core.Instance
-	ctx   context.Context
+	cluster *cluster
+	pool    *work.Pool
+	agent   core.Instance
+	ctx     context.Context
 }
 
 func (c *cluster) newAgentClient(name string) *agentClient {
@@ -36,13 +36,13 @@
 	c.t.Cleanup(cancel)
 	pool := work.NewPool(work.PoolConfig{PeerToken: peerToken})
 	c.t.Cleanup(pool.Close)
-	return &agentClient{c: c, pool: pool, agent: core.Instance{ID: name, Addr: c.procs[name].addr}, ctx: ctx}
+	return &agentClient{cluster: c, pool: pool, agent: core.Instance{ID: name, Addr: c.processes[name].addr}, ctx: ctx}
 }
 
 // open starts an exchange with the agent.
 func (a *agentClient) open(id string, kind frame.Kind, msg any) work.Exchange {
 	x, err := a.pool.Open(a.ctx, a.agent, id, kind, msg)
-	a.c.must(err)
+	a.cluster.must(err)
 	return x
 }
 
@@ -51,7 +51,7 @@
 	ctx, cancel := context.WithTimeout(a.ctx, responseTimeout)
 	defer cancel()
 	msg, err := x.Receive(ctx)
-	a.c.must(err)
+	a.cluster.must(err)
 	return msg
 }
 
@@ -71,7 +71,7 @@
 // agent refuses offers until its configuration has been confirmed.
 func (a *agentClient) awaitAdmitting() {
 	n := 0
-	a.c.eventually("the agent admits offers", func() bool {
+	a.cluster.eventually("the agent admits offers", func() bool {
 		n++
 		id := fmt.Sprint("probe-", n)
 		x := a.open(id, frame.KindOffer, frame.Request{ID: id, Account: "erbe", Share: 1, Method: "POST", Path: "/lots"})
@@ -86,7 +86,7 @@
 func (c *cluster) freeze(name string) {
 	c.t.Helper()
 	c.signal(name, syscall.SIGSTOP)
-	threads := fmt.Sprintf("/proc/%d/task/*/status", c.procs[name].cmd.Process.Pid)
+	threads := fmt.Sprintf("/proc/%d/task/*/status", c.processes[name].cmd.Process.Pid)
 	c.eventually(name+" is frozen", func() bool {
 		paths, err := filepath.Glob(threads)
 		c.must(err)
@@ -111,13 +111,13 @@
 // the call with this key.
 func (c *cluster) executionCount(server, key string) int {
 	counts := map[string]int{}
-	c.must(json.Unmarshal([]byte(getBody(c.procs["service:"+server].addr, "/service/counters")), &counts))
+	c.must(json.Unmarshal([]byte(getBody(c.processes["service:"+server].addr, "/service/counters")), &counts))
 	return counts[key]
 }
 
 func (c *cluster) setServiceFaults(server, body string) {
 	c.t.Helper()
-	postJSON(c, c.procs["service:"+server].addr, "/service/faults", body)
+	postJSON(c, c.processes["service:"+server].addr, "/service/faults", body)
 }
 
 func TestAgentOnceOnlyAcrossSignals(t *testing.T) {
@@ -147,9 +147,9 @@
 		c.signal(server, syscall.SIGKILL)
 		_, err := x.Receive(agent.ctx)
 		So(err, ShouldNotBeNil)
-		<-c.procs[server].done
+		<-c.processes[server].done
 		c.start(server)
-		c.eventually("the agent serves again", func() bool { return isListening(c.procs[server].addr) })
+		c.eventually("the agent serves again", func() bool { return isListening(c.processes[server].addr) })
 		agent = c.newAgentClient(server)
 		So(agent.queryAttempt("killed").Incarnation, ShouldNotEqual, incarnation)
 		So(c.executionCount(server, "killed"), ShouldEqual, 1)
--- a/test/faults/agent_process_test.go
+++ b/test/faults/agent_process_test.go
@@ -16,7 +16,8 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// fastEngineArgs make eight streams produce 1,600 tokens per second.
+// fastEngineArgs are arguments with which eight concurrent streams together produce
+// 1,600 tokens per second.
 var fastEngineArgs = []string{"--slots", "64", "--cold-limit", "40", "--per-token", "5ms", "--first-token", "2ms"}
 
 // completionRequest returns a streamed call that only the version with this
@@ -29,7 +30,7 @@
 }
 
 // makeCall makes one streamed call and returns the number of tokens of its
-// response, or -1 if no whole response arrives.
+// response, or -1 if no complete response arrives.
 func (a *agentClient) makeCall(req frame.Request) int {
 	x, err := a.pool.Open(a.ctx, a.agent, req.ID, frame.KindRequest, req)
 	if err != nil {
@@ -55,8 +56,9 @@
 	}
 }
 
-// makeCalls makes calls from engineColdLimit workers. It returns the number of
-// tokens of all whole responses, and the number of calls without a whole response.
+// makeCalls makes callCount calls from engineColdLimit workers. It returns the
+// number of tokens of all complete responses, and the number of calls without a
+// complete response.
 func (a *agentClient) makeCalls(callCount int, digest core.Digest, tokensPerCall int) (tokenCount, failedCount int) {
 	var mu sync.Mutex
 	var workers sync.WaitGroup
@@ -109,7 +111,7 @@
 			}
 			<-time.After(2 * time.Second)
 			c.signal(server, syscall.SIGCONT)
-			c.eventually("the agent is ready", func() bool { return strings.Contains(getBody(c.procs[server].addr, "/readyz"), "ready") })
+			c.eventually("the agent is ready", func() bool { return strings.Contains(getBody(c.processes[server].addr, "/readyz"), "ready") })
 			c.eventually("the agent admits calls", func() bool { return c.newAgentClient(server).makeCall(completionRequest("new", digest, 1)) == 1 })
 			So(c.engineCounters(server).Started, ShouldEqual, started+1)
 		})
@@ -119,7 +121,7 @@
 // cpuTime returns the user and system CPU time that a process has used.
 func (c *cluster) cpuTime(name string) time.Duration {
 	const ticksPerSecond = 100
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.procs[name].cmd.Process.Pid))
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.processes[name].cmd.Process.Pid))
 	c.must(err)
 	_, rest, _ := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
--- a/test/faults/agent_rig_test.go
+++ b/test/faults/agent_rig_test.go
@@ -25,7 +25,7 @@
 func loadedDigest(c *cluster, server string) core.Digest {
 	c.t.Helper()
 	var s engine.Status
-	c.must(json.Unmarshal([]byte(getBody(c.procs["engine:"+server].addr, engine.StatusPath)), &s))
+	c.must(json.Unmarshal([]byte(getBody(c.processes["engine:"+server].addr, engine.StatusPath)), &s))
 	if len(s.Loaded) == 0 {
 		c.t.Fatalf("%s has no version loaded", server)
 	}
--- a/test/faults/entry_cluster_test.go
+++ b/test/faults/entry_cluster_test.go
@@ -97,7 +97,7 @@
 // serves.
 func (c *cluster) restartEnded() {
 	c.t.Helper()
-	for name, p := range c.procs {
+	for name, p := range c.processes {
 		select {
 		case <-p.done:
 			c.start(name)
@@ -113,7 +113,7 @@
 	t            *testing.T
 	bin, logDir  string
 	dir          string
-	procs        map[string]*process
+	processes    map[string]*process
 	startOrder   []string
 	platformAddr string
 	instances    []core.Instance
@@ -144,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cluster{t: t, bin: bin, dir: dir, logDir: os.Getenv("RATTANWAY_TEST_LOGS"), procs: map[string]*process{}}
+	c := &cluster{t: t, bin: bin, dir: dir, logDir: os.Getenv("RATTANWAY_TEST_LOGS"), processes: map[string]*process{}}
 	if c.logDir == "" {
 		c.logDir = dir
 	}
@@ -177,7 +177,7 @@
 }
 
 func (c *cluster) addProcess(name, addr string, args ...string) {
-	c.procs[name] = &process{name: name, addr: addr, args: args}
+	c.processes[name] = &process{name: name, addr: addr, args: args}
 	c.startOrder = append(c.startOrder, name)
 }
 
@@ -209,7 +209,7 @@
 // start starts a process with its log appended to NAME.log.
 func (c *cluster) start(name string) {
 	c.t.Helper()
-	p := c.procs[name]
+	p := c.processes[name]
 	log, err := os.OpenFile(filepath.Join(c.logDir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		c.t.Fatal(err)
@@ -232,7 +232,7 @@
 // signal sends a signal to a process.
 func (c *cluster) signal(name string, s syscall.Signal) {
 	c.t.Helper()
-	if err := c.procs[name].cmd.Process.Signal(s); err != nil {
+	if err := c.processes[name].cmd.Process.Signal(s); err != nil {
 		c.t.Errorf("signal %s: %v", name, err)
 	}
 }
@@ -241,7 +241,7 @@
 func (c *cluster) terminate(name string) {
 	c.signal(name, syscall.SIGTERM)
 	select {
-	case <-c.procs[name].done:
+	case <-c.processes[name].done:
 	case <-time.After(stopTimeout):
 		c.t.Errorf("%s has not exited in time", name)
 	}
@@ -249,7 +249,7 @@
 
 // stop kills the remaining processes and removes the directory of the cluster.
 func (c *cluster) stop() {
-	for _, p := range c.procs {
+	for _, p := range c.processes {
 		if p.cmd != nil {
 			_ = p.cmd.Process.Kill()
 			<-p.done
@@ -264,7 +264,7 @@
 	c.t.Helper()
 	cmd := exec.Command(c.bin, args...)
 	cmd.Env = append(os.Environ(), "RATTANWAY_PLATFORM="+c.platformAddr, "RATTANWAY_OPERATOR_TOKEN="+operatorToken,
-		"RATTANWAY_ENTRY="+c.procs["entry-1"].addr)
+		"RATTANWAY_ENTRY="+c.processes["entry-1"].addr)
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		c.t.Fatalf("%v: %v: %s", args, err, out)
@@ -286,7 +286,7 @@
 	for _, name := range c.startOrder[:len(c.startOrder)-1] {
 		c.start(name)
 	}
-	c.runCommand("wait", "--path", "/healthz", c.procs["entry-1"].addr)
+	c.runCommand("wait", "--path", "/healthz", c.processes["entry-1"].addr)
 	model := filepath.Join(c.dir, "model")
 	c.must(os.Mkdir(model, 0o755))
 	c.must(os.WriteFile(filepath.Join(model, "weights.bin"), bytes.Repeat([]byte("weights "), 8<<10), 0o644))
@@ -304,7 +304,7 @@
 // instance gives whole responses to all calls of a short load.
 func (c *cluster) awaitServing() {
 	c.t.Helper()
-	for name, p := range c.procs {
+	for name, p := range c.processes {
 		if strings.HasPrefix(name, "engine:") {
 			c.eventually(name+" has loaded the model", func() bool { return strings.Contains(getBody(p.addr, "/engine/status"), "herbs") })
 		}
@@ -323,7 +323,7 @@
 func (c *cluster) entryAddrs() []string {
 	var addrs []string
 	for i := range 4 {
-		addrs = append(addrs, c.procs[fmt.Sprintf("entry-%d", i+1)].addr)
+		addrs = append(addrs, c.processes[fmt.Sprintf("entry-%d", i+1)].addr)
 	}
 	return addrs
 }
@@ -332,7 +332,7 @@
 func (c *cluster) serviceAddrs() []string {
 	var addrs []string
 	for _, dc := range dataCentres {
-		addrs = append(addrs, c.procs["service:lots-"+dc.name].addr)
+		addrs = append(addrs, c.processes["service:lots-"+dc.name].addr)
 	}
 	return addrs
 }
@@ -352,7 +352,7 @@
 // engineCounters reads an engine's counters.
 func (c *cluster) engineCounters(server string) engine.Counters {
 	var n engine.Counters
-	if err := json.Unmarshal([]byte(getBody(c.procs["engine:"+server].addr, "/engine/counters")), &n); err != nil {
+	if err := json.Unmarshal([]byte(getBody(c.processes["engine:"+server].addr, "/engine/counters")), &n); err != nil {
 		c.t.Errorf("counters of %s: %v", server, err)
 	}
 	return n
@@ -360,7 +360,7 @@
 
 // metric reads the value of a gauge from an entry instance or agent.
 func (c *cluster) metric(process, gauge string) float64 {
-	req, err := http.NewRequest(http.MethodGet, "http://"+c.procs[process].addr+metrics.Path, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+c.processes[process].addr+metrics.Path, nil)
 	c.must(err)
 	req.Header.Set(core.HeaderPeerToken, peerToken)
 	resp, err := http.DefaultClient.Do(req)
--- a/test/faults/entry_datacentre_test.go
+++ b/test/faults/entry_datacentre_test.go
@@ -29,8 +29,9 @@
 	// changeDuration is the duration of the load during which the data centre is
 	// drained and returned to service.
 	changeDuration = 18 * time.Second
-	// maxFirstTokenRatio is the limit of the 95th percentile of the time to the first
-	// token during the change, as a multiple of the one without a change.
+	// maxFirstTokenRatio is the limit of the 95th percentile of the time to the
+	// first token during the change, as a multiple of the same percentile without a
+	// change.
 	maxFirstTokenRatio = 1.5
 )
 
@@ -38,7 +39,7 @@
 // data centre.
 func (c *cluster) modelServers(dc string) []string {
 	var names []string
-	for name := range c.procs {
+	for name := range c.processes {
 		if strings.HasPrefix(name, "gpu-"+dc) {
 			names = append(names, name)
 		}
@@ -46,8 +47,9 @@
 	return names
 }
 
-// startedCalls returns the number of calls that the engines of a data centre
-// have started, and how many of them ran while an engine was over its capacity.
+// startedCalls returns the number of calls that the engines of a data centre have
+// started, and for how many of these calls the engine was over its capacity when
+// the call started.
 func (c *cluster) startedCalls(dc string) (started, overloaded int) {
 	for _, name := range c.modelServers(dc) {
 		n := c.engineCounters(name)
@@ -60,7 +62,7 @@
 // turnCold makes the engines of a data centre cold without restarting them.
 func (c *cluster) turnCold(dc string) {
 	for _, name := range c.modelServers(dc) {
-		resp, err := http.Post("http://"+c.procs["engine:"+name].addr+"/engine/faults", "application/json",
+		resp, err := http.Post("http://"+c.processes["engine:"+name].addr+"/engine/faults", "application/json",
 			strings.NewReader(`{"cold":true}`))
 		c.must(err)
 		_ = resp.Body.Close()
@@ -113,7 +115,7 @@
 
 		r = c.runWithFault(c.scenario("stop-all", faultDelay, streamRate, streamTokens, c.entryAddrs()...), func() {
 			var stops sync.WaitGroup
-			for name := range c.procs {
+			for name := range c.processes {
 				if strings.HasPrefix(name, "entry-") || strings.HasPrefix(name, "gpu-") {
 					stops.Go(func() { c.terminate(name) })
 				}
@@ -123,6 +125,6 @@
 		So(r.All.Outcomes[requests.OutcomeCut], ShouldEqual, 0)
 		So(r.All.Outcomes[requests.OutcomeWrong], ShouldEqual, 0)
 		So(r.All.Outcomes["unknown"]+r.All.Outcomes["incomplete"], ShouldEqual, 0)
-		So(c.procs["entry-1"].cmd.ProcessState.Sys().(syscall.WaitStatus).ExitStatus(), ShouldEqual, 0)
+		So(c.processes["entry-1"].cmd.ProcessState.Sys().(syscall.WaitStatus).ExitStatus(), ShouldEqual, 0)
 	})
 }
--- a/test/faults/entry_engine_test.go
+++ b/test/faults/entry_engine_test.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	// crossedDuration is how long an engine returns responses to other requests.
-	crossedDuration = 4 * time.Second
+	// foreignResponseDuration is how long an engine returns responses that belong
+	// to other requests.
+	foreignResponseDuration = 4 * time.Second
 	// isolationDuration is how long palermo is cut off from everything else.
 	isolationDuration = 10 * time.Second
 	// oneDataCentreRate is a load, in calls per second, that one data centre can
@@ -24,7 +25,7 @@
 
 // setEngineFaults replaces the faults of one engine.
 func (c *cluster) setEngineFaults(server, faults string) {
-	resp, err := http.Post("http://"+c.procs["engine:"+server].addr+"/engine/faults", "application/json", strings.NewReader(faults))
+	resp, err := http.Post("http://"+c.processes["engine:"+server].addr+"/engine/faults", "application/json", strings.NewReader(faults))
 	c.must(err)
 	_ = resp.Body.Close()
 }
@@ -33,7 +34,7 @@
 // prefix have used together since their start.
 func (c *cluster) totalCPUTime(prefix string) time.Duration {
 	var sum float64
-	for name := range c.procs {
+	for name := range c.processes {
 		if strings.HasPrefix(name, prefix) {
 			sum += c.metric(name, "process.cpu.microseconds")
 		}
@@ -57,7 +58,7 @@
 // process in the other data centres. Freezing them all isolates palermo.
 func (c *cluster) processesOutsidePalermo() []string {
 	names := []string{"platform", "entry-2", "entry-3"}
-	for name := range c.procs {
+	for name := range c.processes {
 		if strings.Contains(name, "trapani") || strings.Contains(name, "catania") {
 			names = append(names, name)
 		}
@@ -74,7 +75,7 @@
 
 		r := c.runWithFault(c.scenario("crossed", loadDuration, streamRate, streamTokens, c.entryAddrs()...), func() {
 			c.setEngineFaults("gpu-trapani-1", `{"crossed":true}`)
-			<-time.After(crossedDuration)
+			<-time.After(foreignResponseDuration)
 			c.setEngineFaults("gpu-trapani-1", `{}`)
 		})
 		assertAllWhole(r, 0)
@@ -82,7 +83,7 @@
 		r = c.runWithFault(c.scenario("turned-cold", loadDuration, twoDataCentresRate, streamTokens, c.entryAddrs()...), func() { c.turnCold("trapani") })
 		assertAllWhole(r, 0)
 
-		palermoEntries := []string{c.procs["entry-1"].addr, c.procs["entry-4"].addr}
+		palermoEntries := []string{c.processes["entry-1"].addr, c.processes["entry-4"].addr}
 		r = c.runWithFault(c.scenario("cut-off", faultDelay+isolationDuration+faultDelay, oneDataCentreRate, streamTokens, palermoEntries...), func() {
 			for _, name := range c.processesOutsidePalermo() {
 				c.signal(name, syscall.SIGSTOP)
--- a/test/faults/entry_kill_test.go
+++ b/test/faults/entry_kill_test.go
@@ -27,17 +27,17 @@
 	freezeDuration = 10 * time.Second
 	// warmUpDuration is the duration of one round of the warm-up.
 	warmUpDuration = 4 * time.Second
-	// warmUpRate is the load of the warm-up, in calls per second. It fills every
-	// slot with responses of half the length.
+	// warmUpRate is the load of the warm-up, in calls per second. With responses of
+	// streamTokens/2 tokens, it fills every slot.
 	warmUpRate = 320
 	// maxWarmUps is the largest number of rounds of the warm-up.
 	maxWarmUps = 30
-	// minWarmShare is the share of the declared limits from which on the servers
-	// count as warm.
+	// minWarmShare is the smallest sum of the servers' current limits at which the
+	// servers count as warm, as a share of the sum of their declared limits.
 	minWarmShare = 0.9
 )
 
-// engineArgs make streams of 60 tokens last about 3 s.
+// engineArgs are arguments with which a stream of 60 tokens lasts about 3 s.
 var engineArgs = []string{"--slots", "64", "--warm-limit", "48", "--cold-limit", "8",
 	"--per-token", "50ms", "--first-token", "50ms"}
 
@@ -122,7 +122,8 @@
 		r = c.runWithFault(c.scenario("kill-entry", loadDuration, streamRate, streamTokens, entries...), func() {
 			c.signal("entry-4", syscall.SIGKILL)
 		})
-		// The killed entry instance had a quarter of the calls.
+		// Half of the largest number of calls in flight may be lost; the killed
+		// entry instance had a quarter of the calls.
 		assertAllWhole(r, r.MaxInFlight/2)
 		So(r.All.Outcomes[requests.OutcomeCut]+r.All.Outcomes[requests.OutcomeLost], ShouldEqual, r.All.Calls-r.All.Outcomes[requests.OutcomeWhole])
 	})
--- a/test/faults/weights_rollout_test.go
+++ b/test/faults/weights_rollout_test.go
@@ -33,14 +33,14 @@
 	// read from the origin in a rollback, in copies of the version. The restarted
 	// agent has lost its chunks, and reads again those of which it is an owner.
 	maxRollbackCopies = 0.5
-	// rolloutRate is the load during a rollout without faults, in calls per
+	// rolloutCallRate is the load during a rollout without faults, in calls per
 	// second.
-	rolloutRate = 25
-	// rolloutTokens is the number of tokens of a response.
+	rolloutCallRate = 25
+	// rolloutTokens is the number of tokens of each response.
 	rolloutTokens = 20
-	// faultRate is a load, in calls per second, that cold servers can serve while
-	// two of nine are down and others switch versions.
-	faultRate = 8
+	// faultCallRate is a load, in calls per second, that cold servers can serve
+	// while two of nine are down and others switch versions.
+	faultCallRate = 8
 )
 
 // publishVersion publishes and declares a version of size bytes and returns
@@ -79,7 +79,7 @@
 // version.
 func (c *cluster) awaitVersion(digest string) {
 	c.t.Helper()
-	for name, p := range c.procs {
+	for name, p := range c.processes {
 		if !strings.HasPrefix(name, "engine:") {
 			continue
 		}
@@ -97,12 +97,12 @@
 		scenario := func(name string, d time.Duration, rate float64) *requests.Scenario {
 			return c.scenario(name, d, rate, rolloutTokens, c.entryAddrs()...)
 		}
-		quiet := c.runWithFault(scenario("quiet", loadDuration, rolloutRate), func() {})
+		quiet := c.runWithFault(scenario("quiet", loadDuration, rolloutCallRate), func() {})
 
 		// A new version reaches all engines, and callers get whole responses.
 		v2Digest := c.publishVersion("v2", rolloutBytes)
 		before := c.originBytes()
-		duringRollout := c.runWithFault(scenario("burst", 2*loadDuration, rolloutRate), func() { c.applyVersion("v2") })
+		duringRollout := c.runWithFault(scenario("burst", 2*loadDuration, rolloutCallRate), func() { c.applyVersion("v2") })
 		c.awaitVersion(v2Digest)
 		copies := c.copiesSince(before)
 		// All processes share the processors of this machine, so latencies are
@@ -118,7 +118,7 @@
 		v3Digest := c.publishVersion("v3", rolloutBytes)
 		before = c.originBytes()
 		c.postToStandIn(c.platformAddr, "/faults", `{"corrupt": {"store": "weights", "times": 3}}`)
-		duringRollout = c.runWithFault(scenario("burst with faults", 2*loadDuration, faultRate), func() {
+		duringRollout = c.runWithFault(scenario("burst with faults", 2*loadDuration, faultCallRate), func() {
 			c.applyVersion("v3")
 			c.signal("gpu-catania-1", syscall.SIGKILL)
 			c.signal("gpu-palermo-2", syscall.SIGSTOP)
--- a/test/inprocess/cluster_test.go
+++ b/test/inprocess/cluster_test.go
@@ -134,8 +134,8 @@
 	c.servers = append(c.servers, s)
 }
 
-// startEntry starts entry instance n+1, which opens exchanges with agents by opener and
-// receives no reports before sendReports runs.
+// startEntry starts entry instance n+1. It opens exchanges with agents through
+// opener, and receives no reports until sendReports runs.
 func (c *cluster) startEntry(n int, opener work.Opener) {
 	self := core.Instance{ID: fmt.Sprintf("entry-%d", n+1), DataCentre: dataCentres[n%3].name, Region: dataCentres[n%3].region}
 	reg := registry.New()
@@ -217,7 +217,8 @@
 // runScenario runs a scenario and returns its result and the goodput: the tokens
 // that the engines send in countTime, as a share of the tokens that slotCount slots
 // can send in that time. Counting starts countDelay after the start of the
-// scenario; beforeCount, unless nil, runs just before.
+// scenario; If beforeCount is not nil, it runs immediately before the counting
+// starts.
 func (c *cluster) runScenario(s *requests.Scenario, slotCount int, countDelay time.Duration, beforeCount func()) (*requests.Result, float64) {
 	var sent int
 	countDone := make(chan struct{})
--- a/test/inprocess/opener.go
+++ b/test/inprocess/opener.go
@@ -65,7 +65,8 @@
 }
 
 // exchange carries the frames of one request between an entry instance and an
-// agent. The entry instance calls its methods; the agent uses agentEnd.
+// agent. The entry instance uses the methods of exchange; the agent uses those of
+// agentEnd.
 type exchange struct {
 	toEntry, toAgent chan frame.Frame
 	// ended is closed when the entry instance closes the exchange or the
@@ -106,7 +107,8 @@
 	}
 }
 
-// Close implements work.Exchange.
+// Close implements work.Exchange. It cancels the context of the handler. If whole
+// is true, it first waits until the handler has returned.
 func (x *exchange) Close(whole bool) {
 	x.closeOnce.Do(func() {
 		if whole {
--- a/test/inprocess/overload_test.go
+++ b/test/inprocess/overload_test.go
@@ -46,8 +46,8 @@
 	return requests.Range{Min: meanTokens / 2, Max: meanTokens * 3 / 2}
 }
 
-// callsPerSecond returns the rate of calls of mean length at which slotCount slots
-// are occupied.
+// callsPerSecond returns the rate at which calls with responses of streamTokens
+// tokens occupy slotCount slots on average.
 func callsPerSecond(slotCount int) float64 { return float64(slotCount) / streamTime.Seconds() }
 
 func TestTwiceTheCapacityOfNineServers(t *testing.T) {
--- a/test/inprocess/rollout_test.go
+++ b/test/inprocess/rollout_test.go
@@ -14,13 +14,13 @@
 
 const (
 	nextDigest = core.Digest("sha256:bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb")
-	// rolloutRate is the load during a rollout, in calls per second. About 25
-	// calls run at once, of the 72 that nine cold servers can run.
-	rolloutRate = 25
+	// rolloutCallRate is the load during a rollout, in calls per second. About 25
+	// calls run at once; nine cold servers can run 72.
+	rolloutCallRate = 25
 	// rolloutTokens is the number of tokens of a response during a rollout.
 	rolloutTokens = 20
-	// loadTime is how long a server has no version loaded.
-	loadTime = 100 * time.Millisecond
+	// unloadedTime is how long a server has no version loaded during a rollout.
+	unloadedTime = 100 * time.Millisecond
 )
 
 // rollOut declares the next version and loads it on one server after another, in
@@ -35,7 +35,7 @@
 			c.t.Error(err)
 		}
 		s.setLoaded()
-		<-time.After(loadTime)
+		<-time.After(unloadedTime)
 		next := frame.Loaded{Model: testModel, Version: "v2", Digest: nextDigest}
 		s.engine.Preload(next)
 		s.setLoaded(next)
@@ -46,7 +46,7 @@
 	RunInVirtualTime(t, func(t *testing.T) {
 		Convey("Given nine cold servers under load, the rollout of a new version causes no refusal", t, func() {
 			c := newCluster(t, engineConfig(engineColdLimit, 0.0001), engineColdLimit)
-			load := c.scenario("rollout", 20*time.Second, rolloutRate, requests.Range{Min: rolloutTokens, Max: rolloutTokens})
+			load := c.scenario("rollout", 20*time.Second, rolloutCallRate, requests.Range{Min: rolloutTokens, Max: rolloutTokens})
 			r, _ := c.runScenario(load, engineColdLimit*serverCount, fillTime, c.rollOut)
 			t.Logf("%v %v", r.All.Outcomes, r.All.Details)
 			So(r.All.Outcomes[requests.OutcomeWhole], ShouldEqual, r.All.Calls)
--- a/test/inprocess/virtual.go
+++ b/test/inprocess/virtual.go
@@ -9,7 +9,7 @@
 )
 
 // settleTime is the virtual time that a test waits at its end until background
-// loops have ended by themselves. It is longer than any of them runs after the last
+// loops have ended by themselves. No background loop runs that long after the last
 // call.
 const settleTime = 10 * time.Second
 
--- a/test/ports/ports.go
+++ b/test/ports/ports.go
@@ -11,8 +11,9 @@
 	"github.com/go-faster/errors"
 )
 
-// The range lies below the operating system's ephemeral ports, so that no
-// outgoing connection takes a port before a process listens on it.
+// Limits of the search for free ports. The range of ports lies below the operating
+// system's ephemeral ports, so that no outgoing connection takes a port before a
+// process listens on it.
 const (
 	// minPort is the lowest port of the range.
 	minPort = 12000
@@ -32,8 +33,8 @@
 )
 
 // FreeAddrs returns n different addresses ("127.0.0.1:port") on which nothing
-// listens. They stay reserved until the calling process ends. It returns an
-// error when it finds fewer than n.
+// listens. The addresses stay reserved until the calling process ends. FreeAddrs
+// returns an error if it finds fewer than n free addresses in maxAttempts attempts.
 func FreeAddrs(n int) ([]string, error) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -50,8 +51,8 @@
 	return nil, errors.Errorf("fewer than %d free ports found", n)
 }
 
-// reserve reserves addr by a UDP socket that stays bound. It reports false, and
-// leaves nothing bound, if the UDP port or the TCP port is in use.
+// reserve reserves addr: it binds a UDP socket to addr that stays open. It reports
+// false, and leaves nothing bound, if the UDP port or the TCP port is in use.
 func reserve(addr string) bool {
 	udp, err := net.ListenPacket("udp4", addr)
 	if err != nil {
--- a/test/sessions/call_test.go
+++ b/test/sessions/call_test.go
@@ -29,8 +29,8 @@
 	Body    string        `arg:"" optional:""`
 }
 
-// callMain runs the command call of the scripts. It prints the response to the first
-// call, and exits with status 1 if one of the calls failed.
+// callMain runs the command "call" of the test scripts. It prints the response to
+// the first call, and exits with status 1 if one of the calls failed.
 func callMain() {
 	var c callCommand
 	kong.Parse(&c)
@@ -57,7 +57,7 @@
 }
 
 // callUntilExpected retries the call until the response is as expected or Within
-// has passed. It returns the last response, with an error if that is not as
+// has passed. It returns the last response, and an error if this response is not as
 // expected.
 func (c *callCommand) callUntilExpected() (status int, body string, err error) {
 	bodyPattern := regexp.MustCompile(c.Matches)
--- a/test/wait/wait.go
+++ b/test/wait/wait.go
@@ -4,8 +4,8 @@
 import "time"
 
 const (
-	// timeout is the longest time that Until waits. It is long enough for one step
-	// of a test on a busy machine.
+	// timeout is how long Until waits at most. It is long enough for one step of a
+	// test on a busy machine.
 	timeout = 60 * time.Second
 	// pollInterval is the time between two checks of a condition.
 	pollInterval = 5 * time.Millisecond
