--- a/bench/control/bench.go
+++ b/bench/control/bench.go
@@ -53,7 +53,8 @@
 	ConcurrentCalls int
 	// TokenInterval is the time between two tokens of the engine.
 	TokenInterval time.Duration
-	// SteadyWindow is the length of a measurement in steady state.
+	// SteadyWindow is the length of a measurement in steady state, that is, while
+	// nothing changes.
 	SteadyWindow time.Duration
 	// SettleTime is the time to wait before a measurement.
 	SettleTime time.Duration
--- a/bench/control/calls.go
+++ b/bench/control/calls.go
@@ -36,7 +36,7 @@
 	entryCPU := newSeries("entry: CPU for a call", sizeUnit, "µs", tokens, 0)
 	agentCPU := newSeries("agent: CPU for a call", sizeUnit, "µs", tokens, 0)
 	r.Series = append(r.Series, entryCPU, agentCPU)
-	idle, err := t.measureBoth(ctx, t.opt.SteadyWindow)
+	idleWindows, err := t.measureBoth(ctx, t.opt.SteadyWindow)
 	if err != nil {
 		return err
 	}
@@ -46,8 +46,8 @@
 			return err
 		}
 		perCall := 1e6 / float64(t.opt.ConcurrentCalls)
-		entryCPU.add(float64(n), windows.entry.extraCPU(idle.entry)*perCall)
-		agentCPU.add(float64(n), windows.agent.extraCPU(idle.agent)*perCall)
+		entryCPU.add(float64(n), windows.entry.extraCPU(idleWindows.entry)*perCall)
+		agentCPU.add(float64(n), windows.agent.extraCPU(idleWindows.agent)*perCall)
 	}
 	if err := t.measureStreams(ctx, c, r); err != nil {
 		return err
--- a/bench/control/client.go
+++ b/bench/control/client.go
@@ -17,7 +17,7 @@
 	"github.com/rattanway/rattanway/core"
 )
 
-// maxIdleConns is the largest number of idle connections of the client.
+// maxIdleConns is the maximum number of idle connections that the client keeps.
 const maxIdleConns = 4096
 
 // client makes streamed calls and records when their tokens arrive.
--- a/bench/control/entry.go
+++ b/bench/control/entry.go
@@ -31,13 +31,13 @@
 func newEntrySeries() entrySeries {
 	registered := AgentsPerEntry(targetServerCount, HomesPerAgent(defaultMaxLocal, defaultPerRemote))
 	agents := float64(registered)
-	reports := reportsPerSecond(registered, reportIntervalAtTarget(registered))
+	targetReportRate := reportsPerSecond(registered, reportIntervalAtTarget(registered))
 	const sizeUnit = "agent"
 	return entrySeries{
 		memory:        newSeries("entry: live memory", sizeUnit, "KiB", agents, LimitMemory/kib),
 		rss:           newSeries("entry: resident set", sizeUnit, "KiB", agents, LimitMemory/kib),
 		cpu:           newSeries("entry: CPU in steady state", sizeUnit, "% of a core", agents, LimitCPU*percent),
-		traffic:       newSeries("entry: registrations in steady state", "report/s", "B/s", reports, LimitTraffic),
+		traffic:       newSeries("entry: registrations in steady state", "report/s", "B/s", targetReportRate, LimitTraffic),
 		changeCPU:     newSeries("entry: CPU for a change", sizeUnit, "ms", agents, 0),
 		changeTraffic: newSeries("entry: registrations for a change", sizeUnit, "B", agents, 0),
 		joinCPU:       newSeries("entry: CPU when all register at once", sizeUnit, "ms", agents, 0),
--- a/bench/spread/bench.go
+++ b/bench/spread/bench.go
@@ -58,8 +58,8 @@
 	Regions int
 	Fault   string
 	// Time is the time until the last agent had the version. Origin, Link and
-	// MaxSent are amounts of data: sent by the origin, sent from one region to
-	// another, and sent by the machine that sent the most.
+	// MaxSent are amounts of data: sent by the origin (the weight store), sent from
+	// one region to another, and sent by the machine that sent the most.
 	Time, Origin, Link, MaxSent float64
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -67,7 +67,8 @@
 	ReportLag time.Duration
 	// MaxCacheEntries is the largest number of cached prefixes.
 	MaxCacheEntries int
-	// Fencing makes the engine refuse orders with an outdated fencing number.
+	// Fencing makes the engine refuse orders with a fencing number that is lower
+	// than the highest one accepted so far.
 	Fencing bool
 	// PeerToken is the token with which the engine reads manifests and chunks from
 	// an agent.
--- a/test/configuration/load_test.go
+++ b/test/configuration/load_test.go
@@ -120,7 +120,7 @@
 		r.awaitInForce(number, propagationTimeout, r.daemons...)
 	}
 	<-time.After(measureDuration)
-	took := time.Since(begin).Seconds()
-	idle := steady.dividedBy(1 / took)
-	return r.totalLoad().minus(before).minus(idle).dividedBy(measuredChangeCount)
+	elapsedSeconds := time.Since(begin).Seconds()
+	steadyShare := steady.dividedBy(1 / elapsedSeconds)
+	return r.totalLoad().minus(before).minus(steadyShare).dividedBy(measuredChangeCount)
 }
--- a/test/configuration/never_falls_test.go
+++ b/test/configuration/never_falls_test.go
@@ -96,11 +96,11 @@
 		s.platformDown = !s.platformDown
 		s.setDown(s.platformDown)
 	case 3:
-		slow := int64(s.rng.IntN(300))
-		s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &slow})
+		latencyMillis := int64(s.rng.IntN(300))
+		s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &latencyMillis})
 	case 4:
-		lose := 1
-		s.setPlatformFaults(standin.FaultRequest{LoseCommitResponses: &lose})
+		commitCount := 1
+		s.setPlatformFaults(standin.FaultRequest{LoseCommitResponses: &commitCount})
 	default:
 		s.makeChange()
 	}
@@ -111,11 +111,11 @@
 	if s.killed[p] {
 		return
 	}
-	to := syscall.SIGSTOP
+	sig := syscall.SIGSTOP
 	if s.frozen[p] {
-		to = syscall.SIGCONT
+		sig = syscall.SIGCONT
 	}
-	s.signal(p, to)
+	s.signal(p, sig)
 	s.frozen[p] = !s.frozen[p]
 }
 
@@ -132,7 +132,8 @@
 }
 
 // makeChange applies a change to the newest known version through an entry instance
-// that is neither killed nor frozen. If there is none, it does nothing.
+// that is neither killed nor frozen. If there is no such entry instance, makeChange
+// does nothing.
 func (s *chaos) makeChange() {
 	var live []*process
 	for _, p := range s.entries {
@@ -171,8 +172,8 @@
 func (s *chaos) endFaults() {
 	s.platformDown = false
 	s.setDown(false)
-	quick, none := int64(0), 0
-	s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &quick, LoseCommitResponses: &none})
+	noLatencyMillis, noCommits := int64(0), 0
+	s.setPlatformFaults(standin.FaultRequest{LatencyMillis: &noLatencyMillis, LoseCommitResponses: &noCommits})
 	for _, p := range s.daemons {
 		if s.killed[p] {
 			s.toggleKilled(p)
--- a/test/faults/agent_once_test.go
+++ b/test/faults/agent_once_test.go
@@ -19,7 +19,8 @@
 	"github.com/rattanway/rattanway/request/serve"
 )
 
-// responseTimeout is the longest wait for the next message of an exchange.
+// responseTimeout is the longest wait for the next message of an exchange, the
+// messages of one request between an entry instance and an agent.
 const responseTimeout = 20 * time.Second
 
 // agentClient sends requests to one agent of a cluster as an entry instance
--- a/test/faults/entry_datacentre_test.go
+++ b/test/faults/entry_datacentre_test.go
@@ -114,13 +114,13 @@
 		assertAtMostOnce(r)
 
 		r = c.runWithFault(c.scenario("stop-all", faultDelay, streamRate, streamTokens, c.entryAddrs()...), func() {
-			var stops sync.WaitGroup
+			var terminations sync.WaitGroup
 			for name := range c.processes {
 				if strings.HasPrefix(name, "entry-") || strings.HasPrefix(name, "gpu-") {
-					stops.Go(func() { c.terminate(name) })
+					terminations.Go(func() { c.terminate(name) })
 				}
 			}
-			stops.Wait()
+			terminations.Wait()
 		})
 		So(r.All.Outcomes[requests.OutcomeCut], ShouldEqual, 0)
 		So(r.All.Outcomes[requests.OutcomeWrong], ShouldEqual, 0)
--- a/test/faults/entry_engine_test.go
+++ b/test/faults/entry_engine_test.go
@@ -48,10 +48,10 @@
 	entryCPU, agentCPU := c.totalCPUTime("entry-"), c.totalCPUTime("gpu-")
 	r := run()
 	entryCPU, agentCPU = c.totalCPUTime("entry-")-entryCPU, c.totalCPUTime("gpu-")-agentCPU
-	per := func(d time.Duration, n int) time.Duration { return d / time.Duration(max(1, n)) }
+	divide := func(d time.Duration, n int) time.Duration { return d / time.Duration(max(1, n)) }
 	c.t.Logf("%d calls, %d tokens; CPU time of entry instances: %s per call, %s per token; of agents: %s per call, %s per token",
-		r.All.Calls, r.All.TokenCount, per(entryCPU, r.All.Calls), per(entryCPU, r.All.TokenCount),
-		per(agentCPU, r.All.Calls), per(agentCPU, r.All.TokenCount))
+		r.All.Calls, r.All.TokenCount, divide(entryCPU, r.All.Calls), divide(entryCPU, r.All.TokenCount),
+		divide(agentCPU, r.All.Calls), divide(agentCPU, r.All.TokenCount))
 }
 
 // processesOutsidePalermo returns the names of the platform and of every
