--- a/bench/control/calls.go
+++ b/bench/control/calls.go
@@ -23,8 +23,9 @@
 	targetSecondsPerToken = 0.035
 )
 
-// measureCalls measures the processor time and memory that relayed calls take in
-// both daemons, in addition to the control path.
+// measureCalls measures the processor time that relayed calls use in both daemons,
+// beyond what the daemons use without calls. It also measures the memory of both
+// daemons with open streams.
 func (t *testbed) measureCalls(ctx context.Context, r *Report) error {
 	c := newClient()
 	if err := c.waitUntilReady(ctx, t.opt.EntryAddr); err != nil {
@@ -35,7 +36,7 @@
 	entryCPU := newSeries("entry: CPU for a call", sizeUnit, "µs", tokens, 0)
 	agentCPU := newSeries("agent: CPU for a call", sizeUnit, "µs", tokens, 0)
 	r.Series = append(r.Series, entryCPU, agentCPU)
-	idle, err := t.measureBoth(ctx, t.opt.SteadyWindow)
+	idleWindows, err := t.measureBoth(ctx, t.opt.SteadyWindow)
 	if err != nil {
 		return err
 	}
@@ -45,8 +46,8 @@
 			return err
 		}
 		perCall := 1e6 / float64(t.opt.ConcurrentCalls)
-		entryCPU.add(float64(n), windows.entry.extraCPU(idle.entry)*perCall)
-		agentCPU.add(float64(n), windows.agent.extraCPU(idle.agent)*perCall)
+		entryCPU.add(float64(n), windows.entry.extraCPU(idleWindows.entry)*perCall)
+		agentCPU.add(float64(n), windows.agent.extraCPU(idleWindows.agent)*perCall)
 	}
 	if err := t.measureStreams(ctx, c, r); err != nil {
 		return err
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// measureLoad measures both daemons while Options.Streams concurrent calls of n
-// tokens run.
+// measureLoad measures both daemons while Options.ConcurrentCalls concurrent calls
+// of n tokens run.
 func (t *testbed) measureLoad(ctx context.Context, c *client, n int) (daemonWindows, error) {
 	done := make(chan error, 1)
 	length := time.Duration(n+2)*t.opt.TokenInterval + t.opt.SettleTime
