--- a/bench/control/testbed.go
+++ b/bench/control/testbed.go
@@ -179,7 +179,7 @@
 		report := func() frame.Report {
 			return frame.Report{
 				State: frame.StateReady, Limit: 16, ConfigNumber: holder.Current().Number,
-				Loaded: []frame.Loaded{{Model: "other", Version: "v1", Digest: core.DigestOf(nil)}},
+				Loaded: []frame.LoadedVersion{{Model: "other", Version: "v1", Digest: core.DigestOf(nil)}},
 			}
 		}
 		hub := confsync.NewHub(confsync.HolderSource{Holder: holder}, t.log)
--- a/bench/history/history.go
+++ b/bench/history/history.go
@@ -110,9 +110,9 @@
 	Whole int `json:"whole"`
 	// NotRun is the number of submissions that were refused as "not-run".
 	NotRun int `json:"notRun"`
-	// Unknown is the number of submissions that were refused with another outcome
+	// OtherRefusals is the number of submissions that were refused with another outcome
 	// than "not-run".
-	Unknown int `json:"unknown"`
+	OtherRefusals int `json:"unknown"`
 	// Broken is the number of submissions whose connection broke.
 	Broken int `json:"broken"`
 	// Violations describes every violation of a rule.
@@ -174,7 +174,7 @@
 	case r.Outcome == core.OutcomeNotRun:
 		result.NotRun++
 	case r.Outcome != "":
-		result.Unknown++
+		result.OtherRefusals++
 	default:
 		result.Whole++
 	}
--- a/connection/confsync/confsync.go
+++ b/connection/confsync/confsync.go
@@ -151,7 +151,7 @@
 		s.pullSentAt = time.Now()
 	}
 	s.mu.Unlock()
-	return s.conn.Send(frame.KindPull, frame.Pull{Have: s.hub.source.Number()})
+	return s.conn.Send(frame.KindPull, frame.Pull{HeldNumber: s.hub.source.Number()})
 }
 
 // applyConfirmation records that the peer's newest version is number, if the frame
@@ -188,7 +188,7 @@
 		if err := f.Decode(&p); err != nil {
 			return true, err
 		}
-		return true, s.sendVersion(p.Have)
+		return true, s.sendVersion(p.HeldNumber)
 	case frame.KindConfig:
 		var c frame.Config
 		if err := f.Decode(&c); err != nil {
@@ -260,7 +260,7 @@
 	s.raisePeerVersion(c.Number)
 	err := s.hub.source.Offer(c)
 	if errors.Is(err, confstore.ErrBaseMismatch) {
-		return s.conn.Send(frame.KindPull, frame.Pull{Have: 0})
+		return s.conn.Send(frame.KindPull, frame.Pull{HeldNumber: 0})
 	}
 	if err != nil {
 		s.hub.log.EventWithError(eventConfigRejected, err, eventlog.Fields{
--- a/connection/confsync/holder.go
+++ b/connection/confsync/holder.go
@@ -30,13 +30,13 @@
 	if errors.Is(err, confstore.ErrPeerUpToDate) {
 		return frame.Config{Number: peerVersion}, nil
 	}
-	return frame.Config{Number: e.Number, Digest: e.Digest, Base: e.Base, Body: e.Body}, err
+	return frame.Config{Number: e.Number, Digest: e.Digest, Base: e.BaseNumber, Body: e.Body}, err
 }
 
 // Offer implements Source.
 func (s HolderSource) Offer(c frame.Config) error {
 	return confstore.OfferEncoded(s.Holder, confstore.EncodedVersion{
-		Number: c.Number, Digest: c.Digest, Base: c.Base, Body: c.Body,
+		Number: c.Number, Digest: c.Digest, BaseNumber: c.Base, Body: c.Body,
 	})
 }
 
--- a/connection/engine/engine.go
+++ b/connection/engine/engine.go
@@ -13,7 +13,7 @@
 // Status is an engine's status report. It may lag behind the actual state.
 type Status struct {
 	// Loaded lists the loaded model versions, which can serve calls.
-	Loaded []frame.Loaded `json:"loaded"`
+	Loaded []frame.LoadedVersion `json:"loaded"`
 	// InFlight is the number of running calls.
 	InFlight int `json:"inFlight"`
 	// Queued is the number of waiting calls.
--- a/connection/engine/http_test.go
+++ b/connection/engine/http_test.go
@@ -113,7 +113,7 @@
 			eng.status.InFlight = 3
 			m.poll(context.Background())
 			So(isClosed(changed), ShouldBeFalse)
-			eng.status.Loaded = []frame.Loaded{{Model: "herbs"}}
+			eng.status.Loaded = []frame.LoadedVersion{{Model: "herbs"}}
 			m.poll(context.Background())
 			So(isClosed(changed), ShouldBeTrue)
 		})
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -63,8 +63,8 @@
 	StateDown State = "down"
 )
 
-// Loaded is a model version that an engine reports as loaded.
-type Loaded struct {
+// LoadedVersion is a model version that an engine reports as loaded.
+type LoadedVersion struct {
 	// Model is the name of the model.
 	Model string `cbor:"1,keyasint" json:"model"`
 	// Version is the name of the version.
@@ -87,7 +87,7 @@
 	ConfigNumber uint64 `cbor:"5,keyasint"`
 	// Loaded lists the versions that the engine reports as loaded. It is only
 	// sent with LoadedChanged set.
-	Loaded []Loaded `cbor:"6,keyasint,omitempty"`
+	Loaded []LoadedVersion `cbor:"6,keyasint,omitempty"`
 	// LoadedChanged is true if Loaded replaces the list of the last report;
 	// otherwise that list is still valid.
 	LoadedChanged bool `cbor:"7,keyasint,omitempty"`
@@ -133,9 +133,9 @@
 
 // Pull requests the configuration.
 type Pull struct {
-	// Have is the number of the requester's version, so that the peer can send
+	// HeldNumber is the number of the requester's version, so that the peer can send
 	// only the delta from that version; 0 requests the complete configuration.
-	Have uint64 `cbor:"1,keyasint"`
+	HeldNumber uint64 `cbor:"1,keyasint"`
 }
 
 // Config carries a configuration version, either complete or as the delta from
@@ -189,8 +189,8 @@
 	// ResumeTokens is the number of tokens that the caller has already received;
 	// the engine continues the response after them.
 	ResumeTokens int `cbor:"13,keyasint,omitempty"`
-	// Attempt is the number of the attempt at a keyed once-only call, from 1.
-	Attempt int `cbor:"14,keyasint,omitempty"`
+	// AttemptNumber is the number of the attempt at a keyed once-only call, from 1.
+	AttemptNumber int `cbor:"14,keyasint,omitempty"`
 	// Key identifies a keyed once-only call by client account, service and the
 	// caller's Idempotency-Key; empty if the call has no key.
 	Key string `cbor:"15,keyasint,omitempty"`
@@ -281,10 +281,10 @@
 type End struct {
 	// ID is the request id.
 	ID string `cbor:"1,keyasint"`
-	// Bytes is the length of the response body.
-	Bytes int64 `cbor:"2,keyasint"`
-	// Sum is the xxhash64 checksum of the response body.
-	Sum uint64 `cbor:"3,keyasint"`
+	// BodyBytes is the length of the response body.
+	BodyBytes int64 `cbor:"2,keyasint"`
+	// BodyChecksum is the xxhash64 checksum of the response body.
+	BodyChecksum uint64 `cbor:"3,keyasint"`
 	// Load is the agent's current load.
 	Load Load `cbor:"4,keyasint"`
 }
@@ -310,8 +310,8 @@
 	ID string `cbor:"1,keyasint"`
 	// Key identifies the keyed call.
 	Key string `cbor:"2,keyasint"`
-	// Attempt is the number of the attempt in question.
-	Attempt int `cbor:"3,keyasint"`
+	// AttemptNumber is the number of the attempt in question.
+	AttemptNumber int `cbor:"3,keyasint"`
 }
 
 // AttemptState is the state of an attempt of a keyed call at an agent.
--- a/connection/frame/frame_test.go
+++ b/connection/frame/frame_test.go
@@ -74,7 +74,7 @@
 	for kind, msg := range map[Kind]any{
 		KindHello:   Hello{Incarnation: "i"},
 		KindRequest: Request{ID: "r", Body: []byte("b")},
-		KindEnd:     End{ID: "r", Bytes: 3},
+		KindEnd:     End{ID: "r", BodyBytes: 3},
 	} {
 		raw, err := Encode(kind, msg)
 		if err != nil {
--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -310,7 +310,7 @@
 
 // sameLoaded reports whether two lists contain the same loaded versions in the
 // same order.
-func sameLoaded(a, b []frame.Loaded) bool {
+func sameLoaded(a, b []frame.LoadedVersion) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/connection/homes/homes_test.go
+++ b/connection/homes/homes_test.go
@@ -176,7 +176,7 @@
 			So(waitUntil(func() bool { return agentSource.Number() == 5 }), ShouldBeTrue)
 
 			mu.Lock()
-			report.Loaded = []frame.Loaded{{Model: "herbs", Digest: "d1"}}
+			report.Loaded = []frame.LoadedVersion{{Model: "herbs", Digest: "d1"}}
 			mu.Unlock()
 			So(waitUntil(func() bool {
 				srv, _ := reg.Get("gpu-1")
@@ -204,7 +204,7 @@
 				changedAt := time.Now()
 				So(waitUntil(func() bool { srv, _ := reg.Get("gpu-1"); return srv.LastSeen.After(changedAt) }), ShouldBeTrue)
 				after, _ := reg.Get("gpu-1")
-				So(after.Registration, ShouldEqual, before.Registration)
+				So(after.RegistrationNumber, ShouldEqual, before.RegistrationNumber)
 			}
 
 			listener.Close()
--- a/connection/orders/cluster_test.go
+++ b/connection/orders/cluster_test.go
@@ -33,7 +33,7 @@
 	clock           clockwork.Clock
 	enforcesFencing bool
 	ignoreOrders    bool
-	loaded          []frame.Loaded
+	loaded          []frame.LoadedVersion
 	orders          []engine.Order
 	fence           uint64
 }
@@ -51,8 +51,8 @@
 	if e.ignoreOrders {
 		return nil
 	}
-	l := frame.Loaded{Model: o.Model, Version: o.Version, Digest: o.Digest}
-	e.loaded = slices.DeleteFunc(e.loaded, func(other frame.Loaded) bool { return other == l })
+	l := frame.LoadedVersion{Model: o.Model, Version: o.Version, Digest: o.Digest}
+	e.loaded = slices.DeleteFunc(e.loaded, func(other frame.LoadedVersion) bool { return other == l })
 	if o.Action == actionLoad {
 		e.loaded = append(e.loaded, l)
 	}
--- a/connection/orders/drain.go
+++ b/connection/orders/drain.go
@@ -21,7 +21,7 @@
 // false without waiting, and a later pass calls it again. It returns true if
 // the engine accepted the order. Running calls of the version are not
 // interrupted.
-func (c *Controller) drainAndUnload(ctx context.Context, in *passInput, l frame.Loaded) bool {
+func (c *Controller) drainAndUnload(ctx context.Context, in *passInput, l frame.LoadedVersion) bool {
 	d, ok := c.drains[l.Digest]
 	if !ok {
 		d = c.startDrain(ctx, l.Digest)
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -370,14 +370,14 @@
 func (c *Controller) startFetch(ctx context.Context, w placement.Assignment) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fetched[w.Digest] != nil || c.fetching[w.Digest] != nil {
+	if c.fetched[w.ManifestDigest] != nil || c.fetching[w.ManifestDigest] != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	c.fetching[w.Digest] = cancel
+	c.fetching[w.ManifestDigest] = cancel
 	go func() {
 		defer cancel()
-		m, err := c.fetcher.Fetch(ctx, w.Digest, func() []core.Instance { return c.AssignedAgents(w.Digest) })
+		m, err := c.fetcher.Fetch(ctx, w.ManifestDigest, func() []core.Instance { return c.AssignedAgents(w.ManifestDigest) })
 		c.finishFetch(ctx, w, m, err)
 	}()
 }
@@ -386,9 +386,9 @@
 // drops unwanted chunks. The next pass starts a failed fetch again.
 func (c *Controller) finishFetch(ctx context.Context, w placement.Assignment, m *manifest.Manifest, err error) {
 	c.mu.Lock()
-	delete(c.fetching, w.Digest)
+	delete(c.fetching, w.ManifestDigest)
 	if err == nil {
-		c.fetched[w.Digest] = m
+		c.fetched[w.ManifestDigest] = m
 	}
 	c.mu.Unlock()
 	if err == nil {
@@ -398,7 +398,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	c.log.EventWithError(eventVersionFetchFailed, err, eventlog.Fields{"model": w.Model, "version": w.Digest})
+	c.log.EventWithError(eventVersionFetchFailed, err, eventlog.Fields{"model": w.Model, "version": w.ManifestDigest})
 	if errors.Is(err, spread.ErrFull) {
 		c.dropUnwantedChunks()
 	}
@@ -409,7 +409,7 @@
 	c.mu.Lock()
 	wanted := map[core.Digest]bool{}
 	for _, w := range c.plan.Assignments(c.cfg.Self.ID) {
-		wanted[w.Digest] = true
+		wanted[w.ManifestDigest] = true
 	}
 	var keep []*manifest.Manifest
 	for d, m := range c.fetched {
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -208,7 +208,7 @@
 		c := newCluster(t, 1, 1)
 		a := c.agents[0]
 		v1 := core.DigestOf([]byte("m-1"))
-		a.engine.loaded = []frame.Loaded{{Model: "m", Version: "m-1", Digest: v1}}
+		a.engine.loaded = []frame.LoadedVersion{{Model: "m", Version: "m-1", Digest: v1}}
 		c.declareVersion("m", "m-1", "", 1)
 		So(c.stepUntil(func() bool { return a.fetcher.fetchCount(v1) > 0 }), ShouldBeFalse)
 		a.engine.loaded = nil
@@ -231,7 +231,7 @@
 		})
 		Convey("nothing is unloaded until the table is available again", func() {
 			old := core.DigestOf([]byte("m-1"))
-			a.engine.loaded = []frame.Loaded{{Model: "m", Version: "m-1", Digest: old}}
+			a.engine.loaded = []frame.LoadedVersion{{Model: "m", Version: "m-1", Digest: old}}
 			v2 := c.declareVersion("m", "m-2", "", 1)
 			for range 60 {
 				c.step()
--- a/connection/orders/peers.go
+++ b/connection/orders/peers.go
@@ -31,7 +31,7 @@
 type versionsResponse struct {
 	// Loaded lists the versions that the engine reports as loaded. It is empty
 	// while there is no current report of the engine.
-	Loaded []frame.Loaded `json:"loaded"`
+	Loaded []frame.LoadedVersion `json:"loaded"`
 }
 
 // Handler returns the handler for VersionsPath. It refuses requests without the
@@ -77,7 +77,7 @@
 }
 
 // containsDigest reports whether a list of loaded versions contains the digest d.
-func containsDigest(loaded []frame.Loaded, d core.Digest) bool {
+func containsDigest(loaded []frame.LoadedVersion, d core.Digest) bool {
 	for _, l := range loaded {
 		if l.Digest == d {
 			return true
--- a/connection/orders/progress.go
+++ b/connection/orders/progress.go
@@ -69,16 +69,16 @@
 	var all []Progress
 	loadedCount := 0
 	for _, w := range in.wanted {
-		p := Progress{Model: w.Model, Version: w.Version, Digest: w.Digest, Rank: w.Rank}
-		p.State = c.stateOf(in, w.Digest, statusKnown)
+		p := Progress{Model: w.Model, Version: w.Version, Digest: w.ManifestDigest, Rank: w.Rank}
+		p.State = c.stateOf(in, w.ManifestDigest, statusKnown)
 		if p.State == StateLoaded {
 			loadedCount++
 		}
 		if p.State == StateFetching || p.State == StateVerified {
-			p.Reason = c.waitReasons[w.Digest]
+			p.Reason = c.waitReasons[w.ManifestDigest]
 		}
 		if f, ok := c.fetcher.(progressReporter); ok {
-			p.Fetch, _ = f.Progress(w.Digest)
+			p.Fetch, _ = f.Progress(w.ManifestDigest)
 		}
 		all = append(all, p)
 	}
--- a/connection/orders/reconcile.go
+++ b/connection/orders/reconcile.go
@@ -69,7 +69,7 @@
 		return
 	}
 	for _, w := range in.wanted {
-		if !statusKnown || !c.hasLoaded(in, w.Digest) {
+		if !statusKnown || !c.hasLoaded(in, w.ManifestDigest) {
 			c.startFetch(ctx, w)
 		}
 	}
@@ -98,7 +98,7 @@
 func (c *Controller) logWanted(configNumber uint64, wanted []placement.Assignment) {
 	var names []string
 	for _, w := range wanted {
-		names = append(names, fmt.Sprintf("%s/%s %s rank %d", w.Model, w.Version, w.Digest, w.Rank))
+		names = append(names, fmt.Sprintf("%s/%s %s rank %d", w.Model, w.Version, w.ManifestDigest, w.Rank))
 	}
 	joined := strings.Join(names, ", ")
 	if joined == c.loggedWanted {
@@ -123,7 +123,7 @@
 // isWanted reports whether the digest d is among the wanted versions.
 func isWanted(wanted []placement.Assignment, d core.Digest) bool {
 	for _, w := range wanted {
-		if w.Digest == d {
+		if w.ManifestDigest == d {
 			return true
 		}
 	}
@@ -188,11 +188,11 @@
 // unloads a version that is no longer needed.
 func (c *Controller) sendNextOrder(ctx context.Context, in *passInput) {
 	for _, w := range in.wanted {
-		if c.hasLoaded(in, w.Digest) || !c.canLoad(in, w) {
+		if c.hasLoaded(in, w.ManifestDigest) || !c.canLoad(in, w) {
 			continue
 		}
-		if len(in.status.Loaded) < in.slotCount || containsDigest(in.status.Loaded, w.Digest) {
-			c.sendOrder(ctx, in, actionLoad, frame.Loaded{Model: w.Model, Version: w.Version, Digest: w.Digest})
+		if len(in.status.Loaded) < in.slotCount || containsDigest(in.status.Loaded, w.ManifestDigest) {
+			c.sendOrder(ctx, in, actionLoad, frame.LoadedVersion{Model: w.Model, Version: w.Version, Digest: w.ManifestDigest})
 			return
 		}
 		if c.freeSlot(ctx, in, w) {
@@ -219,13 +219,13 @@
 // canLoad records the reason.
 func (c *Controller) canLoad(in *passInput, w placement.Assignment) bool {
 	c.mu.Lock()
-	verified := c.fetched[w.Digest] != nil
+	verified := c.fetched[w.ManifestDigest] != nil
 	c.mu.Unlock()
 	switch {
 	case !verified:
-		c.recordWait(w.Digest, "chunks")
-	case w.Base != "" && !c.hasLoaded(in, w.Base):
-		c.recordWait(w.Digest, "base version")
+		c.recordWait(w.ManifestDigest, "chunks")
+	case w.BaseManifestDigest != "" && !c.hasLoaded(in, w.BaseManifestDigest):
+		c.recordWait(w.ManifestDigest, "base version")
 	default:
 		return true
 	}
@@ -241,12 +241,12 @@
 		if isWanted(in.wanted, l.Digest) {
 			continue
 		}
-		if l.Model == w.Model && !c.mayReplace(ctx, in.plan.AssignedAgents(w.Digest), w.Rank, w.Digest) {
-			c.recordWait(w.Digest, "turn to replace")
+		if l.Model == w.Model && !c.mayReplace(ctx, in.plan.AssignedAgents(w.ManifestDigest), w.Rank, w.ManifestDigest) {
+			c.recordWait(w.ManifestDigest, "turn to replace")
 			continue
 		}
 		if l.Model != w.Model && !c.modelRolledOut(ctx, in, l.Model) {
-			c.recordWait(w.Digest, "slot held by "+l.Model)
+			c.recordWait(w.ManifestDigest, "slot held by "+l.Model)
 			continue
 		}
 		return c.drainAndUnload(ctx, in, l)
@@ -257,13 +257,13 @@
 // mayUnload reports whether a version may be unloaded while no other version needs
 // its slot: the version has been unwanted for RetireDelay, the wanted versions of
 // its model are loaded here, and the model is rolled out.
-func (c *Controller) mayUnload(ctx context.Context, in *passInput, l frame.Loaded) bool {
+func (c *Controller) mayUnload(ctx context.Context, in *passInput, l frame.LoadedVersion) bool {
 	since, unwanted := c.unwantedSince[l.Digest]
 	if !unwanted || c.clock.Since(since) < c.cfg.RetireDelay {
 		return false
 	}
 	for _, w := range in.wanted {
-		if w.Model == l.Model && !c.hasLoaded(in, w.Digest) {
+		if w.Model == l.Model && !c.hasLoaded(in, w.ManifestDigest) {
 			return false
 		}
 	}
@@ -287,7 +287,7 @@
 
 // sendOrder takes a fencing number and sends one order to the engine. An accepted
 // order becomes the pending order.
-func (c *Controller) sendOrder(ctx context.Context, in *passInput, action string, l frame.Loaded) {
+func (c *Controller) sendOrder(ctx context.Context, in *passInput, action string, l frame.LoadedVersion) {
 	fence, source, err := c.takeFencingNumber(ctx, in, action)
 	if err != nil {
 		return
--- a/connection/registry/heartbeat.go
+++ b/connection/registry/heartbeat.go
@@ -51,7 +51,7 @@
 // check once in each heartbeat interval until the registration has ended.
 func (m *heartbeatMonitor) check() {
 	srv, ok := m.listener.registry.Get(m.serverID)
-	if !ok || srv.Registration != m.registrationNumber {
+	if !ok || srv.RegistrationNumber != m.registrationNumber {
 		return
 	}
 	heartbeatInterval := time.Duration(m.heartbeatInterval.Load())
--- a/connection/registry/listener.go
+++ b/connection/registry/listener.go
@@ -209,12 +209,12 @@
 // the same server.
 func (l *Listener) register(hello frame.Hello, registrationNumber uint64) {
 	l.registry.Put(Server{
-		Instance:     hello.Instance,
-		Incarnation:  hello.Incarnation,
-		Registration: registrationNumber,
-		Service:      hello.Service,
-		Report:       hello.Report,
-		LastSeen:     time.Now(),
+		Instance:           hello.Instance,
+		Incarnation:        hello.Incarnation,
+		RegistrationNumber: registrationNumber,
+		Service:            hello.Service,
+		Report:             hello.Report,
+		LastSeen:           time.Now(),
 	})
 	l.log.Event(eventAgentRegistered, eventlog.Fields{
 		"server":      hello.Instance.ID,
--- a/connection/registry/registry.go
+++ b/connection/registry/registry.go
@@ -18,10 +18,10 @@
 	// Incarnation identifies the agent process; it is different after each
 	// start.
 	Incarnation string
-	// Registration is the number of the registration at this entry instance. A
+	// RegistrationNumber is the number of the registration at this entry instance. A
 	// registration with a higher number replaces an older one of the same
 	// server.
-	Registration uint64
+	RegistrationNumber uint64
 	// Service is the name of the plain service that the server runs; empty if
 	// the server runs an engine.
 	Service string
@@ -87,7 +87,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.servers[id]
-	if !ok || s.Registration != registrationNumber {
+	if !ok || s.RegistrationNumber != registrationNumber {
 		return false
 	}
 	delete(r.servers, id)
--- a/daemon/hosted/agent.go
+++ b/daemon/hosted/agent.go
@@ -205,7 +205,7 @@
 	}
 	for _, f := range a.lastFleets {
 		if f.OriginAddr != "" {
-			t.Origin = f.OriginAddr
+			t.OriginAddr = f.OriginAddr
 		}
 		hasNewestVersion := false
 		for _, w := range f.WantedVersions {
--- a/request/forward/config.go
+++ b/request/forward/config.go
@@ -37,9 +37,9 @@
 	// separated by a comma. AnswerTokens is the number of answer tokens that the
 	// client expects.
 	Tokens, AnswerTokens string
-	// LastEvent is the ID of the last event of the stream that the sender of the
+	// LastEventID is the ID of the last event of the stream that the sender of the
 	// request already has.
-	LastEvent string
+	LastEventID string
 	// KeyScheme is not the name of a header. It is the scheme before a client's key
 	// in the Authorization header, with the space that follows.
 	KeyScheme string
--- a/request/forward/fixture_test.go
+++ b/request/forward/fixture_test.go
@@ -28,7 +28,7 @@
 	RequestID: "X-Id", Deadline: "X-Deadline", Receipt: "X-Receipt", NotRun: "X-Not-Run",
 	ExpectServer: "X-Expect-Server", ExpectVersion: "X-Expect-Version", Account: "X-Account", Model: "X-Model",
 	Tokens: "X-Tokens", AnswerTokens: "X-Answer-Tokens",
-	LastEvent: "Last-Event-Id", KeyScheme: "Token ", Reserved: []string{"X-Own"},
+	LastEventID: "Last-Event-Id", KeyScheme: "Token ", Reserved: []string{"X-Own"},
 }
 
 // receivedRequest is a request that a server received.
--- a/request/forward/handler.go
+++ b/request/forward/handler.go
@@ -135,7 +135,7 @@
 		snapshot: h.cfg.Holder.Current(), mayHaveRunAt: map[string]bool{},
 	}
 	c.dispatchReq = dispatch.Request{ID: c.requestID, ArrivedAt: h.cfg.Clock.Now(), TriedServers: map[string]bool{}}
-	c.lastEventID = r.Header.Get(h.cfg.Headers.LastEvent)
+	c.lastEventID = r.Header.Get(h.cfg.Headers.LastEventID)
 	return c
 }
 
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -277,7 +277,7 @@
 		writeHeader(names.ExpectVersion, strconv.Itoa(slot.Version))
 	}
 	if c.lastEventID != "" {
-		writeHeader(names.LastEvent, c.lastEventID)
+		writeHeader(names.LastEventID, c.lastEventID)
 	}
 	b.WriteString("\r\n")
 	return b.String()
@@ -288,7 +288,7 @@
 func (c *call) isReserved(name string) bool {
 	names := &c.cfg.Headers
 	switch name {
-	case names.Deadline, names.ExpectServer, names.ExpectVersion, names.Account, names.LastEvent, "Authorization", "Expect":
+	case names.Deadline, names.ExpectServer, names.ExpectVersion, names.Account, names.LastEventID, "Authorization", "Expect":
 		return true
 	}
 	for _, reserved := range names.Reserved {
--- a/request/ops/problems.go
+++ b/request/ops/problems.go
@@ -44,7 +44,7 @@
 	return &Problem{
 		Type: TypeConflict, Title: "another change came first", Status: http.StatusConflict,
 		Detail: fmt.Sprintf("the change was made for version %d; version %d by %s (%s, change id %s) came first; nothing was changed",
-			e.Base, e.Winner.Number, e.Winner.Author, e.Winner.Reason, e.Winner.ChangeID),
+			e.BaseNumber, e.Winner.Number, e.Winner.Author, e.Winner.Reason, e.Winner.ChangeID),
 		Winner:  &e.Winner,
 		InForce: e.InForce,
 		Changes: e.Changes,
--- a/request/relay/attempt.go
+++ b/request/relay/attempt.go
@@ -106,7 +106,7 @@
 }
 
 func (c *bodyChecksum) matches(end frame.End) bool {
-	return c.byteCount == end.Bytes && c.sum.Sum64() == end.Sum
+	return c.byteCount == end.BodyBytes && c.sum.Sum64() == end.BodyChecksum
 }
 
 // responseReader reads one response from an exchange.
--- a/request/relay/fakes_test.go
+++ b/request/relay/fakes_test.go
@@ -131,7 +131,7 @@
 		reg.Put(registry.Server{
 			Instance:    core.Instance{ID: id, Role: core.RoleAgent, DataCentre: "palermo", Region: "west"},
 			Incarnation: "i1", Service: service,
-			Report: frame.Report{State: frame.StateReady, Limit: 100, Loaded: []frame.Loaded{{Model: "labels", Digest: testDigest}}},
+			Report: frame.Report{State: frame.StateReady, Limit: 100, Loaded: []frame.LoadedVersion{{Model: "labels", Digest: testDigest}}},
 		})
 	}
 	fx.holder.Offer(&declare.Snapshot{Number: 1, Set: set})
@@ -202,7 +202,7 @@
 
 // endFrame returns the End frame of a response with the given body.
 func endFrame(id string, body []byte) *frame.End {
-	return &frame.End{ID: id, Bytes: int64(len(body)), Sum: xxhash.Sum64(body), Load: frame.Load{Limit: 100}}
+	return &frame.End{ID: id, BodyBytes: int64(len(body)), BodyChecksum: xxhash.Sum64(body), Load: frame.Load{Limit: 100}}
 }
 
 // completeStream returns the body of a complete stream with total tokens.
--- a/request/relay/once_fakes_test.go
+++ b/request/relay/once_fakes_test.go
@@ -165,10 +165,10 @@
 	if incarnation != strconv.Itoa(s.incarnation) {
 		return "", false
 	}
-	if state, ok := s.states[query.Key+"#"+strconv.Itoa(query.Attempt)]; ok {
+	if state, ok := s.states[query.Key+"#"+strconv.Itoa(query.AttemptNumber)]; ok {
 		return state, true
 	}
-	s.forbidden[query.Key] = max(s.forbidden[query.Key], query.Attempt)
+	s.forbidden[query.Key] = max(s.forbidden[query.Key], query.AttemptNumber)
 	return frame.AttemptNotRun, true
 }
 
@@ -180,7 +180,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outcomes[query.Key+"#"+strconv.Itoa(query.Attempt)]
+	return s.outcomes[query.Key+"#"+strconv.Itoa(query.AttemptNumber)]
 }
 
 // startAttempt records the attempt as running and returns the result of the
@@ -192,7 +192,7 @@
 	if incarnation != strconv.Itoa(s.incarnation) {
 		return "", false
 	}
-	if req.Key != "" && req.Attempt <= s.forbidden[req.Key] {
+	if req.Key != "" && req.AttemptNumber <= s.forbidden[req.Key] {
 		return "", false
 	}
 	s.setState(req, frame.AttemptRunning)
@@ -209,7 +209,7 @@
 // req has no key. The caller must hold s.mu.
 func (s *fakeServer) setState(req frame.Request, state frame.AttemptState) {
 	if req.Key != "" {
-		s.states[req.Key+"#"+strconv.Itoa(req.Attempt)] = state
+		s.states[req.Key+"#"+strconv.Itoa(req.AttemptNumber)] = state
 	}
 }
 
@@ -225,7 +225,7 @@
 	s.mu.Lock()
 	if incarnation == strconv.Itoa(s.incarnation) {
 		s.setState(req, frame.AttemptRan)
-		s.outcomes[req.Key+"#"+strconv.Itoa(req.Attempt)] = &frame.Outcome{Status: 201, Body: []byte(result)}
+		s.outcomes[req.Key+"#"+strconv.Itoa(req.AttemptNumber)] = &frame.Outcome{Status: 201, Body: []byte(result)}
 	}
 	s.mu.Unlock()
 	if s.faults.happens(0.03) { // response lost
--- a/request/relay/once_test.go
+++ b/request/relay/once_test.go
@@ -227,7 +227,7 @@
 		res, err := history.Check(&out)
 		So(err, ShouldBeNil)
 		t.Logf("seed %d: %d calls, %d executions, %d submissions: %d whole, %d not-run, %d unknown, %d broken",
-			onceSeed, res.Calls, res.Executions, res.Submissions, res.Whole, res.NotRun, res.Unknown, res.Broken)
+			onceSeed, res.Calls, res.Executions, res.Submissions, res.Whole, res.NotRun, res.OtherRefusals, res.Broken)
 		So(res.Violations, ShouldBeEmpty)
 		So(res.Calls, ShouldEqual, onceCallCount)
 		So(res.Whole, ShouldBeGreaterThan, onceCallCount/2)
--- a/request/relay/onceonly.go
+++ b/request/relay/onceonly.go
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(ctx, r.config.AttemptQueryTimeout)
 	defer cancel()
 	id := key
-	x, err := r.opener.Open(ctx, agent, id, frame.KindAttemptQuery, frame.AttemptQuery{ID: id, Key: key, Attempt: attempt})
+	x, err := r.opener.Open(ctx, agent, id, frame.KindAttemptQuery, frame.AttemptQuery{ID: id, Key: key, AttemptNumber: attempt})
 	if err != nil {
 		return frame.AttemptStatus{}, err
 	}
@@ -249,7 +249,7 @@
 	req := oa.call.attemptRequest(ctx, 0)
 	if oa.keyed != nil {
 		req.Key = oa.keyed.RowKey()
-		req.Attempt = oa.keyed.nextAttempt.Attempt
+		req.AttemptNumber = oa.keyed.nextAttempt.Attempt
 	}
 	offeredAt := oa.relay.clock.Now()
 	x, err := oa.relay.opener.Open(ctx, oa.server.Instance, oa.call.id, frame.KindOffer, req)
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -167,7 +167,7 @@
 			id := msg.(frame.Request).ID
 			x.sendToEntryInstance(&frame.Head{ID: id, Status: 200, Digest: testDigest},
 				&frame.Data{ID: id, Body: []byte("data: [DONE]\n\n")},
-				&frame.End{ID: id, Bytes: 14, Sum: 1})
+				&frame.End{ID: id, BodyBytes: 14, BodyChecksum: 1})
 		}
 		fx := newFixture(t, Config{}, nil, map[string]fakeAgent{"a": wrongChecksum})
 		Convey("the closing event is not sent to the caller", func() {
--- a/request/routing/router_test.go
+++ b/request/routing/router_test.go
@@ -60,7 +60,7 @@
 		region = "east"
 	}
 	f.set.BackendServers[id] = &declare.BackendServer{Name: id, DataCentre: dc, Limit: 10}
-	report.Loaded = []frame.Loaded{{Model: "herbs", Digest: d}}
+	report.Loaded = []frame.LoadedVersion{{Model: "herbs", Digest: d}}
 	f.reg.Put(registry.Server{Instance: core.Instance{ID: id, DataCentre: dc, Region: region}, Incarnation: "1", Report: report})
 }
 
--- a/request/serve/bench_test.go
+++ b/request/serve/bench_test.go
@@ -94,7 +94,7 @@
 			h := newHarness(b, options{wrap: func(e engine.Engine) engine.Engine {
 				return instantEngine{Engine: e, tokenCount: tokens}
 			}})
-			status := engine.Status{Loaded: []frame.Loaded{{Model: testModel, Digest: testDigest}}}
+			status := engine.Status{Loaded: []frame.LoadedVersion{{Model: testModel, Digest: testDigest}}}
 			h.handler.status = func() (engine.Status, bool) { return status, true }
 			encoded, err := frame.Encode(frame.KindRequest, completionRequest("r1", strconv.Itoa(tokens)))
 			if err != nil {
--- a/request/serve/faults_test.go
+++ b/request/serve/faults_test.go
@@ -45,7 +45,7 @@
 			So(h.engine.Counters().Started, ShouldEqual, 0)
 		})
 		Convey("a call for a version that the engine falsely reports as loaded is refused and does not run", func() {
-			h.engine.SetFaults(standin.Faults{FalseLoaded: &frame.Loaded{Model: testModel, Version: "v2", Digest: otherDigest}})
+			h.engine.SetFaults(standin.Faults{FalseLoaded: &frame.LoadedVersion{Model: testModel, Version: "v2", Digest: otherDigest}})
 			req.Digest = otherDigest
 			reported := make(chan core.Digest, 1)
 			h.handler.cfg.OnWrongVersion = func(d core.Digest) { reported <- d }
--- a/request/serve/once.go
+++ b/request/serve/once.go
@@ -38,7 +38,7 @@
 	if req.Key == "" {
 		return attemptID{key: "request/" + req.ID, attempt: 1}
 	}
-	return attemptID{key: "key/" + req.Key, attempt: req.Attempt}
+	return attemptID{key: "key/" + req.Key, attempt: req.AttemptNumber}
 }
 
 // handleOffer runs an offered once-only call, or sends a refusal: it holds a slot,
@@ -182,7 +182,7 @@
 		h.ledger.finish(id, outcome)
 	}
 	if err != nil {
-		h.log.EventWithError(eventOnceEnded, err, eventlog.Fields{"request": req.ID, "key": req.Key, "attempt": req.Attempt})
+		h.log.EventWithError(eventOnceEnded, err, eventlog.Fields{"request": req.ID, "key": req.Key, "attempt": req.AttemptNumber})
 		return onceResult{err: err}
 	}
 	h.logCall(eventOnceEnded, req, eventlog.Fields{"status": outcome.Status, "bytes": len(outcome.Body)})
@@ -228,7 +228,7 @@
 	}
 	h.logCall(eventCallCompleted, req, eventlog.Fields{"bytes": len(r.outcome.Body)})
 	end := frame.End{
-		ID: req.ID, Bytes: int64(len(r.outcome.Body)), Sum: xxhash.Sum64(r.outcome.Body), Load: h.limiter.Load(),
+		ID: req.ID, BodyBytes: int64(len(r.outcome.Body)), BodyChecksum: xxhash.Sum64(r.outcome.Body), Load: h.limiter.Load(),
 	}
 	return exchange.Send(frame.KindEnd, end)
 }
@@ -240,8 +240,8 @@
 	if err := first.Decode(&msg); err != nil {
 		return core.WrapStep("serve attempt query", exchange.Peer(), err)
 	}
-	state, outcome := h.ledger.queryAndForbid(attemptID{key: "key/" + msg.Key, attempt: msg.Attempt})
-	h.log.Event(eventAttemptQueried, eventlog.Fields{"request": msg.ID, "key": msg.Key, "attempt": msg.Attempt, "ran": state})
+	state, outcome := h.ledger.queryAndForbid(attemptID{key: "key/" + msg.Key, attempt: msg.AttemptNumber})
+	h.log.Event(eventAttemptQueried, eventlog.Fields{"request": msg.ID, "key": msg.Key, "attempt": msg.AttemptNumber, "ran": state})
 	return exchange.Send(frame.KindAttemptStatus, frame.AttemptStatus{
 		ID: msg.ID, Incarnation: h.cfg.Incarnation, State: state, Outcome: outcome,
 	})
--- a/request/serve/once_test.go
+++ b/request/serve/once_test.go
@@ -21,7 +21,7 @@
 func lotRequest(id, key string, attempt int) frame.Request {
 	r := frame.Request{
 		ID: id, Account: "a", Share: 1, Method: http.MethodPost, Path: "/lots", ConfigNumber: 1,
-		Body: []byte(`{"lot":"` + id + `"}`), Key: key, Attempt: attempt,
+		Body: []byte(`{"lot":"` + id + `"}`), Key: key, AttemptNumber: attempt,
 	}
 	if key != "" {
 		r.Header = map[string][]string{core.HeaderIdempotencyKey: {key}}
@@ -59,7 +59,7 @@
 func (h *harness) queryAttempt(key string, attempt int) *frame.AttemptStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	msg := frame.AttemptQuery{ID: "ask", Key: key, Attempt: attempt}
+	msg := frame.AttemptQuery{ID: "ask", Key: key, AttemptNumber: attempt}
 	exchange, err := h.pool.Open(ctx, h.agent, msg.ID, frame.KindAttemptQuery, msg)
 	if err != nil {
 		return nil
--- a/request/serve/run.go
+++ b/request/serve/run.go
@@ -104,7 +104,7 @@
 	switch {
 	case err == nil:
 		f.handler.logCall(eventCallCompleted, f.req, eventlog.Fields{"bytes": f.bodyBytes, "tokens": f.call.tokenCount.Load()})
-		end := frame.End{ID: f.req.ID, Bytes: f.bodyBytes, Sum: f.checksum.Sum64(), Load: f.handler.limiter.Load()}
+		end := frame.End{ID: f.req.ID, BodyBytes: f.bodyBytes, BodyChecksum: f.checksum.Sum64(), Load: f.handler.limiter.Load()}
 		return f.exchange.Send(frame.KindEnd, end)
 	case errors.As(err, &sendErr), errors.Is(err, context.Canceled):
 		f.handler.log.EventWithError(eventCallFailed, err, eventlog.Fields{"request": f.req.ID, "account": f.req.Account, "why": "entry instance disconnected"})
--- a/request/serve/serve.go
+++ b/request/serve/serve.go
@@ -305,7 +305,7 @@
 		fields["digest"] = req.Digest.Short()
 	}
 	if req.Key != "" {
-		fields["key"], fields["attempt"] = req.Key, req.Attempt
+		fields["key"], fields["attempt"] = req.Key, req.AttemptNumber
 	}
 	h.log.Event(e, fields)
 }
--- a/request/serve/serve_test.go
+++ b/request/serve/serve_test.go
@@ -130,7 +130,7 @@
 		o.engine.Slots, o.engine.ColdLimit = 64, 64
 	}
 	h.engine = standin.New(o.engine, clockwork.NewRealClock())
-	h.engine.Preload(frame.Loaded{Model: testModel, Version: "v1", Digest: testDigest})
+	h.engine.Preload(frame.LoadedVersion{Model: testModel, Version: "v1", Digest: testDigest})
 	return h.engine.Handler()
 }
 
@@ -277,8 +277,8 @@
 			So(joinTokens(r.body), ShouldEqual, want)
 			So(r.tokenCount, ShouldEqual, 20)
 			So(r.head.Digest, ShouldEqual, testDigest)
-			So(r.end.Bytes, ShouldEqual, len(r.body))
-			So(r.end.Sum, ShouldEqual, xxhash.Sum64(r.body))
+			So(r.end.BodyBytes, ShouldEqual, len(r.body))
+			So(r.end.BodyChecksum, ShouldEqual, xxhash.Sum64(r.body))
 		})
 		Convey("a resumed stream continues after the tokens that the caller already has", func() {
 			req := completionRequest("r1", "20")
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -128,7 +128,7 @@
 	warmUp warmUp
 	cache  *prefixCache
 	// loaded holds the loaded versions in the order in which they were loaded.
-	loaded []frame.Loaded
+	loaded []frame.LoadedVersion
 	// highestFence is the highest fencing number of an accepted order.
 	highestFence uint64
 	// bootID changes when the engine restarts.
@@ -170,7 +170,7 @@
 }
 
 // Preload adds a loaded version without an order.
-func (e *Engine) Preload(version frame.Loaded) {
+func (e *Engine) Preload(version frame.LoadedVersion) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loaded = append(e.loaded, version)
@@ -200,7 +200,7 @@
 
 // status returns the current status. The caller must hold e.mu.
 func (e *Engine) status() engine.Status {
-	loaded := append([]frame.Loaded{}, e.loaded...)
+	loaded := append([]frame.LoadedVersion{}, e.loaded...)
 	if e.faults.FalseLoaded != nil {
 		loaded = append(loaded, *e.faults.FalseLoaded)
 	}
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -86,7 +86,7 @@
 			eventually(t, "loaded", func() bool { return len(e.delayedStatus().Loaded) == 1 })
 			s, err := client.Status(ctx)
 			So(err, ShouldBeNil)
-			So(s.Loaded, ShouldResemble, []frame.Loaded{{Model: "herbs", Version: "v1", Digest: weights.digest}})
+			So(s.Loaded, ShouldResemble, []frame.LoadedVersion{{Model: "herbs", Version: "v1", Digest: weights.digest}})
 			So(s.Fence, ShouldEqual, 5)
 		})
 		Convey("the engine does not load a version with a corrupt chunk", func() {
@@ -117,7 +117,7 @@
 		clock := clockwork.NewFakeClock()
 		e := New(Config{ReportLag: time.Second}, clock)
 		So(e.delayedStatus().Loaded, ShouldBeEmpty)
-		e.Preload(frame.Loaded{Model: "herbs"})
+		e.Preload(frame.LoadedVersion{Model: "herbs"})
 		clock.Advance(500 * time.Millisecond)
 		So(e.delayedStatus().Loaded, ShouldBeEmpty)
 		clock.Advance(time.Second)
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -36,7 +36,7 @@
 	Refuse bool `json:"refuse,omitempty"`
 	// FalseLoaded is a version that the engine reports as loaded without having
 	// loaded it.
-	FalseLoaded *frame.Loaded `json:"claim,omitempty"`
+	FalseLoaded *frame.LoadedVersion `json:"claim,omitempty"`
 	// Swap is the manifest digest of another version. If it is not empty, streams
 	// continue after SwapAfter tokens with the tokens of that version.
 	Swap core.Digest `json:"swap,omitempty"`
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -64,7 +64,7 @@
 func (e *Engine) unload(order engine.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.loaded = slices.DeleteFunc(e.loaded, func(loaded frame.Loaded) bool {
+	e.loaded = slices.DeleteFunc(e.loaded, func(loaded frame.LoadedVersion) bool {
 		return loaded.Model == order.Model && (loaded.Digest == order.Digest || order.Digest == "" && loaded.Version == order.Version)
 	})
 }
@@ -85,7 +85,7 @@
 		return
 	}
 	e.counters.LoadError = ""
-	version := frame.Loaded{Model: order.Model, Version: order.Version, Digest: digest}
+	version := frame.LoadedVersion{Model: order.Model, Version: order.Version, Digest: digest}
 	if !slices.Contains(e.loaded, version) {
 		e.loaded = append(e.loaded, version)
 	}
--- a/test/faults/agent_once_test.go
+++ b/test/faults/agent_once_test.go
@@ -61,7 +61,7 @@
 func (a *agentClient) offer(key string) work.Exchange {
 	id := "offer-" + key
 	x := a.open(id, frame.KindOffer, frame.Request{
-		ID: id, Account: "erbe", Share: 1, Method: "POST", Path: "/lots", Key: key, Attempt: 1,
+		ID: id, Account: "erbe", Share: 1, Method: "POST", Path: "/lots", Key: key, AttemptNumber: 1,
 		Header: map[string][]string{core.HeaderIdempotencyKey: {key}},
 	})
 	So(a.receive(x), ShouldHaveSameTypeAs, &frame.Admit{})
@@ -103,7 +103,7 @@
 
 // queryAttempt returns the agent's status of the first attempt of key.
 func (a *agentClient) queryAttempt(key string) *frame.AttemptStatus {
-	x := a.open("ask", frame.KindAttemptQuery, frame.AttemptQuery{ID: "ask", Key: key, Attempt: 1})
+	x := a.open("ask", frame.KindAttemptQuery, frame.AttemptQuery{ID: "ask", Key: key, AttemptNumber: 1})
 	defer x.Close(true)
 	return a.receive(x).(*frame.AttemptStatus)
 }
--- a/test/inprocess/cluster_test.go
+++ b/test/inprocess/cluster_test.go
@@ -61,18 +61,18 @@
 	handler                *serve.Handler
 
 	mu     sync.Mutex
-	loaded []frame.Loaded
+	loaded []frame.LoadedVersion
 }
 
 // setLoaded sets the versions that the agent reports as loaded.
-func (s *server) setLoaded(loaded ...frame.Loaded) {
+func (s *server) setLoaded(loaded ...frame.LoadedVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loaded = loaded
 }
 
 // loadedVersions returns the versions that the agent reports as loaded.
-func (s *server) loadedVersions() []frame.Loaded {
+func (s *server) loadedVersions() []frame.LoadedVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loaded
@@ -100,7 +100,7 @@
 	for _, dc := range dataCentres {
 		for n := range serversPerDataCentre {
 			s := &server{id: fmt.Sprintf("gpu-%s-%d", dc.name, n+1), dataCentre: dc.name, region: dc.region}
-			s.setLoaded(frame.Loaded{Model: testModel, Version: "v1", Digest: testDigest})
+			s.setLoaded(frame.LoadedVersion{Model: testModel, Version: "v1", Digest: testDigest})
 			c.startServer(s, cfg, coldLimit)
 			agents[s.id] = s.handler
 		}
@@ -118,7 +118,7 @@
 func (c *cluster) startServer(s *server, cfg standin.Config, coldLimit int) {
 	clock := clockwork.NewRealClock()
 	s.engine = standin.New(cfg, clock)
-	s.engine.Preload(frame.Loaded{Model: testModel, Version: "v1", Digest: testDigest})
+	s.engine.Preload(frame.LoadedVersion{Model: testModel, Version: "v1", Digest: testDigest})
 	client := NewEngineClient(s.engine.Handler())
 	s.limiter = admission.New(admission.Config{Limit: engineLimit, ColdLimit: coldLimit, Metrics: metrics.NewRegistry()}, clock)
 	monitor := engine.NewMonitor(client, 0, eventlog.Discard(), clock)
--- a/test/inprocess/rollout_test.go
+++ b/test/inprocess/rollout_test.go
@@ -36,7 +36,7 @@
 		}
 		s.setLoaded()
 		<-time.After(unloadedTime)
-		next := frame.Loaded{Model: testModel, Version: "v2", Digest: nextDigest}
+		next := frame.LoadedVersion{Model: testModel, Version: "v2", Digest: nextDigest}
 		s.engine.Preload(next)
 		s.setLoaded(next)
 	}
--- a/version/confstore/confstore_test.go
+++ b/version/confstore/confstore_test.go
@@ -320,14 +320,14 @@
 		Convey("a peer a few versions behind gets a delta", func() {
 			e, err := EncodeForPeer(holder, 1)
 			So(err, ShouldBeNil)
-			So(e.Base, ShouldEqual, 1)
+			So(e.BaseNumber, ShouldEqual, 1)
 			So(OfferEncoded(peer, e), ShouldBeNil)
 			So(peer.Current().Digest, ShouldEqual, holder.Current().Digest)
 		})
 		Convey("a new peer gets the full configuration", func() {
 			e, err := EncodeForPeer(holder, 0)
 			So(err, ShouldBeNil)
-			So(e.Base, ShouldEqual, 0)
+			So(e.BaseNumber, ShouldEqual, 0)
 			fresh := NewHolder()
 			So(OfferEncoded(fresh, e), ShouldBeNil)
 			So(fresh.Current().Number, ShouldEqual, 3)
--- a/version/confstore/encoded.go
+++ b/version/confstore/encoded.go
@@ -26,9 +26,9 @@
 	// Digest is the digest of the full encoded configuration, even if Body is a
 	// delta.
 	Digest core.Digest
-	// Base is the number of the version to which the delta in Body applies; 0
+	// BaseNumber is the number of the version to which the delta in Body applies; 0
 	// when Body is the full configuration.
-	Base uint64
+	BaseNumber uint64
 	// Body is the encoded configuration or delta.
 	Body []byte
 }
@@ -64,7 +64,7 @@
 	e := EncodedVersion{Number: current.Number, Digest: current.Digest}
 	if base != nil {
 		body, err := declare.EncodeDelta(base.Set, current.Set)
-		e.Base, e.Body = base.Number, body
+		e.BaseNumber, e.Body = base.Number, body
 		return e, err
 	}
 	body, digest, err := declare.Encode(current.Set)
@@ -102,7 +102,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if e.Number == h.current.Number {
-		h.encodings[e.Base] = e
+		h.encodings[e.BaseNumber] = e
 	}
 }
 
@@ -125,11 +125,11 @@
 // decodeAgainst decodes e. If e is a delta whose base is not current, it returns
 // ErrBaseMismatch.
 func decodeAgainst(current *declare.Snapshot, e EncodedVersion) (*declare.Set, error) {
-	if e.Base == 0 {
+	if e.BaseNumber == 0 {
 		return declare.Decode(e.Body, e.Digest)
 	}
-	if e.Base != current.Number {
-		return nil, errors.Wrapf(ErrBaseMismatch, "base %d, current %d", e.Base, current.Number)
+	if e.BaseNumber != current.Number {
+		return nil, errors.Wrapf(ErrBaseMismatch, "base %d, current %d", e.BaseNumber, current.Number)
 	}
 	return declare.ApplyDelta(current.Set, e.Body, e.Digest)
 }
--- a/version/confstore/errors.go
+++ b/version/confstore/errors.go
@@ -28,9 +28,9 @@
 // ConflictError is returned when the base of a change is no longer the newest
 // version, because another change was accepted first.
 type ConflictError struct {
-	// Base is the number of the version to which the refused change was to be
+	// BaseNumber is the number of the version to which the refused change was to be
 	// applied.
-	Base uint64
+	BaseNumber uint64
 	// Winner is the version after Base, which another change created. If the
 	// record of that version cannot be read, Winner is the newest version.
 	Winner HistoryEntry
@@ -44,7 +44,7 @@
 // Error implements error.
 func (e *ConflictError) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "conflict: the change was made for version %d, but version %d is in force; ", e.Base, e.InForce)
+	fmt.Fprintf(&b, "conflict: the change was made for version %d, but version %d is in force; ", e.BaseNumber, e.InForce)
 	fmt.Fprintf(&b, "version %d came first, by %s (%s, change id %s)", e.Winner.Number, e.Winner.Author, e.Winner.Reason, e.Winner.ChangeID)
 	for _, c := range e.Changes {
 		b.WriteString("\n  " + c.String())
--- a/version/confstore/publisher.go
+++ b/version/confstore/publisher.go
@@ -239,7 +239,7 @@
 	if applied, err := e.findApplied(ctx); err != nil || applied != nil {
 		return errors.Wrap(platform.ErrConflict, "the change was accepted meanwhile")
 	}
-	conflict := &ConflictError{Base: e.change.Base, Winner: head, InForce: head.Number}
+	conflict := &ConflictError{BaseNumber: e.change.Base, Winner: head, InForce: head.Number}
 	if winner, err := e.publisher.readRecord(ctx, e.change.Base+1); err == nil {
 		conflict.Winner = winner.HistoryEntry
 	}
--- a/version/loading/digests.go
+++ b/version/loading/digests.go
@@ -60,10 +60,10 @@
 			return digests, nil
 		}
 	}
-	if t.Origin == "" {
+	if t.OriginAddr == "" {
 		return nil, errors.New("no origin of weights is declared")
 	}
-	digests, err := f.origin.Digests(ctx, t.Origin, w.Model, w.Version)
+	digests, err := f.origin.Digests(ctx, t.OriginAddr, w.Model, w.Version)
 	if err == nil && w.ChunkCount > 0 && len(digests) != w.ChunkCount {
 		err = errors.Errorf("origin names %d pieces, want %d", len(digests), w.ChunkCount)
 	}
--- a/version/loading/loader.go
+++ b/version/loading/loader.go
@@ -347,7 +347,7 @@
 		delete(l.digestLookups, k)
 		if err == nil {
 			l.digests[k] = found
-			l.cfg.OriginChunks.AddVersion(target.Origin, k, found)
+			l.cfg.OriginChunks.AddVersion(target.OriginAddr, k, found)
 		}
 		l.mu.Unlock()
 		close(done)
--- a/version/loading/loader_test.go
+++ b/version/loading/loader_test.go
@@ -180,7 +180,7 @@
 		Wanted: map[string]WantedVersion{model: {
 			Model: model, Version: version, DeclaredAt: time.Now(), ChunkCount: chunkCount, ChunkBytes: chunkBytes,
 		}},
-		Origin: "origin", Agents: []spread.Peer{f.self},
+		OriginAddr: "origin", Agents: []spread.Peer{f.self},
 	})
 }
 
--- a/version/loading/loading.go
+++ b/version/loading/loading.go
@@ -67,8 +67,8 @@
 type Target struct {
 	// Wanted maps each model to its wanted version.
 	Wanted map[string]WantedVersion
-	// Origin is the address of the origin.
-	Origin string
+	// OriginAddr is the address of the origin.
+	OriginAddr string
 	// Agents are the agents that hold or need the weights, including this one.
 	Agents []spread.Peer
 	// Holders is the set of IDs of the agents whose servers hold the wanted
--- a/version/placement/placement.go
+++ b/version/placement/placement.go
@@ -21,12 +21,12 @@
 	Model string
 	// Version is the name of the version.
 	Version string
-	// Digest is the digest of the version's manifest.
-	Digest core.Digest
-	// Base is the manifest digest of the base version that an adapter needs;
+	// ManifestDigest is the digest of the version's manifest.
+	ManifestDigest core.Digest
+	// BaseManifestDigest is the manifest digest of the base version that an adapter needs;
 	// empty for a full model. The base version is assigned to the server as
 	// well.
-	Base core.Digest
+	BaseManifestDigest core.Digest
 	// Rank is the number of servers to which the version was assigned before
 	// this server.
 	Rank int
@@ -211,9 +211,9 @@
 	}
 	b.freeSlotCounts[c.server.Name] -= len(assignments)
 	for _, assignment := range assignments {
-		assignment.Rank = len(b.serversOf[assignment.Digest])
+		assignment.Rank = len(b.serversOf[assignment.ManifestDigest])
 		b.assignmentsByServer[c.server.Name] = append(b.assignmentsByServer[c.server.Name], assignment)
-		b.serversOf[assignment.Digest] = append(b.serversOf[assignment.Digest], c.server.Name)
+		b.serversOf[assignment.ManifestDigest] = append(b.serversOf[assignment.ManifestDigest], c.server.Name)
 	}
 	if dc, ok := b.set.DataCentres[c.server.DataCentre]; ok && dc.Out {
 		return
@@ -223,9 +223,9 @@
 
 // newAssignment returns the Assignment of a version, without its rank.
 func (b *builder) newAssignment(v *declare.Version) Assignment {
-	assignment := Assignment{Model: v.Model, Version: v.Name, Digest: v.Manifest}
+	assignment := Assignment{Model: v.Model, Version: v.Name, ManifestDigest: v.Manifest}
 	if base, ok := b.set.Versions[v.Base]; ok {
-		assignment.Base = base.Manifest
+		assignment.BaseManifestDigest = base.Manifest
 	}
 	return assignment
 }
--- a/version/placement/placement_test.go
+++ b/version/placement/placement_test.go
@@ -52,7 +52,7 @@
 		Convey("a model is placed on as many servers as it has replicas", func() {
 			So(len(servers(before, v1)), ShouldEqual, 5)
 			for name := range servers(before, v1) {
-				So(before.Assignments(name)[0].Digest, ShouldEqual, v1)
+				So(before.Assignments(name)[0].ManifestDigest, ShouldEqual, v1)
 			}
 		})
 		Convey("the order of the live list does not matter", func() {
@@ -116,8 +116,8 @@
 			plan = Compute(set, live)
 			So(len(servers(plan, adapter)), ShouldEqual, 5)
 			for name := range servers(plan, adapter) {
-				So(plan.Assignments(name)[0].Digest, ShouldEqual, base)
-				So(plan.Assignments(name)[1].Base, ShouldEqual, base)
+				So(plan.Assignments(name)[0].ManifestDigest, ShouldEqual, base)
+				So(plan.Assignments(name)[1].BaseManifestDigest, ShouldEqual, base)
 			}
 		})
 	})
--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -87,10 +87,10 @@
 	for _, name := range p.serverNames() {
 		excluded := map[core.Digest]bool{}
 		for _, assignment := range notIn.Assignments(name) {
-			excluded[assignment.Digest] = true
+			excluded[assignment.ManifestDigest] = true
 		}
 		for _, assignment := range in.Assignments(name) {
-			if excluded[assignment.Digest] {
+			if excluded[assignment.ManifestDigest] {
 				continue
 			}
 			assignment.Rank = 0
@@ -135,7 +135,7 @@
 // servers have to fetch for an assigned version. Chunks that a server already holds
 // for other versions do not count.
 func (p *planner) describeFetch(ctx context.Context, assignment placement.Assignment, names []string) string {
-	m := p.manifest(ctx, assignment.Digest)
+	m := p.manifest(ctx, assignment.ManifestDigest)
 	if m == nil {
 		return "amount unknown, the manifest cannot be read"
 	}
@@ -158,7 +158,7 @@
 func (p *planner) heldChunks(ctx context.Context, server string) map[core.Digest]bool {
 	held := map[core.Digest]bool{}
 	for _, assignment := range p.before.Assignments(server) {
-		m := p.manifest(ctx, assignment.Digest)
+		m := p.manifest(ctx, assignment.ManifestDigest)
 		if m == nil {
 			continue
 		}
