--- a/connection/homes/homes.go
+++ b/connection/homes/homes.go
@@ -19,9 +19,10 @@
 )
 
 const (
-	// DefaultMaxLocalHomes is the default of Config.MaxLocal.
+	// DefaultMaxLocalHomes is the default of Config.MaxLocalHomes.
 	DefaultMaxLocalHomes = 64
-	// DefaultHomesPerRemoteDataCentre is the default of Config.PerRemote.
+	// DefaultHomesPerRemoteDataCentre is the default of
+	// Config.HomesPerRemoteDataCentre.
 	DefaultHomesPerRemoteDataCentre = 2
 	// defaultMinHomes is the default of Config.MinHomes.
 	defaultMinHomes = 4
--- a/connection/orders/cluster_test.go
+++ b/connection/orders/cluster_test.go
@@ -207,7 +207,8 @@
 	return a
 }
 
-// newController returns a Controller for the agent self that uses the fakes of a.
+// newController returns the Controller of the agent self. The Controller uses the
+// fakes of a.
 func (c *cluster) newController(self core.Instance, a *testAgent) *Controller {
 	return New(Config{Self: self, Token: testToken, Metrics: metrics.NewRegistry()}, Deps{
 		Holder: c.holder, LiveInstances: func() []core.Instance { return c.liveInstances },
@@ -249,7 +250,7 @@
 	c.clock.Advance(time.Second)
 	serving := 0
 	for _, a := range c.agents {
-		a.pass(context.Background())
+		a.reconcileOnce(context.Background())
 		if len(a.engine.digests()) > 0 {
 			serving++
 		}
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -287,7 +287,7 @@
 		// The channels are obtained before the pass, so that a change during
 		// the pass is not missed.
 		configChanged, statusChanged := c.holder.Changed(), c.statusSource.Changed()
-		c.pass(ctx)
+		c.reconcileOnce(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/connection/orders/reconcile.go
+++ b/connection/orders/reconcile.go
@@ -29,9 +29,9 @@
 	slotCount int
 }
 
-// pass makes one reconcile pass: it compares the wanted versions with the
+// reconcileOnce makes one reconcile reconcileOnce: it compares the wanted versions with the
 // engine's report, starts missing fetches and sends at most one order.
-func (c *Controller) pass(ctx context.Context) {
+func (c *Controller) reconcileOnce(ctx context.Context) {
 	snapshot := c.holder.Current()
 	server := snapshot.Set.BackendServers[c.cfg.Self.ID]
 	if server == nil || server.Service != "" {
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -51,7 +51,8 @@
 	// RunAgent sets Self, Token and Peers.
 	Spread spread.Config
 	// Homes holds the settings of the registration with entry instances.
-	// RunAgent sets Self, Incarnation, Service, PeerToken and Heartbeat.
+	// RunAgent sets Self, Incarnation, Service, PeerToken and
+	// BaseHeartbeatInterval.
 	Homes homes.Config
 }
 
@@ -141,8 +142,8 @@
 		platformClient.Instances, members.NewPeerFallback(entries, a.cfg.Self, a.cfg.PeerToken), a.log)
 }
 
-// newEngineClient returns the client of the backend server beside the agent, which
-// is an engine or a plain service.
+// newEngineClient returns a client for the engine or the plain service that the
+// backend server beside the agent runs.
 func newEngineClient(cfg AgentConfig) *engine.HTTPClient {
 	if cfg.Service == "" {
 		return engine.NewHTTPClient(cfg.EngineAddr, cfg.PeerToken)
--- a/daemon/hosted/entry.go
+++ b/daemon/hosted/entry.go
@@ -176,8 +176,8 @@
 	return err
 }
 
-// ignoreServerClosed returns nil for http.ErrServerClosed. It returns any other
-// error of http.Server.Serve with the failed step.
+// ignoreServerClosed returns nil for http.ErrServerClosed. It wraps any other
+// error of http.Server.Serve with the step "serve clients".
 func ignoreServerClosed(err error) error {
 	if err == http.ErrServerClosed {
 		return nil
--- a/request/forward/config.go
+++ b/request/forward/config.go
@@ -78,9 +78,9 @@
 	// time from the arrival to the deadline plus writeMargin.
 	initialWriteTimeout = 10 * time.Second
 	writeMargin         = 400 * time.Millisecond
-	// answerTokenWork is the work of one answer token, in prompt tokens: an answer
-	// token takes one of 16 slots for a step of 7 ms, and a server reads 30 prompt
-	// tokens in a millisecond.
+	// answerTokenWork is the work of one answer token, expressed as a number of
+	// prompt tokens. Generating an answer token takes 7 ms on one of 16 slots; a
+	// server reads 30 prompt tokens in a millisecond.
 	answerTokenWork = 10
 	// maxAttempts limits how often one request is sent, including attempts at
 	// servers that did not run the request.
@@ -101,9 +101,10 @@
 	// stallRecheckInterval is the time between two searches for another server for a
 	// request whose present server sends nothing.
 	stallRecheckInterval = 200 * time.Millisecond
-	// retryWait is how long a request that may have run may wait for a slot at
-	// another server. It applies even if the objective of the request allows only a
-	// shorter wait. Clients give up a stream after 2 s without an event.
+	// retryWait is the longest wait for a slot at another server for a request that
+	// has possibly run already. It applies even if the objective of the request
+	// allows only a shorter wait. It is below 2 s because clients give up a stream
+	// after 2 s without an event.
 	retryWait = time.Second
 	// responseTimeoutFactor times the objective is the time without a response after
 	// which a repeatable request that is not a stream is sent to another server.
--- a/request/serve/check.go
+++ b/request/serve/check.go
@@ -15,8 +15,8 @@
 )
 
 // refusalReason returns why the new call req may not run on this server now, or
-// "" when it may. repeatable is true when the entry instance sent the call
-// without an offer.
+// "" when it may. repeatable is true for a repeatable call, which the entry
+// instance sends without the offer that precedes a once-only call.
 func (h *Handler) refusalReason(req *frame.Request, repeatable bool) frame.Reason {
 	// The confirmation is checked before the configuration is read. In the
 	// other order, a newer version could arrive between the two steps, and the
--- a/test/configuration/leaving_test.go
+++ b/test/configuration/leaving_test.go
@@ -48,11 +48,11 @@
 			_, err := r.operatorClient(r.entries[3]).SetBackendServerLeaving(t.Context(), leaving.id, true, metadata)
 			So(err, ShouldBeNil)
 			last := r.lastExecutionDelay(0, requested, watchDuration)
-			wholeCount, failed := load.stop()
-			t.Logf("last new call %s after the request; %d calls whole, %d failed: %v", last, wholeCount, len(failed), failed)
+			succeededCallCount, failed := load.stop()
+			t.Logf("last new call %s after the request; %d calls whole, %d failed: %v", last, succeededCallCount, len(failed), failed)
 			So(last, ShouldBeLessThanOrEqualTo, maxLeaveDelay)
 			So(failed, ShouldBeEmpty)
-			So(wholeCount, ShouldBeGreaterThan, 4*callersPerEntry)
+			So(succeededCallCount, ShouldBeGreaterThan, 4*callersPerEntry)
 		})
 	})
 }
@@ -93,9 +93,9 @@
 	stopCh  chan struct{}
 	workers sync.WaitGroup
 
-	mu         sync.Mutex
-	wholeCount int
-	failures   []string
+	mu                 sync.Mutex
+	succeededCallCount int
+	failures           []string
 }
 
 // startLoad starts a load of callersPerEntry workers per entry instance.
@@ -122,7 +122,7 @@
 		_, err := r.call(entry)
 		l.mu.Lock()
 		if err == nil {
-			l.wholeCount++
+			l.succeededCallCount++
 		} else {
 			l.failures = append(l.failures, err.Error())
 		}
@@ -132,8 +132,8 @@
 
 // stop stops the load and returns the number of whole responses and the errors
 // of the other calls.
-func (l *callLoad) stop() (wholeCount int, failed []string) {
+func (l *callLoad) stop() (succeededCallCount int, failed []string) {
 	close(l.stopCh)
 	l.workers.Wait()
-	return l.wholeCount, l.failures
+	return l.succeededCallCount, l.failures
 }
--- a/test/faults/entry_cluster_test.go
+++ b/test/faults/entry_cluster_test.go
@@ -149,18 +149,18 @@
 		c.logDir = dir
 	}
 	c.platformAddr = freeAddr(t)
-	c.declare("kind: Region\nname: west", "kind: Region\nname: east",
+	c.addDeclarations("kind: Region\nname: west", "kind: Region\nname: east",
 		"kind: Service\nname: lots\nroutes:\n  - {method: POST, path: /lots}",
 		"kind: ClientAccount\nname: erbe\nkeyHash: "+string(core.DigestOf([]byte(accountKey))))
 	for _, small := range []string{"small-1", "small-2", "small-3"} {
-		c.declare("kind: ClientAccount\nname: " + small + "\nkeyHash: " + string(core.DigestOf([]byte(small+"-key"))))
+		c.addDeclarations("kind: ClientAccount\nname: " + small + "\nkeyHash: " + string(core.DigestOf([]byte(small+"-key"))))
 	}
 	for i := range 4 {
 		dc := dataCentres[i%3]
 		c.addEntry(fmt.Sprintf("entry-%d", i+1), dc.name, dc.region, entryArgs)
 	}
 	for _, dc := range dataCentres {
-		c.declare("kind: DataCentre\nname: " + dc.name + "\nregion: " + dc.region)
+		c.addDeclarations("kind: DataCentre\nname: " + dc.name + "\nregion: " + dc.region)
 		for n := range serversPerDataCentre {
 			c.addServer(fmt.Sprintf("gpu-%s-%d", dc.name, n+1), dc.name, dc.region, "", engineArgs)
 		}
@@ -170,7 +170,7 @@
 	return c
 }
 
-func (c *cluster) declare(docs ...string) {
+func (c *cluster) addDeclarations(docs ...string) {
 	for _, d := range docs {
 		c.declarations.WriteString(d + "\n---\n")
 	}
@@ -203,7 +203,7 @@
 		declaration += fmt.Sprintf("\nlimit: %d\ncoldLimit: %d\nfencing: true", engineLimit, engineColdLimit)
 	}
 	c.addProcess(name, addr, agent...)
-	c.declare(declaration)
+	c.addDeclarations(declaration)
 }
 
 // start starts a process with its log appended to NAME.log.
@@ -291,7 +291,7 @@
 	c.must(os.Mkdir(model, 0o755))
 	c.must(os.WriteFile(filepath.Join(model, "weights.bin"), bytes.Repeat([]byte("weights "), 8<<10), 0o644))
 	digest := strings.TrimSpace(c.runCommand("publish", model))
-	c.declare(fmt.Sprintf("kind: Model\nname: herbs\nversion: v1\nreplicas: %d", serversPerDataCentre*len(dataCentres)),
+	c.addDeclarations(fmt.Sprintf("kind: Model\nname: herbs\nversion: v1\nreplicas: %d", serversPerDataCentre*len(dataCentres)),
 		"kind: Version\nname: v1\nmodel: herbs\nmanifest: "+digest)
 	folder := filepath.Join(c.dir, "declarations")
 	c.must(os.Mkdir(folder, 0o755))
--- a/test/faults/weights_rollout_test.go
+++ b/test/faults/weights_rollout_test.go
@@ -55,7 +55,7 @@
 	c.must(os.Mkdir(dir, 0o755))
 	c.must(os.WriteFile(filepath.Join(dir, "weights.bin"), weights.Bytes(), 0o644))
 	digest := strings.TrimSpace(c.runCommand("publish", "--chunk-bytes", "262144", dir))
-	c.declare("kind: Version\nname: " + name + "\nmodel: herbs\nmanifest: " + digest)
+	c.addDeclarations("kind: Version\nname: " + name + "\nmodel: herbs\nmanifest: " + digest)
 	return digest
 }
 
--- a/version/catalog/follower.go
+++ b/version/catalog/follower.go
@@ -18,13 +18,13 @@
 	// shorter timeout would put more load on the store.
 	longPollTimeout = 2500 * time.Millisecond
 	// The Follower pauses after each response, so that changes made close
-	// together arrive in one response. declaredBatchDelay is the pause for the
+	// together arrive in one response. declarationsBatchDelay is the pause for the
 	// table of declarations, which must take effect within 2 s.
 	// serversBatchDelay, for the table of servers, may be longer: a failed
 	// connection shows that a server is gone before the server's row is
 	// deleted.
-	declaredBatchDelay = 120 * time.Millisecond
-	serversBatchDelay  = 300 * time.Millisecond
+	declarationsBatchDelay = 120 * time.Millisecond
+	serversBatchDelay      = 300 * time.Millisecond
 	// minRetryDelay and maxRetryDelay are the shortest and the longest pause
 	// after a failed call, before jitter.
 	minRetryDelay = 100 * time.Millisecond
@@ -110,7 +110,7 @@
 // for the next response.
 func (f *Follower) batchDelay() time.Duration {
 	if f.table != TableServers {
-		return declaredBatchDelay
+		return declarationsBatchDelay
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/version/confstore/encoded.go
+++ b/version/confstore/encoded.go
@@ -19,7 +19,7 @@
 
 // EncodedVersion is an encoded configuration to be sent to a peer: either the
 // full configuration, or a delta, which encodes only the differences from the
-// version whose number is Base.
+// version whose number is BaseNumber.
 type EncodedVersion struct {
 	// Number is the version number of the configuration.
 	Number uint64
--- a/version/confstore/errors.go
+++ b/version/confstore/errors.go
@@ -31,13 +31,13 @@
 	// BaseNumber is the number of the version to which the refused change was to be
 	// applied.
 	BaseNumber uint64
-	// Winner is the version after Base, which another change created. If the
+	// Winner is the version after BaseNumber, which another change created. If the
 	// record of that version cannot be read, Winner is the newest version.
 	Winner HistoryEntry
 	// InForce is the number of the newest version.
 	InForce uint64
-	// Changes are the differences between Base and the newest version; nil
-	// when one of the two cannot be read.
+	// Changes are the differences between BaseNumber and the newest version;
+	// nil when one of the two cannot be read.
 	Changes []declare.Change
 }
 
--- a/version/spread/fetchobject.go
+++ b/version/spread/fetchobject.go
@@ -20,12 +20,13 @@
 	// maxHoldersTried is the maximum number of holders that one call of
 	// fetchFromHolders tries.
 	maxHoldersTried = 12
-	// fastFailureTime applies with Config.ReadOriginOnce, when a request to the
-	// only owner in all regions together fails. If the request fails within
-	// fastFailureTime, or if the owner reports that its own fetch failed, the
-	// agent tries the next owner in the ranking. All regions have the same next
-	// owner, so that the origin is still read about once. After a slower
-	// failure the agent reads the origin itself.
+	// fastFailureTime is the time within which a failed request to the global
+	// owner of an object counts as a fast failure. The global owner is the one
+	// agent of all regions that reads the object from the origin, with
+	// Config.ReadOriginOnce. After a fast failure, or when the owner reports that
+	// its own fetch failed, the agent tries the next owner in the ranking, which
+	// is the same in every region, so the origin is still read about once. After
+	// a slower failure the agent reads the origin itself.
 	fastFailureTime = 200 * time.Millisecond
 	// maxPeersTried is the maximum number of peers at which an agent starts to
 	// search for an object when the origin cannot be read. These peers need not
@@ -109,13 +110,12 @@
 	return s.fetchCounts[d] > 0
 }
 
-// fetchRound makes one attempt at each source that an object has at tier t. At
-// tierAllRegions, and at tierRegion without Config.ReadOriginOnce, the source is
-// the origin. Otherwise the sources are the owners in the data centre (at
+// fetchRound tries the sources of tier t in turn until one returns the object.
+// The sources are, in the order of the ranking, the owners in the data centre (at
 // tierReader), in the region (at tierDataCentre) or in all regions together (at
-// tierRegion), in the order of the ranking. When this agent itself is next in
-// that order, it fetches the object at the next tier instead of trying further
-// owners.
+// tierRegion with Config.ReadOriginOnce). At tierAllRegions, and at tierRegion
+// without ReadOriginOnce, the source is the origin. If there is no owner, or if
+// this agent is the next owner, it fetches the object at the next tier instead.
 func (s *Swarm) fetchRound(ctx context.Context, o object, t tier) ([]byte, error) {
 	if t == tierAllRegions || t == tierRegion && !s.cfg.ReadOriginOnce {
 		return s.fetchFromOrigin(ctx, o)
